--- /dev/null
+++ b/tests/test_frozen_mesh.py
@@ -0,0 +1,229 @@
+"""Every frame that controllers and cells exchange, byte by byte. The literals in frozen/mesh.json never change; the
+names of the code may, and only the maps below name it.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import anyio
+import pytest
+
+from sloeswitch import frame_link, mesh
+from sloeswitch.admission import frames as admission_frames
+from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.cells import frames as cell_frames
+from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
+from sloeswitch.cells.summary import MachinePool, Resources, Summary
+from sloeswitch.core.cancellations import Cancellation, Cancellations, Extract
+from sloeswitch.settings import Address
+from sloeswitch.wire import JobSpec
+
+FROZEN: dict[str, dict[str, Any]] = json.loads((Path(__file__).parent / "frozen" / "mesh.json").read_text())
+
+
+@dataclass(frozen=True)
+class Form:
+    """A value, what writes it and what reads it."""
+
+    value: Any
+    write: Callable[[Any], bytes]
+    read: Callable[[bytes], Any]
+
+
+SPEC = JobSpec(
+    "wk-000412", "train", "vision", "sweep", "urgent", 16, 8.0, 1.0, 64.0, "img-07", 6.2, False, True, True, 240.0,
+    30.0, 4.0, ["g8"], "a", 900.0,
+)  # fmt: skip
+HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
+KNOWN = mesh.Known(3, True, 9, True, True)
+CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
+SUMMARY = Summary(
+    "north", 2, 431, (MachinePool("g8", True, Resources(96.0, 8.0, 768.0), 1.5, 3),), Resources(1.0, 2.0, 3.0), 61.5,
+    (("red", 4.0, 5.0),), (("wk-000412", 7),),
+)  # fmt: skip
+
+
+def inform(answer: mesh.Answer) -> Form:
+    """An answer between controllers, with its header."""
+    return Form(answer, mesh.Answer.pack, lambda frame: mesh.Answer.unpack(frame[mesh.HEADER.size :]))
+
+
+def cell_request(request: Request, offer: cell_frames.Offer | None = None) -> Form:
+    """A request between cells."""
+    value = cell_frames.CellRequest(RequestMessage(HANDOFF, request), 2, offer)
+    return Form(value, cell_frames.CellRequest.pack, cell_frames.CellRequest.unpack)
+
+
+def cell_answer(answer: Answer | None) -> Form:
+    """An answer between cells."""
+    return Form(cell_frames.CellAnswer(2, answer), cell_frames.CellAnswer.pack, cell_frames.CellAnswer.unpack)
+
+
+def summary(value: Summary | None) -> Form:
+    """What a cell tells of its room."""
+    return Form(value, cell_frames.pack_summary, cell_frames.unpack_summary)
+
+
+def idle_room(*rooms: IdleRoom) -> Form:
+    """What a controller tells of its idle room."""
+    return Form(list(rooms), admission_frames.pack_idle_room, admission_frames.unpack_idle_room)
+
+
+def fixed(body: Any, kind: int, value: tuple[Any, ...], write: Callable[..., bytes]) -> Form:
+    """A frame of a fixed length."""
+
+    def read(frame: bytes) -> Any:
+        assert mesh.check_header(frame[: mesh.HEADER.size], kind, body.size) == body.size
+        return body.unpack(frame[mesh.HEADER.size :])
+
+    return Form(value, lambda each: write(*each), read)
+
+
+FORMS: dict[str, Form] = {
+    "ask": fixed(mesh.ASK, mesh.TYPE_ASK, (0x0102030405060708,), mesh.pack_ask),
+    "tell": fixed(mesh.TELL, mesh.TYPE_TELL, (9, True), mesh.pack_tell),
+    "tell without state service": fixed(mesh.TELL, mesh.TYPE_TELL, (9, False), mesh.pack_tell),
+    "tell that confirms nothing": fixed(mesh.TELL, mesh.TYPE_TELL, (mesh.NO_CONFIRMATION, True), mesh.pack_tell),
+    "inquire": fixed(mesh.INQUIRE, mesh.TYPE_INQUIRE, (1, 2, 3, 0x0102030405060708), mesh.pack_inquire),
+    "inform of nothing": inform(mesh.Answer(3, False, False, 7, Extract([], 9))),
+    "inform with state service": inform(mesh.Answer(3, True, False, 7, Extract([], 9))),
+    "inform by a whole reader": inform(mesh.Answer(3, False, True, 7, Extract([], 9))),
+    "inform with more to come": inform(mesh.Answer(3, False, False, 7, Extract(CANCELLED, 9, True))),
+    "inform with all": inform(mesh.Answer(1 << 63, True, True, (1 << 63) + 7, Extract(CANCELLED, 1 << 40, True))),
+    "offer": cell_request(Request.OFFER, cell_frames.Offer(SPEC, 1_700_000_000_123)),
+    "query": cell_request(Request.QUERY),
+    "withdraw": cell_request(Request.WITHDRAW),
+    "stop": cell_request(Request.STOP),
+    "acknowledge": cell_request(Request.ACKNOWLEDGE),
+    "unknown": cell_answer(Answer.UNKNOWN),
+    "refused": cell_answer(Answer.REFUSED),
+    "accepted": cell_answer(Answer.ACCEPTED),
+    "begun": cell_answer(Answer.BEGUN),
+    "withdrawn": cell_answer(Answer.WITHDRAWN),
+    "stopping": cell_answer(Answer.STOPPING),
+    "stopped": cell_answer(Answer.STOPPED),
+    "done": cell_answer(Answer.DONE),
+    "no answer": cell_answer(None),
+    "summary": summary(SUMMARY),
+    "summary of nothing": summary(Summary("north", 2, 431)),
+    "no summary": summary(None),
+    "idle room": idle_room(IdleRoom(("g8", "a", True), 2.5, 61.5), IdleRoom(("small", "zone-b", False), 0.25, 0.0)),
+    "no idle room": idle_room(),
+}
+
+CONSTANTS: dict[str, Callable[[], Any]] = {
+    "header": lambda: [mesh.HEADER.format, mesh.MAGIC.decode(), mesh.VERSION],
+    "types": lambda: [
+        mesh.TYPE_ASK, mesh.TYPE_TELL, mesh.TYPE_INQUIRE, mesh.TYPE_INFORM, mesh.TYPE_CELL_REQUEST,
+        mesh.TYPE_CELL_ANSWER, mesh.TYPE_SUMMARY_REQUEST, mesh.TYPE_SUMMARY, mesh.TYPE_IDLE_ROOM_REQUEST,
+        mesh.TYPE_IDLE_ROOM,
+    ],
+    "types of answers": lambda: {str(asked): answer for asked, answer in mesh.ANSWER_TYPES.items()},
+    "flags": lambda: [mesh.STATE_OK, mesh.WHOLE, mesh.MORE],
+    "limits": lambda: [mesh.MAX_BODY, mesh.MOST_ENTRIES, cell_frames.MOST_SPEC_BYTES, admission_frames.MOST_ENTRIES],
+    "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
+    "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
+}  # fmt: skip
+
+
+def test_nothing_frozen_is_left_out() -> None:
+    assert set(FROZEN) == {"frames", "constants", "refused", "exchanges", "served"}
+    assert set(FROZEN["frames"]) == set(FORMS)
+    assert set(FROZEN["constants"]) == set(CONSTANTS)
+
+
+def test_every_request_and_answer_of_cells_is_frozen() -> None:
+    asked = {form.value.message.request for form in FORMS.values() if isinstance(form.value, cell_frames.CellRequest)}
+    told = {form.value.answer for form in FORMS.values() if isinstance(form.value, cell_frames.CellAnswer)}
+    assert asked == set(Request) and told == {None, *Answer}
+
+
+def test_every_type_number_is_frozen() -> None:
+    numbers = {value for name, value in vars(mesh).items() if isinstance(value, int) and name.startswith("TYPE_")}
+    assert numbers == set(FROZEN["constants"]["types"])
+
+
+@pytest.mark.parametrize("name", FROZEN["frames"])
+def test_a_frame_is_written_and_read_as_ever(name: str) -> None:
+    form, literal = FORMS[name], bytes.fromhex(FROZEN["frames"][name])
+    assert form.write(form.value).hex() == literal.hex()
+    read = form.read(literal)
+    assert read == form.value
+    assert form.write(read).hex() == literal.hex()
+
+
+@pytest.mark.parametrize("name", FROZEN["constants"])
+def test_a_constant_is_as_ever(name: str) -> None:
+    assert CONSTANTS[name]() == FROZEN["constants"][name]
+
+
+@pytest.mark.parametrize("name", FROZEN["refused"])
+def test_what_is_cut_off_or_too_long_or_of_an_unknown_code_is_refused(name: str) -> None:
+    frame = bytes.fromhex(FROZEN["refused"][name])
+    with pytest.raises(mesh.FrameError):
+        FORMS[name.partition(":")[0]].read(frame)
+
+
+class ScriptedStream:
+    """The far end of a connection: keeps what is sent and gives a literal answer."""
+
+    def __init__(self, answer: bytes = b"") -> None:
+        self.sent = b""
+        self.answer = answer
+
+    async def send(self, data: bytes) -> None:
+        self.sent += data
+
+    async def receive(self, _max_bytes: int = 65536) -> bytes:
+        answer, self.answer = self.answer, b""
+        if not answer:
+            raise anyio.EndOfStream
+        return answer
+
+    async def aclose(self) -> None:
+        pass
+
+
+@pytest.mark.parametrize("kind", FROZEN["exchanges"])
+def test_a_feature_is_asked_and_answered_as_ever(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Both ends of one exchange of frames, with their headers."""
+    question, answer = map(bytes.fromhex, FROZEN["exchanges"][kind])
+    far: Any = ScriptedStream(answer)
+
+    async def connect(_host: str, _port: int) -> Any:
+        return far
+
+    monkeypatch.setattr(anyio, "connect_tcp", connect)
+    link = frame_link.FrameLink("south", (Address("127.0.0.1", 9081),), 60.0)
+    assert anyio.run(link.exchange, int(kind), question[mesh.HEADER.size :]) == answer[mesh.HEADER.size :]
+    assert far.sent.hex() == question.hex()
+
+
+@pytest.mark.parametrize("kind", FROZEN["exchanges"])
+def test_a_mesh_serves_a_feature_as_ever(kind: str) -> None:
+    question, answer = map(bytes.fromhex, FROZEN["exchanges"][kind])
+    asked: list[tuple[int, bytes]] = []
+
+    async def handle(number: int, body: bytes) -> bytes:
+        asked.append((number, body))
+        return answer[mesh.HEADER.size :]
+
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, Cancellations(9, 7), lambda _found: None)
+    serving.handlers[int(kind)] = handle
+    near: Any = ScriptedStream(question)
+    anyio.run(serving.serve, near)
+    assert asked == [(int(kind), question[mesh.HEADER.size :])] and near.sent.hex() == answer.hex()
+
+
+@pytest.mark.parametrize(("asked", "told"), [("ask", "tell that confirms nothing"), ("inquire", "inform served")])
+def test_a_mesh_answers_controllers_as_ever(asked: str, told: str) -> None:
+    literals = FROZEN["frames"] | FROZEN["served"]
+    near: Any = ScriptedStream(bytes.fromhex(literals[asked]))
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, Cancellations(9, 7), lambda _found: None)
+    anyio.run(serving.serve, near)
+    assert near.sent.hex() == literals[told]
