--- /dev/null
+++ b/tests/test_frozen_settings.py
@@ -0,0 +1,267 @@
+"""Every key of the settings file and of the features file, the command line and the deploy file. The literals in
+frozen/settings.json never change; the names of the code may, and only the maps below name it.
+"""
+
+from __future__ import annotations
+
+import json
+import logging
+import shlex
+import sys
+import tomllib
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from sloeswitch import cli, controller, features, settings
+from sloeswitch.admission import compare
+
+ROOT = Path(__file__).parent.parent
+FROZEN: dict[str, Any] = json.loads((ROOT / "tests" / "frozen" / "settings.json").read_text())
+FILES = ("settings", "features")
+
+
+def address(value: settings.Address) -> str:
+    """As it is written in the file."""
+    return f"{value.host}:{value.port}"
+
+
+def classes(value: features.CellFeatures) -> dict[str, str]:
+    """The policy of each class that has one, by the word in the file."""
+    return {klass: policy.value for klass, policy in value.policies.items()}
+
+
+# By the key that gives the value; keys of lists are those of the first item.
+VALUES: dict[str, dict[str, Callable[[Any], Any]]] = {
+    "settings": {
+        "member": lambda s: s.member,
+        "zone": lambda s: s.zone,
+        "bind": lambda s: address(s.bind),
+        "mesh_addr": lambda s: address(s.mesh),
+        "siblings.member": lambda s: s.siblings[0].member,
+        "siblings.zone": lambda s: s.siblings[0].zone,
+        "siblings.address": lambda s: address(s.siblings[0].address),
+        "outside.cloud": lambda s: address(s.cloud),
+        "outside.state": lambda s: address(s.state),
+        "deployment.count": lambda s: s.count,
+        "deployment.zones": lambda s: list(s.zones),
+        "deployment.clock_error_ms": lambda s: s.clock_error_s,
+        "deployment.teams.name": lambda s: list(s.teams),
+        "deployment.teams.cpus": lambda s: s.teams["red"].cpus,
+        "deployment.teams.cpus_max": lambda s: s.teams["red"].cpus_max,
+        "deployment.teams.gpus": lambda s: s.teams["red"].gpus,
+        "deployment.teams.gpus_max": lambda s: s.teams["red"].gpus_max,
+        "deployment.objectives.kind": lambda s: s.objectives[0].kind,
+        "deployment.objectives.class": lambda s: s.objectives[0].klass,
+        "deployment.objectives.within_s": lambda s: s.objectives[0].within_s,
+        "deployment.objectives.share": lambda s: s.objectives[0].share,
+        "deployment.objectives.times": lambda s: s.objectives[0].times,
+        "deployment.workers.report_s": lambda s: s.report_s,
+        "deployment.workers.lease_s": lambda s: s.lease_s,
+        "deployment.workers.gang_wait_s": lambda s: s.gang_wait_s,
+        "deployment.workers.gang_peer_s": lambda s: s.gang_peer_s,
+        "deployment.workers.cancel_s": lambda s: s.cancel_s,
+        "deployment.state.rps": lambda s: s.state_rps,
+        "deployment.state.write_rps": lambda s: s.state_write_rps,
+        "deployment.state.value_kb": lambda s: s.value_kb,
+        "deployment.state.txn_ops": lambda s: s.txn_ops,
+        "deployment.state.next.rps": lambda s: s.state_rps,
+        "deployment.state.next.write_rps": lambda s: s.state_write_rps,
+        "deployment.state.next.value_kb": lambda s: s.value_kb,
+        "deployment.state.next.txn_ops": lambda s: s.txn_ops,
+        "deployment.cloud.rps": lambda s: s.cloud_rps,
+        "deployment.cloud.list_lag_s": lambda s: s.list_lag_s,
+        "deployment.machine_limits.cores": lambda s: s.cores,
+        "deployment.machine_limits.memory_mb": lambda s: s.memory_mb,
+        "deployment.machine_limits.fd_limit": lambda s: s.fd_limit,
+    },
+    "features": {
+        "cells.name": lambda f: f.cells.name,
+        "cells.incarnation": lambda f: f.cells.incarnation,
+        "cells.moving": lambda f: f.cells.moving,
+        "cells.most_under_way": lambda f: f.cells.most_under_way,
+        "cells.classes.train": lambda f: classes(f.cells),
+        "cells.peers.name": lambda f: f.cells.peers[0].name,
+        "cells.peers.addresses": lambda f: [address(each) for each in f.cells.peers[0].addresses],
+        "admission.deferring": lambda f: f.admission.deferring,
+    },
+}
+
+OTHERS: dict[str, Callable[[], Any]] = {
+    "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LEVELS.items()},
+    "keys of cells": lambda: sorted(features.CELL_FIELDS),
+    "keys of peers": lambda: sorted(features.PEER_FIELDS),
+    "keys of admission": lambda: sorted(features.ADMISSION_FIELDS),
+    "keys of deploy/service.toml": lambda: sorted(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())),
+    "program": lambda: shlex.split(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["run"])[-2:],
+}
+
+
+def read(file: str, text: str) -> Any:
+    """What a text gives, as a file of this kind."""
+    if file == "settings":
+        return settings.parse(text)
+    return features.parse(text, settings.parse(FROZEN["settings"]["text"]))
+
+
+def outcome(file: str, text: str, key: str) -> Any:
+    """The faults that a text has, or the value that it gives for a key."""
+    try:
+        return {"value": VALUES[file][key](read(file, text))}
+    except settings.SettingsError as error:
+        return {"faults": error.faults}
+
+
+def replaced(text: str, key: str, line: str | None) -> str:
+    """The text with another line for a key, or none."""
+    table, found, lines = "", 0, []
+    for old in text.splitlines():
+        if old.startswith("["):
+            table = old.strip("[]") + "."
+        if table + old.partition(" = ")[0] == key:
+            found += 1
+            if line is not None:
+                lines.append(f"{old.partition(' = ')[0]} = {line}")
+        else:
+            lines.append(old)
+    assert found == 1, key
+    return "\n".join(lines)
+
+
+def without_table(text: str, name: str) -> str:
+    """The text without a table and what is below it."""
+    parts = ("\n" + text).split("\n[")
+    kept = [part for part in parts if not (part.strip("[").partition("]")[0] + ".").startswith(name + ".")]
+    assert len(kept) < len(parts), name
+    return "\n[".join(kept)
+
+
+def cases(part: str) -> list[tuple[str, str]]:
+    """What is frozen of both files, by name."""
+    return [(file, name) for file in FILES for name in FROZEN[file][part]]
+
+
+def keys_of(table: dict[str, Any], where: str = "") -> set[str]:
+    """All keys of parsed TOML, with dots."""
+    keys: set[str] = set()
+    for key, value in table.items():
+        items = value if isinstance(value, list) else [value]
+        for item in items:
+            keys |= keys_of(item, f"{where}{key}.") if isinstance(item, dict) else {where + key}
+    return keys
+
+
+@pytest.mark.parametrize("file", FILES)
+def test_the_frozen_text_has_every_key(file: str) -> None:
+    ours = FROZEN[file]
+    assert keys_of(tomllib.loads(ours["text"])) == set(VALUES[file]) == set(ours["values"])
+    assert set(ours["missing"]) == set(ours["wrong"]) == set(VALUES[file])
+
+
+@pytest.mark.parametrize(("file", "key"), cases("values"))
+def test_a_key_gives_the_value_it_ever_gave(file: str, key: str) -> None:
+    assert VALUES[file][key](read(file, FROZEN[file]["text"])) == FROZEN[file]["values"][key]
+
+
+@pytest.mark.parametrize(("file", "key"), cases("missing"))
+def test_a_missing_key_is_named_or_has_the_same_default(file: str, key: str) -> None:
+    text = replaced(FROZEN[file]["text"], key, None)
+    assert outcome(file, text, key) == FROZEN[file]["missing"][key]
+
+
+@pytest.mark.parametrize(("file", "key"), cases("wrong"))
+def test_a_key_of_a_wrong_type_is_named(file: str, key: str) -> None:
+    text = replaced(FROZEN[file]["text"], key, "{}")
+    assert outcome(file, text, key) == FROZEN[file]["wrong"][key]
+
+
+@pytest.mark.parametrize(("file", "table"), cases("missing tables"))
+def test_a_missing_table_is_named_or_may_be_absent(file: str, table: str) -> None:
+    try:
+        read(file, without_table(FROZEN[file]["text"], table))
+        faults = []
+    except settings.SettingsError as error:
+        faults = error.faults
+    assert faults == FROZEN[file]["missing tables"][table]
+
+
+@pytest.mark.parametrize(("file", "line"), cases("unknown"))
+def test_an_unknown_key_is_ignored_in_settings_and_named_in_features(file: str, line: str) -> None:
+    """The line is put below its table, which is written before a colon."""
+    table, _, item = line.rpartition(":")
+    text = FROZEN[file]["text"]
+    text = text.replace(table, f"{table}\n{item}", 1) if table else f"{item}\n{text}"
+    try:
+        assert read(file, text) == read(file, FROZEN[file]["text"])
+        faults = []
+    except settings.SettingsError as error:
+        faults = error.faults
+    assert faults == FROZEN[file]["unknown"][line]
+
+
+@pytest.mark.parametrize("name", FROZEN["others"])
+def test_a_name_beside_the_files_is_as_ever(name: str) -> None:
+    assert set(FROZEN["others"]) == set(OTHERS)
+    assert OTHERS[name]() == FROZEN["others"][name]
+
+
+@pytest.fixture
+def files(tmp_path: Path) -> dict[str, str]:
+    """The frozen texts as files, by the words that stand for them in frozen command lines."""
+    paths = {"SETTINGS": tmp_path / "settings.toml", "FEATURES": tmp_path / "features.toml", "BAD": tmp_path / "bad"}
+    paths["SETTINGS"].write_text(FROZEN["settings"]["text"])
+    paths["FEATURES"].write_text(FROZEN["features"]["text"])
+    paths["BAD"].write_text("novel = 1")
+    return {word: str(path) for word, path in paths.items()}
+
+
+class Program:
+    """Runs the program and keeps what it started instead of starting it."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.monkeypatch = monkeypatch
+        self.started: list[str] = []
+        monkeypatch.setattr(controller, "run", self.serve)
+        monkeypatch.setattr(compare, "main", self.compare)
+        monkeypatch.setattr(logging, "basicConfig", self.log)
+
+    def serve(self, ours: Any, enabled: Any) -> None:
+        whole = read("features", FROZEN["features"]["text"])
+        assert ours == read("settings", FROZEN["settings"]["text"]) and enabled in (features.Features(), whole)
+        self.started.append("serve with features" if enabled == whole else "serve")
+
+    def compare(self, paths: list[str], _out: Any, _errors: Any) -> int:
+        self.started.append(f"compare {' '.join(paths)}")
+        return 0
+
+    def log(self, **given: Any) -> None:
+        assert given["stream"] is sys.stderr
+        self.started.append(f"log {logging.getLevelName(given['level'])} {given['format']}")
+
+    def run(self, arguments: list[str], environment: dict[str, str]) -> Any:
+        """The exit status."""
+        for name in ("LOG_LEVEL", *environment):
+            self.monkeypatch.delenv(name, raising=False)
+        for name, value in environment.items():
+            self.monkeypatch.setenv(name, value)
+        try:
+            return cli.main(arguments)
+        except SystemExit as ended:
+            return ended.code
+
+
+@pytest.mark.parametrize("line", FROZEN["command lines"])
+def test_a_command_line_does_what_it_ever_did(
+    line: str, files: dict[str, str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:  # fmt: skip
+    """The exit status, what is started, and the last line of what is printed to standard error."""
+    program = Program(monkeypatch)
+    words = line.split()
+    environment = dict(word.split("=") for word in words if "=" in word)
+    status = program.run([files.get(word, word) for word in words if "=" not in word], environment)
+    told = capsys.readouterr().err.splitlines()
+    for word, path in files.items():
+        told = [each.replace(path, word) for each in told]
+    assert [status, program.started, told[-1:]] == FROZEN["command lines"][line]
