--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -133,6 +133,8 @@
         self.commands = CommandSender(
             settings, self.standing, registry, self.tables, lambda *_: None, self.told.append, self.now
         )
+        # A busy machine may take long over an exchange in memory.
+        self.client.timeout_s = self.cloud.timeout_s = self.commands.timeout_s = 60.0
 
     @staticmethod
     def now() -> float:
