--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -18,7 +18,7 @@
 TURNS = 12
 
 
-class Instance:
+class ScriptedInstance:
     """One instance at the cloud."""
 
     def __init__(self, name: str, booking: wire.Booking, created_at: float, up_at: float) -> None:
@@ -110,7 +110,7 @@
     nodes: dict[str, Any]
 
     def __init__(self, seed: int) -> None:
-        self.instances: dict[str, Instance] = {}
+        self.instances: dict[str, ScriptedInstance] = {}
         super().__init__(seed, machines=0)
 
     def new_node(self, name: str) -> Node:
@@ -148,7 +148,7 @@
         for number in range(max(1, booking.count - (self.rng.random() < 0.1))):
             name = f"{booking.name}-{number}"
             delay = 8 * self.rng.random() if self.rng.random() < 0.95 else 1e9
-            self.instances[name] = Instance(name, booking, self.clock.time, self.clock.time + delay)
+            self.instances[name] = ScriptedInstance(name, booking, self.clock.time, self.clock.time + delay)
             names.append(name)
         return names
 
