--- /dev/null
+++ b/tests/test_frozen_keys.py
@@ -0,0 +1,93 @@
+"""Every stored key and every packed set of tasks is the frozen text, byte for byte (tests/frozen).
+
+The data files are never changed: a stored layout that changes takes another prefix. Only the Python names that stand
+here follow renamings.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import pytest
+
+from sloeswitch import wire
+from sloeswitch.core import tables as t
+from sloeswitch.core import taskset
+
+FROZEN = Path(__file__).parent / "frozen"
+KEYS: dict[str, str] = json.loads((FROZEN / "keys.json").read_text())
+SETS: dict[str, dict[str, str]] = json.loads((FROZEN / "rows_tasksets.json").read_text())
+
+# The only place with Python names of keys.
+MADE = {
+    "prefix": t.PREFIX,
+    "view": t.VIEW,
+    "coordinator": t.COORD,
+    "catalog": t.CATALOG,
+    "layout mark": t.UPGRADE,
+    "member": t.member_key("c0"),
+    "job": t.job_key("wk-000001"),
+    "progress": t.progress_key("wk-000001"),
+    "part of a spec": t.part_key("wk-000001", "c0.1.2", 10),
+    "adoptions": t.adoption_key("c0.1", 12),
+    "feature mark": t.feature_key("cells"),
+    "admission row, root": t.admission_key(""),
+    "admission row, split": t.admission_key("01"),
+    "floor of a cell": t.floor_key("north"),
+    "team limit": t.team_key("red"),
+    "single machine": t.machine_key("vm-1"),
+    "single type": t.type_key("small"),
+    "group": t.group_key("c0.1.3"),
+    "group named by a key": t.group_of("s1/g/c0.1.3"),
+    "tag of a run": t.tag_of("c0", 1),
+    "status live": t.LIVE,
+    "status done": t.DONE,
+    "status withdrawn": t.WITHDRAWN,
+    "layout with groups": str(t.GROUPS),
+    "layout": str(t.LAYOUT),
+}
+PACKS = {"pack": taskset.pack, "dense": taskset.pack_dense}
+
+
+def bits(*runs: tuple[int, int]) -> int:
+    """A set of runs, given as start and length; made without the code under test."""
+    return sum(((1 << length) - 1) << start for start, length in runs)
+
+
+MASKS = {
+    "empty": 0,
+    "task 0": 1,
+    "task 7": 1 << 7,
+    "task 99999": 1 << 99_999,
+    "a range": bits((3, 20)),
+    "two ranges": bits((0, 2), (10, 5)),
+    "three near tasks": bits((0, 1), (2, 1), (4, 1)),
+    "runs of 42 and 43 with near ones": bits((0, 42), (43, 1), (45, 1), (200, 43), (244, 1), (246, 1)),
+    "gaps of 40 and 41": bits((0, 1), (41, 1), (82, 1), (124, 1), (166, 1), (208, 1)),
+    "every third of 200": sum(1 << number for number in range(0, 200, 3)),
+    "100000 tasks": bits((0, 100_000)),
+    "100000 tasks with holes": bits((0, 10), (11, 49_989), (50_001, 1), (50_003, 1), (50_005, 1), (60_000, 40_000)),
+}
+
+
+def test_every_frozen_key_and_set_has_its_case() -> None:
+    assert MADE.keys() == KEYS.keys() and MASKS.keys() == SETS.keys()
+
+
+@pytest.mark.parametrize("name", KEYS)
+def test_a_key_is_the_frozen_text(name: str) -> None:
+    assert MADE[name] == KEYS[name]
+
+
+@pytest.mark.parametrize("name", SETS)
+def test_a_set_of_tasks_is_packed_and_unpacked_as_frozen(name: str) -> None:
+    for form, text in SETS[name].items():
+        assert wire.encode(PACKS[form](MASKS[name])).decode() == text
+        assert taskset.unpack(json.loads(text)) == MASKS[name]
+
+
+@pytest.mark.parametrize("text", ['["AQ"]', '["AQ",1]', "[0]", '[0,"*"]'])
+def test_what_is_no_packed_set_is_refused(text: str) -> None:
+    with pytest.raises(ValueError):
+        taskset.unpack(json.loads(text))
