--- /dev/null
+++ b/tests/test_frozen_rows.py
@@ -0,0 +1,528 @@
+"""Every kind of stored row is read from, and written as, the frozen text, byte for byte (tests/frozen).
+
+The data files are never changed: production holds such rows. Only the Python names here and in tests/support/frozen.py
+follow renamings. rows_read: what was stored; rows_state: the tables read from it; rows_after_drop: the tables once
+these rows are dropped; rows_written: what each case below writes.
+"""
+
+from __future__ import annotations
+
+import json
+import time
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from sloeswitch import wire
+from sloeswitch.actors.feature_mark import FeatureMark
+from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.admission.coordinator import AdmissionCoordinator
+from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket
+from sloeswitch.cells.frames import CellAnswer, CellRequest, Offer
+from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
+from sloeswitch.cells.origin import CellOrigin
+from sloeswitch.cells.policy import MovePolicy
+from sloeswitch.cells.target import CellTarget
+from sloeswitch.core import tables as t
+from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
+from sloeswitch.frame_link import NoAnswerError
+from tests.conftest import MACHINE_TYPE, spec
+from tests.support.frozen import FIRST_STAMP, Recorder, dump, frozen, line_of, parse_line
+from tests.test_upgrade import heartbeat_and_register, unregister
+
+JOB, COMPLEX, THIRD = "wk-000001", "wk-000002", "wk-000003"
+READ: dict[str, list[str]] = frozen("rows_read")
+STATE: dict[str, str] = frozen("rows_state")
+AFTER_DROP: dict[str, str] = frozen("rows_after_drop")
+WRITTEN: dict[str, list[str]] = frozen("rows_written")
+EVERY_FIELD: dict[str, Any] = {
+    "crew": "red", "shape": "group", "urgency": "critical", "visits": 2, "cores": 2.5, "accelerators": 1.5,
+    "memoryGb": 3.0, "kit": "img-2", "pullGb": 4.0, "builds": ["small", "large"], "district": "b", "together": True,
+    "loaners": False, "expectedS": 5.0, "snapshotS": 6.0, "stashS": 7.0, "dueS": 90.0, "awaits": [JOB, THIRD],
+}  # fmt: skip
+
+
+@pytest.fixture(autouse=True)
+def time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The time of day stands still."""
+    monkeypatch.setattr(time, "time", lambda: 1_700_000_000.25)
+
+
+# -- membership and marks
+
+
+def member(world: Recorder) -> None:
+    world.membership.settled = 4
+    assert world.run(world.membership._write_member)
+
+
+def coordinator(world: Recorder) -> None:
+    world.run(world.membership._coordinate)
+
+
+def view(world: Recorder) -> None:
+    world.given("coordinator", "member")
+    world.run(world.membership._coordinate)
+
+
+def layout_mark(world: Recorder) -> None:
+    world.run(world.membership._mark)
+    world.given("member")
+    world.store.put(t.UPGRADE, {"seen": ["c1"], "complete": False})
+    world.run(world.membership._mark)
+
+
+def feature_mark(world: Recorder) -> None:
+    world.given("layout mark, complete")
+    for name in ("cells", "admission"):
+        world.run(FeatureMark(name, world.settings, world.client, world.replica, world.standing).mark)
+    world.given("feature mark, begun")
+    world.run(FeatureMark("cells", world.settings, world.client, world.replica, world.standing).mark)
+
+
+# -- machines
+
+
+def catalog(world: Recorder) -> None:
+    cloud: Any = None
+    fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
+    world.run(fleet._store_catalog, [MACHINE_TYPE, other])
+    world.given("layout mark, complete")
+    world.client.value_bytes = 200
+    world.run(fleet._store_catalog, [MACHINE_TYPE, other])
+    world.client.value_bytes = 400
+    world.run(fleet._store_catalog, [MACHINE_TYPE])
+
+
+def machine_group(world: Recorder) -> None:
+    heartbeat_and_register(world, 2)
+
+
+def single_machines(world: Recorder) -> None:
+    world.given("member of layout 1")
+    heartbeat_and_register(world, 2)
+
+
+def group_without_machines(world: Recorder) -> None:
+    world.given("one group", "single machines of layout 1", "groups")
+    unregister(world, "vm-1")
+    unregister(world, "vm-2", "vm-3")
+
+
+def group_in_parts(world: Recorder) -> None:
+    world.given("one group", "layout mark, complete")
+    world.client.value_bytes = 64
+    unregister(world, "vm-1")
+
+
+def group_in_parts_first(world: Recorder) -> None:
+    world.given("one group", "layout mark, complete")
+    world.client.value_bytes, world.client.txn_ops = 64, 2
+    unregister(world, "vm-1")
+
+
+def single_machine_deleted(world: Recorder) -> None:
+    world.given("single machines of layout 1")
+    unregister(world, "vm-2")
+
+
+# -- jobs
+
+
+def submit(world: Recorder, name: str, **changes: Any) -> None:
+    assert world.run(world.jobs.submit, spec(name, **changes)) is not None
+
+
+def job(world: Recorder) -> None:
+    submit(world, JOB)
+
+
+def job_with_every_field(world: Recorder) -> None:
+    submit(world, COMPLEX, **EVERY_FIELD)
+
+
+def job_in_parts(world: Recorder) -> None:
+    world.given("layout mark, complete")
+    world.client.value_bytes = 200
+    submit(world, JOB)
+
+
+def job_done(world: Recorder) -> None:
+    world.given("job")
+    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
+    world.tell_jobs(Learnt(done={JOB: 0b1111}))
+    world.later(20.0)
+    world.round()
+
+
+def jobs_cancelled_unclaimed(world: Recorder) -> None:
+    world.given("job", "job in parts")
+    for name in (JOB, "wk-000004"):
+        assert world.run(world.jobs.cancel, name) == wire.CANCELLED
+
+
+def job_cancelled_with_tasks(world: Recorder) -> None:
+    world.given("progress")
+    cancel_and_release(world, JOB, 0b100)
+
+
+def job_in_parts_cancelled_with_tasks(world: Recorder) -> None:
+    world.given("layout mark, complete", "job in parts")
+    world.round(ClaimRequest(wants={"wk-000004": 3}))
+    cancel_and_release(world, "wk-000004", 0b111)
+
+
+def job_of_layout_2_cancelled_with_tasks(world: Recorder) -> None:
+    world.given("job of layout 2")
+    world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
+    cancel_and_release(world, JOB, 0b10)
+
+
+def job_with_every_field_cancelled_with_tasks(world: Recorder) -> None:
+    world.given("job with every field")
+    world.store.put(*parse_line('s1/r/wk-000002 {"d":[],"c":{"c0.1":[0,2]}}'))
+    cancel_and_release(world, COMPLEX, 0b11)
+
+
+def cancel_and_release(world: Recorder, name: str, tasks: int) -> None:
+    assert world.run(world.jobs.cancel, name) == wire.CANCELLED
+    world.tell_jobs(Learnt(released={name: tasks}))
+    world.later(20.0)
+    world.round()
+
+
+def job_withdrawn_before_layout_3(world: Recorder) -> None:
+    world.given("job withdrawn, with tasks, before layout 3")
+    world.tell_jobs(Learnt(released={JOB: 1}))
+    world.later(20.0)
+    world.round()
+
+
+def cleared_away(world: Recorder) -> None:
+    world.given("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
+    world.given("adoptions that the progress holds")
+    world.run(world.jobs._clear_away)
+    world.later(100.0)
+    world.run(world.jobs._clear_away)
+
+
+# -- progress
+
+
+def progress_before_the_mark(world: Recorder) -> None:
+    world.given("progress with every field")
+    world.tell_jobs(Learnt(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
+    world.later(20.0)
+    world.round()
+
+
+def progress_after_the_mark(world: Recorder) -> None:
+    world.given("layout mark, complete")
+    progress_before_the_mark(world)
+
+
+def scattered_claims(world: Recorder) -> None:
+    world.given("layout mark, complete", "progress with every field")
+    world.store.put(*parse_line('s1/r/wk-000001 {"d":[],"c":{"c0.1":[0,9]},"z":"b"}'))
+    world.tell_jobs(Learnt(released={JOB: 0b10101010}))
+    world.later(20.0)
+    world.round()
+
+
+def progress_with_a_zone(world: Recorder) -> None:
+    world.given("job with every field")
+    for name in (JOB, THIRD):
+        world.store.put(*parse_line(f's1/j/{name} {{"s":"done","n":1}}'))
+    picks, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
+    world.round(ClaimRequest(wants={COMPLEX: 2}, picks=picks, zones=zones))
+
+
+def progress_beside_adoptions(world: Recorder) -> None:
+    world.given("layout mark, complete", "adoptions after the progress")
+    world.tell_jobs(Learnt(done={JOB: 0b10}))
+    world.later(20.0)
+    world.round()
+
+
+def adoptions_before_the_mark(world: Recorder) -> None:
+    world.given("progress", "team limits")
+    world.tell_jobs(Learnt(adopted={JOB: 0b11000}, view=3))
+    world.round()
+
+
+def adoptions_after_the_mark(world: Recorder) -> None:
+    world.given("layout mark, complete", "progress", "team limits")
+    world.tell_jobs(Learnt(adopted={JOB: 0b101001000}, view=3))
+    world.round()
+
+
+def team_limit(world: Recorder) -> None:
+    world.round(ClaimRequest(grow={"red": (8.5, 0.0)}))
+    stamp = world.store.tables.stamp(t.team_key("red"))
+    world.round(ClaimRequest(shrink={"red": (stamp, 2.25, 0.0)}))
+    stamp = world.store.tables.stamp(t.team_key("red"))
+    world.round(ClaimRequest(shrink={"red": (stamp, 0.0, 0.0)}))
+
+
+# -- admission
+
+
+def admission_root(world: Recorder) -> None:
+    world.given("layout mark, complete", "feature marks, complete", "coordinator")
+    features = AdmissionFeatures(True)
+    each = AdmissionCoordinator(
+        world.settings, features, world.client, world.replica, world.standing, list, {}, world.clock
+    )  # fmt: skip
+    world.run(each.epoch)
+
+
+def admission_every_field(world: Recorder) -> None:
+    common = LaneCut(Ticket(1000, JOB), 2000)
+    lanes = {
+        Lane("red", "train", "urgent"): LaneCut(Ticket(1900, THIRD), 3500),
+        Lane("red", "train", "standard"): LaneCut(Ticket(1500, COMPLEX), 900),
+        Lane("blue", "index", "standard"): LaneCut(Ticket(1001, ""), 2000),
+    }
+    row = AdmissionRow(4, common, lanes, {"red": 12.54, "blue": 0.0, "green": -3.0})
+    root, parts = row.children("")
+    for path, each in {"": row, **parts}.items():
+        world.lines.append(line_of(t.admission_key(path), each.stored()))
+    world.lines.append(line_of(t.admission_key(""), root.stored()))
+
+
+def admission_read_and_written(world: Recorder) -> None:
+    world.given("admission rows with every field")
+    for path, row in sorted(world.store.tables.admission.items()):
+        higher = row.raised(LaneCut(Ticket(1200, COMPLEX), 9000), {}, row.deficits)
+        world.lines += [line_of(t.admission_key(path), each.stored()) for each in (row, higher)]
+
+
+# -- other cells
+
+
+class AnswersInTurn:
+    """The way to a cell that answers what the test says; None: not at all."""
+
+    def __init__(self, *answers: Answer | None) -> None:
+        self.answers = list(answers)
+
+    async def request(self, request: CellRequest) -> CellAnswer:
+        """The next answer; acknowledgements take none."""
+        if request.message.request is Request.ACKNOWLEDGE:
+            return CellAnswer(1, None)
+        answer = self.answers.pop(0)
+        if answer is None:
+            raise NoAnswerError("lost")
+        return CellAnswer(1, answer)
+
+    async def summary(self) -> None:
+        """It tells none."""
+
+
+def cell_features() -> CellFeatures:
+    policies = {"once": MovePolicy.ONCE, "again": MovePolicy.REPEATABLE}
+    return CellFeatures("north", 1, True, 30, (PeerCell("south", ()),), policies)
+
+
+def origin(world: Recorder, *answers: Answer | None) -> CellOrigin:
+    world.given("layout mark, complete", "feature marks, complete")
+    links: Any = {"south": AnswersInTurn(*answers)}
+    return CellOrigin(
+        world.settings, cell_features(), world.client, world.replica, world.standing, list, links, world.clock
+    )
+
+
+def moved_and_taken_back(world: Recorder) -> None:
+    each = origin(world, None, None, Answer.ACCEPTED)
+    world.given("job")
+    world.run(each._move, world.store.tables.jobs[JOB], "south")
+    world.run(each.talk, "south")
+    world.later(50.0)
+    world.run(each.talk, "south")
+
+
+def moved_and_given_back(world: Recorder) -> None:
+    each = origin(world, Answer.REFUSED)
+    world.given("job offered to a cell")
+    world.run(each.talk, "south")
+
+
+def moved_and_done(world: Recorder) -> None:
+    each = origin(world, Answer.DONE)
+    world.given("job offered to a cell")
+    world.run(each.talk, "south")
+
+
+def every_handoff_field(world: Recorder) -> None:
+    each = origin(world, Answer.STOPPED)
+    world.given("job with every field of a handoff")
+    world.run(each.talk, "south")
+
+
+def done_elsewhere_with_a_handoff_left(world: Recorder) -> None:
+    each = origin(world, Answer.DONE)
+    world.given("job with every field of a handoff")
+    world.run(each.talk, "south")
+
+
+def over_with_handoffs(world: Recorder) -> None:
+    each = origin(world, Answer.STOPPED, Answer.STOPPED)
+    world.given("jobs over that await other cells")
+    world.run(each.talk, "south")
+
+
+def cancellation_of_a_moved_job(world: Recorder) -> None:
+    each = origin(world, Answer.STOPPED)
+    world.given("job offered to a cell")
+    assert world.run(world.jobs.cancel, JOB) is None
+    world.run(each.talk, "south")
+
+
+def cancellation_of_a_moved_job_with_tasks(world: Recorder) -> None:
+    each = origin(world, Answer.STOPPED)
+    world.given("job offered to a cell")
+    world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
+    assert world.run(world.jobs.cancel, JOB) is None
+    world.run(each.talk, "south")
+
+
+def handoffs_beside_the_end(world: Recorder) -> None:
+    """A job that runs at home while an earlier handoff is not stopped yet."""
+    world.store.put(t.job_key(JOB), recalled_job())
+    world.round(ClaimRequest(wants={JOB: 4}))
+    world.tell_jobs(Learnt(done={JOB: 0b1111}))
+    world.later(20.0)
+    world.round()
+
+
+def recalled_job() -> Any:
+    key, value = parse_line(READ["job offered to a cell"][0])
+    assert key == t.job_key(JOB)
+    return {**value, "h": {"p": "repeatable", "r": [["south", 20]]}}
+
+
+def cancellation_after_its_return(world: Recorder) -> None:
+    world.given("job that came back, with tasks")
+    cancel_and_release(world, JOB, 0b110)
+
+
+def recall_of_a_cancelled_job(world: Recorder) -> None:
+    each = origin(world, Answer.STOPPED)
+    world.store.put(t.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
+    world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
+    world.run(each.talk, "south")
+
+
+def target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
+    world.given("layout mark, complete", "feature marks, complete")
+    each = CellTarget(world.settings, cell_features(), world.client, world.replica, world.standing, world.jobs)
+    monkeypatch.setattr(each, "_has_room", lambda handoff, offer: offer is not None)
+    return each
+
+
+def asked(world: Recorder, each: CellTarget, request: Request, number: int = 40) -> Answer | None:
+    offer = Offer(spec(JOB, roster="again", visits=1), 1000) if request is Request.OFFER else None
+    message = RequestMessage(HandoffId("south", JOB, number), request)
+    answer: Answer | None = world.run(each.answer, CellRequest(message, 1, offer))
+    return answer
+
+
+def accepted_and_done(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+    each = target(world, monkeypatch)
+    assert asked(world, each, Request.OFFER) is Answer.ACCEPTED
+    world.round(ClaimRequest(wants={JOB: 1}))
+    world.tell_jobs(Learnt(done={JOB: 1}))
+    world.later(20.0)
+    world.round()
+    assert asked(world, each, Request.ACKNOWLEDGE) is Answer.DONE
+
+
+def accepted_and_withdrawn(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+    each = target(world, monkeypatch)
+    world.given("job handed over by a cell")
+    assert asked(world, each, Request.WITHDRAW) is not None
+
+
+def accepted_and_stopped(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+    each = target(world, monkeypatch)
+    world.given("job handed over by a cell")
+    world.round(ClaimRequest(wants={JOB: 1}))
+    assert asked(world, each, Request.STOP) is Answer.STOPPING
+    world.tell_jobs(Learnt(released={JOB: 1}))
+    world.later(20.0)
+    world.round()
+
+
+def refused(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+    each = target(world, monkeypatch)
+    assert asked(world, each, Request.STOP, 39) is Answer.REFUSED
+
+
+CASES: tuple[Callable[[Recorder], None], ...] = (
+    member, coordinator, view, layout_mark, feature_mark, catalog, machine_group, single_machines,
+    group_without_machines, group_in_parts, group_in_parts_first, single_machine_deleted, job, job_with_every_field,
+    job_in_parts, job_done, jobs_cancelled_unclaimed, job_cancelled_with_tasks, job_in_parts_cancelled_with_tasks,
+    job_of_layout_2_cancelled_with_tasks, job_with_every_field_cancelled_with_tasks, job_withdrawn_before_layout_3,
+    cleared_away, progress_before_the_mark, progress_after_the_mark, scattered_claims, progress_with_a_zone,
+    progress_beside_adoptions, adoptions_before_the_mark, adoptions_after_the_mark, team_limit, admission_root,
+    admission_every_field, admission_read_and_written, moved_and_taken_back, moved_and_given_back, moved_and_done,
+    every_handoff_field, done_elsewhere_with_a_handoff_left, over_with_handoffs, cancellation_of_a_moved_job,
+    cancellation_of_a_moved_job_with_tasks, handoffs_beside_the_end, cancellation_after_its_return,
+    recall_of_a_cancelled_job,
+)  # fmt: skip
+TARGET_CASES: tuple[Callable[[Recorder, pytest.MonkeyPatch], None], ...] = (
+    accepted_and_done, accepted_and_withdrawn, accepted_and_stopped, refused,
+)  # fmt: skip
+
+
+def written(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+    """The rows that a case writes."""
+    world = Recorder()
+    for case in CASES:
+        if case.__name__ == name:
+            case(world)
+    for target_case in TARGET_CASES:
+        if target_case.__name__ == name:
+            target_case(world, monkeypatch)
+    return world.lines
+
+
+def read(lines: list[str], backwards: bool = False) -> t.Tables:
+    """The tables of a controller that reads these rows, in their order or backwards."""
+    tables = t.Tables()
+    rows = [(*parse_line(line), FIRST_STAMP + place) for place, line in enumerate(lines, 1)]
+    for key, value, stamp in reversed(rows) if backwards else rows:
+        tables.apply(key, value, stamp)
+    return tables
+
+
+def after_drop(lines: list[str]) -> t.Tables:
+    """The tables once the rows are dropped again, in their order."""
+    tables = read(lines)
+    for place, line in enumerate(lines, 1):
+        tables.apply(parse_line(line)[0], None, FIRST_STAMP + len(lines) + place)
+    return tables
+
+
+def test_every_frozen_row_has_its_case() -> None:
+    assert [*WRITTEN] == [case.__name__ for case in (*CASES, *TARGET_CASES)]
+    assert READ.keys() == STATE.keys() == AFTER_DROP.keys()
+
+
+@pytest.mark.parametrize("name", WRITTEN)
+def test_a_row_is_written_as_frozen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    assert written(name, monkeypatch) == WRITTEN[name]
+
+
+@pytest.mark.parametrize("name", READ)
+def test_a_row_is_read_as_frozen(name: str) -> None:
+    assert json.loads(dump(read(READ[name]))) == json.loads(STATE[name])
+    assert json.loads(dump(read(READ[name], backwards=True))) == json.loads(STATE[name])
+
+
+@pytest.mark.parametrize("name", READ)
+def test_a_row_that_is_dropped_leaves_what_is_frozen(name: str) -> None:
+    assert json.loads(dump(after_drop(READ[name]))) == json.loads(AFTER_DROP[name])
