--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -96,6 +96,13 @@
 }
 
 
+def test_every_step_is_frozen() -> None:
+    steps = {
+        request for session in FROZEN["sessions"].values() for request, answer in session["exchanges"] if not answer
+    }
+    assert steps == set(STEPS)
+
+
 @pytest.mark.parametrize("name", FROZEN["sessions"])
 def test_a_controller_answers_as_ever(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Requests one after another, each with its whole answer, and then what is stored."""
