--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -25,9 +25,14 @@
     """
 
     def __init__(
-        self, settings: Settings, tables: Tables, standing: Standing, registry: MachineRegistry,
-        commands: CommandSender, give_back: Callable[[str], bool],
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        tables: Tables,
+        standing: Standing,
+        registry: MachineRegistry,
+        commands: CommandSender,
+        give_back: Callable[[str], bool],
+    ) -> None:
         self.settings = settings
         self.tables = tables
         self.standing = standing
@@ -69,12 +74,13 @@
     def _own_suspects(self, now: float, wall_time_ms: int) -> set[str]:
         overdue = self.overdue(wall_time_ms)
         return {
-            machine.name for machine in self.registry.machines.values()
-            if (overdue and not machine.heard) or (
-                machine.cancelled_since is not None
-                and now - machine.cancelled_since > OVERDUE * self.settings.cancel_s
+            machine.name
+            for machine in self.registry.machines.values()
+            if (overdue and not machine.heard)
+            or (
+                machine.cancelled_since is not None and now - machine.cancelled_since > OVERDUE * self.settings.cancel_s
             )
-        }  # fmt: skip
+        }
 
     def _address(self, machine: str) -> str:
         known = self.registry.machines.get(machine)
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -53,9 +53,15 @@
     """Owns the direct commands that wait or are under way, and how often each machine failed to answer one."""
 
     def __init__(
-        self, settings: Settings, standing: Standing, registry: MachineRegistry, tables: Tables, spawn: Spawn,
-        tell: Callable[[CommandReply | Inspected], None], now: Callable[[], float],
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        standing: Standing,
+        registry: MachineRegistry,
+        tables: Tables,
+        spawn: Spawn,
+        tell: Callable[[CommandReply | Inspected], None],
+        now: Callable[[], float],
+    ) -> None:
         self.settings = settings
         self.standing = standing
         self.registry = registry
--- a/sloeswitch/actors/feature_mark.py
+++ b/sloeswitch/actors/feature_mark.py
@@ -17,7 +17,7 @@
 
     def __init__(
         self, feature: str, settings: Settings, client: StateClient, replica: Replica, standing: Standing
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.feature = feature
         self.settings = settings
         self.client = client
--- a/sloeswitch/actors/fleet.py
+++ b/sloeswitch/actors/fleet.py
@@ -43,9 +43,14 @@
 
 class Fleet:
     def __init__(
-        self, settings: Settings, client: StateClient, cloud: CloudClient, replica: Replica, standing: Standing,
+        self,
+        settings: Settings,
+        client: StateClient,
+        cloud: CloudClient,
+        replica: Replica,
+        standing: Standing,
         now: Callable[[], float],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.client = client
         self.cloud = cloud
@@ -237,8 +242,9 @@
             self.refused[choice.kind] = now + 2 * self.settings.list_lag_s
         for machine in rented or ():
             self.expected[machine] = Expected(choice.kind, now)
-        log.info("rented %d of %d %s in %s%s", len(rented or ()), choice.count, kind_name, zone,
-                 " (spot)" if spot else "")  # fmt: skip
+        log.info(
+            "rented %d of %d %s in %s%s", len(rented or ()), choice.count, kind_name, zone, " (spot)" if spot else ""
+        )
         list_again_s = max(self.settings.list_lag_s, LIST_PAUSE * self.listing_s)
         return self.standing.coordinating and now - self.listed_at < list_again_s
 
@@ -274,10 +280,9 @@
         now = self.now()
         self._spare_dear()
         settled = self.tables.all_settled()
-        backlog = self.machines.limits.startable([
-            job.spec for job in self.tables.jobs.values()
-            if job.runnable and self.tables.open_tasks(job, settled)
-        ])  # fmt: skip
+        backlog = self.machines.limits.startable(
+            [job.spec for job in self.tables.jobs.values() if job.runnable and self.tables.open_tasks(job, settled)]
+        )
         for machine in list(self.machines.registry.machines.values()):
             kind = self.tables.types.get(machine.type)
             if kind is None or not machine.heard or machine.draining:
--- a/sloeswitch/actors/gang_room.py
+++ b/sloeswitch/actors/gang_room.py
@@ -33,9 +33,17 @@
     """Owns the room that is held for gangs of one task."""
 
     def __init__(
-        self, settings: Settings, tables: Tables, standing: Standing, registry: MachineRegistry, health: Health,
-        limits: TeamLimits, line: Line, kill: Callable[[Machine, Attempt, float], None], pace_s: float,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        tables: Tables,
+        standing: Standing,
+        registry: MachineRegistry,
+        health: Health,
+        limits: TeamLimits,
+        line: Line,
+        kill: Callable[[Machine, Attempt, float], None],
+        pace_s: float,
+    ) -> None:
         self.settings = settings
         self.tables = tables
         self.standing = standing
@@ -89,9 +97,12 @@
             if attempt.spec.team == spec.team:
                 short = quota.Use(short.cores - attempt.spec.cores, short.gpus - attempt.spec.gpus)
         others = [
-            attempt for machine in self.registry.machines.values() if machine.name != chosen.machine
-            for attempt in machine.attempts.values() if attempt.spec.team == spec.team
-        ]  # fmt: skip
+            attempt
+            for machine in self.registry.machines.values()
+            if machine.name != chosen.machine
+            for attempt in machine.attempts.values()
+            if attempt.spec.team == spec.team
+        ]
         return preemption.within_limit(spec, short, preemption.preemptible(job, others, order))
 
     def _stop(self, attempts: list[Attempt]) -> None:
@@ -153,6 +164,8 @@
         return {
             machine.name: self.registry.room(machine, self.tables.types[machine.type])
             for machine in self.registry.machines.values()
-            if machine.type in self.line.scarce and machine.type in self.tables.types
-            and self.registry.usable(machine) and machine.name in self.tables.machines
-        }  # fmt: skip
+            if machine.type in self.line.scarce
+            and machine.type in self.tables.types
+            and self.registry.usable(machine)
+            and machine.name in self.tables.machines
+        }
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -110,9 +110,13 @@
     name = "jobs"
 
     def __init__(
-        self, settings: Settings, client: StateClient, replica: Replica, standing: Standing,
+        self,
+        settings: Settings,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
         now: Callable[[], float],
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(settings.fd_limit)
         self.settings = settings
         self.client = client
@@ -308,7 +312,7 @@
 
     def _adopt_together(
         self, teams: dict[str, dict[str, tuple[float, float]]], settled: bool, room: int
-    ) -> dict[str, Any]:  # fmt: skip
+    ) -> dict[str, Any]:
         """Adoptions of many jobs as one value. Found on the bench: after a crash of all a change for each job and
         controller took half a minute of the state service's rate, and free room waited for it. The value counts
         in addition to the jobs' own rows, by the epoch that these tell (see tables). Its key is written once,
@@ -338,7 +342,7 @@
 
     def _move_allowance(
         self, teams: dict[str, dict[str, tuple[float, float]]], job: Job, adopted: int, settled: bool
-    ) -> None:  # fmt: skip
+    ) -> None:
         """The part of the limit that adopted tasks take comes with them."""
         held = self._held(teams, job.spec.team, settled)
         for holder, mask in job.progress.claims.items():
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -86,9 +86,15 @@
     name = "machines"
 
     def __init__(
-        self, settings: Settings, client: StateClient, replica: Replica, standing: Standing, jobs: Jobs,
-        membership: Membership, now: Callable[[], float],
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
+        jobs: Jobs,
+        membership: Membership,
+        now: Callable[[], float],
+    ) -> None:
         super().__init__(settings.fd_limit)
         self.settings = settings
         self.client = client
@@ -217,8 +223,12 @@
         self.limits.reckon_limbo()
         self.learnt.adopted = dict(self.registry.still_adopting())
         self.learnt.view = view.number
-        log.info("view %d: %d machines are ours, %d of them to be heard", view.number, len(self.registry.machines),
-                 sum(not machine.known for machine in self.registry.machines.values()))  # fmt: skip
+        log.info(
+            "view %d: %d machines are ours, %d of them to be heard",
+            view.number,
+            len(self.registry.machines),
+            sum(not machine.known for machine in self.registry.machines.values()),
+        )
 
     # -- reports
 
@@ -238,9 +248,14 @@
         if machine is None:
             # Never registered, so that nobody can have started anything on it.
             machine = self.registry.take(
-                report.machine, report.address, report.type, report.zone, report.spot,
-                standing.view.number, now + self.settings.worker_gone_s,
-            )  # fmt: skip
+                report.machine,
+                report.address,
+                report.type,
+                report.zone,
+                report.spot,
+                standing.view.number,
+                now + self.settings.worker_gone_s,
+            )
             machine.accounted = True
             if self.tables.types and report.type not in self.tables.types and report.type not in self.unknown:
                 self.unknown.add(report.type)
@@ -418,12 +433,16 @@
         log.info(
             "%d machines up (%d not to be used), %.0f of %.0f cores in use, %d tasks placed, %d fetching;"
             " %d jobs live, %d of them wait for others, %d have work open",
-            len(machines), sum(not self.registry.usable(m) for m in machines), sum(m.use.cores for m in machines),
-            sum(self.tables.types[m.type].cores for m in machines), sum(len(m.attempts) for m in machines),
-            sum(attempt.state == FETCHING for m in machines for attempt in m.attempts.values()), len(live),
+            len(machines),
+            sum(not self.registry.usable(m) for m in machines),
+            sum(m.use.cores for m in machines),
+            sum(self.tables.types[m.type].cores for m in machines),
+            sum(len(m.attempts) for m in machines),
+            sum(attempt.state == FETCHING for m in machines for attempt in m.attempts.values()),
+            len(live),
             sum(not job.runnable for job in live),
             sum(job.runnable and bool(self.tables.open_tasks(job, self.tables.all_settled())) for job in live),
-        )  # fmt: skip
+        )
 
     def _line_up(self) -> None:
         self.all_settled = self.tables.all_settled()
@@ -486,11 +505,15 @@
         them save, have run for a while, and there is room elsewhere. One long task would else keep a whole
         machine for minutes."""
         lean = [
-            machine for machine in self.registry.machines.values()
-            if machine.spared and machine.reached and machine.attempts and machine.type in self.tables.types
+            machine
+            for machine in self.registry.machines.values()
+            if machine.spared
+            and machine.reached
+            and machine.attempts
+            and machine.type in self.tables.types
             and machine.use.cores <= LEAN * self.tables.types[machine.type].cores
             and all(preemption.movable(attempt, now) for attempt in machine.attempts.values())
-        ]  # fmt: skip
+        ]
         if not lean:
             return
         free = sum(room.cores for room in self._rooms(now))
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -95,9 +95,7 @@
     def known(self) -> Known:
         """What siblings are told."""
         replica = self.replica
-        return Known(
-            self.view.number, replica.client.reachable, replica.applied, replica.whole, self.tables.upgraded
-        )  # fmt: skip
+        return Known(self.view.number, replica.client.reachable, replica.applied, replica.whole, self.tables.upgraded)
 
     def learn(self, cancellations: list[Cancellation]) -> None:
         """What a sibling told."""
@@ -211,9 +209,7 @@
         not been seen, so it may come back old, and would ignore what a job awaits."""
         tables = self.replica.tables
         seen = {*tables.seen, self.settings.member}
-        complete = seen >= set(self.settings.members) and all(
-            row.layout >= t.LAYOUT for row in tables.members.values()
-        )  # fmt: skip
+        complete = seen >= set(self.settings.members) and all(row.layout >= t.LAYOUT for row in tables.members.values())
         if seen == set(tables.seen) and not complete:
             return
         conditions = {t.UPGRADE: tables.stamp(t.UPGRADE), **self.standing.claim_conditions()}
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -36,9 +36,14 @@
     """Stores new machines and takes deleted ones out, many at a time: the state service takes few changes."""
 
     def __init__(
-        self, settings: Settings, client: StateClient, replica: Replica, standing: Standing, pace_s: float,
+        self,
+        settings: Settings,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
+        pace_s: float,
         changed: Callable[[], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.client = client
         self.replica = replica
@@ -66,9 +71,10 @@
     def rows_to_store(self, machines: list[Machine]) -> tuple[set[str], dict[str, Any]]:
         """As many new machines as one transaction takes: their names, and the values that hold them."""
         fresh = [
-            machine for machine in machines
+            machine
+            for machine in machines
             if machine.heard and machine.name not in self.tables.machines and machine.name not in self.arriving
-        ]  # fmt: skip
+        ]
         if not all(row.layout >= t.GROUPS for row in self.tables.members.values()):
             fresh = fresh[: self.client.txn_ops]
             writes = {t.machine_key(m.name): {"a": m.address, "t": m.type, "z": m.zone, "s": m.spot} for m in fresh}
@@ -100,7 +106,7 @@
             if transaction:
                 await self.client.commit(
                     transaction.conditions, transaction.writes, transaction.drops, Urgency.PROGRESS
-                )  # fmt: skip
+                )
                 self.replica.hint()
 
     def _removals(self) -> Transaction:
@@ -136,9 +142,10 @@
     def _without_leaving(self, key: str) -> list[dict[str, list[Any]]]:
         """The machines that stay of those that a key holds, in groups that each fit a value."""
         names = sorted(
-            name for name in self.tables.groups.get(t.group_of(key), ())
+            name
+            for name in self.tables.groups.get(t.group_of(key), ())
             if name not in self.leaving and self.tables.machines[name].key == key
-        )  # fmt: skip
+        )
         rows = {name: self.tables.machines[name].stored() for name in names}
         return t.fit_groups(rows, self.client.value_bytes)
 
--- a/sloeswitch/actors/team_limits.py
+++ b/sloeswitch/actors/team_limits.py
@@ -24,7 +24,7 @@
 
     def __init__(
         self, settings: Settings, client: StateClient, tables: Tables, standing: Standing, registry: MachineRegistry
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.client = client
         self.tables = tables
@@ -77,9 +77,8 @@
         uses = {team: self.use(team) for team in self.settings.teams}
         spare = {team.name: self.spare(team, uses[team.name]) for team in self.settings.teams.values()}
         return [
-            spec for spec in specs
-            if spec.team in spare and quota.room_for(spec, spare[spec.team], uses[spec.team]) > 0
-        ]  # fmt: skip
+            spec for spec in specs if spec.team in spare and quota.room_for(spec, spare[spec.team], uses[spec.team]) > 0
+        ]
 
     def shortfall(self, spec: JobSpec) -> quota.Use:
         """By how much the team's limit leaves this controller too little room for one more task."""
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -24,9 +24,14 @@
 
 class Users:
     def __init__(
-        self, settings: Settings, client: StateClient, replica: Replica, standing: Standing, jobs: Jobs,
+        self,
+        settings: Settings,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
+        jobs: Jobs,
         machines: Machines,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.client = client
         self.replica = replica
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -33,9 +33,14 @@
     """Room on paper: by kind of machine, and by team."""
 
     def __init__(
-        self, tables: Tables, settings: Settings, admitted: Iterable[Job], idle: Iterable[IdleRoom], wall_ms: int,
+        self,
+        tables: Tables,
+        settings: Settings,
+        admitted: Iterable[Job],
+        idle: Iterable[IdleRoom],
+        wall_ms: int,
         surplus: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.offers: list[Offer] = fleet.offers(tables.types)
         self.limits = fleet.limits_of(settings)
         supply: dict[Kind, float] = {}
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -45,10 +45,17 @@
     coordinates next goes on from there."""
 
     def __init__(
-        self, settings: Settings, features: AdmissionFeatures, client: StateClient, replica: Replica,
-        standing: Standing, own_idle_room: Callable[[], list[IdleRoom]], links: Mapping[str, IdleRoomLink],
-        now: Callable[[], float], sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        features: AdmissionFeatures,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
+        own_idle_room: Callable[[], list[IdleRoom]],
+        links: Mapping[str, IdleRoomLink],
+        now: Callable[[], float],
+        sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
+    ) -> None:
         self.settings = settings
         self.features = features
         self.client = client
@@ -110,9 +117,7 @@
         # Guards against tables that lag: cuts reckoned from them would fail or be low.
         await self.replica.fresh(self.client.timeout_s)
         tables = self.replica.tables
-        changes = next_rows(
-            tables, self.settings, self.limits, self._idle_rooms(), wall_ms(), self.client.value_bytes
-        )  # fmt: skip
+        changes = next_rows(tables, self.settings, self.limits, self._idle_rooms(), wall_ms(), self.client.value_bytes)
         chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
         if not chosen:
             return
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -42,7 +42,7 @@
 
     def __init__(
         self, tables: Tables, settings: Settings, limits: AdmissionLimits, idle: Iterable[IdleRoom], wall_ms: int
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.tables = tables
         self.settings = settings
         self.limits = limits
@@ -80,7 +80,7 @@
 
     def _change(
         self, path: str, row: AdmissionRow, lanes: Mapping[Lane, LaneCut], value_bytes: int
-    ) -> RowChange | None:  # fmt: skip
+    ) -> RowChange | None:
         common = row.common
         quiet = not self.backlog and not self.capacity.overloaded
         if quiet and common.cut.submitted_ms - self.wall_ms < 1000 * self.limits.lead_s:
@@ -220,16 +220,20 @@
 
 
 def next_rows(
-    tables: Tables, settings: Settings, limits: AdmissionLimits, idle: Iterable[IdleRoom], wall_ms: int,
+    tables: Tables,
+    settings: Settings,
+    limits: AdmissionLimits,
+    idle: Iterable[IdleRoom],
+    wall_ms: int,
     value_bytes: int,
-) -> list[RowChange]:  # fmt: skip
+) -> list[RowChange]:
     """The changes of one epoch."""
     return Epoch(tables, settings, limits, idle, wall_ms).changes(value_bytes)
 
 
 def chosen_changes(
     changes: Iterable[RowChange], written_at: Mapping[str, float], max_changes: int, txn_ops: int
-) -> list[RowChange]:  # fmt: skip
+) -> list[RowChange]:
     """What one transaction takes: the rows that were written longest ago first. A split comes once and may exceed the
     service's share, so that it is over soon."""
     found: list[RowChange] = []
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -41,9 +41,10 @@
             names = self._of_changed_lanes() | self._uncertain()
         decided = self._decided
         names |= {
-            name for name, job in self.tables.jobs.items()
+            name
+            for name, job in self.tables.jobs.items()
             if (known := decided.get(name)) is None or known[0] is not job
-        }  # fmt: skip
+        }
         if names:
             self._decide(names | self._dependents(names))
         if len(decided) > 2 * len(self.tables.jobs) + 1:
@@ -71,10 +72,11 @@
     def _uncertain(self) -> set[str]:
         """Jobs whose decision follows from others, or from work that had begun, and those that wait for others."""
         return {
-            name for name, (_, decision) in self._decided.items()
+            name
+            for name, (_, decision) in self._decided.items()
             if decision.ground in (Ground.NEEDED, Ground.BEGUN)
             or ((job := self.tables.jobs.get(name)) is not None and job.waits)
-        }  # fmt: skip
+        }
 
     def _dependents(self, names: set[str]) -> set[str]:
         """The jobs that need these, directly or through others: an admitted one admits what it needs."""
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -54,9 +54,14 @@
         spec = msgspec.json.encode(self.offer.spec) if self.offer is not None else b""
         submitted_ms = self.offer.submitted_ms if self.offer is not None else 0
         fixed = REQUEST.pack(
-            handoff.number, self.incarnation, submitted_ms, REQUEST_CODES[self.message.request], len(origin), len(job),
+            handoff.number,
+            self.incarnation,
+            submitted_ms,
+            REQUEST_CODES[self.message.request],
+            len(origin),
+            len(job),
             len(spec),
-        )  # fmt: skip
+        )
         return fixed + origin + job + spec
 
     @staticmethod
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -66,10 +66,17 @@
     """Owns the peers' summaries and how the handoffs under way were last answered; all else is in the tables."""
 
     def __init__(
-        self, settings: Settings, features: CellFeatures, client: StateClient, replica: Replica, standing: Standing,
-        line: Callable[[], list[Job]], links: dict[str, Link], now: Callable[[], float],
+        self,
+        settings: Settings,
+        features: CellFeatures,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
+        line: Callable[[], list[Job]],
+        links: dict[str, Link],
+        now: Callable[[], float],
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.features = features
         self.client = client
@@ -197,9 +204,7 @@
             row = self._current(name)
             if row is None or Placement(summary.cell, number) not in row.placements:
                 handoff = HandoffId(self.features.name, name, number)
-                await link.request(
-                    CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation)
-                )  # fmt: skip
+                await link.request(CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation))
 
     def _heard(self, peer: str, incarnation: int) -> bool:
         """Guards against a cell whose state was restored from a copy: it has forgotten what it accepted."""
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -26,7 +26,7 @@
         """The sum with so many times the other."""
         return Resources(
             self.cores + times * other.cores, self.gpus + times * other.gpus, self.memory + times * other.memory
-        )  # fmt: skip
+        )
 
     def times_in(self, whole: Resources) -> int:
         """How many times this fits into the whole; 0 for what takes nothing."""
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -32,9 +32,14 @@
     """Owns nothing but the highest incarnation heard of each cell: all else is in the tables."""
 
     def __init__(
-        self, settings: Settings, features: CellFeatures, client: StateClient, replica: Replica, standing: Standing,
+        self,
+        settings: Settings,
+        features: CellFeatures,
+        client: StateClient,
+        replica: Replica,
+        standing: Standing,
         jobs: Jobs,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings = settings
         self.features = features
         self.client = client
@@ -66,9 +71,10 @@
         and the record would be kept for ever (found by the seeded world, tests/test_cells_world.py).
         """
         found = (
-            (name, over.delegated.number) for name in sorted(self.tables.open_over)
+            (name, over.delegated.number)
+            for name in sorted(self.tables.open_over)
             if (over := self.tables.over[name]).delegated is not None and over.delegated.origin == origin
-        )  # fmt: skip
+        )
         return tuple(itertools.islice(found, MOST_ENDED))
 
     async def answer(self, request: CellRequest) -> Answer | None:
--- a/sloeswitch/cli.py
+++ b/sloeswitch/cli.py
@@ -27,7 +27,7 @@
     commands = parser.add_subparsers(dest="command", required=True)
     comparing = commands.add_parser(
         "compare", help="name the first difference between the decisions that controllers logged"
-    )  # fmt: skip
+    )
     comparing.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
     args = parser.parse_args(arguments)
     # Imported late, so that a controller that starts needs none of it.
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -65,12 +65,20 @@
         for sibling in settings.siblings:
             group.start_soon(mesh.ask_forever, sibling)
         for loop in (
-            membership.run, membership.keep_lease, membership.coordinate,
-            jobs.run, jobs.store_forever, jobs.tidy_forever, machines.run, machines.tick_forever,
-            machines.registration.unregister_forever, fleet.return_forever, fleet.rent_forever,
+            membership.run,
+            membership.keep_lease,
+            membership.coordinate,
+            jobs.run,
+            jobs.store_forever,
+            jobs.tidy_forever,
+            machines.run,
+            machines.tick_forever,
+            machines.registration.unregister_forever,
+            fleet.return_forever,
+            fleet.rent_forever,
             fleet.watch_idle_forever,
             server.sweep_forever,
-        ):  # fmt: skip
+        ):
             group.start_soon(loop)
         if features.cells is not None:
             start_cells(group, settings, features.cells, machines, mesh)
@@ -80,9 +88,7 @@
         group.start_soon(mesh_listener.serve, mesh.serve)
 
 
-def start_cells(
-    group: TaskGroup, settings: Settings, features: CellFeatures, machines: Machines, mesh: Mesh
-) -> None:  # fmt: skip
+def start_cells(group: TaskGroup, settings: Settings, features: CellFeatures, machines: Machines, mesh: Mesh) -> None:
     """Starts what hands jobs over to other cells, and takes theirs."""
     # Imported late, so that a controller without the feature loads none of it.
     from sloeswitch.cells.link import MeshLink, answer_frame
@@ -104,7 +110,7 @@
 
 def start_admission(
     group: TaskGroup, settings: Settings, features: AdmissionFeatures, machines: Machines, mesh: Mesh
-) -> None:  # fmt: skip
+) -> None:
     """Starts what defers jobs under overload."""
     from sloeswitch.admission.coordinator import AdmissionCoordinator
     from sloeswitch.admission.decision_log import DecisionLog
@@ -119,15 +125,18 @@
         return pack_idle_room(idle.report(now()))
 
     coordinator = AdmissionCoordinator(
-        settings, features, machines.client, machines.replica, machines.standing, lambda: idle.report(now()),
+        settings,
+        features,
+        machines.client,
+        machines.replica,
+        machines.standing,
+        lambda: idle.report(now()),
         {
-            sibling.member: MeshIdleRoomLink(
-                FrameLink(sibling.member, (sibling.address,), settings.controller_lease_s)
-            )
+            sibling.member: MeshIdleRoomLink(FrameLink(sibling.member, (sibling.address,), settings.controller_lease_s))
             for sibling in settings.siblings
         },
         now,
-    )  # fmt: skip
+    )
     machines.gate = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.on_rooms_left = lambda rooms, at: idle.observe(rooms, machines.tables.types, at)
     mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
--- a/sloeswitch/core/fleet.py
+++ b/sloeswitch/core/fleet.py
@@ -30,9 +30,11 @@
         """Whether a task of the job may run there. `home`: the zone to which its other tasks bind it."""
         _name, zone, spot = self.kind
         return (
-            fits_type(spec, self.type) and spec.zone in (None, zone) and home in (None, zone)
+            fits_type(spec, self.type)
+            and spec.zone in (None, zone)
+            and home in (None, zone)
             and (spec.spot or not spot)
-        )  # fmt: skip
+        )
 
 
 @dataclass
@@ -89,9 +91,13 @@
 
 
 def needs_of(
-    jobs: Iterable[Job], settings: Settings, wall_ms: int, spread: float, left: dict[str, list[float]],
+    jobs: Iterable[Job],
+    settings: Settings,
+    wall_ms: int,
+    spread: float,
+    left: dict[str, list[float]],
     count: Callable[[Job, Settings, int, float], int] = at_once,
-) -> list[Need]:  # fmt: skip
+) -> list[Need]:
     """What jobs need at once, within what is left of their teams' limits (cores, gpus by team), oldest first. Takes it
     from `left`. `count`: how many tasks of a job should run at a time."""
     found: list[Need] = []
@@ -178,10 +184,7 @@
     _left, short = fill(wanted, supply, found)
     # Guards against a small job for which there is no machine at all: worth none by its size, it was never
     # started (found on the bench: three tasks that may not use spot machines, when the last other was returned).
-    lone = [
-        need for need in short
-        if not any(supply.get(offer.kind, 0) > 0 and need.suits(offer) for offer in found)
-    ]  # fmt: skip
+    lone = [need for need in short if not any(supply.get(offer.kind, 0) > 0 and need.suits(offer) for offer in found)]
     best: tuple[float, int, Kind, int] | None = None
     for offer in found:
         if offer.kind in refused:
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -87,10 +87,10 @@
         amount - SLACK if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
     )
     found = [
-        room for room in rooms
-        if room.cores >= least_cores and room.memory >= least_memory and room.gpus >= least_gpus
-        and allowed(spec, room)
-    ]  # fmt: skip
+        room
+        for room in rooms
+        if room.cores >= least_cores and room.memory >= least_memory and room.gpus >= least_gpus and allowed(spec, room)
+    ]
     found.sort(key=lambda room: (room.scarce, spec.image not in room.images, not room.spot, room.cores))
     return found
 
@@ -120,9 +120,7 @@
         count = room.count(spec)
         choice = tasks
         if spec.bound:
-            choice = sum(
-                1 << index for index in taskset.members(tasks) if zone_allows(spec, index, room.zone, home)
-            )  # fmt: skip
+            choice = sum(1 << index for index in taskset.members(tasks) if zone_allows(spec, index, room.zone, home))
         chosen = taskset.lowest(choice, min(count, most - len(placed)))
         if chosen:
             room.take(spec, chosen.bit_count())
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -80,9 +80,13 @@
     """Whether an attempt can be stopped and go on elsewhere for little: it saves, and is not new."""
     spec = attempt.spec
     return (
-        spec.checkpoint_s > 0 and not spec.gang and attempt.state == RUNNING and attempt.kill_grace_s is None
-        and attempt.running_at is not None and now - attempt.running_at > 2 * spec.checkpoint_s
-    )  # fmt: skip
+        spec.checkpoint_s > 0
+        and not spec.gang
+        and attempt.state == RUNNING
+        and attempt.kill_grace_s is None
+        and attempt.running_at is not None
+        and now - attempt.running_at > 2 * spec.checkpoint_s
+    )
 
 
 def victims(spec: JobSpec, room: Room, attempts: list[Attempt]) -> list[Attempt]:
@@ -117,7 +121,7 @@
 
 def choose(
     job: Job, rooms: Iterable[tuple[Room, Iterable[Attempt]]], order: LineOrder, at_limit: bool = False
-) -> Preemption | None:  # fmt: skip
+) -> Preemption | None:
     """The machine on which the fewest attempts have to stop for a task of the job. `at_limit`: the team's limit keeps
     the job from room that is there, so that a machine with room will do."""
     best: Preemption | None = None
--- a/sloeswitch/core/ready.py
+++ b/sloeswitch/core/ready.py
@@ -60,16 +60,15 @@
     fetch_gb_s = min((kind.fetch_gb_s for kind in tables.types.values() if kind.fetch_gb_s > 0), default=0.0)
     needed_by = {
         name: {waiting for waiting in waitings if waiting in jobs and not jobs[waiting].cancelled}
-        for name, waitings in graph.successors.items() if name in jobs
-    }  # fmt: skip
+        for name, waitings in graph.successors.items()
+        if name in jobs
+    }
     was = {}
     for name, job in jobs.items():
         if job.inherited_rank is not None or job.inherited_ms is not None or name in needed_by:
             was[name] = (job.inherited_rank, job.inherited_ms)
             job.inherited_rank = job.inherited_ms = None
-    walk = deque(
-        name for name, job in jobs.items() if job.waits and not job.cancelled and not needed_by.get(name)
-    )  # fmt: skip
+    walk = deque(name for name, job in jobs.items() if job.waits and not job.cancelled and not needed_by.get(name))
     while walk:
         name = walk.popleft()
         job = jobs[name]
@@ -144,9 +143,7 @@
     return len(found), None
 
 
-def order(
-    tables: Tables, settings: Settings, wall_ms: int, has_begun: Callable[[Job], bool] = begun
-) -> list[Job]:  # fmt: skip
+def order(tables: Tables, settings: Settings, wall_ms: int, has_begun: Callable[[Job], bool] = begun) -> list[Job]:
     """Jobs that wait for no other and have tasks left, in the order in which they get room.
 
     Oldest first, where a job that has time to its next target counts as younger by the time that it can wait:
--- a/sloeswitch/core/registry.py
+++ b/sloeswitch/core/registry.py
@@ -315,10 +315,10 @@
     @staticmethod
     def is_late(machine: Machine, report: Report) -> bool:
         """Whether something newer is known than what the report says, or its session is over."""
-        return (
-            report.session <= machine.session_over
-            or (report.session, report.serial) <= (machine.session, machine.serial)
-        )  # fmt: skip
+        return report.session <= machine.session_over or (report.session, report.serial) <= (
+            machine.session,
+            machine.serial,
+        )
 
     def _missing(self, machine: Machine, attempt: Attempt, heartbeat: bool, serial: int, heard: Heard) -> None:
         """An attempt that a report lacks."""
@@ -432,12 +432,21 @@
     def room(self, machine: Machine, kind: MachineType) -> Room:
         images = {*machine.images, *machine.fetched}
         return Room(
-            machine.name, machine.type, machine.zone, machine.spot, self.free_cores(machine, kind),
-            kind.gpus - machine.use.gpus, kind.memory - machine.memory, images,
-        )  # fmt: skip
+            machine.name,
+            machine.type,
+            machine.zone,
+            machine.spot,
+            self.free_cores(machine, kind),
+            kind.gpus - machine.use.gpus,
+            kind.memory - machine.memory,
+            images,
+        )
 
     def usable(self, machine: Machine) -> bool:
         return (
-            machine.heard and machine.reached and not machine.draining and not machine.spared
+            machine.heard
+            and machine.reached
+            and not machine.draining
+            and not machine.spared
             and machine.notice_s is None
-        )  # fmt: skip
+        )
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -661,9 +661,7 @@
         used up a limit, nobody asked for more, and the team stood still."""
         settled = self.all_settled()
         tags = self.view.tags
-        held = [
-            amounts for tag, amounts in self.allowances.get(team.name, {}).items() if tag in tags or not settled
-        ]  # fmt: skip
+        held = [amounts for tag, amounts in self.allowances.get(team.name, {}).items() if tag in tags or not settled]
         return (
             team.cpus_max - sum(cores for cores, _ in held),
             team.gpus_max - sum(gpus for _, gpus in held),
--- a/sloeswitch/frame_link.py
+++ b/sloeswitch/frame_link.py
@@ -34,8 +34,14 @@
                 await self._stream.send(HEADER.pack(MAGIC, VERSION, kind, len(body)) + body)
                 length = check_header(await self._reader.exactly(HEADER.size), ANSWER_TYPES[kind])
                 return await self._reader.exactly(length)
-        except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError,
-                FrameError) as error:  # fmt: skip
+        except (
+            OSError,
+            TimeoutError,
+            anyio.EndOfStream,
+            anyio.BrokenResourceError,
+            anyio.ClosedResourceError,
+            FrameError,
+        ) as error:
             await self._close()
             raise NoAnswerError(f"{self.name}: {error!r}") from None
         except BaseException:
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -21,9 +21,15 @@
 log = logging.getLogger("http")
 
 REASONS = {
-    200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-    421: b"Misdirected Request", 422: b"Unprocessable Content", 503: b"Service Unavailable",
-}  # fmt: skip
+    200: b"OK",
+    201: b"Created",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    421: b"Misdirected Request",
+    422: b"Unprocessable Content",
+    503: b"Service Unavailable",
+}
 
 
 @dataclass
@@ -313,8 +319,14 @@
                     stream = await anyio.connect_tcp(self.address.host, self.address.port)
                     connection = h11.Connection(h11.CLIENT)
                 reply = await self._exchange(stream, connection, method, path, body)
-        except (OSError, TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream,
-                h11.ProtocolError) as error:  # fmt: skip
+        except (
+            OSError,
+            TimeoutError,
+            anyio.BrokenResourceError,
+            anyio.ClosedResourceError,
+            anyio.EndOfStream,
+            h11.ProtocolError,
+        ) as error:
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
             raise NoAnswerError(f"{type(error).__name__} {error}") from None
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -121,7 +121,7 @@
             raise FrameError(f"{len(body) - at} bytes too many")
         return Answer(
             view, bool(flags & STATE_OK), bool(flags & WHOLE), log, Extract(entries, upto, bool(flags & MORE))
-        )  # fmt: skip
+        )
 
 
 def pack_inquire(view: int, epoch: int, log: int, place: int) -> bytes:
@@ -168,9 +168,14 @@
     """Owns the connections to the siblings and what they told."""
 
     def __init__(
-        self, siblings: tuple[Sibling, ...], pause_s: float, now: Callable[[], float], known: Callable[[], Known],
-        cancellations: Cancellations, learn: Callable[[list[Cancellation]], None],
-    ) -> None:  # fmt: skip
+        self,
+        siblings: tuple[Sibling, ...],
+        pause_s: float,
+        now: Callable[[], float],
+        known: Callable[[], Known],
+        cancellations: Cancellations,
+        learn: Callable[[list[Cancellation]], None],
+    ) -> None:
         self.siblings = siblings
         self.pause_s = pause_s
         self.now = now
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -142,7 +142,7 @@
 
     def lesser(
         self, state: dict[str, Any], coming: dict[str, Any], key: str, least: float, whole: bool = False
-    ) -> float:  # fmt: skip
+    ) -> float:
         """A limit of the state service: what holds now or what is announced, whichever is less."""
 
         def read(table: dict[str, Any], where: str) -> float:
--- a/sloeswitch/wire.py
+++ b/sloeswitch/wire.py
@@ -32,12 +32,24 @@
     frozen=True,
     omit_defaults=True,
     rename={
-        "klass": "roster", "team": "crew", "priority": "urgency", "tasks": "visits", "gpus": "accelerators",
-        "memory": "memoryGb", "image": "kit", "image_gb": "pullGb", "types": "builds", "zone": "district",
-        "one_zone": "together", "spot": "loaners", "estimate_s": "expectedS", "checkpoint_s": "snapshotS",
-        "save_s": "stashS", "deadline_s": "dueS",
+        "klass": "roster",
+        "team": "crew",
+        "priority": "urgency",
+        "tasks": "visits",
+        "gpus": "accelerators",
+        "memory": "memoryGb",
+        "image": "kit",
+        "image_gb": "pullGb",
+        "types": "builds",
+        "zone": "district",
+        "one_zone": "together",
+        "spot": "loaners",
+        "estimate_s": "expectedS",
+        "checkpoint_s": "snapshotS",
+        "save_s": "stashS",
+        "deadline_s": "dueS",
     },
-):  # fmt: skip
+):
     id: str
     klass: str
     team: str
@@ -82,10 +94,17 @@
 class Report(
     Struct,
     rename={
-        "machine": "host", "type": "build", "zone": "district", "spot": "loaners", "session": "shift",
-        "serial": "tally", "token": "baton", "notice_s": "warningS", "tasks": "visits",
+        "machine": "host",
+        "type": "build",
+        "zone": "district",
+        "spot": "loaners",
+        "session": "shift",
+        "serial": "tally",
+        "token": "baton",
+        "notice_s": "warningS",
+        "tasks": "visits",
     },
-):  # fmt: skip
+):
     machine: str
     address: str
     type: str
@@ -114,10 +133,16 @@
 class MachineType(
     Struct,
     rename={
-        "gpus": "accelerators", "memory": "memoryGb", "cache_gb": "cacheGb", "fetch_gb_s": "fetchGbPerS",
-        "price": "rate", "spot_price": "marketPrice", "boot_s": "readyS", "zones": "districts",
+        "gpus": "accelerators",
+        "memory": "memoryGb",
+        "cache_gb": "cacheGb",
+        "fetch_gb_s": "fetchGbPerS",
+        "price": "rate",
+        "spot_price": "marketPrice",
+        "boot_s": "readyS",
+        "zones": "districts",
     },
-):  # fmt: skip
+):
     name: str
     cores: float
     gpus: float
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -99,9 +99,15 @@
         self.idle = IdleRoomTracker()
         links = {other: ScriptedIdleLink(world, name, other) for other in world.members if other != name}
         self.admission = AdmissionCoordinator(
-            self.settings, AdmissionFeatures(world.deferring), self.client, self.replica, self.standing,
-            lambda: self.idle.report(world.clock.time), links, world.clock,
-        )  # fmt: skip
+            self.settings,
+            AdmissionFeatures(world.deferring),
+            self.client,
+            self.replica,
+            self.standing,
+            lambda: self.idle.report(world.clock.time),
+            links,
+            world.clock,
+        )
         lines = world.logs.setdefault(f"{name}.{len(world.logs)}", [])
         self.machines.gate = AdmissionGate(self.tables, RecordingLog(lines), lambda: self.admission.switched_on)
         self.machines.on_rooms_left = lambda rooms, at: self.idle.observe(rooms, self.tables.types, at)
@@ -136,9 +142,13 @@
     nodes: dict[str, Any]
 
     def __init__(
-        self, seed: int, troubled: bool = True, deferring: bool = True, text: str | None = None,
+        self,
+        seed: int,
+        troubled: bool = True,
+        deferring: bool = True,
+        text: str | None = None,
         machines: int = MACHINES,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.deferring = deferring
         self.logs: dict[str, list[str]] = {}
         self.cuts: set[tuple[str, str]] = set()
@@ -222,9 +232,15 @@
         team = self.rng.choices(list(TEAMS), weights=[6, 2, 1])[0]
         awaits = [self.rng.choice(sorted(self.sizes))] if self.sizes and self.rng.random() < 0.1 else ...
         job = spec(
-            f"wk-{self.number:06d}", crew=team, roster=self.rng.choice(CLASSES), visits=self.rng.randint(1, 5),
-            urgency=self.rng.choice(("urgent", "standard", "best_effort")), awaits=awaits, expectedS=12.0, pullGb=0.1,
-        )  # fmt: skip
+            f"wk-{self.number:06d}",
+            crew=team,
+            roster=self.rng.choice(CLASSES),
+            visits=self.rng.randint(1, 5),
+            urgency=self.rng.choice(("urgent", "standard", "best_effort")),
+            awaits=awaits,
+            expectedS=12.0,
+            pullGb=0.1,
+        )
         node = self.nodes[self.rng.choice(self.members)]
         self.submit(node, job)
 
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -49,11 +49,16 @@
         world = self.node.world
         return [
             wire.Listed(
-                each.name, "127.0.0.1:9000", each.booking.type, each.booking.zone, each.booking.spot,
-                "up" if each.up_at <= world.clock.time else "pending", world.clock.time - each.created_at,
+                each.name,
+                "127.0.0.1:9000",
+                each.booking.type,
+                each.booking.zone,
+                each.booking.spot,
+                "up" if each.up_at <= world.clock.time else "pending",
+                world.clock.time - each.created_at,
             )
             for each in world.instances.values()
-        ]  # fmt: skip
+        ]
 
     async def rent(self, booking: wire.Booking) -> list[str] | None:
         self._sent("rent", wire.encode(booking))
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -63,9 +63,14 @@
     cell: Cell
 
     async def commit(
-        self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str], urgency: Any,
-        lease: dict[str, int] | None = None, paid: int = 0,
-    ) -> tuple[Outcome, int]:  # fmt: skip
+        self,
+        conditions: dict[str, int],
+        writes: dict[str, Any],
+        drops: list[str],
+        urgency: Any,
+        lease: dict[str, int] | None = None,
+        paid: int = 0,
+    ) -> tuple[Outcome, int]:
         world, cell = self.cell.world, self.cell
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
         if cell.outage:
@@ -146,9 +151,7 @@
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
         self.target = CellTarget(settings, features, client, self.replica, self.standing, self.jobs)
         links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
-        self.origin = CellOrigin(
-            settings, features, client, self.replica, self.standing, cell.line, links, world.clock
-        )  # fmt: skip
+        self.origin = CellOrigin(settings, features, client, self.replica, self.standing, cell.line, links, world.clock)
 
     async def look_round(self) -> None:
         """What its loops do in about a report's time."""
@@ -484,7 +487,7 @@
             visits = world.rng.randint(1, 6)
             await world.submit(
                 cell, name, world.rng.choice(list(CLASSES)), visits=visits, expectedS=12.0, dueS=60.0, pullGb=0.1
-            )  # fmt: skip
+            )
         if world.rng.random() < 0.05 and world.submitted_at:
             await world.cancel(world.rng.choice(sorted(world.submitted_at)))
         if number > 20:
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -67,9 +67,14 @@
         return None
 
     async def commit(
-        self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str], urgency: Any,
-        lease: dict[str, int] | None = None, paid: int = 0,
-    ) -> tuple[Outcome, int]:  # fmt: skip
+        self,
+        conditions: dict[str, int],
+        writes: dict[str, Any],
+        drops: list[str],
+        urgency: Any,
+        lease: dict[str, int] | None = None,
+        paid: int = 0,
+    ) -> tuple[Outcome, int]:
         if self.lose_answers:
             self.lose_answers -= 1
             self.late.append((conditions, writes, drops))
@@ -114,9 +119,13 @@
     """Time, what is stored, the workers, and the rules."""
 
     def __init__(
-        self, seed: int, troubled: bool = False, members: tuple[str, ...] = MEMBERS, machines: int = MACHINES,
+        self,
+        seed: int,
+        troubled: bool = False,
+        members: tuple[str, ...] = MEMBERS,
+        machines: int = MACHINES,
         text: str = SETTINGS,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.troubled = troubled
         self.recorder = TraceRecorder()
         self.members = members
@@ -204,9 +213,7 @@
     def unfinished(self) -> set[str]:
         """Accepted jobs that no controller knows as done or cancelled."""
         final = (wire.DONE, wire.CANCELLED)
-        return {
-            job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())
-        }  # fmt: skip
+        return {job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())}
 
     def cancel(self, job: str, node: Node) -> None:
         """A user cancels a job at one of the controllers."""
@@ -345,9 +352,14 @@
         return None
 
     async def commit(
-        self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str], urgency: Any,
-        lease: dict[str, int] | None = None, paid: int = 0,
-    ) -> tuple[Outcome, int]:  # fmt: skip
+        self,
+        conditions: dict[str, int],
+        writes: dict[str, Any],
+        drops: list[str],
+        urgency: Any,
+        lease: dict[str, int] | None = None,
+        paid: int = 0,
+    ) -> tuple[Outcome, int]:
         world = self.node.world
         world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
         if not self.node.reaches:
@@ -472,7 +484,7 @@
         self.standing = Standing(self.settings, self.tables, self.replica, clock)
         self.mesh = Mesh(
             self.settings.siblings, 1.0, clock, self.standing.known, self.tables.cancellations, self.standing.learn
-        )  # fmt: skip
+        )
         self.standing.mesh = self.mesh
         self.membership = Membership(self.settings, self.client, self.replica, self.standing)
         self.jobs = Jobs(self.settings, self.client, self.replica, self.standing, clock)
@@ -625,7 +637,7 @@
         items = [wire.ReportedTask(task, number, state, cause) for (task, number), (state, cause) in self.tasks.items()]
         return wire.Report(
             self.name, "127.0.0.1:9000", self.kind, self.zone, self.spot, self.session, self.serial, self.token, items
-        )  # fmt: skip
+        )
 
     def heartbeat(self) -> None:
         """A report to the controller of which the worker thinks, or to the next one; the answer may be late or lost."""
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -117,9 +117,17 @@
 def dump_type(kind: wire.MachineType) -> list[Any]:
     """A machine type."""
     return [
-        kind.name, kind.cores, kind.gpus, kind.memory, kind.cache_gb, kind.fetch_gb_s, kind.price, kind.spot_price,
-        kind.boot_s, kind.zones,
-    ]  # fmt: skip
+        kind.name,
+        kind.cores,
+        kind.gpus,
+        kind.memory,
+        kind.cache_gb,
+        kind.fetch_gb_s,
+        kind.price,
+        kind.spot_price,
+        kind.boot_s,
+        kind.zones,
+    ]
 
 
 def dump_spec(spec: wire.JobSpec) -> dict[str, Any]:
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -27,9 +27,13 @@
             self._hash.update(len(encoded).to_bytes(4, "big") + encoded + SEPARATOR)
 
     def transaction(
-        self, sender: str, conditions: dict[str, int], writes: dict[str, Any], drops: list[str],
+        self,
+        sender: str,
+        conditions: dict[str, int],
+        writes: dict[str, Any],
+        drops: list[str],
         lease: dict[str, int] | None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Adds a transaction as it is sent to the state service."""
         self.record("transaction", sender, wire.commit_body(conditions, writes, drops, lease or {}))
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -90,9 +90,13 @@
 def meshed(world: World) -> Mesh:
     """The controller's part of the mesh; none of its siblings has told anything yet."""
     world.standing.mesh = Mesh(
-        world.settings.siblings, 1.0, world.clock, world.standing.known, world.store.tables.cancellations,
+        world.settings.siblings,
+        1.0,
+        world.clock,
+        world.standing.known,
+        world.store.tables.cancellations,
         world.standing.learn,
-    )  # fmt: skip
+    )
     return world.standing.mesh
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -72,9 +72,7 @@
         self.store.put(t.job_key(name), {**self.store.rows[t.job_key(name)][0], "s": t.WITHDRAWN})
 
     def changes(self, idle: list[IdleRoom] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
-        return epochs.next_rows(
-            self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes
-        )  # fmt: skip
+        return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
 
     def epoch(self, idle: list[IdleRoom] | None = None, value_bytes: int = 10000) -> int:
         """Stores all changes of an epoch; how many values that were."""
@@ -166,8 +164,9 @@
     cluster.submit("wk-000002")
     cluster.store.progress("wk-000002", c0_1=1)
     assert [decision.ground for _, decision in sorted(decide(cluster.store.tables).items())] == [
-        Ground.DEFERRED, Ground.BEGUN,
-    ]  # fmt: skip
+        Ground.DEFERRED,
+        Ground.BEGUN,
+    ]
 
 
 # -- cuts only rise
@@ -478,7 +477,7 @@
         cluster.later(cluster.limits.epoch_s)
         chosen = epochs.chosen_changes(
             cluster.changes(value_bytes=value_bytes), written_at, cluster.limits.max_changes, 12
-        )  # fmt: skip
+        )
         assert 0 < sum(len(change.rows) for change in chosen) <= 12
         for change in chosen:
             written_at[change.path] = cluster.now_ms
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -100,7 +100,7 @@
         monkeypatch.setattr(machines_module, "wall_ms", lambda: overdue_ms(world.settings))
         world.standing.mesh = Mesh(
             world.settings.siblings, 1.0, world.clock, world.standing.known, store.tables.cancellations, lambda _: None
-        )  # fmt: skip
+        )
         self.peer = world.standing.mesh.peers["c1"]
         self.started: list[str] = []
         self.given_back: list[str] = []
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -36,16 +36,40 @@
 
 
 SPEC = JobSpec(
-    "wk-000412", "train", "vision", "sweep", "urgent", 16, 8.0, 1.0, 64.0, "img-07", 6.2, False, True, True, 240.0,
-    30.0, 4.0, ["g8"], "a", 900.0,
-)  # fmt: skip
+    "wk-000412",
+    "train",
+    "vision",
+    "sweep",
+    "urgent",
+    16,
+    8.0,
+    1.0,
+    64.0,
+    "img-07",
+    6.2,
+    False,
+    True,
+    True,
+    240.0,
+    30.0,
+    4.0,
+    ["g8"],
+    "a",
+    900.0,
+)
 HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
 KNOWN = mesh.Known(3, True, 9, True, True)
 CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
 SUMMARY = Summary(
-    "north", 2, 431, (MachinePool("g8", True, Resources(96.0, 8.0, 768.0), 1.5, 3),), Resources(1.0, 2.0, 3.0), 61.5,
-    (("red", 4.0, 5.0),), (("wk-000412", 7),),
-)  # fmt: skip
+    "north",
+    2,
+    431,
+    (MachinePool("g8", True, Resources(96.0, 8.0, 768.0), 1.5, 3),),
+    Resources(1.0, 2.0, 3.0),
+    61.5,
+    (("red", 4.0, 5.0),),
+    (("wk-000412", 7),),
+)
 
 
 def inform(answer: mesh.Answer) -> Form:
@@ -119,8 +143,15 @@
 CONSTANTS: dict[str, Callable[[], Any]] = {
     "header": lambda: [mesh.HEADER.format, mesh.MAGIC.decode(), mesh.VERSION],
     "types": lambda: [
-        mesh.TYPE_ASK, mesh.TYPE_TELL, mesh.TYPE_INQUIRE, mesh.TYPE_INFORM, mesh.TYPE_CELL_REQUEST,
-        mesh.TYPE_CELL_ANSWER, mesh.TYPE_SUMMARY_REQUEST, mesh.TYPE_SUMMARY, mesh.TYPE_IDLE_ROOM_REQUEST,
+        mesh.TYPE_ASK,
+        mesh.TYPE_TELL,
+        mesh.TYPE_INQUIRE,
+        mesh.TYPE_INFORM,
+        mesh.TYPE_CELL_REQUEST,
+        mesh.TYPE_CELL_ANSWER,
+        mesh.TYPE_SUMMARY_REQUEST,
+        mesh.TYPE_SUMMARY,
+        mesh.TYPE_IDLE_ROOM_REQUEST,
         mesh.TYPE_IDLE_ROOM,
     ],
     "types of answers": lambda: {str(asked): answer for asked, answer in mesh.ANSWER_TYPES.items()},
@@ -128,7 +159,7 @@
     "limits": lambda: [mesh.MAX_BODY, mesh.MOST_ENTRIES, cell_frames.MOST_SPEC_BYTES, admission_frames.MOST_ENTRIES],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
     "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
-}  # fmt: skip
+}
 
 
 def test_nothing_frozen_is_left_out() -> None:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -39,10 +39,25 @@
 AFTER_DROP: dict[str, str] = frozen("rows_after_drop")
 WRITTEN: dict[str, list[str]] = frozen("rows_written")
 EVERY_FIELD: dict[str, Any] = {
-    "crew": "red", "shape": "group", "urgency": "critical", "visits": 2, "cores": 2.5, "accelerators": 1.5,
-    "memoryGb": 3.0, "kit": "img-2", "pullGb": 4.0, "builds": ["small", "large"], "district": "b", "together": True,
-    "loaners": False, "expectedS": 5.0, "snapshotS": 6.0, "stashS": 7.0, "dueS": 90.0, "awaits": [JOB, THIRD],
-}  # fmt: skip
+    "crew": "red",
+    "shape": "group",
+    "urgency": "critical",
+    "visits": 2,
+    "cores": 2.5,
+    "accelerators": 1.5,
+    "memoryGb": 3.0,
+    "kit": "img-2",
+    "pullGb": 4.0,
+    "builds": ["small", "large"],
+    "district": "b",
+    "together": True,
+    "loaners": False,
+    "expectedS": 5.0,
+    "snapshotS": 6.0,
+    "stashS": 7.0,
+    "dueS": 90.0,
+    "awaits": [JOB, THIRD],
+}
 
 
 @pytest.fixture(autouse=True)
@@ -291,7 +306,7 @@
     features = AdmissionFeatures(True)
     each = AdmissionCoordinator(
         world.settings, features, world.client, world.replica, world.standing, list, {}, world.clock
-    )  # fmt: skip
+    )
     world.run(each.epoch)
 
 
@@ -478,20 +493,58 @@
 
 
 CASES: tuple[Callable[[Recorder], None], ...] = (
-    member, coordinator, view, layout_mark, feature_mark, catalog, machine_group, single_machines,
-    group_without_machines, group_in_parts, group_in_parts_first, single_machine_deleted, job, job_with_every_field,
-    job_in_parts, job_done, jobs_cancelled_unclaimed, job_cancelled_with_tasks, job_in_parts_cancelled_with_tasks,
-    job_of_layout_2_cancelled_with_tasks, job_with_every_field_cancelled_with_tasks, job_withdrawn_before_layout_3,
-    cleared_away, progress_before_the_mark, progress_after_the_mark, scattered_claims, progress_with_a_zone,
-    progress_beside_adoptions, adoptions_before_the_mark, adoptions_after_the_mark, team_limit, admission_root,
-    admission_every_field, admission_read_and_written, moved_and_taken_back, moved_and_given_back, moved_and_done,
-    every_handoff_field, done_elsewhere_with_a_handoff_left, over_with_handoffs, cancellation_of_a_moved_job,
-    cancellation_of_a_moved_job_with_tasks, handoffs_beside_the_end, cancellation_after_its_return,
+    member,
+    coordinator,
+    view,
+    layout_mark,
+    feature_mark,
+    catalog,
+    machine_group,
+    single_machines,
+    group_without_machines,
+    group_in_parts,
+    group_in_parts_first,
+    single_machine_deleted,
+    job,
+    job_with_every_field,
+    job_in_parts,
+    job_done,
+    jobs_cancelled_unclaimed,
+    job_cancelled_with_tasks,
+    job_in_parts_cancelled_with_tasks,
+    job_of_layout_2_cancelled_with_tasks,
+    job_with_every_field_cancelled_with_tasks,
+    job_withdrawn_before_layout_3,
+    cleared_away,
+    progress_before_the_mark,
+    progress_after_the_mark,
+    scattered_claims,
+    progress_with_a_zone,
+    progress_beside_adoptions,
+    adoptions_before_the_mark,
+    adoptions_after_the_mark,
+    team_limit,
+    admission_root,
+    admission_every_field,
+    admission_read_and_written,
+    moved_and_taken_back,
+    moved_and_given_back,
+    moved_and_done,
+    every_handoff_field,
+    done_elsewhere_with_a_handoff_left,
+    over_with_handoffs,
+    cancellation_of_a_moved_job,
+    cancellation_of_a_moved_job_with_tasks,
+    handoffs_beside_the_end,
+    cancellation_after_its_return,
     recall_of_a_cancelled_job,
-)  # fmt: skip
+)
 TARGET_CASES: tuple[Callable[[Recorder, pytest.MonkeyPatch], None], ...] = (
-    accepted_and_done, accepted_and_withdrawn, accepted_and_stopped, refused,
-)  # fmt: skip
+    accepted_and_done,
+    accepted_and_withdrawn,
+    accepted_and_stopped,
+    refused,
+)
 
 
 def written(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -255,7 +255,7 @@
 @pytest.mark.parametrize("line", FROZEN["command lines"])
 def test_a_command_line_does_what_it_ever_did(
     line: str, files: dict[str, str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
-) -> None:  # fmt: skip
+) -> None:
     """The exit status, what is started, and the last line of what is printed to standard error."""
     program = Program(monkeypatch)
     words = line.split()
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -21,9 +21,24 @@
 FROZEN: dict[str, dict[str, Any]] = json.loads((Path(__file__).parent / "frozen" / "wire.json").read_text())
 
 SPEC = (
-    "wk-000412", "train", "vision", "group", "urgent", 16, 8.0, 1.0, 64.0, "img-07", 6.2, True, False, True, 240.0,
-    30.0, 4.0,
-)  # fmt: skip
+    "wk-000412",
+    "train",
+    "vision",
+    "group",
+    "urgent",
+    16,
+    8.0,
+    1.0,
+    64.0,
+    "img-07",
+    6.2,
+    True,
+    False,
+    True,
+    240.0,
+    30.0,
+    4.0,
+)
 TASK = wire.ReportedTask("wk-000412/3", 2, "running")
 ENDED = wire.ReportedTask("wk-000398/0", 1, "ended", "halted", True)
 REPORT = ("vm-000231", "10.1.0.232:9000", "g8", "a", True, 1, 88, 41, [TASK, ENDED])
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -244,9 +244,7 @@
 # -- random orders of it all
 
 
-THREE = SETTINGS.replace(
-    "[outside]", '[[siblings]]\nmember = "c2"\nzone = "b"\naddress = "127.0.0.1:8083"\n[outside]'
-)  # fmt: skip
+THREE = SETTINGS.replace("[outside]", '[[siblings]]\nmember = "c2"\nzone = "b"\naddress = "127.0.0.1:8083"\n[outside]')
 
 
 @dataclass
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -34,9 +34,7 @@
     monkeypatch.setattr(machines, "wall_ms", lambda: int(world.clock.time * 1000))
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.fleet = Fleet(
-        world.settings, world.client, cloud, world.replica, world.standing, world.clock
-    )  # fmt: skip
+    world.machines.fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
     world.machines.fleet.machines = world.machines
     yield world
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -53,8 +53,9 @@
     """How many tasks on the machine are to stop after a tick; direct commands are not sent here."""
     later(world, seconds)
     world.machines._line_up()
-    world.machines.met = {job.spec.id: world.machines.met.get(job.spec.id, world.clock.time)
-                          for job in world.machines.line}  # fmt: skip
+    world.machines.met = {
+        job.spec.id: world.machines.met.get(job.spec.id, world.clock.time) for job in world.machines.line
+    }
     machine(world).heard = True
     kill = world.machines.registry.kill
     world.machines.gang_room.kill = kill  # type: ignore[assignment]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -28,11 +28,27 @@
 
 # Rows as production writes them.
 OLD_SPEC = {
-    "id": "wk-000001", "roster": "train", "crew": "red", "shape": "sweep", "urgency": "standard", "visits": 4,
-    "cores": 2.0, "accelerators": 0.0, "memoryGb": 1.0, "kit": "img-1", "pullGb": 1.0, "together": False,
-    "spread": False, "loaners": True, "expectedS": 40.0, "snapshotS": 0.0, "stashS": 0.0, "builds": None,
-    "district": None, "dueS": None,
-}  # fmt: skip
+    "id": "wk-000001",
+    "roster": "train",
+    "crew": "red",
+    "shape": "sweep",
+    "urgency": "standard",
+    "visits": 4,
+    "cores": 2.0,
+    "accelerators": 0.0,
+    "memoryGb": 1.0,
+    "kit": "img-1",
+    "pullGb": 1.0,
+    "together": False,
+    "spread": False,
+    "loaners": True,
+    "expectedS": 40.0,
+    "snapshotS": 0.0,
+    "stashS": 0.0,
+    "builds": None,
+    "district": None,
+    "dueS": None,
+}
 OLD_ROWS: dict[str, Any] = {
     "s1/m/c1": {"boot": 5, "settled": 3, "layout": 2},
     "s1/coord": {"member": "c1", "boot": 5},
