--- a/sloeswitch/actors/base.py
+++ b/sloeswitch/actors/base.py
@@ -10,7 +10,7 @@
 import anyio
 
 # Messages handled before others get their turn.
-BATCH = 16
+MAX_MESSAGES_PER_TURN = 16
 
 
 class InboxFullError(Exception):
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Ask:
+class ActorRequest:
     """A message that wants a reply."""
 
     answer: Any = None
@@ -48,7 +48,7 @@
         self._inbox.append(message)
         self._filled.set()
 
-    async def ask(self, message: Ask) -> Any:
+    async def ask(self, message: ActorRequest) -> Any:
         self.tell(message)
         await message.answered.wait()
         return message.answer
@@ -58,7 +58,7 @@
             await self._filled.wait()
             self._filled = anyio.Event()
             # What is there is taken in one turn of the event loop, but never so much that other actors wait.
-            for _ in range(min(len(self._inbox), BATCH)):
+            for _ in range(min(len(self._inbox), MAX_MESSAGES_PER_TURN)):
                 await self._handle(self._inbox.popleft())
             if self._inbox:
                 self._filled.set()
@@ -68,7 +68,7 @@
             await self.handle(message)
         except Exception:
             self.log.exception("while handling %s", type(message).__name__)
-            if isinstance(message, Ask):
+            if isinstance(message, ActorRequest):
                 message.reply(None)
 
     async def handle(self, message: Any) -> None:
--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -8,9 +8,9 @@
 import logging
 from collections.abc import Callable
 
-from sloeswitch.actors.commands import CommandSender, Inspected
-from sloeswitch.actors.membership import Standing
-from sloeswitch.core.cancellation_guard import OVERDUE, CancellationGuard, overdue_job
+from sloeswitch.actors.commands import CommandSender, InspectionReply
+from sloeswitch.actors.membership import Leadership
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
 from sloeswitch.core.registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
@@ -28,14 +28,14 @@
         self,
         settings: Settings,
         tables: Tables,
-        standing: Standing,
+        leadership: Leadership,
         registry: MachineRegistry,
         commands: CommandSender,
         give_back: Callable[[str], bool],
     ) -> None:
         self.settings = settings
         self.tables = tables
-        self.standing = standing
+        self.leadership = leadership
         self.registry = registry
         self.commands = commands
         self.give_back = give_back
@@ -46,10 +46,10 @@
     def look(self, now: float, wall_time_ms: int) -> None:
         """Has machines inspected, and deleted if need be, that may hold cancelled tasks while nobody may answer."""
         self.guard.observe(self.tables, now)
-        if not self.standing.unattended:
+        if not self.leadership.unattended:
             self.guard.clear()
             return
-        suspects = self.guard.suspects(self.tables, self.standing.tag, now, wall_time_ms)
+        suspects = self.guard.suspects(self.tables, self.leadership.tag, now, wall_time_ms)
         suspects |= self._own_suspects(now, wall_time_ms)
         for name in self.guard.due(suspects, now):
             self.commands.inspect(name, self._address(name))
@@ -59,7 +59,7 @@
             if self.give_back(name):
                 log.info("%s goes back: cancelled tasks may be on it, and no controller may answer it", name)
 
-    def inspected(self, message: Inspected, now: float) -> None:
+    def inspected(self, message: InspectionReply, now: float) -> None:
         """The answer of a machine that was asked what is on it, or none."""
         if message.report is None:
             self.guard.failed(message.machine, now)
@@ -78,7 +78,8 @@
             for machine in self.registry.machines.values()
             if (overdue and not machine.heard)
             or (
-                machine.cancelled_since is not None and now - machine.cancelled_since > OVERDUE * self.settings.cancel_s
+                machine.cancelled_since is not None
+                and now - machine.cancelled_since > OVERDUE_SHARE * self.settings.cancel_s
             )
         }
 
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -15,7 +15,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.core.registry import Machine, MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Client, NoAnswerError
@@ -32,15 +32,15 @@
 class CommandReply:
     """A machine's answer to a direct command."""
 
-    report: wire.Report
+    report: wire.WorkerReport
 
 
 @dataclass
-class Inspected:
+class InspectionReply:
     """What a machine told that was asked for its tasks only; None when it did not answer."""
 
     machine: str
-    report: wire.Report | None
+    report: wire.WorkerReport | None
 
 
 class Spawn(Protocol):
@@ -55,15 +55,15 @@
     def __init__(
         self,
         settings: Settings,
-        standing: Standing,
+        leadership: Leadership,
         registry: MachineRegistry,
         tables: Tables,
         spawn: Spawn,
-        tell: Callable[[CommandReply | Inspected], None],
+        tell: Callable[[CommandReply | InspectionReply], None],
         now: Callable[[], float],
     ) -> None:
         self.settings = settings
-        self.standing = standing
+        self.leadership = leadership
         self.registry = registry
         self.tables = tables
         self.spawn = spawn
@@ -133,32 +133,32 @@
     async def _send_orders(self, machine: Machine) -> None:
         session = machine.session or 1
         for _ in range(2):
-            if not self.standing.may_answer or self.registry.machines.get(machine.name) is not machine:
+            if not self.leadership.may_answer or self.registry.machines.get(machine.name) is not machine:
                 return
             orders = self.registry.orders(machine, self.tables, None) if machine.heard else []
-            body = wire.encode(wire.Orders(self.standing.view.number, orders, session))
+            body = wire.encode(wire.WorkerCommands(self.leadership.view.number, orders, session))
             reply = await self._client(machine.address).request("POST", "/commands", body, self.timeout_s)
             if reply.status not in (200, 409):
                 return
-            report = wire.decode(reply.body, wire.Report)
+            report = wire.decode(reply.body, wire.WorkerReport)
             self.tell(CommandReply(report))
             if reply.status == 200 or report.session == session:
                 return
             session = report.session
 
     async def _inspect(self, name: str, address: str) -> None:
-        report: wire.Report | None = None
+        report: wire.WorkerReport | None = None
         try:
             async with self._sockets:
                 reply = await self._client(address).request("GET", "/inspect", None, self.timeout_s)
             if reply.status == 200:
-                report = wire.decode(reply.body, wire.Report)
+                report = wire.decode(reply.body, wire.WorkerReport)
         except NoAnswerError:
             pass
         except (wire.MalformedError, ValueError) as error:
             log.error("%s answered an inspection with %s", name, error)
         try:
-            self.tell(Inspected(name, report))
+            self.tell(InspectionReply(name, report))
         except InboxFullError:
             log.debug("no place for what %s told", name)
 
--- a/sloeswitch/actors/feature_mark.py
+++ b/sloeswitch/actors/feature_mark.py
@@ -4,36 +4,36 @@
 
 import logging
 
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.core import tables as t
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StateClient, TransactionOutcome
 
 log = logging.getLogger("features")
 
 
-class FeatureMark:
+class FeatureRollout:
     """Guards against a controller of a version or a configuration that doesn't know the feature's rows and frames."""
 
     def __init__(
-        self, feature: str, settings: Settings, client: StateClient, replica: Replica, standing: Standing
+        self, feature: str, settings: Settings, client: StateClient, replica: Replica, leadership: Leadership
     ) -> None:
         self.feature = feature
         self.settings = settings
         self.client = client
         self.replica = replica
-        self.standing = standing
+        self.leadership = leadership
 
     @property
     def complete(self) -> bool:
         """Whether every configured controller has run with the feature."""
-        return self.replica.tables.features.get(self.feature, t.Feature()).complete
+        return self.replica.tables.features.get(self.feature, t.FeatureStatus()).complete
 
     async def mark(self) -> None:
         """Notes that this controller runs with the feature; complete once every configured one does."""
         tables = self.replica.tables
-        known = tables.features.get(self.feature, t.Feature())
-        if known.complete or not (self.standing.may_act and tables.upgraded):
+        known = tables.features.get(self.feature, t.FeatureStatus())
+        if known.complete or not (self.leadership.may_act and tables.upgraded):
             return
         seen = {*known.seen, self.settings.member}
         complete = seen >= set(self.settings.members)
@@ -41,8 +41,8 @@
             return
         key = t.feature_key(self.feature)
         value = {"seen": sorted(seen), "complete": complete}
-        conditions = {key: tables.stamp(key), **self.standing.claim_conditions()}
-        outcome, _ = await self.client.commit(conditions, {key: value}, [], Urgency.CLAIM)
+        conditions = {key: tables.stamp(key), **self.leadership.claim_conditions()}
+        outcome, _ = await self.client.commit(conditions, {key: value}, [], RequestPriority.CLAIM)
         self.replica.hint()
-        if outcome is Outcome.DONE:
+        if outcome is TransactionOutcome.DONE:
             log.info("%s: run by %s%s", self.feature, ", ".join(sorted(seen)), "; it is on" if complete else "")
--- a/sloeswitch/actors/fleet.py
+++ b/sloeswitch/actors/fleet.py
@@ -14,15 +14,15 @@
 import msgspec
 
 from sloeswitch import wire
-from sloeswitch.actors.machines import Deleted, Machines
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.machines import InstancesDeleted, Machines
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import fleet as plan
 from sloeswitch.core import tables as t
-from sloeswitch.core.fleet import Kind
+from sloeswitch.core.fleet import InstanceKind
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StateClient, TransactionOutcome
 
 log = logging.getLogger("fleet")
 
@@ -34,21 +34,21 @@
 
 
 @dataclass
-class Expected:
+class PendingInstance:
     """A machine that was rented and is not registered yet."""
 
-    kind: Kind
+    kind: InstanceKind
     since: float
 
 
-class Fleet:
+class Autoscaler:
     def __init__(
         self,
         settings: Settings,
         client: StateClient,
         cloud: CloudClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         now: Callable[[], float],
     ) -> None:
         self.settings = settings
@@ -56,12 +56,12 @@
         self.cloud = cloud
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.now = now
         self.machines: Machines | None = None
         self.types: dict[str, wire.MachineType] = {}
-        self.expected: dict[str, Expected] = {}
-        self.refused: dict[Kind, float] = {}
+        self.expected: dict[str, PendingInstance] = {}
+        self.refused: dict[InstanceKind, float] = {}
         # Machines on their way back; True for those that the coordinator gives back, whoever owns them.
         self.returning: dict[str, bool] = {}
         # Those of them on which cancelled tasks may be.
@@ -89,27 +89,27 @@
 
     def _still_ours(self, machine: str) -> bool:
         if self.returning[machine]:
-            return self.standing.coordinating
-        return self.standing.owner(machine) == self.settings.member
+            return self.leadership.coordinating
+        return self.leadership.owner(machine) == self.settings.member
 
     async def return_forever(self) -> None:
         while True:
             if not self.returning:
                 await self.wake.wait()
             self.wake = anyio.Event()
-            may_press = self.standing.may_answer or self.standing.unattended
+            may_press = self.leadership.may_answer or self.leadership.unattended
             pressing = list(self.pressing) if may_press else []
-            if not self.standing.may_act and not pressing:
+            if not self.leadership.may_act and not pressing:
                 await anyio.sleep(self.settings.report_s / 4)
                 continue
             # Guards against a controller that stood still, or lost the state service, since it decided: the
             # machine may have another owner by now, and work on it.
             for name in [name for name in self.returning if not self._still_ours(name)]:
-                if self.standing.may_act:
+                if self.leadership.may_act:
                     del self.returning[name]
                     self.pressing.discard(name)
             # Those on which cancelled tasks may be go first; the others only while we may act.
-            others = [name for name in self.returning if name not in self.pressing] if self.standing.may_act else []
+            others = [name for name in self.returning if name not in self.pressing] if self.leadership.may_act else []
             batch = [name for name in (*pressing, *others) if name in self.returning][:100]
             if not batch:
                 continue
@@ -124,7 +124,7 @@
                 self.pressing.discard(name)
                 self.expected.pop(name, None)
             assert self.machines is not None
-            self.machines.tell(Deleted(batch))
+            self.machines.tell(InstancesDeleted(batch))
 
     # -- renting
 
@@ -137,7 +137,7 @@
             if not self.replica.loaded:
                 continue
             try:
-                if self.standing.coordinating:
+                if self.leadership.coordinating:
                     await self._read_catalog()
                     await self._list()
                     while await self._rent():
@@ -167,13 +167,13 @@
 
     async def _store_catalog(self, kinds: list[wire.MachineType]) -> None:
         """All types in one value if they fit. If not, each has its own, which an earlier layout does not read."""
-        together = {t.CATALOG: msgspec.to_builtins(wire.Catalog(kinds))}
-        fits = len(wire.encode(together[t.CATALOG])) <= self.client.value_bytes
+        together = {t.CATALOG_KEY: msgspec.to_builtins(wire.MachineTypeCatalog(kinds))}
+        fits = len(wire.encode(together[t.CATALOG_KEY])) <= self.client.value_bytes
         if not fits and not self.tables.upgraded:
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
         writes = together if fits else {t.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
-        stored = {t.CATALOG, *(t.type_key(name) for name in self.tables.types)}
+        stored = {t.CATALOG_KEY, *(t.type_key(name) for name in self.tables.types)}
         drops = [key for key in stored if key not in writes and self.tables.stamp(key)]
         # Written before the others are dropped, so that no type is missing in between.
         changes = [*writes, *drops]
@@ -181,13 +181,13 @@
             batch = set(changes[: self.client.txn_ops])
             del changes[: self.client.txn_ops]
             outcome, _ = await self.client.commit(
-                {t.COORD: self.tables.stamp(t.COORD)},
+                {t.COORDINATOR_KEY: self.tables.stamp(t.COORDINATOR_KEY)},
                 {key: value for key, value in writes.items() if key in batch},
                 [key for key in drops if key in batch],
-                Urgency.CLAIM,
+                RequestPriority.CLAIM,
             )
             self.replica.hint()
-            if outcome is not Outcome.DONE:
+            if outcome is not TransactionOutcome.DONE:
                 return
 
     async def _list(self) -> None:
@@ -208,7 +208,7 @@
             if item.id in self.tables.machines or item.id in self.expected:
                 continue
             log.info("%s was not expected", item.id)
-            self.expected[item.id] = Expected((item.type, item.zone, item.spot), now - item.age_s)
+            self.expected[item.id] = PendingInstance((item.type, item.zone, item.spot), now - item.age_s)
         names = {item.id for item in listed}
         for name, item2 in list(self.expected.items()):
             kind = self.types.get(item2.kind[0])
@@ -229,27 +229,27 @@
         for item in self.expected.values():
             supply[item.kind] = supply.get(item.kind, 0) + 1
         refused = {kind for kind, until in self.refused.items() if now < until}
-        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SPREAD_RENT)
+        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_OUT_SPREAD)
         choice = plan.rent(wanted, supply, self.types, refused, 50)
         if choice is None:
             return False
         self.bookings += 1
         # The view number is stored and never given twice; within it the coordinator counts.
-        name = f"{self.standing.view.number}-{self.standing.tag}-{self.bookings}"
+        name = f"{self.leadership.view.number}-{self.leadership.tag}-{self.bookings}"
         kind_name, zone, spot = choice.kind
-        rented = await self.cloud.rent(wire.Booking(name, kind_name, zone, spot, choice.count))
+        rented = await self.cloud.rent(wire.InstanceRequest(name, kind_name, zone, spot, choice.count))
         if rented is None or len(rented) < choice.count:
             self.refused[choice.kind] = now + 2 * self.settings.list_lag_s
         for machine in rented or ():
-            self.expected[machine] = Expected(choice.kind, now)
+            self.expected[machine] = PendingInstance(choice.kind, now)
         log.info(
             "rented %d of %d %s in %s%s", len(rented or ()), choice.count, kind_name, zone, " (spot)" if spot else ""
         )
         list_again_s = max(self.settings.list_lag_s, LIST_PAUSE * self.listing_s)
-        return self.standing.coordinating and now - self.listed_at < list_again_s
+        return self.leadership.coordinating and now - self.listed_at < list_again_s
 
-    def _registered(self) -> dict[Kind, int]:
-        supply: dict[Kind, int] = {}
+    def _registered(self) -> dict[InstanceKind, int]:
+        supply: dict[InstanceKind, int] = {}
         for row in self.tables.machines.values():
             kind = (row.type, row.zone, row.spot)
             supply[kind] = supply.get(kind, 0) + 1
@@ -261,7 +261,7 @@
         """Lets machines run empty that are not needed, the dearest first. Every controller reckons from the
         same tables and picks by name, so that together they spare the right number."""
         assert self.machines is not None
-        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SPREAD_KEEP)
+        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_IN_SPREAD)
         spared = plan.surplus(wanted, self._registered(), self.tables.types)
         chosen: set[str] = set()
         for name in sorted(self.tables.machines):
@@ -275,7 +275,7 @@
 
     def watch_idle(self) -> None:
         """Returns this controller's machines that had nothing to do for about a boot time."""
-        if self.machines is None or not self.standing.may_act:
+        if self.machines is None or not self.leadership.may_act:
             return
         now = self.now()
         self._spare_dear()
@@ -287,7 +287,7 @@
             kind = self.tables.types.get(machine.type)
             if kind is None or not machine.heard or machine.draining:
                 continue
-            offer = plan.Offer((machine.type, machine.zone, machine.spot), kind)
+            offer = plan.InstanceOffer((machine.type, machine.zone, machine.spot), kind)
             if machine.attempts or (not machine.spared and any(offer.suits(spec) for spec in backlog)):
                 self.idle_since.pop(machine.name, None)
                 continue
--- a/sloeswitch/actors/gang_room.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from sloeswitch.actors.membership import Standing
-from sloeswitch.actors.team_limits import TeamLimits
+from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.team_limits import QuotaLedger
 from sloeswitch.core import placement, preemption, quota
 from sloeswitch.core.health import Health
 from sloeswitch.core.quota import fits_type
@@ -18,7 +18,7 @@
 log = logging.getLogger("machines")
 
 
-class Line(Protocol):
+class QueueView(Protocol):
     """The jobs in the order in which they get room, as of the last tick."""
 
     line: list[Job]
@@ -29,24 +29,24 @@
         """Whether the job's image is one that this controller's machines are to have."""
 
 
-class GangRoom:
+class GangPreemption:
     """Owns the room that is held for gangs of one task."""
 
     def __init__(
         self,
         settings: Settings,
         tables: Tables,
-        standing: Standing,
+        leadership: Leadership,
         registry: MachineRegistry,
         health: Health,
-        limits: TeamLimits,
-        line: Line,
+        limits: QuotaLedger,
+        line: QueueView,
         kill: Callable[[Machine, Attempt, float], None],
         pace_s: float,
     ) -> None:
         self.settings = settings
         self.tables = tables
-        self.standing = standing
+        self.leadership = leadership
         self.registry = registry
         self.health = health
         self.limits = limits
@@ -62,8 +62,8 @@
         self._release_held(now)
         if not self.line.scarce:
             return
-        order = preemption.LineOrder.of(self.line.line, self.registry.placed)
-        rooms: dict[str, placement.Room] | None = None
+        order = preemption.QueueOrder.of(self.line.line, self.registry.placed)
+        rooms: dict[str, placement.FreeCapacity] | None = None
         for job in self._gangs_without_room(now):
             if rooms is None:
                 rooms = self._scarce_rooms()
@@ -88,14 +88,14 @@
             self._stop([*chosen.attempts, *more])
 
     def _of_the_team(
-        self, job: Job, chosen: preemption.Preemption, short: quota.Use, order: preemption.LineOrder
+        self, job: Job, chosen: preemption.Preemption, short: quota.ResourceUsage, order: preemption.QueueOrder
     ) -> list[Attempt] | None:
         """The team's tasks on other machines that have to stop so that its limit has room for the gang; None when that
         is not to be had. Whatever stops counts until it is gone."""
         spec = job.spec
         for attempt in chosen.attempts:
             if attempt.spec.team == spec.team:
-                short = quota.Use(short.cores - attempt.spec.cores, short.gpus - attempt.spec.gpus)
+                short = quota.ResourceUsage(short.cores - attempt.spec.cores, short.gpus - attempt.spec.gpus)
         others = [
             attempt
             for machine in self.registry.machines.values()
@@ -112,22 +112,22 @@
                 if attempt.key in keys:
                     self.kill(machine, attempt, attempt.spec.save_s)
 
-    def reserved(self) -> dict[str, tuple[str, quota.Use]]:
+    def reserved(self) -> dict[str, tuple[str, quota.ResourceUsage]]:
         """What gangs for which room is held, and which are not placed, want of their teams' limits: team and amounts.
         Guards against small tasks of the team that take one by one what was freed for a gang."""
-        found: dict[str, tuple[str, quota.Use]] = {}
+        found: dict[str, tuple[str, quota.ResourceUsage]] = {}
         for holder, _until in self.held.values():
             job = self.tables.jobs.get(holder)
             if job is not None and not self.registry.placed.get(holder):
-                found[holder] = (job.spec.team, quota.Use(job.spec.cores, job.spec.gpus))
+                found[holder] = (job.spec.team, quota.ResourceUsage(job.spec.cores, job.spec.gpus))
         return found
 
-    def use_beside(self, job: Job) -> quota.Use:
+    def use_beside(self, job: Job) -> quota.ResourceUsage:
         """What the team uses or is reserved of its limit, for a job to be placed beside."""
         use = self.limits.use(job.spec.team)
         for holder, (team, reserved) in self.reserved().items():
             if team == job.spec.team and holder != job.spec.id:
-                use = quota.Use(use.cores + reserved.cores, use.gpus + reserved.gpus)
+                use = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
         return use
 
     def _release_held(self, now: float) -> None:
@@ -146,7 +146,7 @@
         all, it counted as claimed here, and got no room for minutes (found on the bench).
         """
         settled = self.tables.all_settled()
-        members = [member for member, _ in self.standing.view.members]
+        members = [member for member, _ in self.leadership.view.members]
         turn = members.index(self.settings.member)
         passed = {holder for holder, _ in self.held.values()}
         for job in self.line.line:
@@ -159,7 +159,7 @@
                 continue
             yield job
 
-    def _scarce_rooms(self) -> dict[str, placement.Room]:
+    def _scarce_rooms(self) -> dict[str, placement.FreeCapacity]:
         """What is free on machines of types that some live job fits and others not, by machine."""
         return {
             machine.name: self.registry.room(machine, self.tables.types[machine.type])
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -19,20 +19,20 @@
 import msgspec
 
 from sloeswitch import wire
-from sloeswitch.actors.base import Actor, Ask
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.base import Actor, ActorRequest
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.core import quota, taskset
 from sloeswitch.core import tables as t
-from sloeswitch.core.tables import DONE, LIVE, WITHDRAWN, Job, Progress, Tables
+from sloeswitch.core.tables import CANCELLED, DONE, LIVE, Job, Progress, Tables
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StaleError, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
 
 log = logging.getLogger("jobs")
 
 
 @dataclass
-class ClaimRequest(Ask):
+class ClaimRequest(ActorRequest):
     """Claim so many tasks of these jobs, and ask for these allowances of teams. Answered when that is
     in the tables, or not to be had."""
 
@@ -50,7 +50,7 @@
 
 
 @dataclass
-class Learnt:
+class TaskUpdates:
     """What the machines actor learnt since it last told, as sets of tasks by job: one message however
     much there is. Found on the bench: a message a task overran the inbox when a controller took over
     all machines at once."""
@@ -66,7 +66,7 @@
         return bool(self.done or self.released or self.adopted)
 
 
-def note_task(sets: dict[str, int], job: str, tasks: int) -> None:
+def add_tasks(sets: dict[str, int], job: str, tasks: int) -> None:
     sets[job] = sets.get(job, 0) | tasks
 
 
@@ -96,7 +96,7 @@
 
 
 @dataclass
-class Unstored:
+class UncommittedUpdates:
     """What is learnt of a job and not yet in the tables, as sets of tasks."""
 
     done: int = 0
@@ -114,7 +114,7 @@
         settings: Settings,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         now: Callable[[], float],
     ) -> None:
         super().__init__(settings.fd_limit)
@@ -122,9 +122,9 @@
         self.client = client
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.now = now
-        self.unstored: dict[str, Unstored] = {}
+        self.unstored: dict[str, UncommittedUpdates] = {}
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
         # A job's last completions wait this long for company; users expect them within 3 s (protocol).
@@ -142,7 +142,7 @@
     # -- messages
 
     async def handle(self, message: Any) -> None:
-        if isinstance(message, Learnt):
+        if isinstance(message, TaskUpdates):
             for name, tasks in message.done.items():
                 self._note(name).done |= tasks
             for name, tasks in message.released.items():
@@ -159,10 +159,10 @@
             self.request = message
         self.wake.set()
 
-    def _note(self, job: str) -> Unstored:
+    def _note(self, job: str) -> UncommittedUpdates:
         note = self.unstored.get(job)
         if note is None:
-            note = self.unstored[job] = Unstored(since=self.now())
+            note = self.unstored[job] = UncommittedUpdates(since=self.now())
         return note
 
     def forget(self) -> None:
@@ -185,11 +185,11 @@
 
     async def _round(self) -> None:
         request, self.request = self.request, None
-        if not self.replica.loaded or not self.standing.boot:
+        if not self.replica.loaded or not self.leadership.boot:
             if request is not None:
                 request.reply(False)
             return
-        acting = self.standing.may_act
+        acting = self.leadership.may_act
         names = self._due(request if acting else None)
         cost = len(names) + (len(request.grow) + len(request.shrink) if request is not None and acting else 0)
         cost += 2 * bool(self.tables.upgraded and self._adopted())
@@ -197,7 +197,7 @@
             if request is not None:
                 request.reply(False)
             return
-        urgency = Urgency.PROGRESS if request is None and not self._pressing() else Urgency.CLAIM
+        urgency = RequestPriority.PROGRESS if request is None and not self._pressing() else RequestPriority.CLAIM
         # The rate first, then the freshest tables: conditions that wait for their turn grow stale, and a
         # transaction that fails on them costs as much as one that does not.
         room = self.client.most_changes(urgency)
@@ -206,10 +206,10 @@
         if request is not None and acting:
             try:
                 await self.replica.fresh(self.client.timeout_s)
-            except StaleError:
+            except StaleReplicaError:
                 acting = False
         self._tidy()
-        acting = acting and self.standing.may_act
+        acting = acting and self.leadership.may_act
         names = self._due(request if acting else None)
         settled = self.tables.all_settled()
         conditions: dict[str, int] = {}
@@ -222,11 +222,11 @@
         if self.tables.upgraded and shrinking + 2 <= self.client.txn_ops:
             adopted = self._adopt_together(teams, settled, room)
         if adopted:
-            key = t.adoption_key(self.standing.tag, self.adoptions_made)
+            key = t.adoption_key(self.leadership.tag, self.adoptions_made)
             writes[key], conditions[key] = {"m": adopted}, 0
             claimed = True
         if request is not None and acting:
-            tag = self.standing.tag
+            tag = self.leadership.tag
             for team, wanted in request.grow.items():
                 if adopted and team not in teams and len(teams) + 1 >= room:
                     continue  # asked for again
@@ -235,7 +235,7 @@
                 # An adoption may have raised it since; only the asker knows when less will do.
                 mine = held.get(tag, (0.0, 0.0))
                 more = max(wanted[0], mine[0]), max(wanted[1], mine[1])
-                teams[team] = quota.reallot(held, (limit.cpus_max, limit.gpus_max), tag, more)
+                teams[team] = quota.reallocate(held, (limit.cpus_max, limit.gpus_max), tag, more)
             for team, (stamp, cores, gpus) in request.shrink.items():
                 if stamp == self.tables.stamp(t.team_key(team)):
                     held = self._held(teams, team, settled)
@@ -286,18 +286,18 @@
                 request.reply(False)
             return
         if claimed:
-            conditions.update(self.standing.claim_conditions())
+            conditions.update(self.leadership.claim_conditions())
         outcome, epoch = await self.client.commit(conditions, writes, [], urgency, paid=paid)
-        if outcome is Outcome.DONE:
+        if outcome is TransactionOutcome.DONE:
             self.replica.stored(epoch, writes)
         else:
             log.debug("stored nothing of %d values: %s", len(conditions), outcome.value)
-            with contextlib.suppress(StaleError):
+            with contextlib.suppress(StaleReplicaError):
                 await self.replica.fresh(self.client.timeout_s)
         self._tidy()
         if request is not None:
-            request.reply(outcome is Outcome.DONE)
-        if outcome in (Outcome.UNKNOWN, Outcome.REFUSED):
+            request.reply(outcome is TransactionOutcome.DONE)
+        if outcome in (TransactionOutcome.UNKNOWN, TransactionOutcome.REFUSED):
             await anyio.sleep(self.batch_s / 2)
 
     def _adopted(self) -> list[str]:
@@ -305,7 +305,7 @@
         for note in self.unstored.values():
             # An adoption holds for the view in which the machine was ours. Stored later, it would take
             # the task back from the machine's new owner, and the task would be started a second time.
-            if note.adopted_view != self.standing.view.number or not self.standing.included:
+            if note.adopted_view != self.leadership.view.number or not self.leadership.included:
                 note.adopted = 0
         names = [name for name, note in self.unstored.items() if note.adopted and name in self.tables.jobs]
         return sorted(names, key=lambda name: self.tables.jobs[name].spec.team)
@@ -336,7 +336,7 @@
                 stored[name] = packed
                 self._move_allowance(teams, job, tasks, settled)
         # A write without an answer is tried again under its own key, unless it was carried out.
-        if t.adoption_key(self.standing.tag, self.adoptions_made) in self.tables.adoption_keys:
+        if t.adoption_key(self.leadership.tag, self.adoptions_made) in self.tables.adoption_keys:
             self.adoptions_made += 1
         return stored
 
@@ -346,8 +346,8 @@
         """The part of the limit that adopted tasks take comes with them."""
         held = self._held(teams, job.spec.team, settled)
         for holder, mask in job.progress.claims.items():
-            if holder != self.standing.tag and mask & adopted:
-                held = quota.move(held, holder, self.standing.tag, job.spec, (mask & adopted).bit_count())
+            if holder != self.leadership.tag and mask & adopted:
+                held = quota.move(held, holder, self.leadership.tag, job.spec, (mask & adopted).bit_count())
         teams[job.spec.team] = held
 
     def _due(self, request: ClaimRequest | None) -> list[str]:
@@ -375,7 +375,7 @@
                 others.append(name)
         return list(dict.fromkeys([*ending, *taken, *others]))
 
-    def _patience_s(self, name: str, note: Unstored) -> float:
+    def _patience_s(self, name: str, note: UncommittedUpdates) -> float:
         """How long what is learnt of a job waits for company."""
         if not self._runs_dry(name, note):
             return self.lazy_s
@@ -399,18 +399,18 @@
         tags = self.tables.view.tags
         return {tag: amounts for tag, amounts in held.items() if tag in tags}
 
-    def _runs_dry(self, name: str, note: Unstored) -> bool:
+    def _runs_dry(self, name: str, note: UncommittedUpdates) -> bool:
         """Whether this controller has nothing of the job left to do, so that others may wait for it."""
         job = self.tables.jobs.get(name)
         if job is None:
             return False
-        mine = job.progress.claims.get(self.standing.tag, 0)
+        mine = job.progress.claims.get(self.leadership.tag, 0)
         return not mine & ~(note.done | note.released) or bool(note.released)
 
     def _withdrawn_over(self, job: Job, settled: bool) -> bool:
         """Whether a cancelled job has no task left that may exist. The coordinator puts those away
         that no claim holder will."""
-        if not self.standing.coordinating:
+        if not self.leadership.coordinating:
             return False
         tags = self.tables.view.tags
         return not any(mask for tag, mask in job.progress.claims.items() if tag in tags or not settled)
@@ -424,7 +424,7 @@
         note = self.unstored.get(job.spec.id)
         if note is None:
             return progress
-        tag = self.standing.tag
+        tag = self.leadership.tag
         progress.done |= note.done & job.everything
         adopted = note.adopted & ~progress.done & job.everything
         for holder in list(progress.claims):
@@ -456,7 +456,7 @@
         gained = taskset.lowest(free, want)
         if not gained:
             return False
-        tag = self.standing.tag
+        tag = self.leadership.tag
         progress.claims[tag] = progress.claims.get(tag, 0) | gained
         if request is not None:
             request.gained[spec.id] = gained
@@ -473,7 +473,7 @@
         if job.status == LIVE and progress.done == job.everything:
             writes[job_key] = stored_end(DONE, job.spec) | stored_links(job, over=True)
         elif job.cancelled and not progress.claims:
-            writes[job_key] = stored_end(WITHDRAWN, job.spec) | stored_links(job, over=True)
+            writes[job_key] = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
         else:
             dense = self.tables.upgraded
             value = progress.stored(dense)
@@ -494,7 +494,7 @@
 
     def _tidy(self) -> None:
         """Forgets what the tables hold by now."""
-        tag = self.standing.tag
+        tag = self.leadership.tag
         for name in list(self.unstored):
             note = self.unstored[name]
             job = self.tables.jobs.get(name)
@@ -524,17 +524,17 @@
                 return None
             attempt, count, stamp = head
             value = stored_job(LIVE, spec, now_ms, (attempt, count))
-            conditions[t.part_key(spec.id, attempt, 0)] = stamp
-        outcome, epoch = await self.client.commit(conditions, {key: value}, [], Urgency.USER)
-        if outcome is Outcome.DONE:
+            conditions[t.chunk_key(spec.id, attempt, 0)] = stamp
+        outcome, epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.USER)
+        if outcome is TransactionOutcome.DONE:
             self.replica.stored(epoch, {key: value})
             return self.status(spec.id) or self._first_status(spec), True
-        if outcome is Outcome.REFUSED:
+        if outcome is TransactionOutcome.REFUSED:
             return None
         # Somebody stored it before us, or the answer was lost: read what is there.
         try:
             await self.replica.fresh(self.client.timeout_s)
-        except StaleError:
+        except StaleReplicaError:
             return None
         status = self.status(spec.id)
         return None if status is None else (status, False)
@@ -549,20 +549,20 @@
         stamp of the first, or None. The job's row is written on condition of that stamp, so that no job is
         accepted whose parts were taken for left over (see _clear_away)."""
         self.tries += 1
-        attempt = f"{self.standing.tag}.{self.tries}"
-        texts = t.pack_spec(spec, self.client.value_bytes)
-        keys = [t.part_key(spec.id, attempt, number) for number in range(len(texts))]
+        attempt = f"{self.leadership.tag}.{self.tries}"
+        texts = t.split_spec(spec, self.client.value_bytes)
+        keys = [t.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
         left = list(zip(keys, texts, strict=True))
         most = max(1, min(self.client.txn_ops, self.most_bytes // self.client.value_bytes))
         while left:
             batch = dict(left[-most:])
             del left[-most:]
-            outcome, _epoch = await self.client.commit(dict.fromkeys(batch, 0), batch, [], Urgency.USER)
-            if outcome is not Outcome.DONE:
+            outcome, _epoch = await self.client.commit(dict.fromkeys(batch, 0), batch, [], RequestPriority.USER)
+            if outcome is not TransactionOutcome.DONE:
                 return None
         try:
             await self.replica.fresh(self.client.timeout_s)
-        except StaleError:
+        except StaleReplicaError:
             return None
         stored = self.tables.parts.get(spec.id, {}).get(attempt, {})
         return (attempt, len(texts), self.tables.stamp(keys[0])) if len(stored) == len(texts) else None
@@ -573,7 +573,7 @@
         while True:
             await anyio.sleep(self.settings.report_s)
             try:
-                if self.replica.loaded and self.standing.coordinating:
+                if self.replica.loaded and self.leadership.coordinating:
                     await self._clear_away()
             except Exception:
                 log.exception("while clearing away")
@@ -584,7 +584,7 @@
         kept for ever. Those go on condition of the first part, which is stored last and dropped first, and of the
         job's row: either this fails or a submission under way does."""
         now = self.now()
-        most = self.client.most_changes(Urgency.PROGRESS)
+        most = self.client.most_changes(RequestPriority.PROGRESS)
         drops = [t.progress_key(name) for name in itertools.islice(self.tables.leftover, most)]
         conditions: dict[str, int] = {}
         if self.tables.all_settled():
@@ -592,7 +592,7 @@
             if former and len(drops) < most:
                 # Void like all else that they claimed. A run in the view keeps its own (see _adopt_together).
                 drops += former[: most - len(drops)]
-                conditions.update(self.standing.claim_conditions())
+                conditions.update(self.leadership.claim_conditions())
         lone: dict[tuple[str, str], float] = {}
         for name, attempts in self.tables.parts.items():
             job = self.tables.jobs.get(name)
@@ -604,14 +604,14 @@
                 if len(drops) >= most or not (over or now - since > 4 * self.settings.lease_s):
                     continue
                 if not over:
-                    first = t.part_key(name, attempt, 0)
+                    first = t.chunk_key(name, attempt, 0)
                     conditions[first] = self.tables.stamp(first)
                     conditions[t.job_key(name)] = 0 if job is None else job.stamp
-                drops += [t.part_key(name, attempt, number) for number in sorted(texts)][: most - len(drops)]
+                drops += [t.chunk_key(name, attempt, number) for number in sorted(texts)][: most - len(drops)]
         self.lone_since = lone
         if drops:
             conditions.update({key: self.tables.stamp(key) for key in drops})
-            await self.client.commit(conditions, {}, drops, Urgency.PROGRESS)
+            await self.client.commit(conditions, {}, drops, RequestPriority.PROGRESS)
             self.replica.hint()
 
     async def cancel(self, name: str, only_unclaimed: bool = False) -> str | None:
@@ -624,7 +624,7 @@
             if job is None:
                 try:
                     await self.replica.fresh(self.client.timeout_s)
-                except StaleError:
+                except StaleReplicaError:
                     return None
                 if self.status(name) is None:
                     return ""
@@ -639,22 +639,22 @@
             key = t.job_key(name)
             conditions = {key: job.stamp}
             if job.progress_stamp:
-                value = stored_job(WITHDRAWN, job.spec, job.submitted_ms, job.parts) | stored_links(job)
+                value = stored_job(CANCELLED, job.spec, job.submitted_ms, job.parts) | stored_links(job)
                 # Whoever has its tasks then is to be done with them in time, over changes of owner too.
                 value["x"] = int(time.time() * 1000)
             else:
                 # Never claimed, so nowhere: it is over with the same change.
-                value = stored_end(WITHDRAWN, job.spec) | stored_links(job, over=True)
+                value = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
                 conditions[t.progress_key(name)] = 0
-            outcome, epoch = await self.client.commit(conditions, {key: value}, [], Urgency.USER)
-            if outcome is Outcome.DONE:
+            outcome, epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.USER)
+            if outcome is TransactionOutcome.DONE:
                 self.replica.stored(epoch, {key: value})
                 return wire.CANCELLED
-            if outcome is Outcome.REFUSED:
+            if outcome is TransactionOutcome.REFUSED:
                 return None
             try:
                 await self.replica.fresh(self.client.timeout_s)
-            except StaleError:
+            except StaleReplicaError:
                 return None
         return None
 
@@ -665,8 +665,8 @@
         wanted = t.stored_handoff(request_cancellation(handoff), job.returned_ms)
         value = stored_job(job.status, job.spec, job.submitted_ms, job.parts) | {"h": wanted}
         key = t.job_key(job.spec.id)
-        outcome, epoch = await self.client.commit({key: job.stamp}, {key: value}, [], Urgency.USER)
-        if outcome is Outcome.DONE:
+        outcome, epoch = await self.client.commit({key: job.stamp}, {key: value}, [], RequestPriority.USER)
+        if outcome is TransactionOutcome.DONE:
             self.replica.stored(epoch, {key: value})
 
     def status(self, name: str) -> str | None:
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -17,20 +17,20 @@
 from anyio.abc import TaskGroup
 
 from sloeswitch import wire
-from sloeswitch.actors.base import Actor, Ask, InboxFullError
+from sloeswitch.actors.base import Actor, ActorRequest, InboxFullError
 from sloeswitch.actors.cancellation_watch import CancellationWatch
-from sloeswitch.actors.commands import CommandReply, CommandSender, Inspected
-from sloeswitch.actors.gang_room import GangRoom
-from sloeswitch.actors.jobs import ClaimRequest, Jobs, Learnt, note_task
-from sloeswitch.actors.membership import Membership, Settled, Standing
+from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
+from sloeswitch.actors.gang_preemption import GangPreemption
+from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates, add_tasks
+from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
 from sloeswitch.actors.registration import Registration
-from sloeswitch.actors.team_limits import TeamLimits
+from sloeswitch.actors.team_limits import QuotaLedger
 from sloeswitch.core import placement, preemption, quota, ready, taskset
-from sloeswitch.core.cancellation_guard import OVERDUE
-from sloeswitch.core.claim_planner import ClaimPlanner, PlanLimits, RoomPicture
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
+from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.health import Health
 from sloeswitch.core.quota import fits_type
-from sloeswitch.core.registry import FETCHING, RUNNING, Attempt, Heard, Machine, MachineRegistry
+from sloeswitch.core.registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
 from sloeswitch.core.tables import LIVE, Job, Tables
 from sloeswitch.http import Answer, refuse
 from sloeswitch.settings import Settings
@@ -40,20 +40,20 @@
 
 
 @dataclass
-class Heartbeat(Ask):
-    report: wire.Report | None = None
+class HeartbeatRequest(ActorRequest):
+    report: wire.WorkerReport | None = None
     # Whether the machine is seen to have received our last answer to it, a short while ago.
     received: bool = False
 
 
 @dataclass
-class Deleted:
+class InstancesDeleted:
     """The cloud confirmed that these machines, and all on them, are gone."""
 
     machines: list[str]
 
 
-class MachineReturner(Protocol):
+class InstanceTerminator(Protocol):
     """Has machines deleted at the cloud; Deleted follows."""
 
     def give_back(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
@@ -61,7 +61,7 @@
         while this controller may only answer machines, or nobody may."""
 
 
-class Gate(Protocol):
+class JobAdmission(Protocol):
     """Marks jobs that may not enter the line yet."""
 
     def apply(self) -> None:
@@ -69,17 +69,17 @@
 
 
 @dataclass
-class Tick(Ask):
+class TickRequest(ActorRequest):
     """Look after what no report brings up."""
 
 
-def wall_ms() -> int:
+def wall_clock_ms() -> int:
     """The time of day, which jobs' ages are reckoned by; right within the settings' clock error."""
     return int(time.time() * 1000)
 
 
 # Machines that are not needed are emptied once no more than this part of them is in use.
-LEAN = 0.5
+DRAIN_UTILIZATION = 0.5
 
 
 class Machines(Actor):
@@ -90,7 +90,7 @@
         settings: Settings,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         jobs: Jobs,
         membership: Membership,
         now: Callable[[], float],
@@ -100,15 +100,15 @@
         self.client = client
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.jobs = jobs
         self.membership = membership
         self.now = now
         self.group: TaskGroup | None = None
-        self.fleet: MachineReturner | None = None
+        self.fleet: InstanceTerminator | None = None
         # Where admission is on: what marks deferred jobs, and what is told of the room that is left over.
-        self.gate: Gate | None = None
-        self.on_rooms_left: Callable[[list[placement.Room], float], None] | None = None
+        self.gate: JobAdmission | None = None
+        self.on_rooms_left: Callable[[list[placement.FreeCapacity], float], None] | None = None
         self.registry = MachineRegistry()
         self.health = Health(settings.report_s, 20 * settings.lease_s)
         self.boot = 0
@@ -117,12 +117,12 @@
         self.requesting = False
         self.unknown: set[str] = set()
         self.broken: set[str] = set()
-        self.commands = CommandSender(settings, standing, self.registry, self.tables, self._spawn, self.tell, now)
+        self.commands = CommandSender(settings, leadership, self.registry, self.tables, self._spawn, self.tell, now)
         self.waiting_since: dict[str, float] = {}
         # When the jobs in the line were first seen there.
         self.met: dict[str, float] = {}
         self.wake = anyio.Event()
-        self.learnt = Learnt()
+        self.learnt = TaskUpdates()
         # Told and not yet in the tables, as sets of tasks by job.
         self.finished: dict[str, int] = {}
         self.releasing: dict[str, int] = {}
@@ -138,17 +138,17 @@
         # Whether a task of a job that was cancelled some time ago may still be anywhere.
         self.cancellation_overdue = False
         self.cancellations = CancellationWatch(
-            settings, self.tables, standing, self.registry, self.commands, self._press_back
+            settings, self.tables, leadership, self.registry, self.commands, self._press_back
         )
         self.ticked_at = float("-inf")
         # Since when reports have been answered without a break: who is silent longer than that may be well.
         self.answering_since = float("-inf")
         self.summary_at = 0.0
         self.pace_s = max(settings.report_s / 10, settings.lease_s / 60)
-        self.registration = Registration(settings, client, replica, standing, self.pace_s, self._woken)
-        self.limits = TeamLimits(settings, client, self.tables, standing, self.registry)
-        self.gang_room = GangRoom(
-            settings, self.tables, standing, self.registry, self.health, self.limits, self, self.kill, self.pace_s
+        self.registration = Registration(settings, client, replica, leadership, self.pace_s, self._woken)
+        self.limits = QuotaLedger(settings, client, self.tables, leadership, self.registry)
+        self.gang_preemption = GangPreemption(
+            settings, self.tables, leadership, self.registry, self.health, self.limits, self, self.kill, self.pace_s
         )
         # Work is claimed about this long before it can start.
         self.ahead_s = 0.2 * settings.lease_s
@@ -156,18 +156,18 @@
     # -- messages
 
     async def handle(self, message: Any) -> None:
-        if isinstance(message, Heartbeat):
+        if isinstance(message, HeartbeatRequest):
             assert message.report is not None
             message.reply(self._heartbeat(message.report, message.received))
-        elif isinstance(message, Tick):
+        elif isinstance(message, TickRequest):
             self._tick()
             message.reply(None)
         elif isinstance(message, CommandReply):
             self._command_reply(message.report)
-        elif isinstance(message, Inspected):
+        elif isinstance(message, InspectionReply):
             self.cancellations.inspected(message, self.now())
             self.wake.set()
-        elif isinstance(message, Deleted):
+        elif isinstance(message, InstancesDeleted):
             self._deleted(message.machines)
 
     async def tick_forever(self) -> None:
@@ -178,7 +178,7 @@
             self.wake = anyio.Event()
             started = self.now()
             with contextlib.suppress(InboxFullError):
-                await self.ask(Tick())
+                await self.ask(TickRequest())
             # Under load the reports come first: a tick takes at most a quarter of the time, but leases and
             # silent machines are looked after at least about as often as reports come.
             await anyio.sleep(max(self.pace_s, min(3 * (self.now() - started), self.settings.report_s)))
@@ -194,9 +194,9 @@
     # -- ownership
 
     def _follow_view(self) -> None:
-        standing = self.standing
-        if standing.boot != self.boot:
-            self.boot = standing.boot
+        leadership = self.leadership
+        if leadership.boot != self.boot:
+            self.boot = leadership.boot
             self.seen_view = 0
             self.registry.reset()
             self.limits.forget()
@@ -204,20 +204,20 @@
             self.learnt.released.clear()
             self.learnt.adopted.clear()
             self.jobs.forget()
-        if not standing.included or standing.view.number == self.seen_view:
+        if not leadership.included or leadership.view.number == self.seen_view:
             return
-        view = standing.view
+        view = leadership.view
         consecutive = view.number == self.seen_view + 1
         me = self.settings.member
         gone_at = self.now() + self.settings.takeover_gone_s
         for name in list(self.registry.machines):
             machine = self.registry.machines[name]
-            if standing.owner(name) != me:
+            if leadership.owner(name) != me:
                 self.registry.give_up(name)
             elif not consecutive:
                 self.registry.unhear(machine, view.number, gone_at)
         for name, row in self.tables.machines.items():
-            if standing.owner(name) == me and name not in self.registry.machines:
+            if leadership.owner(name) == me and name not in self.registry.machines:
                 self.registry.take(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
         self.seen_view = view.number
         self.limits.reckon_limbo()
@@ -232,16 +232,16 @@
 
     # -- reports
 
-    def _heartbeat(self, report: wire.Report, received: bool) -> Answer:
-        standing = self.standing
+    def _heartbeat(self, report: wire.WorkerReport, received: bool) -> Answer:
+        leadership = self.leadership
         self.cancellations.any_heard_at = self.now()
-        if not standing.may_answer:
+        if not leadership.may_answer:
             return refuse(1)
-        owner = standing.owner(report.machine)
+        owner = leadership.owner(report.machine)
         if owner != self.settings.member:
             return Answer(421, wire.redirect_reply(owner))
         self._follow_view()
-        if report.token > standing.view.number or report.machine in self.tables.deleted:
+        if report.token > leadership.view.number or report.machine in self.tables.deleted:
             return refuse(1)
         now = self.now()
         machine = self.registry.machines.get(report.machine)
@@ -253,7 +253,7 @@
                 report.type,
                 report.zone,
                 report.spot,
-                standing.view.number,
+                leadership.view.number,
                 now + self.settings.worker_gone_s,
             )
             machine.accounted = True
@@ -266,11 +266,11 @@
             return refuse(1)
         was_heard = machine.heard
         try:
-            heard = self.registry.hear(machine, report, True, now, standing.view.number, self.tables)
+            heard = self.registry.hear(machine, report, True, now, leadership.view.number, self.tables)
         except wire.MalformedError as error:
             self._complain(report.machine, error)
             return Answer(400)
-        orders: list[wire.Order] = []
+        orders: list[wire.WorkerCommand] = []
         if heard.fresh:
             # Reports can arrive while nothing reaches the machine: until it is seen to have received an
             # answer it is told no start, so that no task waits there for its lease to run out.
@@ -282,7 +282,7 @@
             orders = self.registry.orders(machine, self.tables, report.serial)
         machine.answered_at = now
         machine.gone_at = max(machine.gone_at if not machine.known else 0.0, now + self.settings.worker_gone_s)
-        return Answer(200, wire.encode(wire.Orders(standing.view.number, orders)))
+        return Answer(200, wire.encode(wire.WorkerCommands(leadership.view.number, orders)))
 
     def _complain(self, machine: str, error: wire.MalformedError) -> None:
         """Once for each machine: a broken one says the same with every report."""
@@ -290,9 +290,9 @@
             self.broken.add(machine)
             log.error("report of %s: %s", machine, error)
 
-    def _command_reply(self, report: wire.Report) -> None:
+    def _command_reply(self, report: wire.WorkerReport) -> None:
         machine = self.registry.machines.get(report.machine)
-        if machine is None or self.seen_view != self.standing.view.number:
+        if machine is None or self.seen_view != self.leadership.view.number:
             return
         try:
             heard = self.registry.hear(machine, report, False, self.now(), self.seen_view, self.tables)
@@ -304,13 +304,13 @@
             machine.reached, machine.reached_at = True, self.now()
             self._after(machine, heard)
 
-    def _after(self, machine: Machine, heard: Heard) -> None:
+    def _after(self, machine: Machine, heard: ReconcileResult) -> None:
         now = self.now()
         self.commands.answered(machine.name)
         for (job, index), name in heard.done:
             self.health.success(job, name)
-            note_task(self.learnt.done, job, 1 << index)
-            note_task(self.finished, job, 1 << index)
+            add_tasks(self.learnt.done, job, 1 << index)
+            add_tasks(self.finished, job, 1 << index)
         for (job, index), name in heard.failed:
             was = self.health.machine_faulty(name)
             self.health.failure(job, name, now)
@@ -318,7 +318,7 @@
             if not was and self.health.machine_faulty(name):
                 log.info("%s fails what it is given: no more work for it", name)
         for job, index in heard.adopt:
-            note_task(self.learnt.adopted, job, 1 << index)
+            add_tasks(self.learnt.adopted, job, 1 << index)
         self._tell_jobs()
         if heard.freed or heard.done:
             self.wake.set()
@@ -329,7 +329,7 @@
                 self.jobs.tell(self.learnt)
             except InboxFullError:
                 return  # told later, with what comes until then
-            self.learnt = Learnt(view=self.seen_view)
+            self.learnt = TaskUpdates(view=self.seen_view)
 
     def _prune_told(self) -> None:
         """Forgets what the tables show by now, and the failures of jobs that are over."""
@@ -342,20 +342,20 @@
                 if job is not None:
                     mask = told[name] & ~job.progress.done
                     if mine:
-                        mask &= job.progress.claims.get(self.standing.tag, 0)
+                        mask &= job.progress.claims.get(self.leadership.tag, 0)
                 if mask:
                     told[name] = mask
                 else:
                     del told[name]
 
     def _release(self, job: str, tasks: int) -> None:
-        note_task(self.learnt.released, job, tasks)
-        note_task(self.releasing, job, tasks)
+        add_tasks(self.learnt.released, job, tasks)
+        add_tasks(self.releasing, job, tasks)
 
     def _idle_claims(self, job: Job) -> int:
         """Tasks claimed by this controller that are nowhere and may be placed. Those that ended, or are
         being released, are neither: telling the jobs actor and storing take a while."""
-        claimed = job.progress.claims.get(self.standing.tag, 0)
+        claimed = job.progress.claims.get(self.leadership.tag, 0)
         if not claimed:
             return 0
         name = job.spec.id
@@ -365,14 +365,14 @@
     # -- the tick
 
     def _tick(self) -> None:
-        standing = self.standing
+        leadership = self.leadership
         now = self.now()
-        if not standing.may_answer or now - self.ticked_at > self.settings.late_s:
+        if not leadership.may_answer or now - self.ticked_at > self.settings.late_s:
             self.answering_since = now
         self.ticked_at = now
-        self.cancellations.look(now, wall_ms())
-        if not standing.included:
-            if standing.boot != self.boot:
+        self.cancellations.look(now, wall_clock_ms())
+        if not leadership.included:
+            if leadership.boot != self.boot:
                 self._follow_view()
             return
         self._follow_view()
@@ -382,24 +382,24 @@
             self._take_unknown()
         if now >= self.watch_at:
             self.watch_at = now + self.settings.report_s / 4
-            self.cancellation_overdue = self.cancellations.overdue(wall_ms())
+            self.cancellation_overdue = self.cancellations.overdue(wall_clock_ms())
             for machine in list(self.registry.machines.values()):
                 self._watch_over(machine, now)
-            if standing.may_act:
+            if leadership.may_act:
                 self._empty_spared(now)
         self._stop_cancelled()
         if self.tables.all_settled():
             self.registry.limbo.clear()
-        self.registry.prune_limbo(self.tables, standing.tag)
+        self.registry.prune_limbo(self.tables, leadership.tag)
         self.limits.reckon_limbo()
         self._prune_told()
         self._line_up()
-        if standing.may_answer:
+        if leadership.may_answer:
             self._place_waiting()
-        if standing.may_act:
-            self.gang_room.make_room(now)
-            if self.registry.settled(self.tables, standing.tag) and self.membership.settled != self.seen_view:
-                self.membership.tell(Settled(self.seen_view))
+        if leadership.may_act:
+            self.gang_preemption.make_room(now)
+            if self.registry.settled(self.tables, leadership.tag) and self.membership.settled != self.seen_view:
+                self.membership.tell(ShardRecovered(self.seen_view))
             self._register()
             self._request_claims()
         self._tell_jobs()
@@ -410,7 +410,7 @@
         gone_at = self.now() + self.settings.takeover_gone_s
         for name, row in self.tables.machines.items():
             if name not in self.registry.machines and name not in self.registration.leaving:
-                if self.standing.owner(name) != self.settings.member:
+                if self.leadership.owner(name) != self.settings.member:
                     continue
                 log.info("%s is in the tables and was not looked after", name)
                 self.registry.take(name, row.address, row.type, row.zone, row.spot, self.seen_view, gone_at)
@@ -420,10 +420,10 @@
         a run claimed that is gone, once all is settled: such a job never went first for having waited."""
         if job.progress.done or self.registry.placed.get(job.spec.id):
             return True
-        claims, own = job.progress.claims, self.standing.tag
+        claims, own = job.progress.claims, self.leadership.tag
         if len(claims) == (own in claims):
             return False
-        tags = self.standing.view.tags
+        tags = self.leadership.view.tags
         return not self.all_settled or any(tag in tags for tag in claims if tag != own)
 
     def _summary(self) -> None:
@@ -448,7 +448,7 @@
         self.all_settled = self.tables.all_settled()
         if self.gate is not None:
             self.gate.apply()
-        self.line = ready.order(self.tables, self.settings, wall_ms(), self._has_begun)
+        self.line = ready.order(self.tables, self.settings, wall_clock_ms(), self._has_begun)
         self.scarce = placement.scarce_types((job.spec for job in self.line), self.tables.types)
         self.least_cores = min((job.spec.cores for job in self.line), default=0.0)
 
@@ -468,19 +468,19 @@
         if unreached and self.registry.withdraw_unsent(machine):
             self.wake.set()
         patience = max(3.5 * self.settings.report_s, 0.35 * self.settings.lease_s)
-        if self._may_hold_cancelled(machine, now, silent > patience) and self.standing.may_answer:
+        if self._may_hold_cancelled(machine, now, silent > patience) and self.leadership.may_answer:
             # Whether it hangs, is cut off or hears nothing: its deletion ends what is on it in time, also while
             # the state service is down. Should it have got another owner after all, that one counts it as silent:
             # work is lost, nothing is started twice.
             self.return_machine(machine, "cancelled tasks may be on it", pressing=True)
         failed = self.commands.failures.get(machine.name, 0)
-        if silent > patience and failed >= 2 and self.standing.may_act and not self._blind(now):
+        if silent > patience and failed >= 2 and self.leadership.may_act and not self._blind(now):
             self.return_machine(machine, "silent")
-        elif max(mute_s, deaf_s) > 2 * self.settings.lease_s and self.standing.may_act and not self._blind(now):
+        elif max(mute_s, deaf_s) > 2 * self.settings.lease_s and self.leadership.may_act and not self._blind(now):
             # Its reports come and nothing reaches it, or it answers commands and cannot report: by now its lease is
             # over and it has nothing on it, and it would be paid for in vain for as long as that lasts.
             self.return_machine(machine, "unreached")
-        elif self.health.machine_faulty(machine.name) and self.standing.may_act:
+        elif self.health.machine_faulty(machine.name) and self.leadership.may_act:
             machine.draining = True
             if not machine.attempts:
                 self.return_machine(machine, "faulty")
@@ -497,7 +497,7 @@
         random world, tests/test_world.py).
         """
         if machine.cancelled_since is not None:
-            return now - machine.cancelled_since > OVERDUE * self.settings.cancel_s
+            return now - machine.cancelled_since > OVERDUE_SHARE * self.settings.cancel_s
         return self.cancellation_overdue and not machine.heard and silent
 
     def _empty_spared(self, now: float) -> None:
@@ -511,7 +511,7 @@
             and machine.reached
             and machine.attempts
             and machine.type in self.tables.types
-            and machine.use.cores <= LEAN * self.tables.types[machine.type].cores
+            and machine.use.cores <= DRAIN_UTILIZATION * self.tables.types[machine.type].cores
             and all(preemption.movable(attempt, now) for attempt in machine.attempts.values())
         ]
         if not lean:
@@ -599,7 +599,7 @@
         attempt.killed_at = attempt.killed_at or now
         since = attempt.killed_at
         if job is not None and job.cancelled_ms:
-            since = min(since, now - max(0, wall_ms() - job.cancelled_ms) / 1000)
+            since = min(since, now - max(0, wall_clock_ms() - job.cancelled_ms) / 1000)
         machine.cancelled_since = min(since, now if machine.cancelled_since is None else machine.cancelled_since)
 
     def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
@@ -609,7 +609,7 @@
 
     # -- placement
 
-    def _room(self, machine: Machine, now: float) -> placement.Room | None:
+    def _room(self, machine: Machine, now: float) -> placement.FreeCapacity | None:
         """What the machine has free, or None if no task may go there or none would fit."""
         kind = self.tables.types.get(machine.type)
         if (
@@ -628,7 +628,7 @@
         room.scarce = machine.type in self.scarce
         return room
 
-    def _rooms(self, now: float) -> list[placement.Room]:
+    def _rooms(self, now: float) -> list[placement.FreeCapacity]:
         rooms = (self._room(machine, now) for machine in self.registry.machines.values())
         return [room for room in rooms if room is not None]
 
@@ -641,11 +641,11 @@
 
     def _place_waiting(self) -> None:
         """Puts claimed work on machines; work that came back stands before anything newly claimed."""
-        rooms: list[placement.Room] | None = None
+        rooms: list[placement.FreeCapacity] | None = None
         now = self.now()
         self.idle_line = []
         seen: set[str] = set()
-        tag = self.standing.tag
+        tag = self.leadership.tag
         for job in self.line:
             name = job.spec.id
             if name in seen:
@@ -658,12 +658,12 @@
             if rooms is None:
                 rooms = self._rooms(now)
             if rooms and not self.health.paused(name, now) and self._place(job, waiting, rooms, now):
-                rooms = placement.roomy(rooms, self.least_cores)
+                rooms = placement.without_full(rooms, self.least_cores)
                 waiting = self._idle_claims(job)
             if waiting:
                 self.idle_line.append(job)
                 since = self.waiting_since.setdefault(name, now)
-                if now - since > self.ahead_s + 2 * self.settings.report_s and self.standing.may_act:
+                if now - since > self.ahead_s + 2 * self.settings.report_s and self.leadership.may_act:
                     self._release(name, waiting)
                     del self.waiting_since[name]
 
@@ -682,7 +682,7 @@
             self.idle_line,
             key=lambda job: (
                 not job.beginning,
-                min(ready.urgency(job), ready.USUAL),
+                min(ready.urgency(job), ready.STANDARD_RANK),
                 job.spec.image not in room.images,
             ),
         ):
@@ -695,19 +695,19 @@
                 if waiting and not self.health.paused(job.spec.id, now):
                     self._place(job, waiting, [room], now)
 
-    def _place(self, job: Job, tasks: int, rooms: list[placement.Room], now: float) -> bool:
+    def _place(self, job: Job, tasks: int, rooms: list[placement.FreeCapacity], now: float) -> bool:
         name = job.spec.id
         team = job.spec.team
         tasks = taskset.lowest(
-            tasks, quota.room_for(job.spec, self.limits.allowance(team), self.gang_room.use_beside(job))
+            tasks, quota.room_for(job.spec, self.limits.allowance(team), self.gang_preemption.use_beside(job))
         )
         if self.health.job_faulty(name):
             tasks = taskset.lowest(tasks, 1)
-        usable = placement.usable(name, rooms, self.gang_room.held, self.health)
+        usable = placement.usable(name, rooms, self.gang_preemption.held, self.health)
         if job.spec.gang:
             if tasks != job.everything:
                 return False
-            trial = [placement.Room(**vars(room)) for room in usable]
+            trial = [placement.FreeCapacity(**vars(room)) for room in usable]
             if len(placement.place(job, tasks, trial)) < job.spec.tasks:
                 return False
         placed = placement.place(job, tasks, usable)
@@ -720,22 +720,22 @@
         if log.isEnabledFor(logging.DEBUG):
             log.debug("%s: %d tasks on %s", name, len(placed), {room.machine for _, room in placed})
             if job.spec.awaits and not job.progress.done:
-                log.debug("%s: %.2f s since the last that it needs", name, (wall_ms() - job.ready_ms) / 1000)
+                log.debug("%s: %.2f s since the last that it needs", name, (wall_clock_ms() - job.ready_ms) / 1000)
         return True
 
     def _number(self) -> int:
         """An attempt number that no other controller, and no other view, gives out."""
         self.counter += 1
-        tags = [member for member, _ in self.standing.view.members]
+        tags = [member for member, _ in self.leadership.view.members]
         position = tags.index(self.settings.member)
-        return (self.standing.view.number << 28) + (position << 24) + self.counter % (1 << 24)
+        return (self.leadership.view.number << 28) + (position << 24) + self.counter % (1 << 24)
 
     def _request_claims(self) -> None:
         """Asks the jobs actor for work for the free room, and for the allowances that it takes."""
         if self.requesting or self.replica.client.failing_since is not None:
             return
         now = self.now()
-        members = [member for member, _ in self.standing.view.members]
+        members = [member for member, _ in self.leadership.view.members]
         self.met = {job.spec.id: self.met.get(job.spec.id, now) for job in self.line}
         limits = PlanLimits.of(self.settings, self.client.txn_ops, self.pace_s)
         planner = ClaimPlanner(self.picture(now), limits, self.tables)
@@ -749,11 +749,11 @@
             assert self.group is not None
             self.group.start_soon(self._ask_for, request)
 
-    def picture(self, now: float) -> RoomPicture:
+    def picture(self, now: float) -> CapacitySnapshot:
         """What is free here, and what may be used, for the planner to take from."""
         teams = self.settings.teams
         uses = {team: self.limits.use(team) for team in teams}
-        return RoomPicture(
+        return CapacitySnapshot(
             rooms=self._rooms(now),
             uses=uses,
             spare={team.name: self.limits.spare(team, uses[team.name]) for team in teams.values()},
@@ -761,8 +761,8 @@
             idle_claims=self._idle_claims,
             cores_ahead=self._cores_ahead(),
             least_cores=self.least_cores,
-            held=self.gang_room.held,
-            reserved=self.gang_room.reserved(),
+            held=self.gang_preemption.held,
+            reserved=self.gang_preemption.reserved(),
             health=self.health,
             met=self.met,
             at_home=self.at_home,
@@ -771,7 +771,7 @@
 
     def at_home(self, job: Job) -> bool:
         """Whether the job's image is one that this controller's machines are to have."""
-        return self.standing.owner("image " + job.spec.image) == self.settings.member
+        return self.leadership.owner("image " + job.spec.image) == self.settings.member
 
     def _cores_ahead(self) -> float:
         """Cores likely to fall free on this controller's machines in the time that a claim takes."""
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -18,21 +18,21 @@
 from sloeswitch.core import tables as t
 from sloeswitch.core.cancellations import Cancellation
 from sloeswitch.http import NoAnswerError
-from sloeswitch.mesh import Known, Mesh
+from sloeswitch.mesh import Mesh, PeerStatus
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StaleError, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
 
 log = logging.getLogger("membership")
 
 
 @dataclass
-class Settled:
+class ShardRecovered:
     """All machines of this controller under the view are heard or accounted for."""
 
     view: int
 
 
-class Standing:
+class Leadership:
     """What this controller is entitled to. Written by the membership actor; others read it.
 
     `may_act`: inside the own lease and knowing of no newer view, both counted from when the question
@@ -54,7 +54,7 @@
 
     @property
     def tag(self) -> str:
-        return t.tag_of(self.settings.member, self.boot)
+        return t.incarnation_id_of(self.settings.member, self.boot)
 
     @property
     def view(self) -> t.View:
@@ -92,15 +92,17 @@
             peer.view > self.view.number or (peer.state_ok and now < peer.asked_at + self.span_s) for peer in peers
         )
 
-    def known(self) -> Known:
+    def known(self) -> PeerStatus:
         """What siblings are told."""
         replica = self.replica
-        return Known(self.view.number, replica.client.reachable, replica.applied, replica.whole, self.tables.upgraded)
+        return PeerStatus(
+            self.view.number, replica.client.reachable, replica.applied, replica.whole, self.tables.upgraded
+        )
 
     def learn(self, cancellations: list[Cancellation]) -> None:
         """What a sibling told."""
         for cancellation in cancellations:
-            self.tables.cancel_told(cancellation)
+            self.tables.apply_peer_cancellation(cancellation)
         log.info("told of %d cancellations by a sibling", len(cancellations))
         self.replica.told()
 
@@ -113,22 +115,22 @@
 
     def claim_conditions(self) -> dict[str, int]:
         """What a write that relies on the view is conditional on."""
-        return {t.VIEW: self.tables.stamp(t.VIEW)}
+        return {t.VIEW_KEY: self.tables.stamp(t.VIEW_KEY)}
 
 
 class Membership(Actor):
     name = "membership"
 
-    def __init__(self, settings: Settings, client: StateClient, replica: Replica, standing: Standing) -> None:
+    def __init__(self, settings: Settings, client: StateClient, replica: Replica, leadership: Leadership) -> None:
         super().__init__(settings.fd_limit)
         self.settings = settings
         self.client = client
         self.replica = replica
-        self.standing = standing
+        self.leadership = leadership
         self.settled = 0
 
     async def handle(self, message: Any) -> None:
-        if isinstance(message, Settled) and message.view != self.settled:
+        if isinstance(message, ShardRecovered) and message.view != self.settled:
             self.settled = message.view
             await self._write_member()
 
@@ -141,65 +143,67 @@
             try:
                 await self._renew()
                 await self.replica.fresh(self.client.timeout_s)
-                if self.standing.boot and not self._row_stands(self.standing.boot):
+                if self.leadership.boot and not self._row_stands(self.leadership.boot):
                     await self._write_member()
-                if self.standing.may_act and not self.replica.tables.upgraded:
+                if self.leadership.may_act and not self.replica.tables.upgraded:
                     await self._mark()
-            except (NoAnswerError, StaleError):
+            except (NoAnswerError, StaleReplicaError):
                 pass
             pause = self.settings.controller_lease_s / 4 - (self.client.now() - started)
             await anyio.sleep(max(pause, self.settings.controller_lease_s / 16))
 
     async def _renew(self) -> None:
-        standing = self.standing
-        if standing.boot:
+        leadership = self.leadership
+        if leadership.boot:
             sent = self.client.now()
-            reply = await self.client.call("POST", f"/grants/{standing.boot}/renew", b"{}", Urgency.LEASE)
+            reply = await self.client.call("POST", f"/grants/{leadership.boot}/renew", b"{}", RequestPriority.LEASE)
             if reply.status == 200:
-                standing.renewed_at = sent
+                leadership.renewed_at = sent
                 return
             if reply.status != 404:
                 return
             # Others may already have acted on our absence: whatever was ours is so no more.
-            log.info("lease %d is over: joining anew", standing.boot)
-            standing.boot = 0
+            log.info("lease %d is over: joining anew", leadership.boot)
+            leadership.boot = 0
         sent = self.client.now()
         body = wire.encode({"lifeMs": int(self.settings.controller_lease_s * 1000)})
-        reply = await self.client.call("POST", "/grants", body, Urgency.LEASE)
+        reply = await self.client.call("POST", "/grants", body, RequestPriority.LEASE)
         if reply.status != 200:
             return
         try:
-            boot = wire.decode(reply.body, wire.Permit).permit
+            boot = wire.decode(reply.body, wire.LeaseGrant).permit
         except wire.MalformedError as error:
             log.error("grant is malformed: %s", error)
             return
         self.settled = 0
         if await self._write_member(boot):
-            standing.boot = boot
-            standing.renewed_at = sent
-            log.info("joined as %s", standing.tag)
+            leadership.boot = boot
+            leadership.renewed_at = sent
+            log.info("joined as %s", leadership.tag)
 
     def _row_stands(self, boot: int) -> bool:
-        return self.replica.tables.members.get(self.settings.member) == t.MemberRow(boot, self.settled, t.LAYOUT)
+        return self.replica.tables.members.get(self.settings.member) == t.MemberRow(
+            boot, self.settled, t.LAYOUT_VERSION
+        )
 
     async def _write_member(self, boot: int | None = None) -> bool:
         """Stores this run's row, on condition of what is there. Guards against a former run of this member,
         killed a moment ago, whose own write is carried out only now: it must not take the row from us, nor
         may it vanish with that run's lease. Should it have come first, ours follows."""
-        boot = boot or self.standing.boot
+        boot = boot or self.leadership.boot
         if not boot:
             return False
         key = t.member_key(self.settings.member)
         for _ in range(3):
             if self._row_stands(boot):
                 return True
-            value = {"boot": boot, "settled": self.settled, "layout": t.LAYOUT}
+            value = {"boot": boot, "settled": self.settled, "layout": t.LAYOUT_VERSION}
             conditions = {key: self.replica.tables.stamp(key)}
-            outcome, _epoch = await self.client.commit(conditions, {key: value}, [], Urgency.LEASE, {key: boot})
-            if outcome in (Outcome.DONE, Outcome.NO_LEASE):
+            outcome, _epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.LEASE, {key: boot})
+            if outcome in (TransactionOutcome.DONE, TransactionOutcome.NO_LEASE):
                 self.replica.hint()
-                return outcome is Outcome.DONE
-            with contextlib.suppress(StaleError):
+                return outcome is TransactionOutcome.DONE
+            with contextlib.suppress(StaleReplicaError):
                 await self.replica.fresh(self.client.timeout_s)
         return False
 
@@ -209,23 +213,28 @@
         not been seen, so it may come back old, and would ignore what a job awaits."""
         tables = self.replica.tables
         seen = {*tables.seen, self.settings.member}
-        complete = seen >= set(self.settings.members) and all(row.layout >= t.LAYOUT for row in tables.members.values())
+        complete = seen >= set(self.settings.members) and all(
+            row.layout >= t.LAYOUT_VERSION for row in tables.members.values()
+        )
         if seen == set(tables.seen) and not complete:
             return
-        conditions = {t.UPGRADE: tables.stamp(t.UPGRADE), **self.standing.claim_conditions()}
+        conditions = {t.LAYOUT_KEY: tables.stamp(t.LAYOUT_KEY), **self.leadership.claim_conditions()}
         value = {"seen": sorted(seen), "complete": complete}
-        outcome, _epoch = await self.client.commit(conditions, {t.UPGRADE: value}, [], Urgency.LEASE)
+        outcome, _epoch = await self.client.commit(conditions, {t.LAYOUT_KEY: value}, [], RequestPriority.LEASE)
         self.replica.hint()
-        if outcome is Outcome.DONE:
+        if outcome is TransactionOutcome.DONE:
             log.info(
-                "layout %d: run by %s%s", t.LAYOUT, ", ".join(sorted(seen)), "; all are upgraded" if complete else ""
+                "layout %d: run by %s%s",
+                t.LAYOUT_VERSION,
+                ", ".join(sorted(seen)),
+                "; all are upgraded" if complete else "",
             )
 
     async def coordinate(self) -> None:
         """Takes the coordinator's key when it is free, and writes a new view when members come or go."""
         while True:
             await self.replica.wait_change(self.settings.controller_lease_s / 4)
-            if not self.standing.boot or not self.replica.loaded:
+            if not self.leadership.boot or not self.replica.loaded:
                 continue
             try:
                 await self._coordinate()
@@ -233,17 +242,19 @@
                 log.exception("while coordinating")
 
     async def _coordinate(self) -> None:
-        tables, boot, me = self.replica.tables, self.standing.boot, self.settings.member
+        tables, boot, me = self.replica.tables, self.leadership.boot, self.settings.member
         known = tables.coordinator
         if tables.members.get(me) is None or tables.members[me].boot != boot:
             return
         # A coordinator's key of an earlier run of this very member is free as well: that process is gone.
         if known is None or (known[0] == me and known[1] != boot):
-            conditions = {t.COORD: tables.stamp(t.COORD)}
+            conditions = {t.COORDINATOR_KEY: tables.stamp(t.COORDINATOR_KEY)}
             value = {"member": me, "boot": boot}
-            outcome, _ = await self.client.commit(conditions, {t.COORD: value}, [], Urgency.LEASE, {t.COORD: boot})
+            outcome, _ = await self.client.commit(
+                conditions, {t.COORDINATOR_KEY: value}, [], RequestPriority.LEASE, {t.COORDINATOR_KEY: boot}
+            )
             await self._catch_up()
-            if outcome is Outcome.DONE:
+            if outcome is TransactionOutcome.DONE:
                 log.info("coordinating")
             return
         if known != (me, boot):
@@ -251,14 +262,14 @@
         members = tuple(sorted((name, row.boot) for name, row in tables.members.items()))
         if members == tables.view.members:
             return
-        conditions = {t.COORD: tables.stamp(t.COORD), t.VIEW: tables.stamp(t.VIEW)}
+        conditions = {t.COORDINATOR_KEY: tables.stamp(t.COORDINATOR_KEY), t.VIEW_KEY: tables.stamp(t.VIEW_KEY)}
         number = tables.view.number + 1
         value = {"n": number, "members": [list(pair) for pair in members]}
-        outcome, _ = await self.client.commit(conditions, {t.VIEW: value}, [], Urgency.LEASE)
-        if outcome is Outcome.DONE:
-            log.info("view %d: %s", number, ", ".join(t.tag_of(*pair) for pair in members))
+        outcome, _ = await self.client.commit(conditions, {t.VIEW_KEY: value}, [], RequestPriority.LEASE)
+        if outcome is TransactionOutcome.DONE:
+            log.info("view %d: %s", number, ", ".join(t.incarnation_id_of(*pair) for pair in members))
         await self._catch_up()
 
     async def _catch_up(self) -> None:
-        with contextlib.suppress(StaleError):
+        with contextlib.suppress(StaleReplicaError):
             await self.replica.fresh(self.client.timeout_s)
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -9,12 +9,12 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.core import tables as t
 from sloeswitch.core.registry import Machine
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StateClient
 
 # What values of a transaction may take together; the rest is for keys and conditions.
 VALUES_SHARE = 0.8
@@ -40,7 +40,7 @@
         settings: Settings,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         pace_s: float,
         changed: Callable[[], None],
     ) -> None:
@@ -48,7 +48,7 @@
         self.client = client
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.pace_s = pace_s
         self.changed = changed
         self.sleep: Callable[[float], Awaitable[None]] = anyio.sleep
@@ -60,7 +60,7 @@
     def _new_group(self, parted: str = "") -> str:
         """A name never used before. What is parted from another group comes after it by name (see tables)."""
         self.groups_made += 1
-        return (f"{parted}." if parted else t.group_key("")) + f"{self.standing.tag}.{self.groups_made}"
+        return (f"{parted}." if parted else t.group_key("")) + f"{self.leadership.tag}.{self.groups_made}"
 
     def _transaction_bytes(self) -> int:
         """What values of a transaction may take together."""
@@ -75,21 +75,21 @@
             for machine in machines
             if machine.heard and machine.name not in self.tables.machines and machine.name not in self.arriving
         ]
-        if not all(row.layout >= t.GROUPS for row in self.tables.members.values()):
+        if not all(row.layout >= t.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             fresh = fresh[: self.client.txn_ops]
             writes = {t.machine_key(m.name): {"a": m.address, "t": m.type, "z": m.zone, "s": m.spot} for m in fresh}
             return {machine.name for machine in fresh}, writes
         rows = {machine.name: [machine.address, machine.type, machine.zone, machine.spot] for machine in fresh}
         most = min(self.client.txn_ops, max(1, self._transaction_bytes() // self.client.value_bytes))
-        groups = t.fit_groups(rows, self.client.value_bytes)[:most]
+        groups = t.split_machine_groups(rows, self.client.value_bytes)[:most]
         return {name for group in groups for name in group}, {self._new_group(): {"m": group} for group in groups}
 
     async def store(self, names: set[str], writes: dict[str, Any], view_number: int) -> None:
         """Stores new machines on condition of the view under which they were heard."""
-        conditions = self.standing.claim_conditions()
+        conditions = self.leadership.claim_conditions()
         try:
-            if self.standing.view.number == view_number:
-                await self.client.commit(conditions, writes, [], Urgency.CLAIM)
+            if self.leadership.view.number == view_number:
+                await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
                 self.replica.hint()
                 await anyio.sleep(self.pace_s)
         finally:
@@ -105,7 +105,7 @@
             transaction = self._removals()
             if transaction:
                 await self.client.commit(
-                    transaction.conditions, transaction.writes, transaction.drops, Urgency.PROGRESS
+                    transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
                 )
                 self.replica.hint()
 
@@ -147,7 +147,7 @@
             if name not in self.leaving and self.tables.machines[name].key == key
         )
         rows = {name: self.tables.machines[name].stored() for name in names}
-        return t.fit_groups(rows, self.client.value_bytes)
+        return t.split_machine_groups(rows, self.client.value_bytes)
 
     def _part(self, key: str, groups: list[dict[str, list[Any]]]) -> Transaction:
         """For a group that is too large for one transaction: first all but the first part get groups of their own,
--- a/sloeswitch/actors/team_limits.py
+++ b/sloeswitch/actors/team_limits.py
@@ -8,33 +8,33 @@
 from collections.abc import Iterable, Mapping
 
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.core import quota
 from sloeswitch.core import tables as t
-from sloeswitch.core.allowances import Allowance
+from sloeswitch.core.allowances import QuotaAllocation
 from sloeswitch.core.registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, Team
-from sloeswitch.state import StateClient, Urgency
+from sloeswitch.state import RequestPriority, StateClient
 from sloeswitch.wire import JobSpec
 
 
-class TeamLimits:
+class QuotaLedger:
     """Reckons with what is stored and with what may exist under this controller's responsibility."""
 
     def __init__(
-        self, settings: Settings, client: StateClient, tables: Tables, standing: Standing, registry: MachineRegistry
+        self, settings: Settings, client: StateClient, tables: Tables, leadership: Leadership, registry: MachineRegistry
     ) -> None:
         self.settings = settings
         self.client = client
         self.tables = tables
-        self.standing = standing
+        self.leadership = leadership
         self.registry = registry
         # Smaller allowances being stored: team -> (stamp it relies on, cores, gpus).
         self.shrinking: dict[str, tuple[int, float, float]] = {}
         self.surplus_since: dict[str, float] = {}
         # What tasks use that may be somewhere, and are on no machine that was heard (see registry).
-        self.limbo_uses: dict[str, quota.Use] = {}
+        self.limbo_uses: dict[str, quota.ResourceUsage] = {}
 
     def forget(self) -> None:
         """Another run of this controller begins: nothing is under way."""
@@ -47,17 +47,17 @@
         for name, mask in self.registry.limbo.items():
             job = self.tables.jobs.get(name)
             if job is not None:
-                self.limbo_uses.setdefault(job.spec.team, quota.Use()).add(job.spec, mask.bit_count())
+                self.limbo_uses.setdefault(job.spec.team, quota.ResourceUsage()).add(job.spec, mask.bit_count())
 
-    def use(self, team: str) -> quota.Use:
+    def use(self, team: str) -> quota.ResourceUsage:
         """What tasks of the team that may exist under this controller's responsibility use."""
-        use = self.registry.uses.get(team, quota.Use())
-        limbo = self.limbo_uses.get(team, quota.Use())
-        return quota.Use(use.cores + limbo.cores, use.gpus + limbo.gpus)
+        use = self.registry.uses.get(team, quota.ResourceUsage())
+        limbo = self.limbo_uses.get(team, quota.ResourceUsage())
+        return quota.ResourceUsage(use.cores + limbo.cores, use.gpus + limbo.gpus)
 
     def allowance(self, team: str) -> tuple[float, float]:
         """What may be used now: the stored allowance, or less while a smaller one is being stored."""
-        cores, gpus = self.tables.allowance(team, self.standing.tag)
+        cores, gpus = self.tables.allowance(team, self.leadership.tag)
         shrinking = self.shrinking.get(team)
         if shrinking is not None:
             # A write without an answer may be carried out until another one makes its condition false.
@@ -66,9 +66,9 @@
             del self.shrinking[team]
         return cores, gpus
 
-    def spare(self, team: Team, use: quota.Use) -> tuple[float, float]:
+    def spare(self, team: Team, use: quota.ResourceUsage) -> tuple[float, float]:
         """The most that this controller could be allowed now: its allowance and what nobody holds."""
-        cores, gpus = self.tables.allowance(team.name, self.standing.tag)
+        cores, gpus = self.tables.allowance(team.name, self.leadership.tag)
         more_cores, more_gpus = self.tables.unallotted(team)
         return max(cores + more_cores, use.cores), max(gpus + more_gpus, use.gpus)
 
@@ -80,25 +80,25 @@
             spec for spec in specs if spec.team in spare and quota.room_for(spec, spare[spec.team], uses[spec.team]) > 0
         ]
 
-    def shortfall(self, spec: JobSpec) -> quota.Use:
+    def shortfall(self, spec: JobSpec) -> quota.ResourceUsage:
         """By how much the team's limit leaves this controller too little room for one more task."""
         use = self.use(spec.team)
         cores, gpus = self.spare(self.settings.teams[spec.team], use)
-        return quota.Use(
+        return quota.ResourceUsage(
             max(0.0, use.cores + spec.cores - cores - quota.SLACK), max(0.0, use.gpus + spec.gpus - gpus - quota.SLACK)
         )
 
     def request_allowances(
-        self, request: ClaimRequest, useful: Mapping[str, quota.Use], controllers: int, now: float
+        self, request: ClaimRequest, useful: Mapping[str, quota.ResourceUsage], controllers: int, now: float
     ) -> None:
         """Adds the allowances to ask for, given what each team could put to use on these machines."""
         # Some changes of a round are left for claims.
-        max_teams = max(1, min(self.client.txn_ops // 2, self.client.most_changes(Urgency.CLAIM) - 1))
+        max_teams = max(1, min(self.client.txn_ops // 2, self.client.most_changes(RequestPriority.CLAIM) - 1))
         for name, use in useful.items():
             if len(request.grow) + len(request.shrink) >= max_teams:
                 break
             team = self.settings.teams[name]
-            part = Allowance(team, self.allowance(name), use, self.tables.unallotted(team), controllers)
+            part = QuotaAllocation(team, self.allowance(name), use, self.tables.unallotted(team), controllers)
             if part.short:
                 self.surplus_since.pop(name, None)
                 if name in self.shrinking or part.any_free:
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -8,12 +8,12 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.jobs import Jobs
-from sloeswitch.actors.machines import Heartbeat, Machines
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.machines import HeartbeatRequest, Machines
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.core.quota import impossible
 from sloeswitch.http import Answer, Request, refuse
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, StaleError, StateClient
+from sloeswitch.state import Replica, StaleReplicaError, StateClient
 
 log = logging.getLogger("users")
 
@@ -28,7 +28,7 @@
         settings: Settings,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         jobs: Jobs,
         machines: Machines,
     ) -> None:
@@ -36,7 +36,7 @@
         self.client = client
         self.replica = replica
         self.tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.jobs = jobs
         self.machines = machines
         # Users wait 2 s for a poll and 5 s for the rest (protocol); a refusal must come well before.
@@ -76,17 +76,17 @@
 
     @property
     def ready(self) -> bool:
-        return self.replica.loaded and bool(self.tables.types) and self.standing.included
+        return self.replica.loaded and bool(self.tables.types) and self.leadership.included
 
     def _healthz(self) -> Answer:
         if not self.ready:
             return refuse(self.retry_s)
-        if self.standing.may_act:
+        if self.leadership.may_act:
             return Answer(200)
         # Without the state service a node still tells final states and refuses the rest at once, which
         # is as good as any other node can do, unless a sibling still reaches the state service. One that
         # hears none of its siblings either is cut off: the others may be well.
-        mesh = self.standing.mesh
+        mesh = self.leadership.mesh
         if mesh is None or not mesh.peers:
             return Answer(200)
         now, span = self.client.now(), self.settings.controller_lease_s
@@ -98,7 +98,7 @@
             return False
         try:
             await self.replica.fresh(self.read_s)
-        except StaleError:
+        except StaleReplicaError:
             return False
         return True
 
@@ -204,14 +204,14 @@
 
     async def _heartbeat(self, request: Request) -> Answer:
         try:
-            report = wire.decode(request.body, wire.Report)
+            report = wire.decode(request.body, wire.WorkerReport)
         except wire.MalformedError as error:
             log.error("malformed report: %s", error)
             return fault(400, str(error))
         # A report on the same connection, as soon as the next one is due, shows that the last answer was
         # received. One that was held up on the way shows nothing of the kind.
         received = self.client.now() - request.talk.get(report.machine, -math.inf) < 2 * self.settings.report_s
-        answer: Answer | None = await self.machines.ask(Heartbeat(report=report, received=received))
+        answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, received=received))
         if answer is None:
             return refuse(self.retry_s)
         if answer.status == 200:
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -9,14 +9,14 @@
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decisions import Decision, ancestors, lane_of, ticket_of
 from sloeswitch.core import fleet
-from sloeswitch.core.quota import Use
-from sloeswitch.core.ready import RANK
+from sloeswitch.core.quota import ResourceUsage
+from sloeswitch.core.ready import PRIORITY_RANKS
 from sloeswitch.core.tables import LIVE, Job, Tables
 from sloeswitch.settings import Settings
 
 
 @dataclass(frozen=True)
-class Bundle:
+class JobBundle:
     """The jobs that are admitted together: one, and those of the jobs that it needs that are deferred. Only what is
     released takes room; what waits for others costs nothing."""
 
@@ -28,9 +28,9 @@
         """What it costs the round robin: the cores of all remaining tasks."""
         return sum(job.left * job.spec.cores for job in self.released)
 
-    def use_of(self, team: str) -> Use:
+    def use_of(self, team: str) -> ResourceUsage:
         """What it uses of a team's guarantee."""
-        use = Use()
+        use = ResourceUsage()
         for job in self.released:
             if job.spec.team == team:
                 use.add(job.spec, job.left)
@@ -44,10 +44,10 @@
                 return False
         return True
 
-    def take(self, capacity: Capacity, settings: Settings, wall_ms: int) -> None:
+    def take(self, capacity: Capacity, settings: Settings, wall_clock_ms: int) -> None:
         """Takes what should run at once."""
         for job in self.released:
-            capacity.take(job.spec, fleet.whole_or_at_once(job, settings, wall_ms, SPREAD_ADMITTED))
+            capacity.take(job.spec, fleet.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED))
 
 
 @dataclass
@@ -70,9 +70,9 @@
         """Since when the head waits as a head."""
         return max(self.waiting[0][0].submitted_ms, self.cut.risen_ms)
 
-    def raise_to(self, place: int, wall_ms: int) -> None:
+    def raise_to(self, place: int, wall_clock_ms: int) -> None:
         """Admits all up to this place in the queue."""
-        self.cut = LaneCut(self.waiting[place][0], wall_ms)
+        self.cut = LaneCut(self.waiting[place][0], wall_clock_ms)
         del self.waiting[: place + 1]
         self.looked, self.risen = 0, True
 
@@ -113,13 +113,13 @@
     def of_team(self, team: str) -> list[LaneQueue]:
         """A team's lanes with deferred jobs: by priority, then by the ticket of the head."""
         found = [queue for queue in self._of_team.get(team, ()) if queue.waiting]
-        return sorted(found, key=lambda queue: (RANK[queue.lane.priority], queue.waiting[0][0], queue.lane))
+        return sorted(found, key=lambda queue: (PRIORITY_RANKS[queue.lane.priority], queue.waiting[0][0], queue.lane))
 
-    def bundle(self, job: Job) -> Bundle:
+    def bundle(self, job: Job) -> JobBundle:
         """The job with all deferred ones that it needs."""
         needed = (each for each in ancestors(job, self.tables) if not self.decisions[each.spec.id].admitted)
         released = [each for each in (job, *(needed if job.waits else ())) if each.runnable]
-        return Bundle(job, tuple(released))
+        return JobBundle(job, tuple(released))
 
     def risen(self) -> Iterator[LaneQueue]:
         """Lanes whose cuts rose in this epoch."""
@@ -135,12 +135,12 @@
     return job.status == LIVE and not job.cancelled and bool(job.runnable or job.waits)
 
 
-def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, Use]:
+def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
     """What each team's admitted jobs use of its guarantee: all that is left of those that are released. What another
     cell handed over takes nothing of a guarantee."""
-    uses: dict[str, Use] = {}
+    uses: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
         if decision is not None and decision.admitted and job.runnable and job.delegated is None:
-            uses.setdefault(job.spec.team, Use()).add(job.spec, job.left)
+            uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.left)
     return uses
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from sloeswitch.core import fleet
-from sloeswitch.core.fleet import Kind, Offer
-from sloeswitch.core.quota import Use, room_for
+from sloeswitch.core.fleet import InstanceKind, InstanceOffer
+from sloeswitch.core.quota import ResourceUsage, room_for
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
@@ -17,10 +17,10 @@
 
 
 @dataclass(frozen=True)
-class IdleRoom:
+class IdleCapacity:
     """Room of one kind that no admitted job could take, as its owner told, in machines, and for how many seconds."""
 
-    kind: Kind
+    kind: InstanceKind
     machines: float
     age_s: float
 
@@ -37,13 +37,13 @@
         tables: Tables,
         settings: Settings,
         admitted: Iterable[Job],
-        idle: Iterable[IdleRoom],
-        wall_ms: int,
+        idle: Iterable[IdleCapacity],
+        wall_clock_ms: int,
         surplus: float,
     ) -> None:
-        self.offers: list[Offer] = fleet.offers(tables.types)
-        self.limits = fleet.limits_of(settings)
-        supply: dict[Kind, float] = {}
+        self.offers: list[InstanceOffer] = fleet.offers(tables.types)
+        self.limits = fleet.team_limits_of(settings)
+        supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = (row.type, row.zone, row.spot)
             supply[kind] = supply.get(kind, 0.0) + 1.0
@@ -51,11 +51,13 @@
             tables.types[kind[0]].cores * count for kind, count in supply.items() if kind[0] in tables.types
         )
         released = (job for job in admitted if job.runnable)
-        needs = fleet.needs_of(released, settings, wall_ms, SPREAD_ADMITTED, self.limits, fleet.whole_or_at_once)
+        needs = fleet.demand_within_limits(
+            released, settings, wall_clock_ms, SPREAD_ADMITTED, self.limits, fleet.parallel_or_gang_tasks
+        )
         self.left, short = fleet.fill(needs, _with_surplus(supply, surplus), self.offers)
         # Whether what should run at once finds no machine.
         self.overloaded = bool(short)
-        told: dict[Kind, float] = {}
+        told: dict[InstanceKind, float] = {}
         for room in idle:
             told[room.kind] = told.get(room.kind, 0.0) + room.machines
         for kind, machines in told.items():
@@ -70,7 +72,7 @@
     def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
         """How many of so many tasks find room now, by machines and by the team's limit."""
         limit = self.limits.get(spec.team, [0.0, 0.0])
-        most = min(most, room_for(spec, (limit[0], limit[1]), Use()))
+        most = min(most, room_for(spec, (limit[0], limit[1]), ResourceUsage()))
         found = 0.0
         for offer in self.offers:
             if found >= most:
@@ -79,7 +81,7 @@
                 found += self._tasks_in(spec, offer)
         return min(most, int(found + LEAST_MACHINES))
 
-    def _tasks_in(self, spec: JobSpec, offer: Offer) -> float:
+    def _tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
         part = fleet.machines_for(spec, 1, offer.type)
         # Less room than one task takes is none.
         return self.left[offer.kind] // part if part > LEAST_MACHINES else float(spec.tasks)
@@ -99,5 +101,5 @@
                 tasks -= count
 
 
-def _with_surplus(supply: Mapping[Kind, float], surplus: float) -> dict[Kind, float]:
+def _with_surplus(supply: Mapping[InstanceKind, float], surplus: float) -> dict[InstanceKind, float]:
     return {kind: (1 + surplus) * count for kind, count in supply.items()}
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -9,17 +9,17 @@
 
 import anyio
 
-from sloeswitch.actors.feature_mark import FeatureMark
-from sloeswitch.actors.membership import Standing
-from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.actors.feature_mark import FeatureRollout
+from sloeswitch.actors.membership import Leadership
+from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.epoch import chosen_changes, next_rows
-from sloeswitch.admission.frames import IdleRoomLink
+from sloeswitch.admission.frames import IdleCapacityLink
 from sloeswitch.admission.limits import AdmissionLimits
 from sloeswitch.core import tables as t
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StaleError, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
 
 log = logging.getLogger("admission")
 
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True)
-class ToldRoom:
+class ReportedIdleCapacity:
     """A sibling's idle room, and when it was asked for."""
 
     asked_at: float
-    rooms: list[IdleRoom]
+    rooms: list[IdleCapacity]
 
 
-def wall_ms() -> int:
+def wall_clock_ms() -> int:
     """The time of day, by which tickets are stamped; right within the settings' clock error."""
     return int(time.time() * 1000)
 
@@ -50,9 +50,9 @@
         features: AdmissionFeatures,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
-        own_idle_room: Callable[[], list[IdleRoom]],
-        links: Mapping[str, IdleRoomLink],
+        leadership: Leadership,
+        own_idle_room: Callable[[], list[IdleCapacity]],
+        links: Mapping[str, IdleCapacityLink],
         now: Callable[[], float],
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
@@ -60,14 +60,14 @@
         self.features = features
         self.client = client
         self.replica = replica
-        self.standing = standing
+        self.leadership = leadership
         self.own_idle_room = own_idle_room
         self.links = links
         self.now = now
         self.sleep = sleep
         self.limits = AdmissionLimits.of(settings)
-        self.feature = FeatureMark("admission", settings, client, replica, standing)
-        self.told: dict[str, ToldRoom] = {}
+        self.feature = FeatureRollout("admission", settings, client, replica, leadership)
+        self.told: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
 
     @property
@@ -84,7 +84,7 @@
             try:
                 await self.feature.mark()
                 await self.epoch()
-            except StaleError:
+            except StaleReplicaError:
                 pass
             except Exception:
                 log.exception("while reckoning an epoch")
@@ -102,38 +102,40 @@
 
     async def ask(self, member: str) -> None:
         """One question to a sibling. Sent only once every controller knows the frame."""
-        if not (self.switched_on and self.standing.coordinating):
+        if not (self.switched_on and self.leadership.coordinating):
             self.told.pop(member, None)
             return
         asked_at = self.now()
-        self.told[member] = ToldRoom(asked_at, await self.links[member].idle_room())
+        self.told[member] = ReportedIdleCapacity(asked_at, await self.links[member].idle_room())
 
     # -- epochs
 
     async def epoch(self) -> None:
         """Reckons the cuts from the tables as they are, and stores what rises, on condition of what was read."""
-        if not (self.switched_on and self.standing.coordinating):
+        if not (self.switched_on and self.leadership.coordinating):
             return
         # Guards against tables that lag: cuts reckoned from them would fail or be low.
         await self.replica.fresh(self.client.timeout_s)
         tables = self.replica.tables
-        changes = next_rows(tables, self.settings, self.limits, self._idle_rooms(), wall_ms(), self.client.value_bytes)
+        changes = next_rows(
+            tables, self.settings, self.limits, self._idle_rooms(), wall_clock_ms(), self.client.value_bytes
+        )
         chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
         if not chosen:
             return
         writes = {t.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
         # On the rows' own stamps rests that no cut falls (docs/admission.md); the coordinator's key only spares a
         # deposed one its changes.
-        conditions = {key: tables.stamp(key) for key in (t.COORD, *writes)}
-        outcome, epoch = await self.client.commit(conditions, writes, [], Urgency.CLAIM)
+        conditions = {key: tables.stamp(key) for key in (t.COORDINATOR_KEY, *writes)}
+        outcome, epoch = await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
         now = self.now()
         self.written_at |= {change.path: now for change in chosen}
-        if outcome is Outcome.DONE:
+        if outcome is TransactionOutcome.DONE:
             self.replica.stored(epoch, writes)
         else:
             self.replica.hint()
 
-    def _idle_rooms(self) -> list[IdleRoom]:
+    def _idle_rooms(self) -> list[IdleCapacity]:
         """All idle room that was told lately, each as old as it is by now."""
         now = self.now()
         found = list(self.own_idle_room())
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from sloeswitch.admission.backlog import Backlog, Bundle, LaneQueue, admitted_use
-from sloeswitch.admission.capacity import Capacity, IdleRoom
+from sloeswitch.admission.backlog import Backlog, JobBundle, LaneQueue, admitted_use
+from sloeswitch.admission.capacity import Capacity, IdleCapacity
 from sloeswitch.admission.cuts import (
     ROOT,
     AdmissionRow,
@@ -21,7 +21,7 @@
 from sloeswitch.admission.decisions import decide
 from sloeswitch.admission.limits import SURPLUS, AdmissionLimits
 from sloeswitch.core.claim_planner import shape_of
-from sloeswitch.core.quota import Use, within_guarantee
+from sloeswitch.core.quota import ResourceUsage, within_guarantee
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings, Team
 
@@ -41,17 +41,22 @@
     """One reckoning of the cuts."""
 
     def __init__(
-        self, tables: Tables, settings: Settings, limits: AdmissionLimits, idle: Iterable[IdleRoom], wall_ms: int
+        self,
+        tables: Tables,
+        settings: Settings,
+        limits: AdmissionLimits,
+        idle: Iterable[IdleCapacity],
+        wall_clock_ms: int,
     ) -> None:
         self.tables = tables
         self.settings = settings
         self.limits = limits
-        self.wall_ms = wall_ms
+        self.wall_clock_ms = wall_clock_ms
         self.decisions = decide(tables)
         self.backlog = Backlog(tables, self.decisions)
         admitted = [tables.jobs[name] for name, decision in self.decisions.items() if decision.admitted]
         told = [room for room in idle if room.age_s >= limits.idle_s]
-        self.capacity = Capacity(tables, settings, admitted, told, wall_ms, SURPLUS)
+        self.capacity = Capacity(tables, settings, admitted, told, wall_clock_ms, SURPLUS)
         self.uses = admitted_use(admitted, self.decisions)
         self.deficits = self._stored_deficits()
         self.admissions = 0
@@ -83,7 +88,7 @@
     ) -> RowChange | None:
         common = row.common
         quiet = not self.backlog and not self.capacity.overloaded
-        if quiet and common.cut.submitted_ms - self.wall_ms < 1000 * self.limits.lead_s:
+        if quiet and common.cut.submitted_ms - self.wall_clock_ms < 1000 * self.limits.lead_s:
             common = self._ahead()
         if not lanes and common == row.common:
             return None
@@ -100,7 +105,7 @@
 
     def _ahead(self) -> LaneCut:
         """The common cut while nothing is deferred: ahead of the clock, so that nothing will be for a while."""
-        return LaneCut(Ticket(self.wall_ms + int(2000 * self.limits.lead_s), ""), self.wall_ms)
+        return LaneCut(Ticket(self.wall_clock_ms + int(2000 * self.limits.lead_s), ""), self.wall_clock_ms)
 
     def _stored_deficits(self) -> dict[str, float]:
         found: dict[str, float] = {}
@@ -125,17 +130,17 @@
     def _guaranteed(self, job: Job, team: Team) -> bool:
         if job.delegated is not None:
             return False
-        use = self.uses.get(team.name, Use())
+        use = self.uses.get(team.name, ResourceUsage())
         more = self.backlog.bundle(job).use_of(team.name)
         return within_guarantee(team, use.cores + more.cores, use.gpus + more.gpus)
 
-    def _admit(self, queue: LaneQueue, place: int, bundle: Bundle) -> None:
+    def _admit(self, queue: LaneQueue, place: int, bundle: JobBundle) -> None:
         """Raises a lane up to a job, and takes the room of what enters the line with it."""
-        bundle.take(self.capacity, self.settings, self.wall_ms)
+        bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
             if job.delegated is None:
-                self.uses.setdefault(job.spec.team, Use()).add(job.spec, job.left)
-        queue.raise_to(place, self.wall_ms)
+                self.uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.left)
+        queue.raise_to(place, self.wall_clock_ms)
         self.admissions += 1
 
     @property
@@ -170,7 +175,7 @@
             }
             found |= {other: self._next_fitting(other) for other in fitting if found[other] is None}
 
-    def _grant(self, fitting: Mapping[str, tuple[LaneQueue, int, Bundle]], weights: Mapping[str, float]) -> None:
+    def _grant(self, fitting: Mapping[str, tuple[LaneQueue, int, JobBundle]], weights: Mapping[str, float]) -> None:
         """As many rounds as it takes until one team can pay."""
         rounds = min(
             max(1, math.ceil((bundle.cost - self.deficits.get(team, 0.0)) / self._quantum(team, weights)))
@@ -191,7 +196,7 @@
         weights = {team.name: max(least, team.cpus / cores, team.gpus / gpus) for team in teams}
         return {team: weights.get(team, least) for team in {*weights, *self.backlog.teams}}
 
-    def _next_fitting(self, team: str) -> tuple[LaneQueue, int, Bundle] | None:
+    def _next_fitting(self, team: str) -> tuple[LaneQueue, int, JobBundle] | None:
         """The team's next job that could use what is left. Those before it in its lane cannot, and are passed over."""
         if not self.capacity.any_left:
             return None
@@ -215,7 +220,7 @@
         for queue in self.backlog.lanes.values():
             if queue.head is None or queue.risen:
                 continue
-            if self.wall_ms - queue.since_ms() >= 1000 * self.limits.patience_s:
+            if self.wall_clock_ms - queue.since_ms() >= 1000 * self.limits.patience_s:
                 self._admit(queue, 0, self.backlog.bundle(queue.head))
 
 
@@ -223,12 +228,12 @@
     tables: Tables,
     settings: Settings,
     limits: AdmissionLimits,
-    idle: Iterable[IdleRoom],
-    wall_ms: int,
+    idle: Iterable[IdleCapacity],
+    wall_clock_ms: int,
     value_bytes: int,
 ) -> list[RowChange]:
     """The changes of one epoch."""
-    return Epoch(tables, settings, limits, idle, wall_ms).changes(value_bytes)
+    return Epoch(tables, settings, limits, idle, wall_clock_ms).changes(value_bytes)
 
 
 def chosen_changes(
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
 from sloeswitch.mesh import MAX_BODY, TYPE_IDLE_ROOM_REQUEST, FrameError
 
@@ -21,14 +21,14 @@
 MOST_ENTRIES = (MAX_BODY - COUNT.size) // (ENTRY.size + 2 * LONGEST_NAME)
 
 
-class IdleRoomLink(Protocol):
+class IdleCapacityLink(Protocol):
     """The way to another controller."""
 
-    async def idle_room(self) -> list[IdleRoom]:
+    async def idle_room(self) -> list[IdleCapacity]:
         """Asks for its idle room; NoAnswerError when there is no answer."""
 
 
-def pack_idle_room(rooms: Iterable[IdleRoom]) -> bytes:
+def pack_idle_room(rooms: Iterable[IdleCapacity]) -> bytes:
     """The body of an answer. What would not fit is left out: it costs order only."""
     entries: list[bytes] = []
     for room in rooms:
@@ -40,12 +40,12 @@
     return COUNT.pack(len(entries)) + b"".join(entries)
 
 
-def unpack_idle_room(body: bytes) -> list[IdleRoom]:
+def unpack_idle_room(body: bytes) -> list[IdleCapacity]:
     """Raises FrameError for what is no answer."""
     try:
         (count,) = COUNT.unpack_from(body)
         at = COUNT.size
-        found: list[IdleRoom] = []
+        found: list[IdleCapacity] = []
         for _ in range(count):
             kind_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, at)
             at += ENTRY.size
@@ -54,7 +54,7 @@
             if end > len(body) or not (machines >= 0 and age_s >= 0):
                 raise FrameError(f"idle room: entry at {at}")
             at = end
-            found.append(IdleRoom((*names, spot), machines, age_s))
+            found.append(IdleCapacity((*names, spot), machines, age_s))
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(f"idle room: {error!r}") from None
     if at != len(body):
@@ -62,13 +62,13 @@
     return found
 
 
-class MeshIdleRoomLink:
+class MeshIdleCapacityLink:
     """Asks a sibling over the mesh."""
 
     def __init__(self, frames: FrameLink) -> None:
         self.frames = frames
 
-    async def idle_room(self) -> list[IdleRoom]:
+    async def idle_room(self) -> list[IdleCapacity]:
         """Its idle room; NoAnswerError when there is no answer."""
         try:
             return unpack_idle_room(await self.frames.exchange(TYPE_IDLE_ROOM_REQUEST, b""))
--- a/sloeswitch/admission/idle_room.py
+++ b/sloeswitch/admission/idle_room.py
@@ -4,28 +4,28 @@
 
 from collections.abc import Iterable, Mapping
 
-from sloeswitch.admission.capacity import LEAST_MACHINES, IdleRoom
-from sloeswitch.core.fleet import Kind
-from sloeswitch.core.placement import Room
+from sloeswitch.admission.capacity import LEAST_MACHINES, IdleCapacity
+from sloeswitch.core.fleet import InstanceKind
+from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.wire import MachineType
 
 
-def free_part(room: Room, kind: MachineType) -> float:
+def free_part(room: FreeCapacity, kind: MachineType) -> float:
     """The part of a machine that is free, by what is scarcest on it."""
     pairs = ((room.cores, kind.cores), (room.gpus, kind.gpus), (room.memory, kind.memory))
     return max(0.0, min((free / whole for free, whole in pairs if whole > 0), default=0.0))
 
 
-class IdleRoomTracker:
+class IdleCapacityTracker:
     """Since when room of each kind was left over after every admitted job had a look."""
 
     def __init__(self) -> None:
-        self._machines: dict[Kind, float] = {}
-        self._since: dict[Kind, float] = {}
+        self._machines: dict[InstanceKind, float] = {}
+        self._since: dict[InstanceKind, float] = {}
 
-    def observe(self, rooms: Iterable[Room], types: Mapping[str, MachineType], now: float) -> None:
+    def observe(self, rooms: Iterable[FreeCapacity], types: Mapping[str, MachineType], now: float) -> None:
         """What is left after a look in which the whole line was considered."""
-        found: dict[Kind, float] = {}
+        found: dict[InstanceKind, float] = {}
         for room in rooms:
             kind = types.get(room.type)
             if kind is not None:
@@ -34,6 +34,8 @@
         self._machines = {key: machines for key, machines in found.items() if machines > LEAST_MACHINES}
         self._since = {key: self._since.get(key, now) for key in self._machines}
 
-    def report(self, now: float) -> list[IdleRoom]:
+    def report(self, now: float) -> list[IdleCapacity]:
         """What the coordinator is told."""
-        return [IdleRoom(kind, machines, now - self._since[kind]) for kind, machines in sorted(self._machines.items())]
+        return [
+            IdleCapacity(kind, machines, now - self._since[kind]) for kind, machines in sorted(self._machines.items())
+        ]
--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -9,7 +9,7 @@
 
 # A lane with a head rises after so many worker leases, and after this part of the longest that the users let a job wait
 # beside room that fits (90 s, a rule of the protocol) at the latest.
-PATIENCE_LEASES = 2.0
+STARVATION_LEASES = 2.0
 LONGEST_WAIT_S = 90.0
 PATIENCE_OF_LONGEST_WAIT = 0.4
 # Cuts are reckoned so many times in a worker lease, but not more often than machines report.
@@ -48,7 +48,7 @@
         epoch_s = max(settings.report_s, settings.lease_s / EPOCHS_PER_LEASE)
         read_s = epoch_s + settings.controller_lease_s + 2 * settings.clock_error_s
         return AdmissionLimits(
-            patience_s=min(PATIENCE_LEASES * settings.lease_s, PATIENCE_OF_LONGEST_WAIT * LONGEST_WAIT_S),
+            patience_s=min(STARVATION_LEASES * settings.lease_s, PATIENCE_OF_LONGEST_WAIT * LONGEST_WAIT_S),
             epoch_s=epoch_s,
             lead_s=LEAD_ROUNDS * read_s,
             clock_error_s=settings.clock_error_s,
--- a/sloeswitch/cells/delegation.py
+++ b/sloeswitch/cells/delegation.py
@@ -20,14 +20,14 @@
 
     ACCEPTED = "accepted"
     BEGUN = "begun"
-    WITHDRAWN = "withdrawn"
+    CANCELLED = "withdrawn"
     STOPPING = "stopping"
     STOPPED = "stopped"
     DONE = "done"
 
 
 # No task may start or be on a machine.
-FINAL_STATES = frozenset({DelegationState.WITHDRAWN, DelegationState.STOPPED, DelegationState.DONE})
+FINAL_STATES = frozenset({DelegationState.CANCELLED, DelegationState.STOPPED, DelegationState.DONE})
 
 
 @dataclass(frozen=True)
@@ -58,7 +58,7 @@
     def give_back(self) -> Delegation:
         """The target does not want it any more; only while nothing of it began."""
         if self.state is DelegationState.ACCEPTED:
-            return replace(self, state=DelegationState.WITHDRAWN)
+            return replace(self, state=DelegationState.CANCELLED)
         return self
 
     def stop(self) -> Delegation:
--- a/sloeswitch/cells/messages.py
+++ b/sloeswitch/cells/messages.py
@@ -36,14 +36,14 @@
     REFUSED = "refused"  # will never be accepted
     ACCEPTED = "accepted"  # nothing of it began
     BEGUN = "begun"  # a task was claimed; it is not given back
-    WITHDRAWN = "withdrawn"  # given back, and nothing of it began
+    CANCELLED = "withdrawn"  # given back, and nothing of it began
     STOPPING = "stopping"  # no task starts any more; some may still be on machines
     STOPPED = "stopped"  # no task starts any more, and none is on a machine
     DONE = "done"  # complete
 
 
 # From these a target never starts a task of the handoff again.
-ENDED = frozenset({Answer.REFUSED, Answer.WITHDRAWN, Answer.STOPPED, Answer.DONE})
+ENDED = frozenset({Answer.REFUSED, Answer.CANCELLED, Answer.STOPPED, Answer.DONE})
 
 
 @dataclass(frozen=True)
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from sloeswitch import wire
-from sloeswitch.actors.feature_mark import FeatureMark
+from sloeswitch.actors.feature_mark import FeatureRollout
 from sloeswitch.actors.jobs import stored_end, stored_job
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells import handoff as rules
 from sloeswitch.cells.frames import MOST_SPEC_BYTES, CellAnswer, CellRequest, Offer
 from sloeswitch.cells.handoff import OriginRow, Placement, Result
@@ -27,11 +27,11 @@
 from sloeswitch.cells.selection import candidates, choose, limits_of
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
 from sloeswitch.core import tables as t
-from sloeswitch.core.tables import Job, Over, Tables
+from sloeswitch.core.tables import FinishedJob, Job, Tables
 from sloeswitch.features import CellFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StaleError, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -71,7 +71,7 @@
         features: CellFeatures,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         line: Callable[[], list[Job]],
         links: dict[str, Link],
         now: Callable[[], float],
@@ -82,12 +82,12 @@
         self.client = client
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.line = line
         self.links = links
         self.now = now
         self.sleep = sleep
-        self.feature = FeatureMark("cells", settings, client, replica, standing)
+        self.feature = FeatureRollout("cells", settings, client, replica, leadership)
         self.book = SummaryBook(SUMMARY_LEASES * settings.controller_lease_s)
         self.contacts: dict[tuple[str, Placement], Contact] = {}
         self.incarnations: dict[str, int] = {}
@@ -110,7 +110,7 @@
             await self.sleep(self.settings.report_s)
             try:
                 await self.talk(peer)
-            except (NoAnswerError, StaleError) as error:
+            except (NoAnswerError, StaleReplicaError) as error:
                 log.debug("%s: %s", peer, error)
             except Exception:
                 log.exception("while talking to %s", peer)
@@ -130,15 +130,15 @@
 
     async def select(self) -> None:
         """Stores the moves that are to be made now; the offers follow when the peer is talked to."""
-        if not (self.features.moving and self.switched_on and self.standing.may_act):
+        if not (self.features.moving and self.switched_on and self.leadership.may_act):
             return
-        wall_ms = int(time.time() * 1000)
-        movable = {job.spec.id for job in self.line() if self._movable(job, wall_ms)}
+        wall_clock_ms = int(time.time() * 1000)
+        movable = {job.spec.id for job in self.line() if self._movable(job, wall_clock_ms)}
         if not movable:
             return
-        found = candidates(self.line(), movable, self.tables, self.settings, wall_ms)
+        found = candidates(self.line(), movable, self.tables, self.settings, wall_clock_ms)
         # Every controller gives out its part of what a peer has.
-        part = 1.0 / max(1, len(self.standing.view.members))
+        part = 1.0 / max(1, len(self.leadership.view.members))
         peers = [_part_of(summary, part) for summary in self.book.current(self.now())]
         most = max(1, int(self.features.most_under_way * part))
         for move in choose(found, peers, self._under_way(), limits_of(self.settings, most)):
@@ -146,20 +146,20 @@
             if job is not None and rules.can_move(self.row(job), move.cell, not job.progress.claims):
                 await self._move(job, move.cell)
 
-    def _movable(self, job: Job, wall_ms: int) -> bool:
+    def _movable(self, job: Job, wall_clock_ms: int) -> bool:
         stays_ms = 1000 * STAY_LEASES * self.settings.lease_s
         return (
             job.delegated is None
             and job.parts is None
             and not job.progress.claims
             and self.features.policy(job.spec.klass) is not MovePolicy.NEVER
-            and not (job.returned_ms and wall_ms - job.returned_ms < stays_ms)
+            and not (job.returned_ms and wall_clock_ms - job.returned_ms < stays_ms)
             and len(msgspec.json.encode(job.spec)) <= MOST_SPEC_BYTES
             and self._looked_after_here(job.spec.id)
         )
 
     def _looked_after_here(self, name: str) -> bool:
-        return self.standing.owner("handoff " + name) == self.settings.member
+        return self.leadership.owner("handoff " + name) == self.settings.member
 
     def _under_way(self) -> dict[str, int]:
         counts: dict[str, int] = {}
@@ -172,7 +172,7 @@
         # Larger than any number that this job had: that was no larger than the epoch at which it was stored.
         number = 1 + max(self.replica.applied, job.stamp)
         row = rules.move(self.row(job), cell, number)
-        conditions = {t.progress_key(job.spec.id): job.progress_stamp, **self.standing.claim_conditions()}
+        conditions = {t.progress_key(job.spec.id): job.progress_stamp, **self.leadership.claim_conditions()}
         if await self._store(job, row, conditions):
             log.info("%s is offered to %s", job.spec.id, cell)
 
@@ -181,7 +181,7 @@
     async def talk(self, peer: str) -> None:
         """One round with a peer: its summary, and each handoff of this controller that it has."""
         link = self.links[peer]
-        if self.standing.may_act and self.switched_on:
+        if self.leadership.may_act and self.switched_on:
             asked_at = self.now()
             summary = await link.summary()
             if summary is not None and summary.cell == peer and self._heard(peer, summary.incarnation):
@@ -189,7 +189,7 @@
                 await self._acknowledge(summary, link)
         names = [name for name, row in self._rows() if any(each.target == peer for each in row.placements)]
         for name in names:
-            if self.standing.may_act and self._looked_after_here(name):
+            if self.leadership.may_act and self._looked_after_here(name):
                 await self._settle(name, peer, link)
         placements = {(name, each) for name, row in self._rows() for each in row.placements}
         self.contacts = {key: contact for key, contact in self.contacts.items() if key in placements}
@@ -231,7 +231,7 @@
         result = Result.CANCELLED if job.cancelled else None
         return replace(row, cell=self.features.name, begun_at_home=bool(job.progress_stamp), result=result)
 
-    def _over_row(self, name: str, over: Over) -> OriginRow:
+    def _over_row(self, name: str, over: FinishedJob) -> OriginRow:
         assert over.handoff is not None
         result = Result.DONE if over.done else Result.CANCELLED
         return replace(over.handoff, cell=self.features.name, result=result)
@@ -343,19 +343,19 @@
     def _cancelled(job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
         if not job.progress_stamp:
             conditions[t.progress_key(job.spec.id)] = 0
-            return stored_end(t.WITHDRAWN, job.spec)
-        value = stored_job(t.WITHDRAWN, job.spec, job.submitted_ms, job.parts)
+            return stored_end(t.CANCELLED, job.spec)
+        value = stored_job(t.CANCELLED, job.spec, job.submitted_ms, job.parts)
         return {**value, "x": int(time.time() * 1000)}
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
             return False  # too close to the limit for the handoff beside the job; it stays
-        outcome, epoch = await self.client.commit(conditions, writes, [], Urgency.CLAIM)
-        if outcome is Outcome.DONE:
+        outcome, epoch = await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
+        if outcome is TransactionOutcome.DONE:
             self.replica.stored(epoch, writes)
         else:
             self.replica.hint()
-        return outcome is Outcome.DONE
+        return outcome is TransactionOutcome.DONE
 
 
 def _part_of(summary: Summary, part: float) -> Summary:
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from sloeswitch.cells.summary import Resources, Summary, task_resources
-from sloeswitch.core.ready import outlook
+from sloeswitch.core.ready import next_target
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
@@ -50,7 +50,7 @@
 
 
 def candidates(
-    line: Iterable[Job], movable: set[str], tables: Tables, settings: Settings, wall_ms: int
+    line: Iterable[Job], movable: set[str], tables: Tables, settings: Settings, wall_clock_ms: int
 ) -> list[Candidate]:
     """The jobs of the line that may move, in its order, each with the work before it reckoned in."""
     cores = sum(tables.types[row.type].cores for row in tables.machines.values() if row.type in tables.types)
@@ -72,8 +72,8 @@
         free -= waiting_cores
         ahead_core_s += work_core_s
         if spec.id in movable:
-            age_s = (wall_ms - job.submitted_ms) / 1000
-            _, start_by_s = outlook(job, settings.objectives, age_s)
+            age_s = (wall_clock_ms - job.submitted_ms) / 1000
+            _, start_by_s = next_target(job, settings.objectives, age_s)
             left_s = None if start_by_s is None else start_by_s + spec.estimate_s - age_s
             found.append(Candidate(spec, left_s, wait_s + spec.estimate_s))
     return found
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -9,7 +9,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.jobs import Jobs, stored_job
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.delegation import Delegation, DelegationState, TargetDecision, TargetRecord, decide
 from sloeswitch.cells.frames import CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request
@@ -20,7 +20,7 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import CellFeatures
 from sloeswitch.settings import Settings
-from sloeswitch.state import Outcome, Replica, StaleError, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -37,7 +37,7 @@
         features: CellFeatures,
         client: StateClient,
         replica: Replica,
-        standing: Standing,
+        leadership: Leadership,
         jobs: Jobs,
     ) -> None:
         self.settings = settings
@@ -45,18 +45,18 @@
         self.client = client
         self.replica = replica
         self.tables: Tables = replica.tables
-        self.standing = standing
+        self.leadership = leadership
         self.jobs = jobs
         self.incarnations: dict[str, int] = {}
 
     @property
     def switched_on(self) -> bool:
         """Whether every configured controller of this cell runs with the feature."""
-        return self.tables.features.get("cells", t.Feature()).complete
+        return self.tables.features.get("cells", t.FeatureStatus()).complete
 
     def summary(self, origin: str = "") -> Summary | None:
         """This cell's summary for another one; None while it cannot know. Without room while it takes no jobs."""
-        if not (self.switched_on and self.standing.may_act):
+        if not (self.switched_on and self.leadership.may_act):
             return None
         name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied
         if not self.features.moving:
@@ -82,11 +82,11 @@
         handoff = request.message.handoff
         if not self._heard_from(handoff.origin, request.incarnation) or not self.switched_on:
             return None
-        if not self.replica.loaded or not self.standing.may_act:
+        if not self.replica.loaded or not self.leadership.may_act:
             return None
         try:
             await self.replica.fresh(self.client.timeout_s)
-        except StaleError:
+        except StaleReplicaError:
             return None
         record = self.record(handoff)
         decision = decide(record, handoff, request.message.request, self._has_room(handoff, request.offer))
@@ -149,7 +149,7 @@
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
         """A handed over job, as it is stored."""
         value = stored_job(t.LIVE, offer.spec, offer.submitted_ms)
-        return {**value, "o": list(t.Delegated(handoff.origin, handoff.number))}
+        return {**value, "o": list(t.DelegationOrigin(handoff.origin, handoff.number))}
 
     async def _store(self, before: TargetRecord, decision: TargetDecision, request: CellRequest) -> bool:
         """Stores what was decided, on condition of what it was decided from; whether that is stored for certain."""
@@ -161,7 +161,7 @@
             return await self.jobs.cancel(name, only_unclaimed=unclaimed) is not None
         origin = request.message.handoff.origin
         floor, job = t.floor_key(origin), t.job_key(name)
-        conditions = {floor: self.tables.stamp(floor), **self.standing.claim_conditions()}
+        conditions = {floor: self.tables.stamp(floor), **self.leadership.claim_conditions()}
         writes: dict[str, Any] = {}
         drops: list[str] = []
         if after.floor != before.floor:
@@ -173,8 +173,8 @@
             assert request.offer is not None
             conditions[job] = conditions[t.progress_key(name)] = 0
             writes[job] = self._delegated_job(after.delegation.handoff, request.offer)
-        outcome, epoch = await self.client.commit(conditions, writes, drops, Urgency.CLAIM)
-        if outcome is Outcome.DONE and not drops:
+        outcome, epoch = await self.client.commit(conditions, writes, drops, RequestPriority.CLAIM)
+        if outcome is TransactionOutcome.DONE and not drops:
             self.replica.stored(epoch, writes)
         self.replica.hint()
-        return outcome is Outcome.DONE
+        return outcome is TransactionOutcome.DONE
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -10,7 +10,7 @@
 from sloeswitch import wire
 from sloeswitch.http import Client, NoAnswerError, Reply
 from sloeswitch.settings import Settings
-from sloeswitch.state import Bucket, Urgency
+from sloeswitch.state import RequestPriority, TokenBucket
 
 log = logging.getLogger("cloud")
 
@@ -30,12 +30,12 @@
         self.rps = 0.9 * settings.cloud_rps
         self.lesser = 1 / (2 * settings.count)
         self.greater = 1 - (settings.count - 1) * self.lesser
-        self.bucket = Bucket(self.rps, now())
+        self.bucket = TokenBucket(self.rps, now())
         self.timeout_s = settings.lease_s / 2
 
     async def _call(self, method: str, path: str, body: bytes | None) -> Reply:
         self.bucket.rate = self.rps * (self.greater if self.coordinating() else self.lesser)
-        self.bucket.wait_s(1.0, Urgency.LEASE, self.now())
+        self.bucket.wait_s(1.0, RequestPriority.LEASE, self.now())
         if self.bucket.level < 0:
             await anyio.sleep(-self.bucket.level / self.bucket.rate)
         try:
@@ -43,16 +43,16 @@
         except NoAnswerError as error:
             raise CloudError(str(error)) from None
 
-    async def catalog(self) -> wire.Catalog:
+    async def catalog(self) -> wire.MachineTypeCatalog:
         reply = await self._call("GET", "/catalog", None)
-        return self._read(reply, wire.Catalog)
+        return self._read(reply, wire.MachineTypeCatalog)
 
-    async def rent(self, booking: wire.Booking) -> list[str] | None:
+    async def rent(self, booking: wire.InstanceRequest) -> list[str] | None:
         """Machines rented, or None when the cloud has none of the kind."""
         reply = await self._call("POST", "/machines", wire.encode(booking))
         if reply.status == 503 and b"no capacity" in reply.body:
             return None
-        return self._read(reply, wire.Booked).machines
+        return self._read(reply, wire.InstancesCreated).machines
 
     async def delete(self, machines: list[str]) -> None:
         """Returns once the machines and all that is on them are gone."""
@@ -60,12 +60,12 @@
         if reply.status != 200:
             raise CloudError(f"status {reply.status}")
 
-    async def machines(self) -> list[wire.Listed]:
-        found: list[wire.Listed] = []
+    async def machines(self) -> list[wire.Instance]:
+        found: list[wire.Instance] = []
         after = ""
         while True:
             path = "/machines?page=500" + (f"&after={after}" if after else "")
-            page = self._read(await self._call("GET", path, None), wire.Listing)
+            page = self._read(await self._call("GET", path, None), wire.InstancePage)
             found += page.machines
             if not page.more or not page.machines:
                 return found
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -10,13 +10,13 @@
 import anyio
 from anyio.abc import SocketListener, TaskGroup
 
-from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machines import Machines
-from sloeswitch.actors.membership import Membership, Standing
+from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
@@ -34,20 +34,22 @@
 async def serve(settings: Settings, features: Features) -> None:
     """Runs one controller until it is killed."""
     # More than the state service takes in the longest spell that machines outlive.
-    cancellations = Cancellations(int(16 * settings.lease_s * settings.state_write_rps), 1 + secrets.randbits(63))
+    cancellations = CancellationLog(int(16 * settings.lease_s * settings.state_write_rps), 1 + secrets.randbits(63))
     tables = Tables(cancellations)
     client = StateClient(settings, lambda: len(tables.view.members) or settings.count, now)
     replica = Replica(client, tables, now)
-    standing = Standing(settings, tables, replica, now)
-    standing.mesh = mesh = Mesh(
-        settings.siblings, settings.controller_lease_s / 4, now, standing.known, cancellations, standing.learn
+    leadership = Leadership(settings, tables, replica, now)
+    leadership.mesh = mesh = Mesh(
+        settings.siblings, settings.controller_lease_s / 4, now, leadership.known, cancellations, leadership.learn
+    )
+    membership = Membership(settings, client, replica, leadership)
+    jobs = Jobs(settings, client, replica, leadership, now)
+    machines = Machines(settings, client, replica, leadership, jobs, membership, now)
+    fleet = Autoscaler(
+        settings, client, CloudClient(settings, lambda: leadership.coordinating, now), replica, leadership, now
     )
-    membership = Membership(settings, client, replica, standing)
-    jobs = Jobs(settings, client, replica, standing, now)
-    machines = Machines(settings, client, replica, standing, jobs, membership, now)
-    fleet = Fleet(settings, client, CloudClient(settings, lambda: standing.coordinating, now), replica, standing, now)
     machines.fleet, fleet.machines = fleet, machines
-    users = Users(settings, client, replica, standing, jobs, machines)
+    users = Users(settings, client, replica, leadership, jobs, machines)
     # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
     server = Server(
         users.handle,
@@ -95,14 +97,14 @@
     from sloeswitch.cells.origin import CellOrigin, Link
     from sloeswitch.cells.target import CellTarget
 
-    client, replica, standing = machines.client, machines.replica, machines.standing
-    target = CellTarget(settings, features, client, replica, standing, machines.jobs)
+    client, replica, leadership = machines.client, machines.replica, machines.leadership
+    target = CellTarget(settings, features, client, replica, leadership, machines.jobs)
     for kind in (TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST):
         mesh.handlers[kind] = partial(answer_frame, target)
     links: dict[str, Link] = {
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
-    origin = CellOrigin(settings, features, client, replica, standing, machines.waiting_jobs, links, now)
+    origin = CellOrigin(settings, features, client, replica, leadership, machines.waiting_jobs, links, now)
     group.start_soon(origin.select_forever)
     for peer in features.peers:
         group.start_soon(origin.talk_forever, peer.name)
@@ -114,12 +116,12 @@
     """Starts what defers jobs under overload."""
     from sloeswitch.admission.coordinator import AdmissionCoordinator
     from sloeswitch.admission.decision_log import DecisionLog
-    from sloeswitch.admission.frames import MeshIdleRoomLink, pack_idle_room
+    from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room
     from sloeswitch.admission.gate import AdmissionGate
-    from sloeswitch.admission.idle_room import IdleRoomTracker
+    from sloeswitch.admission.idle_room import IdleCapacityTracker
     from sloeswitch.frame_link import FrameLink
 
-    idle = IdleRoomTracker()
+    idle = IdleCapacityTracker()
 
     async def answer(_kind: int, _body: bytes) -> bytes | None:
         return pack_idle_room(idle.report(now()))
@@ -129,10 +131,12 @@
         features,
         machines.client,
         machines.replica,
-        machines.standing,
+        machines.leadership,
         lambda: idle.report(now()),
         {
-            sibling.member: MeshIdleRoomLink(FrameLink(sibling.member, (sibling.address,), settings.controller_lease_s))
+            sibling.member: MeshIdleCapacityLink(
+                FrameLink(sibling.member, (sibling.address,), settings.controller_lease_s)
+            )
             for sibling in settings.siblings
         },
         now,
--- a/sloeswitch/core/allowances.py
+++ b/sloeswitch/core/allowances.py
@@ -4,19 +4,19 @@
 
 from dataclasses import dataclass
 
-from sloeswitch.core.quota import SLACK, Use
+from sloeswitch.core.quota import SLACK, ResourceUsage
 from sloeswitch.settings import Team
 
 # A limit is scarce when less than this part of it is held by nobody.
-SCARCE = 0.1
+SCARCE_FREE_SHARE = 0.1
 # While it is not, a controller takes this many times what it could use, and at least an equal part.
-AMPLE = 1.2
+SPARE_MARGIN = 1.2
 # Of a scarce limit a controller gives back what it holds above its use, unless that is hardly less than it holds.
-WORTH_RETURNING = 0.97
+MIN_SHRINK_RATIO = 0.97
 
 
 @dataclass(frozen=True)
-class Allowance:
+class QuotaAllocation:
     """One controller's part of a team's limit.
 
     Each change is a write: while much of the limit is free, whole parts of it are taken and kept. Of a limit that is
@@ -27,19 +27,22 @@
     team: Team
     # What this controller may use, what it could put to use, and what nobody holds.
     held: tuple[float, float]
-    use: Use
+    use: ResourceUsage
     free: tuple[float, float]
     controllers: int
 
     @property
     def scarce(self) -> bool:
         """Whether little of the limit is free."""
-        return self.free[0] < SCARCE * self.team.cpus_max or self.free[1] < SCARCE * self.team.gpus_max
+        return (
+            self.free[0] < SCARCE_FREE_SHARE * self.team.cpus_max
+            or self.free[1] < SCARCE_FREE_SHARE * self.team.gpus_max
+        )
 
     @property
     def ample(self) -> tuple[float, float]:
         """What this controller should hold."""
-        margin, part = (1.0, 0.0) if self.scarce else (AMPLE, 1.0 / self.controllers)
+        margin, part = (1.0, 0.0) if self.scarce else (SPARE_MARGIN, 1.0 / self.controllers)
         return (
             max(margin * self.use.cores, part * self.team.cpus_max),
             max(margin * self.use.gpus, part * self.team.gpus_max),
@@ -58,7 +61,7 @@
     def in_surplus(self) -> bool:
         """Whether a part that others may need lies idle."""
         cores, gpus = self.ample
-        return self.scarce and (cores < WORTH_RETURNING * self.held[0] or gpus < WORTH_RETURNING * self.held[1])
+        return self.scarce and (cores < MIN_SHRINK_RATIO * self.held[0] or gpus < MIN_SHRINK_RATIO * self.held[1])
 
     @property
     def larger(self) -> tuple[float, float]:
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -11,20 +11,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sloeswitch.core.tables import Job, Tables, tag_of
+from sloeswitch.core.tables import Job, Tables, incarnation_id_of
 from sloeswitch.settings import Settings
-from sloeswitch.wire import MalformedError, Report, split_task
+from sloeswitch.wire import MalformedError, WorkerReport, split_task
 
 # A machine on which a cancelled task may be is deleted after this part of the time in which the task must be gone.
 # By then a worker that merely hears nothing has given up by its lease; the rest is for the cloud's rate and retries.
-OVERDUE = 0.5
+OVERDUE_SHARE = 0.5
 # Inspections without an answer after which a machine is deleted.
 MOST_FAILURES = 2
 
 
-def overdue_job(job: Job, cancel_s: float, wall_ms: int) -> bool:
+def overdue_job(job: Job, cancel_s: float, wall_clock_ms: int) -> bool:
     """Whether the job was cancelled longer ago than a part of the time allowed, and still has claims."""
-    latest_ms = wall_ms - 1000 * OVERDUE * cancel_s
+    latest_ms = wall_clock_ms - 1000 * OVERDUE_SHARE * cancel_s
     return job.cancelled and bool(job.progress.claims) and 0 < job.cancelled_ms < latest_ms
 
 
@@ -51,24 +51,24 @@
         undated = set(tables.told)
         self._learnt_at = {name: self._learnt_at.get(name, now) for name in undated}
 
-    def suspects(self, tables: Tables, tag: str, now: float, wall_ms: int) -> set[str]:
+    def suspects(self, tables: Tables, tag: str, now: float, wall_clock_ms: int) -> set[str]:
         """Machines whose tasks may include cancelled ones that are overdue, as far as that does not follow from this
         run's own books. What a controller that left the view had claimed may be on any machine."""
-        tags = self._suspect_tags(tables, now, wall_ms) - {tag}
+        tags = self._suspect_tags(tables, now, wall_clock_ms) - {tag}
         if not tags <= tables.view.tags:
             return set(tables.machines)
-        members = {name for name, boot in tables.view.members if tag_of(name, boot) in tags}
+        members = {name for name, boot in tables.view.members if incarnation_id_of(name, boot) in tags}
         return {name for name in tables.machines if tables.view.owner(name) in members} if members else set()
 
-    def _suspect_tags(self, tables: Tables, now: float, wall_ms: int) -> set[str]:
+    def _suspect_tags(self, tables: Tables, now: float, wall_clock_ms: int) -> set[str]:
         """Controllers' runs that hold claims of overdue cancelled jobs."""
         cancel_s = self.settings.cancel_s
         tags: set[str] = set()
         for job in tables.jobs.values():
-            if overdue_job(job, cancel_s, wall_ms):
+            if overdue_job(job, cancel_s, wall_clock_ms):
                 tags.update(job.progress.claims)
         for name, learnt_at in self._learnt_at.items():
-            if now - learnt_at < OVERDUE * cancel_s:
+            if now - learnt_at < OVERDUE_SHARE * cancel_s:
                 continue
             job_row = tables.jobs.get(name)
             # Without a row nothing is known of its claims: any controller may have some.
@@ -88,7 +88,7 @@
                 found.append(name)
         return found
 
-    def answered(self, report: Report, tables: Tables, now: float) -> None:
+    def answered(self, report: WorkerReport, tables: Tables, now: float) -> None:
         """A machine told what it holds."""
         inspection = self.inspections.get(report.machine)
         if inspection is None:
@@ -115,7 +115,7 @@
         self.inspections.clear()
 
 
-def holds_cancelled(report: Report, tables: Tables) -> bool:
+def holds_cancelled(report: WorkerReport, tables: Tables) -> bool:
     """Whether a task of a cancelled job is on the machine."""
     for item in report.tasks:
         try:
--- a/sloeswitch/core/cancellations.py
+++ b/sloeswitch/core/cancellations.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Extract:
+class CancellationDelta:
     """What a sibling that had read everything up to some epoch, and this log up to some place, lacks."""
 
     cancellations: list[Cancellation]
@@ -30,7 +30,7 @@
     more: bool = False
 
 
-class Cancellations:
+class CancellationLog:
     def __init__(self, most: int, name: int) -> None:
         self.most = most
         # Tells the logs of two processes apart; 0 is nobody's.
@@ -46,20 +46,20 @@
             self._dropped += 1
             self._dropped_stamp = max(self._dropped_stamp, self._kept.popleft().stamp)
 
-    def since(self, epoch: int, name: int, place: int, most: int) -> Extract:
+    def since(self, epoch: int, name: int, place: int, most: int) -> CancellationDelta:
         """What a sibling lacks that has read up to `epoch`, and the log `name` up to `place`: at most so many."""
         last = self._dropped + len(self._kept)
         if name != self.name or place > last:
             place = 0
         if place < self._dropped:
             if epoch < self._dropped_stamp:
-                return Extract([], place, True)
+                return CancellationDelta([], place, True)
             place = self._dropped
         found: list[Cancellation] = []
         for entry in islice(self._kept, place - self._dropped, None):
             if entry.stamp > epoch:
                 if len(found) == most:
-                    return Extract(found, place, True)
+                    return CancellationDelta(found, place, True)
                 found.append(entry)
             place += 1
-        return Extract(found, place)
+        return CancellationDelta(found, place)
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -30,12 +30,12 @@
 
 
 @dataclass(frozen=True)
-class RoomPicture:
+class CapacitySnapshot:
     """What one controller has free and may use, as of one moment. The planner takes room on paper from `rooms`."""
 
-    rooms: list[placement.Room]
+    rooms: list[placement.FreeCapacity]
     # By team: what its tasks here use, the most that this controller could be allowed, and what it is allowed now.
-    uses: Mapping[str, quota.Use]
+    uses: Mapping[str, quota.ResourceUsage]
     spare: Mapping[str, tuple[float, float]]
     allowances: Mapping[str, tuple[float, float]]
     # The set of a job's tasks that this controller has claimed and not placed: asked for only where the look gets to.
@@ -45,7 +45,7 @@
     least_cores: float
     # Machines on which room is kept for a job, and what of their teams' limits is kept with it: job -> team, amounts.
     held: Mapping[str, tuple[str, float]]
-    reserved: Mapping[str, tuple[str, quota.Use]]
+    reserved: Mapping[str, tuple[str, quota.ResourceUsage]]
     # The jobs' failures on machines.
     health: Health
     # When the jobs of the line were first seen there, and which of them have their images at home here.
@@ -84,9 +84,9 @@
     zones: dict[str, str] = field(default_factory=dict)
     picks: dict[str, int] = field(default_factory=dict)
     # What each team could put to use on these machines: what runs, what waits, and what is open.
-    useful: dict[str, quota.Use] = field(default_factory=dict)
+    useful: dict[str, quota.ResourceUsage] = field(default_factory=dict)
     # What is left when everybody in the line has had a look; None if some had not.
-    rooms_left: list[placement.Room] | None = None
+    rooms_left: list[placement.FreeCapacity] | None = None
 
 
 class ClaimPlanner:
@@ -96,7 +96,7 @@
     next task with the answer instead of after a write.
     """
 
-    def __init__(self, picture: RoomPicture, limits: PlanLimits, tables: Tables) -> None:
+    def __init__(self, picture: CapacitySnapshot, limits: PlanLimits, tables: Tables) -> None:
         self.picture = picture
         self.limits = limits
         self.tables = tables
@@ -108,7 +108,9 @@
         self.no_room: set[Shape] = set()
         # By job: what was placed on paper.
         self.taken: dict[str, int] = {}
-        self.claims = ClaimPlan(useful={team: quota.Use(use.cores, use.gpus) for team, use in picture.uses.items()})
+        self.claims = ClaimPlan(
+            useful={team: quota.ResourceUsage(use.cores, use.gpus) for team, use in picture.uses.items()}
+        )
 
     def plan(self, line: list[Job], controllers: int, turn: int) -> ClaimPlan:
         """The claims to ask for. `turn`: this controller's place among them, so that not all claim the same job."""
@@ -129,7 +131,7 @@
             if not self.taken.get(holder):
                 # Not to be returned as surplus while it is waited for.
                 use = self.claims.useful[team]
-                self.claims.useful[team] = quota.Use(use.cores + reserved.cores, use.gpus + reserved.gpus)
+                self.claims.useful[team] = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
         return self.claims
 
     def _keep_allowances(self) -> None:
@@ -138,7 +140,7 @@
         free_gpus = sum(room.gpus for room in self.rooms)
         for team, use in self.claims.useful.items():
             cores, gpus = self.picture.allowances[team]
-            self.claims.useful[team] = quota.Use(
+            self.claims.useful[team] = quota.ResourceUsage(
                 max(use.cores, min(cores, use.cores + free_cores)), max(use.gpus, min(gpus, use.gpus + free_gpus))
             )
 
@@ -173,14 +175,14 @@
         if self.picture.health.job_faulty(spec.id):
             count = min(count, 1)
         elif job.beginning and not spec.gang and first_place:
-            count = min(count, math.ceil(ready.BEGINNING * spec.tasks))
+            count = min(count, math.ceil(ready.STARVED_SHARE * spec.tasks))
         use = self.claims.useful[spec.team]
         for holder, (team, reserved) in self.picture.reserved.items():
             if team == spec.team and holder != spec.id and not self.taken.get(holder):
-                use = quota.Use(use.cores + reserved.cores, use.gpus + reserved.gpus)
+                use = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
         return min(count, quota.room_for(spec, self.picture.spare[spec.team], use))
 
-    def _choose_zone(self, job: Job, usable: list[placement.Room]) -> bool:
+    def _choose_zone(self, job: Job, usable: list[placement.FreeCapacity]) -> bool:
         """Chooses the zone of a job whose tasks are bound to one, if it has none yet; False when there is no room."""
         spec = job.spec
         if job.progress.zone is not None or spec.id in self.claims.zones:
@@ -191,10 +193,10 @@
         self.claims.zones[spec.id] = max(fitting, key=lambda room: room.count(spec)).zone
         return True
 
-    def _place(self, job: Job, open_tasks: int, idle: int, count: int, usable: list[placement.Room]) -> int:
+    def _place(self, job: Job, open_tasks: int, idle: int, count: int, usable: list[placement.FreeCapacity]) -> int:
         """Takes room for at most so many tasks, those claimed already included: the set of those that found it."""
         spec = job.spec
-        trial = [placement.Room(**vars(room)) for room in usable] if spec.gang else usable
+        trial = [placement.FreeCapacity(**vars(room)) for room in usable] if spec.gang else usable
         shape = shape_of(spec)
         if not trial or shape in self.no_room:
             self.taken.setdefault(spec.id, 0)
@@ -209,7 +211,7 @@
             self.no_room.add(shape)
         self.taken[spec.id] = placed
         if placed:
-            self.rooms = placement.roomy(self.rooms, self.picture.least_cores)
+            self.rooms = placement.without_full(self.rooms, self.picture.least_cores)
         return placed
 
     def _claim(self, job: Job, open_tasks: int, idle: int, count: int, placed: int) -> None:
--- a/sloeswitch/core/fleet.py
+++ b/sloeswitch/core/fleet.py
@@ -6,20 +6,20 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from sloeswitch.core.quota import Use, fits_type, room_for
+from sloeswitch.core.quota import ResourceUsage, fits_type, room_for
 from sloeswitch.core.ready import begun, targets
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
 
-Kind = tuple[str, str, bool]  # type, zone, spot
+InstanceKind = tuple[str, str, bool]  # type, zone, spot
 
 
 @dataclass
-class Offer:
+class InstanceOffer:
     """One kind of machine that may be rented."""
 
-    kind: Kind
+    kind: InstanceKind
     type: MachineType
 
     @property
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Need:
+class Demand:
     """Tasks of a job that should run at once for it to be done in time."""
 
     spec: JobSpec
@@ -47,12 +47,12 @@
     # in other zones, which the job can't use.
     home: str | None = None
 
-    def suits(self, offer: Offer) -> bool:
+    def suits(self, offer: InstanceOffer) -> bool:
         """Whether such machines are of use."""
         return offer.suits(self.spec, self.home)
 
 
-def home_of(job: Job) -> str | None:
+def bound_zone_of(job: Job) -> str | None:
     """The zone to which a job is bound by its tasks, if it is."""
     return job.progress.zone if job.spec.one_zone else None
 
@@ -60,28 +60,28 @@
 # A job's work is spread over this part of the time left to its target; the rest is for what is not known:
 # wrong estimates, lost machines, late boots. Machines are let go by a smaller part, so that they do not
 # come and go with every job and none is missed while work waits.
-SPREAD_RENT = 0.5
-SPREAD_KEEP = 0.25
+SCALE_OUT_SPREAD = 0.5
+SCALE_IN_SPREAD = 0.25
 # Jobs without a target, and late ones, are spread over so many times a task's estimate.
-UNHURRIED = 2.0
+NO_TARGET_SPREAD = 2.0
 
 
-def at_once(job: Job, settings: Settings, wall_ms: int, spread: float) -> int:
+def parallel_tasks(job: Job, settings: Settings, wall_clock_ms: int, spread: float) -> int:
     """How many of the job's remaining tasks should run at a time."""
     spec = job.spec
     estimate = max(spec.estimate_s, 1e-3)
-    age = (wall_ms - job.submitted_ms) / 1000
+    age = (wall_clock_ms - job.submitted_ms) / 1000
     ahead = [target - age for target in targets(job, settings.objectives) if target - age > estimate]
-    span = spread * ahead[0] if ahead else UNHURRIED * estimate
+    span = spread * ahead[0] if ahead else NO_TARGET_SPREAD * estimate
     return min(job.left, math.ceil(job.left * estimate / max(span, estimate)))
 
 
-def whole_or_at_once(job: Job, settings: Settings, wall_ms: int, spread: float) -> int:
+def parallel_or_gang_tasks(job: Job, settings: Settings, wall_clock_ms: int, spread: float) -> int:
     """The same, where a gang needs all its tasks at a time."""
-    return job.spec.tasks if job.spec.gang else at_once(job, settings, wall_ms, spread)
+    return job.spec.tasks if job.spec.gang else parallel_tasks(job, settings, wall_clock_ms, spread)
 
 
-def soon(job: Job, tables: Tables) -> bool:
+def is_released_soon(job: Job, tables: Tables) -> bool:
     """Whether all that the job still waits for has begun and it may not use spot machines: of the others there are
     few, and one may be up by the time that it is released. The rest finds room; looked for ahead as well, it cost
     more than it gained (found on the bench)."""
@@ -90,39 +90,39 @@
     return all(begun(tables.jobs[name]) for name in job.spec.awaits if name in tables.jobs)
 
 
-def needs_of(
+def demand_within_limits(
     jobs: Iterable[Job],
     settings: Settings,
-    wall_ms: int,
+    wall_clock_ms: int,
     spread: float,
     left: dict[str, list[float]],
-    count: Callable[[Job, Settings, int, float], int] = at_once,
-) -> list[Need]:
+    count: Callable[[Job, Settings, int, float], int] = parallel_tasks,
+) -> list[Demand]:
     """What jobs need at once, within what is left of their teams' limits (cores, gpus by team), oldest first. Takes it
     from `left`. `count`: how many tasks of a job should run at a time."""
-    found: list[Need] = []
+    found: list[Demand] = []
     for job in sorted(jobs, key=lambda job: job.born):
         limit = left.get(job.spec.team)
         if limit is None:
             continue
         spec = job.spec
-        tasks = min(count(job, settings, wall_ms, spread), room_for(spec, (limit[0], limit[1]), Use()))
+        tasks = min(count(job, settings, wall_clock_ms, spread), room_for(spec, (limit[0], limit[1]), ResourceUsage()))
         if tasks > 0:
             limit[0] -= tasks * spec.cores
             limit[1] -= tasks * spec.gpus
-            found.append(Need(spec, tasks, home_of(job)))
+            found.append(Demand(spec, tasks, bound_zone_of(job)))
     return found
 
 
-def limits_of(settings: Settings) -> dict[str, list[float]]:
+def team_limits_of(settings: Settings) -> dict[str, list[float]]:
     """The teams' whole limits, for needs_of to take from."""
     return {name: [team.cpus_max, team.gpus_max] for name, team in settings.teams.items()}
 
 
-def needs(tables: Tables, settings: Settings, wall_ms: int, spread: float) -> list[Need]:
+def needs(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
     """What the jobs need that are released, or soon will be, within the teams' limits, oldest first."""
-    jobs = (job for job in tables.jobs.values() if job.runnable or soon(job, tables))
-    return needs_of(jobs, settings, wall_ms, spread, limits_of(settings))
+    jobs = (job for job in tables.jobs.values() if job.runnable or is_released_soon(job, tables))
+    return demand_within_limits(jobs, settings, wall_clock_ms, spread, team_limits_of(settings))
 
 
 def machines_for(spec: JobSpec, tasks: int, kind: MachineType) -> float:
@@ -133,20 +133,25 @@
     return tasks * max(shares)
 
 
-def offers(types: dict[str, MachineType]) -> list[Offer]:
+def offers(types: dict[str, MachineType]) -> list[InstanceOffer]:
     """All kinds, the cheapest by the core first."""
     found = [
-        Offer((kind.name, zone, spot), kind) for kind in types.values() for zone in kind.zones for spot in (True, False)
+        InstanceOffer((kind.name, zone, spot), kind)
+        for kind in types.values()
+        for zone in kind.zones
+        for spot in (True, False)
     ]
     found.sort(key=lambda offer: offer.price / max(offer.type.cores, 1e-3))
     return found
 
 
-def fill(wanted: list[Need], supply: Mapping[Kind, float], found: list[Offer]) -> tuple[dict[Kind, float], list[Need]]:
+def fill(
+    wanted: list[Demand], supply: Mapping[InstanceKind, float], found: list[InstanceOffer]
+) -> tuple[dict[InstanceKind, float], list[Demand]]:
     """Puts the needs on the machines at hand, the cheapest first: machines left over of each kind, and
     needs for which there is none."""
     left = {offer.kind: float(supply.get(offer.kind, 0)) for offer in found}
-    short: list[Need] = []
+    short: list[Demand] = []
     for need in wanted:
         tasks = float(need.tasks)
         for offer in found:
@@ -158,48 +163,50 @@
                 left[offer.kind] -= taken * part
                 tasks -= taken
         if tasks > 1e-6:
-            short.append(Need(need.spec, tasks, need.home))
+            short.append(Demand(need.spec, tasks, need.home))
     return left, short
 
 
 @dataclass
-class Plan:
-    kind: Kind
+class ScaleOutPlan:
+    kind: InstanceKind
     count: int
 
 
 # A kind is rented when at least this part of one of its machines would be filled.
-WORTH_RENTING = 0.5
+MIN_FILL_TO_SCALE_OUT = 0.5
 
 
 def rent(
-    wanted: list[Need],
-    supply: dict[Kind, int],
+    wanted: list[Demand],
+    supply: dict[InstanceKind, int],
     types: dict[str, MachineType],
-    refused: set[Kind],
+    refused: set[InstanceKind],
     most: int,
-) -> Plan | None:
+) -> ScaleOutPlan | None:
     """The next booking, or None when the machines at hand, up or on their way, have room for all."""
     found = offers(types)
     _left, short = fill(wanted, supply, found)
     # Guards against a small job for which there is no machine at all: worth none by its size, it was never
     # started (found on the bench: three tasks that may not use spot machines, when the last other was returned).
     lone = [need for need in short if not any(supply.get(offer.kind, 0) > 0 and need.suits(offer) for offer in found)]
-    best: tuple[float, int, Kind, int] | None = None
+    best: tuple[float, int, InstanceKind, int] | None = None
     for offer in found:
         if offer.kind in refused:
             continue
         machines = sum(machines_for(need.spec, 1, offer.type) * need.tasks for need in short if need.suits(offer))
-        if machines < WORTH_RENTING and not any(need.suits(offer) for need in lone):
+        if machines < MIN_FILL_TO_SCALE_OUT and not any(need.suits(offer) for need in lone):
             continue
         price = offer.price / max(offer.type.cores, 1e-3)
         candidate = (price, supply.get(offer.kind, 0), offer.kind, min(most, max(1, math.floor(machines))))
         if best is None or candidate[:2] < best[:2]:
             best = candidate
-    return Plan(best[2], best[3]) if best is not None else None
+    return ScaleOutPlan(best[2], best[3]) if best is not None else None
 
 
-def surplus(wanted: list[Need], supply: dict[Kind, int], types: dict[str, MachineType]) -> dict[Kind, int]:
+def surplus(
+    wanted: list[Demand], supply: dict[InstanceKind, int], types: dict[str, MachineType]
+) -> dict[InstanceKind, int]:
     """Machines, by kind, that the needs leave over, but for a margin of one, the cheapest: the dearest
     are let run empty first."""
     found = offers(types)
--- a/sloeswitch/core/graph.py
+++ b/sloeswitch/core/graph.py
@@ -13,13 +13,13 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from sloeswitch.core.tables import Job, Over
+    from sloeswitch.core.tables import FinishedJob, Job
 
 
 class Graph:
     """Owned by the tables, whose jobs it marks."""
 
-    def __init__(self, jobs: dict[str, Job], over: dict[str, Over]) -> None:
+    def __init__(self, jobs: dict[str, Job], over: dict[str, FinishedJob]) -> None:
         self.jobs = jobs
         self.over = over
         # Awaited job, known or not and not over -> jobs that wait for it.
@@ -45,7 +45,7 @@
         if job.cancelled:
             self.cancelled(job.spec.id)
 
-    def done(self, name: str, ended: Over) -> None:
+    def done(self, name: str, ended: FinishedJob) -> None:
         """A job is stored as done."""
         for waiting in self.successors.pop(name, ()):
             job = self.jobs.get(waiting)
@@ -54,7 +54,7 @@
                 self._passed(job, ended)
 
     @staticmethod
-    def _passed(job: Job, ended: Over) -> None:
+    def _passed(job: Job, ended: FinishedJob) -> None:
         """The moment from which a job's times count is the end of the last that it needs. A row of a version
         that stored no such time was written before anything could await it: the submission is later."""
         job.ready_ms = max(job.ready_ms, ended.at_ms)
--- a/sloeswitch/core/health.py
+++ b/sloeswitch/core/health.py
@@ -6,8 +6,8 @@
 
 # Failures on that many machines with no success anywhere mark a job as faulty; failures of that many
 # in a row mark a machine as faulty.
-JOB_MACHINES = 3
-MACHINE_ROW = 2
+FAULTY_JOB_MACHINES = 3
+QUARANTINE_FAILURES = 2
 
 
 @dataclass
@@ -49,7 +49,7 @@
 
     def job_faulty(self, job: str) -> bool:
         health = self.jobs.get(job)
-        return health is not None and not health.succeeded and len(health.failed_on) >= JOB_MACHINES
+        return health is not None and not health.succeeded and len(health.failed_on) >= FAULTY_JOB_MACHINES
 
     def paused(self, job: str, now: float) -> bool:
         """A faulty job waits between tries, and then tries one task."""
@@ -61,7 +61,7 @@
         return health is not None and machine in health.failed_on and not self.job_faulty(job)
 
     def machine_faulty(self, machine: str) -> bool:
-        return self.rows.get(machine, 0) >= MACHINE_ROW
+        return self.rows.get(machine, 0) >= QUARANTINE_FAILURES
 
     def forget_job(self, job: str) -> None:
         self.jobs.pop(job, None)
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Room:
+class FreeCapacity:
     """What a machine has free. Placement takes from it."""
 
     machine: str
@@ -46,7 +46,7 @@
         self.images.add(spec.image)
 
 
-def allowed(spec: JobSpec, room: Room) -> bool:
+def allowed(spec: JobSpec, room: FreeCapacity) -> bool:
     return (
         (spec.types is None or room.type in spec.types)
         and (spec.zone is None or spec.zone == room.zone)
@@ -54,7 +54,9 @@
     )
 
 
-def usable(job: str, rooms: list[Room], held: Mapping[str, tuple[str, float]], health: Health) -> list[Room]:
+def usable(
+    job: str, rooms: list[FreeCapacity], held: Mapping[str, tuple[str, float]], health: Health
+) -> list[FreeCapacity]:
     """The machines that a job may use: not those on which room is kept for another one (`held`: machine -> job, and
     until when), nor those on which it failed."""
     if held:
@@ -64,12 +66,12 @@
     return [room for room in rooms if not health.avoid(job, room.machine)]
 
 
-def roomy(rooms: list[Room], least_cores: float) -> list[Room]:
+def without_full(rooms: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
     """Without the machines that are full by now."""
     return [room for room in rooms if room.cores + SLACK >= least_cores]
 
 
-def zone_allows(spec: JobSpec, index: int, zone: str, home: str | None) -> bool:
+def satisfies_zone_binding(spec: JobSpec, index: int, zone: str, home: str | None) -> bool:
     """The zone rules of a job's tasks against each other, by the job's stored zone; nowhere before there is one.
     `together`: all in that zone. `spread`: the lower half of the tasks, rounded up, in it, the others anywhere else;
     fixed by task number, so that controllers need not count each other's tasks."""
@@ -78,7 +80,7 @@
     return home is not None and (zone == home) == (index < (spec.tasks + 1) // 2)
 
 
-def fitting(spec: JobSpec, rooms: list[Room]) -> list[Room]:
+def fitting(spec: JobSpec, rooms: list[FreeCapacity]) -> list[FreeCapacity]:
     """Machines with room for the job, best first: those that no other job needs more, those that have its image,
     so that it is not fetched again, then spot machines and the fullest ones, so that the dear and the empty can be
     returned."""
@@ -107,20 +109,22 @@
 
 
 def place(
-    job: Job, tasks: int, rooms: list[Room], zone: str | None = None, most: int = MAX_TASKS
-) -> list[tuple[int, Room]]:
+    job: Job, tasks: int, rooms: list[FreeCapacity], zone: str | None = None, most: int = MAX_TASKS
+) -> list[tuple[int, FreeCapacity]]:
     """Puts tasks (a set) of the job on machines, taking their room. What does not fit stays out. `zone`: what would
     be stored as the job's zone, if none is yet. `most`: how many tasks at most."""
     spec = job.spec
     home = job.progress.zone or zone
-    placed: list[tuple[int, Room]] = []
+    placed: list[tuple[int, FreeCapacity]] = []
     for room in fitting(spec, rooms):
         if not tasks:
             break
         count = room.count(spec)
         choice = tasks
         if spec.bound:
-            choice = sum(1 << index for index in taskset.members(tasks) if zone_allows(spec, index, room.zone, home))
+            choice = sum(
+                1 << index for index in taskset.members(tasks) if satisfies_zone_binding(spec, index, room.zone, home)
+            )
         chosen = taskset.lowest(choice, min(count, most - len(placed)))
         if chosen:
             room.take(spec, chosen.bit_count())
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -7,15 +7,15 @@
 from dataclasses import dataclass, field
 
 from sloeswitch.core import ready
-from sloeswitch.core.placement import Room
-from sloeswitch.core.quota import Use
-from sloeswitch.core.ready import RANK, urgency
+from sloeswitch.core.placement import FreeCapacity
+from sloeswitch.core.quota import ResourceUsage
+from sloeswitch.core.ready import PRIORITY_RANKS, urgency
 from sloeswitch.core.registry import RUNNING, Attempt
 from sloeswitch.core.tables import Job
 from sloeswitch.wire import JobSpec
 
 # The part of its running tasks that a job which goes by age lends to jobs of higher priority.
-LENDABLE = 0.5
+PREEMPTIBLE_SHARE = 0.5
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class LineOrder:
+class QueueOrder:
     """Who may be stopped for whom, by the line."""
 
     # The places of jobs in the line; a job without one is last.
@@ -36,7 +36,7 @@
     lendable: Mapping[str, int] = field(default_factory=dict)
 
     @staticmethod
-    def of(line: Iterable[Job], placed: Mapping[str, int]) -> LineOrder:
+    def of(line: Iterable[Job], placed: Mapping[str, int]) -> QueueOrder:
         """The order of a line. `placed`: the sets of tasks, by job, that are on machines.
 
         Of a job that goes by age a part must go on, so that the bounds on standing back hold. Guards against large
@@ -48,9 +48,9 @@
         for position, job in enumerate(line):
             name = job.spec.id
             positions.setdefault(name, position)
-            if ready.goes_by_age(job):
-                lendable[name] = int(LENDABLE * placed.get(name, 0).bit_count())
-        return LineOrder(positions, lendable)
+            if ready.is_ordered_by_age(job):
+                lendable[name] = int(PREEMPTIBLE_SHARE * placed.get(name, 0).bit_count())
+        return QueueOrder(positions, lendable)
 
     def behind(self, job: str, other: str) -> bool:
         """Whether the other job stands behind this one."""
@@ -58,7 +58,7 @@
         return self.positions.get(other, last) > self.positions.get(job, last)
 
 
-def preemptible(job: Job, attempts: Iterable[Attempt], order: LineOrder) -> list[Attempt]:
+def preemptible(job: Job, attempts: Iterable[Attempt], order: QueueOrder) -> list[Attempt]:
     """The attempts that may be stopped for a job, the youngest first: of lower priority, and of jobs behind it in the
     line or, for a part of their tasks, of jobs that go by age."""
     lent: Counter[str] = Counter()
@@ -66,7 +66,7 @@
     for attempt in sorted(attempts, key=lambda attempt: -attempt.placed_at):
         if attempt.spec.gang or attempt.kill_grace_s is not None:
             continue
-        if RANK[attempt.spec.priority] <= urgency(job):
+        if PRIORITY_RANKS[attempt.spec.priority] <= urgency(job):
             continue
         if not order.behind(job.spec.id, attempt.job):
             if lent[attempt.job] >= order.lendable.get(attempt.job, 0):
@@ -89,10 +89,10 @@
     )
 
 
-def victims(spec: JobSpec, room: Room, attempts: list[Attempt]) -> list[Attempt]:
+def victims(spec: JobSpec, room: FreeCapacity, attempts: list[Attempt]) -> list[Attempt]:
     """Which of the attempts have to stop, in their order, so that one task of the job fits the machine; none if it
     does not fit then either."""
-    trial = Room(**vars(room))
+    trial = FreeCapacity(**vars(room))
     chosen: list[Attempt] = []
     for attempt in attempts:
         if trial.count(spec):
@@ -102,14 +102,14 @@
     return chosen if trial.count(spec) else []
 
 
-def within_limit(spec: JobSpec, short: Use, attempts: Iterable[Attempt]) -> list[Attempt] | None:
+def within_limit(spec: JobSpec, short: ResourceUsage, attempts: Iterable[Attempt]) -> list[Attempt] | None:
     """Which of the attempts have to stop so that the team's limit has so much more room: tasks of its own. None when
     they do not suffice.
 
     Guards against a team that is at its limit through its own work of lower priority, for which nothing was stopped.
     """
     chosen: list[Attempt] = []
-    freed = Use()
+    freed = ResourceUsage()
     for attempt in attempts:
         if freed.cores >= short.cores and freed.gpus >= short.gpus:
             break
@@ -120,7 +120,7 @@
 
 
 def choose(
-    job: Job, rooms: Iterable[tuple[Room, Iterable[Attempt]]], order: LineOrder, at_limit: bool = False
+    job: Job, rooms: Iterable[tuple[FreeCapacity, Iterable[Attempt]]], order: QueueOrder, at_limit: bool = False
 ) -> Preemption | None:
     """The machine on which the fewest attempts have to stop for a task of the job. `at_limit`: the team's limit keeps
     the job from room that is there, so that a machine with room will do."""
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -34,7 +34,7 @@
     if team is None:
         return "unknown team"
     together = spec.tasks if spec.gang else 1
-    if room_for(spec, (team.cpus_max, team.gpus_max), Use()) < together:
+    if room_for(spec, (team.cpus_max, team.gpus_max), ResourceUsage()) < together:
         return "over the team's limit"
     fitting = [kind for kind in types.values() if fits_type(spec, kind)]
     if not fitting:
@@ -46,7 +46,7 @@
 
 
 @dataclass
-class Use:
+class ResourceUsage:
     """What tasks use, or may use."""
 
     cores: float = 0.0
@@ -57,7 +57,7 @@
         self.gpus += count * spec.gpus
 
 
-def room_for(spec: JobSpec, allowance: tuple[float, float], use: Use) -> int:
+def room_for(spec: JobSpec, allowance: tuple[float, float], use: ResourceUsage) -> int:
     """How many more tasks of the job the allowance covers."""
     most = spec.tasks
     if spec.cores > 0:
@@ -67,7 +67,7 @@
     return max(0, most)
 
 
-def reallot(
+def reallocate(
     held: dict[str, tuple[float, float]], limit: tuple[float, float], tag: str, wanted: tuple[float, float]
 ) -> dict[str, tuple[float, float]]:
     """The allowances after one controller asks for a new one: up to what is free, never past the limit."""
--- a/sloeswitch/core/ready.py
+++ b/sloeswitch/core/ready.py
@@ -13,11 +13,11 @@
 from sloeswitch.core.quota import within_guarantee
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Objective, Settings
-from sloeswitch.wire import URGENCIES, JobSpec
+from sloeswitch.wire import PRIORITIES, JobSpec
 
-RANK = {name: number for number, name in enumerate(URGENCIES)}
+PRIORITY_RANKS = {name: number for number, name in enumerate(PRIORITIES)}
 # The priority that work usually has.
-USUAL = RANK["standard"]
+STANDARD_RANK = PRIORITY_RANKS["standard"]
 
 
 def deadlines(spec: JobSpec, objectives: tuple[Objective, ...]) -> set[float]:
@@ -102,37 +102,37 @@
 
 def urgency(job: Job) -> int:
     """A job has the priority of any job that needs it, if that is higher."""
-    own = RANK[job.spec.priority]
+    own = PRIORITY_RANKS[job.spec.priority]
     return own if job.inherited_rank is None else min(own, job.inherited_rank)
 
 
 # Nothing starves, whatever the order by priority, guarantee and lateness: a job with nothing begun after so
 # many worker leases goes before all others until a part of it is, and one still not done after twice as many
 # goes by age alone. Eight leases are two minutes or less, so that a job begins well within four minutes.
-PATIENCE_LEASES = 8.0
+STARVATION_LEASES = 8.0
 # The part of a job's tasks that goes first on that ground.
-BEGINNING = 0.125
+STARVED_SHARE = 0.125
 
 
 def begun(job: Job) -> bool:
     return bool(job.progress.done or job.progress.claims)
 
 
-def standing_back(begun: bool, age_s: float, lease_s: float) -> int:
+def starvation_rank(begun: bool, age_s: float, lease_s: float) -> int:
     """How a job that waits goes before others: 0 first, then 1, and 2 is the ordinary line."""
-    if age_s < PATIENCE_LEASES * lease_s:
+    if age_s < STARVATION_LEASES * lease_s:
         return 2
     if not begun:
         return 0
-    return 1 if age_s > 2 * PATIENCE_LEASES * lease_s else 2
+    return 1 if age_s > 2 * STARVATION_LEASES * lease_s else 2
 
 
-def goes_by_age(job: Job) -> bool:
+def is_ordered_by_age(job: Job) -> bool:
     """Whether the job stands in the line by its age alone, since it has not been done for so long."""
     return job.rank[:1] == (1,)
 
 
-def outlook(job: Job, objectives: tuple[Objective, ...], age_s: float) -> tuple[int, float | None]:
+def next_target(job: Job, objectives: tuple[Objective, ...], age_s: float) -> tuple[int, float | None]:
     """How many targets of the job are missed for certain, and the age at which its last tasks must have
     started to meet the next one; None when there is no such target."""
     found = targets(job, objectives)
@@ -143,7 +143,9 @@
     return len(found), None
 
 
-def order(tables: Tables, settings: Settings, wall_ms: int, has_begun: Callable[[Job], bool] = begun) -> list[Job]:
+def order(
+    tables: Tables, settings: Settings, wall_clock_ms: int, has_begun: Callable[[Job], bool] = begun
+) -> list[Job]:
     """Jobs that wait for no other and have tasks left, in the order in which they get room.
 
     Oldest first, where a job that has time to its next target counts as younger by the time that it can wait:
@@ -167,33 +169,33 @@
     for job in live:
         spec = job.spec
         # What another cell handed over is promised nothing here, and takes nothing of what its team is promised.
-        kinds = (False, True) if urgency(job) < USUAL else (False,)
+        kinds = (False, True) if urgency(job) < STANDARD_RANK else (False,)
         for like in kinds if job.delegated is None else ():
             cores, gpus = wanted.get((spec.team, like), (0.0, 0.0))
             cores, gpus = cores + spec.tasks * spec.cores, gpus + spec.tasks * spec.gpus
             wanted[spec.team, like] = (cores, gpus)
         if job.deferred:
             continue  # counted above: what its team is promised is reckoned with all of its work
-        age_s = (wall_ms - job.submitted_ms) / 1000
-        back = standing_back(has_begun(job), (wall_ms - job.ready_ms) / 1000, settings.lease_s)
+        age_s = (wall_clock_ms - job.submitted_ms) / 1000
+        back = starvation_rank(has_begun(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
         if job.delegated is not None:
             back, job.guaranteed = 2, False
         team = settings.teams.get(spec.team)
         if job.guaranteed is None:
             job.guaranteed = team is not None and within_guarantee(team, cores, gpus)
-        missed, start_by_s = outlook(job, settings.objectives, age_s)
+        missed, start_by_s = next_target(job, settings.objectives, age_s)
         job.beginning = back == 0
         if job.beginning:
             keyed.append(((0, False, False, -1, 0, float(job.born)), job))
             back = 2
         start_by = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
-        if job.guaranteed and urgency(job) < USUAL:
+        if job.guaranteed and urgency(job) < STANDARD_RANK:
             # Also before what goes by age alone: on a day with more work than room that is most of the line, and
             # small urgent stages waited behind it for two minutes (found on a recorded day). The guarantees bound it.
             key = (0, False, False, urgency(job), missed, start_by)
         elif back < 2:
             key = (back, False, False, 0, 0, float(job.born))
-        elif missed and start_by_s is None and urgency(job) >= USUAL:
+        elif missed and start_by_s is None and urgency(job) >= STANDARD_RANK:
             # Only the end of all work is at stake: the longest tasks first, so that none is left over.
             key = (back, True, False, 0, 0, -spec.estimate_s)
         else:
@@ -216,7 +218,7 @@
 
 
 # Controllers take the jobs whose images are theirs first, among so many times as many as there are controllers.
-WINDOW = 4
+DEAL_WINDOW = 4
 
 
 def dealt(jobs: list[Job], parts: int, turn: int, home: Callable[[Job], bool]) -> Iterator[Job]:
@@ -225,7 +227,7 @@
     fetch a part of the images only, and a job is mostly one controller's. The others are dealt out."""
 
     def window_from(start: int) -> list[Job]:
-        most = jobs[start : start + WINDOW * parts]
+        most = jobs[start : start + DEAL_WINDOW * parts]
         return list(takewhile(lambda job: job.rank == most[0].rank, most))
 
     start = 0
