--- a/sloeswitch/core/registry.py
+++ b/sloeswitch/core/registry.py
@@ -15,10 +15,19 @@
 
 from dataclasses import dataclass, field
 
-from sloeswitch.core.placement import Room
-from sloeswitch.core.quota import Use
+from sloeswitch.core.placement import FreeCapacity
+from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.tables import LIVE, Tables
-from sloeswitch.wire import JobSpec, MachineType, MalformedError, Order, Report, ReportedTask, split_task, task_name
+from sloeswitch.wire import (
+    JobSpec,
+    MachineType,
+    MalformedError,
+    ReportedTask,
+    WorkerCommand,
+    WorkerReport,
+    split_task,
+    task_name,
+)
 
 PENDING, RUNNING, ENDED, FETCHING = "pending", "running", "ended", "fetching"
 TASK_STATES = {"fetching", "gathering", "running", "flushing", "ended"}
@@ -89,7 +98,7 @@
     attempts: dict[Task, Attempt] = field(default_factory=dict)
     # The same attempts by what reports call them, what they use together, and their images.
     keyed: dict[tuple[str, int], Attempt] = field(default_factory=dict)
-    use: Use = field(default_factory=Use)
+    use: ResourceUsage = field(default_factory=ResourceUsage)
     memory: float = 0.0
     fetched: dict[str, int] = field(default_factory=dict)
     # Exited attempts to be cleared: (task name, attempt) -> whether the result is a completion.
@@ -104,7 +113,7 @@
 
 
 @dataclass
-class Heard:
+class ReconcileResult:
     """What a report brought to light."""
 
     fresh: bool = False
@@ -121,7 +130,7 @@
         self.machines: dict[str, Machine] = {}
         self.placed: dict[str, int] = {}
         # What the attempts of each team use.
-        self.uses: dict[str, Use] = {}
+        self.uses: dict[str, ResourceUsage] = {}
         # Tasks of ours that were on machines which moved to another owner; nowhere else until settled.
         self.limbo: dict[str, int] = {}
         self.adopting: dict[str, int] = {}
@@ -197,7 +206,7 @@
         machine.use.add(spec)
         machine.memory += spec.memory
         machine.fetched[spec.image] = machine.fetched.get(spec.image, 0) + 1
-        self.uses.setdefault(spec.team, Use()).add(spec)
+        self.uses.setdefault(spec.team, ResourceUsage()).add(spec)
         self.placed[attempt.job] = self.placed.get(attempt.job, 0) | 1 << attempt.index
 
     def drop(self, machine: Machine, attempt: Attempt) -> None:
@@ -208,7 +217,7 @@
         machine.use.add(spec, -1)
         machine.memory -= spec.memory
         if not machine.attempts:
-            machine.use, machine.memory = Use(), 0.0  # so that rounding does not add up
+            machine.use, machine.memory = ResourceUsage(), 0.0  # so that rounding does not add up
         machine.fetched[spec.image] -= 1
         if not machine.fetched[spec.image]:
             del machine.fetched[spec.image]
@@ -255,8 +264,10 @@
 
     # -- reports
 
-    def hear(self, machine: Machine, report: Report, heartbeat: bool, now: float, token: int, tables: Tables) -> Heard:
-        heard = Heard()
+    def hear(
+        self, machine: Machine, report: WorkerReport, heartbeat: bool, now: float, token: int, tables: Tables
+    ) -> ReconcileResult:
+        heard = ReconcileResult()
         if self.is_late(machine, report):
             return heard  # something newer is known
         if not machine.since_token <= report.token <= token:
@@ -313,14 +324,16 @@
         return heard
 
     @staticmethod
-    def is_late(machine: Machine, report: Report) -> bool:
+    def is_late(machine: Machine, report: WorkerReport) -> bool:
         """Whether something newer is known than what the report says, or its session is over."""
         return report.session <= machine.session_over or (report.session, report.serial) <= (
             machine.session,
             machine.serial,
         )
 
-    def _missing(self, machine: Machine, attempt: Attempt, heartbeat: bool, serial: int, heard: Heard) -> None:
+    def _missing(
+        self, machine: Machine, attempt: Attempt, heartbeat: bool, serial: int, heard: ReconcileResult
+    ) -> None:
         """An attempt that a report lacks."""
         if attempt.seen:
             self.drop(machine, attempt)
@@ -331,7 +344,7 @@
                 self.drop(machine, attempt)
 
     def _progressed(
-        self, machine: Machine, attempt: Attempt, state: str, cause: str | None, now: float, heard: Heard
+        self, machine: Machine, attempt: Attempt, state: str, cause: str | None, now: float, heard: ReconcileResult
     ) -> None:
         attempt.seen = True
         attempt.state = state
@@ -346,7 +359,9 @@
         heard.freed = True
         self._exited(machine, attempt.key, attempt.task, cause, heard)
 
-    def _exited(self, machine: Machine, key: tuple[str, int], task: Task, cause: str | None, heard: Heard) -> None:
+    def _exited(
+        self, machine: Machine, key: tuple[str, int], task: Task, cause: str | None, heard: ReconcileResult
+    ) -> None:
         machine.exited[key] = cause == "done"
         if cause == "done":
             heard.done.append((task, machine.name))
@@ -354,7 +369,14 @@
             heard.failed.append((task, machine.name))
 
     def _foreign(
-        self, machine: Machine, task: Task, item: ReportedTask, first: bool, tables: Tables, heard: Heard, now: float
+        self,
+        machine: Machine,
+        task: Task,
+        item: ReportedTask,
+        first: bool,
+        tables: Tables,
+        heard: ReconcileResult,
+        now: float,
     ) -> None:
         """A task on the machine that this controller did not start: an earlier owner did. Only the first
         report from a machine that was taken over can hold one to be kept."""
@@ -389,21 +411,21 @@
 
     # -- orders
 
-    def orders(self, machine: Machine, tables: Tables, serial: int | None) -> list[Order]:
+    def orders(self, machine: Machine, tables: Tables, serial: int | None) -> list[WorkerCommand]:
         """What to tell the machine. `serial`: of the heartbeat that is answered; None for a direct command,
         which carries no start, since it could be carried out minutes late."""
         orders = []
         for key, completed in machine.exited.items():
             if (not completed or self._stored_done(tables, key[0])) and serial is not None:
-                orders.append(Order("clear", key[0], key[1]))
+                orders.append(WorkerCommand("clear", key[0], key[1]))
         for key in machine.unwanted:
-            orders.append(Order("kill", key[0], key[1], 0.0))
+            orders.append(WorkerCommand("kill", key[0], key[1], 0.0))
         for attempt in machine.attempts.values():
             if attempt.kill_grace_s is not None:
-                orders.append(Order("kill", attempt.name, attempt.number, attempt.kill_grace_s))
+                orders.append(WorkerCommand("kill", attempt.name, attempt.number, attempt.kill_grace_s))
             elif not attempt.seen and serial is not None and machine.reached:
                 attempt.sent_serial = serial
-                orders.append(Order("start", attempt.name, attempt.number))
+                orders.append(WorkerCommand("start", attempt.name, attempt.number))
         return orders
 
     @staticmethod
@@ -429,9 +451,9 @@
         """Nothing while unwanted tasks are on it: of unknown size, they will be gone soon."""
         return 0.0 if machine.unwanted else kind.cores - machine.use.cores
 
-    def room(self, machine: Machine, kind: MachineType) -> Room:
+    def room(self, machine: Machine, kind: MachineType) -> FreeCapacity:
         images = {*machine.images, *machine.fetched}
-        return Room(
+        return FreeCapacity(
             machine.name,
             machine.type,
             machine.zone,
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -39,69 +39,74 @@
 from sloeswitch.cells.handoff import OriginRow, Placement
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.core import taskset
-from sloeswitch.core.cancellations import Cancellation, Cancellations
+from sloeswitch.core.cancellations import Cancellation, CancellationLog
 from sloeswitch.core.graph import Graph
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.settings import Team
-from sloeswitch.wire import Catalog, JobSpec, MachineType
+from sloeswitch.wire import JobSpec, MachineType, MachineTypeCatalog
 
 log = logging.getLogger("tables")
 
-PREFIX = "s1/"
-VIEW, COORD, CATALOG, UPGRADE = PREFIX + "view", PREFIX + "coord", PREFIX + "catalog", PREFIX + "layout"
+KEY_PREFIX = "s1/"
+VIEW_KEY, COORDINATOR_KEY, CATALOG_KEY, LAYOUT_KEY = (
+    KEY_PREFIX + "view",
+    KEY_PREFIX + "coord",
+    KEY_PREFIX + "catalog",
+    KEY_PREFIX + "layout",
+)
 # What this version writes; each controller tells it in its member row. Groups came with the second. The third
 # stores jobs that wait, specs in parts, and sets of tasks as text where that is shorter, all of them only once
 # the mark (UPGRADE) says that every configured controller has run with it.
-GROUPS, LAYOUT = 2, 3
-LIVE, DONE, WITHDRAWN = "live", "done", "withdrawn"
+MACHINE_GROUPS_LAYOUT, LAYOUT_VERSION = 2, 3
+LIVE, DONE, CANCELLED = "live", "done", "withdrawn"
 
 
 def member_key(member: str) -> str:
-    return f"{PREFIX}m/{member}"
+    return f"{KEY_PREFIX}m/{member}"
 
 
 def job_key(job: str) -> str:
-    return f"{PREFIX}j/{job}"
+    return f"{KEY_PREFIX}j/{job}"
 
 
 def progress_key(job: str) -> str:
-    return f"{PREFIX}r/{job}"
+    return f"{KEY_PREFIX}r/{job}"
 
 
-def part_key(job: str, attempt: str, number: int) -> str:
-    return f"{PREFIX}p/{job}/{attempt}/{number}"
+def chunk_key(job: str, attempt: str, number: int) -> str:
+    return f"{KEY_PREFIX}p/{job}/{attempt}/{number}"
 
 
 def adoption_key(tag: str, number: int) -> str:
-    return f"{PREFIX}a/{tag}/{number}"
+    return f"{KEY_PREFIX}a/{tag}/{number}"
 
 
 def feature_key(feature: str) -> str:
-    return f"{PREFIX}feature/{feature}"
+    return f"{KEY_PREFIX}feature/{feature}"
 
 
 def admission_key(path: str) -> str:
-    return f"{PREFIX}admission/r{path}"
+    return f"{KEY_PREFIX}admission/r{path}"
 
 
 def floor_key(cell: str) -> str:
-    return f"{PREFIX}f/{cell}"
+    return f"{KEY_PREFIX}f/{cell}"
 
 
 def team_key(team: str) -> str:
-    return f"{PREFIX}q/{team}"
+    return f"{KEY_PREFIX}q/{team}"
 
 
 def machine_key(machine: str) -> str:
-    return f"{PREFIX}h/{machine}"
+    return f"{KEY_PREFIX}h/{machine}"
 
 
 def type_key(kind: str) -> str:
-    return f"{PREFIX}c/{kind}"
+    return f"{KEY_PREFIX}c/{kind}"
 
 
 def group_key(group: str) -> str:
-    return f"{PREFIX}g/{group}"
+    return f"{KEY_PREFIX}g/{group}"
 
 
 def group_of(key: str) -> str:
@@ -109,18 +114,18 @@
     return key.removeprefix(group_key(""))
 
 
-def pack_spec(spec: JobSpec, most_bytes: int) -> list[str]:
+def split_spec(spec: JobSpec, most_bytes: int) -> list[str]:
     """A spec as texts, each of which is a value within the limit."""
     text = b64encode(msgspec.json.encode(spec)).decode()
     step = max(1, most_bytes - 2)  # with its quotation marks
     return [text[start : start + step] for start in range(0, len(text), step)]
 
 
-def unpack_spec(texts: list[str]) -> JobSpec:
+def join_spec(texts: list[str]) -> JobSpec:
     return msgspec.json.decode(b64decode("".join(texts), validate=True), type=JobSpec)
 
 
-def fit_groups(rows: dict[str, list[Any]], most_bytes: int) -> list[dict[str, list[Any]]]:
+def split_machine_groups(rows: dict[str, list[Any]], most_bytes: int) -> list[dict[str, list[Any]]]:
     """The machines' rows parted into groups that are each a value within the limit."""
     groups: list[dict[str, list[Any]]] = []
     room = 0
@@ -135,7 +140,7 @@
 
 
 @lru_cache(maxsize=64)
-def tag_of(member: str, boot: int) -> str:
+def incarnation_id_of(member: str, boot: int) -> str:
     """Names one run of one controller: claims carry it, so that a restart never owns old claims."""
     return f"{member}.{boot}"
 
@@ -147,7 +152,7 @@
 
     @cached_property
     def tags(self) -> frozenset[str]:
-        return frozenset(tag_of(member, boot) for member, boot in self.members)
+        return frozenset(incarnation_id_of(member, boot) for member, boot in self.members)
 
     def owner(self, machine: str) -> str | None:
         """The member that owns a machine under this view; None when the view is empty."""
@@ -211,7 +216,7 @@
         )
 
 
-class Delegated(NamedTuple):
+class DelegationOrigin(NamedTuple):
     """Which handoff of another cell a job came with."""
 
     origin: str
@@ -241,7 +246,7 @@
     return OriginRow("", job, MovePolicy(value["p"]), away, recalls, cancelling=value.get("c", False))
 
 
-class Over(NamedTuple):
+class FinishedJob(NamedTuple):
     """A job that is over, kept for good. `at_ms`: 0 where an earlier layout stored no time."""
 
     status: str
@@ -250,7 +255,7 @@
     stamp: int = 0
     # Handoffs that are still to be stopped, and the handoff that it came with, until that is acknowledged.
     handoff: OriginRow | None = None
-    delegated: Delegated | None = None
+    delegated: DelegationOrigin | None = None
 
     @property
     def done(self) -> bool:
@@ -292,7 +297,7 @@
     # Its handoffs to other cells, and when the last of them came back; the handoff that it came with.
     handoff: OriginRow | None = None
     returned_ms: int = 0
-    delegated: Delegated | None = None
+    delegated: DelegationOrigin | None = None
     # Whether admission keeps it out of the line for now (see admission.gate).
     deferred: bool = False
     # Whether it goes first just now since nothing of it has begun for long; only a part of it does.
@@ -310,7 +315,7 @@
 
     @property
     def cancelled(self) -> bool:
-        return self.condemned or self.status == WITHDRAWN
+        return self.condemned or self.status == CANCELLED
 
     @property
     def runnable(self) -> bool:
@@ -350,7 +355,7 @@
     layout: int
 
 
-class Feature(NamedTuple):
+class FeatureStatus(NamedTuple):
     """Which controllers have run with a feature turned on, and whether all configured ones have."""
 
     seen: tuple[str, ...] = ()
@@ -360,9 +365,9 @@
 class Tables:
     """Written by the replica only; everybody else in the process reads."""
 
-    def __init__(self, cancellations: Cancellations | None = None) -> None:
+    def __init__(self, cancellations: CancellationLog | None = None) -> None:
         # What is told to siblings, and what they told that is not read yet; both outlast a reading of everything.
-        self.cancellations = cancellations or Cancellations(1, 0)
+        self.cancellations = cancellations or CancellationLog(1, 0)
         self.told: dict[str, int] = {}
         self.clear()
 
@@ -375,14 +380,14 @@
         self._catalog: dict[str, MachineType] = {}
         self._single_types: dict[str, MachineType] = {}
         self.jobs: dict[str, Job] = {}
-        self.over: dict[str, Over] = {}
+        self.over: dict[str, FinishedJob] = {}
         # Those of them whose row may still change.
         self.open_over: set[str] = set()
         self.graph = Graph(self.jobs, self.over)
         # Who has run with this layout, and whether all have (the mark).
         self.seen: tuple[str, ...] = ()
         self.upgraded = False
-        self.features: dict[str, Feature] = {}
+        self.features: dict[str, FeatureStatus] = {}
         # Cuts of admission by the path of their row; replaced as a whole, so that a reader can tell a change.
         self.admission: dict[str, AdmissionRow] = {}
         # For each other cell: its handoffs up to this number that are not on record are refused for ever.
@@ -406,9 +411,9 @@
 
     def apply(self, key: str, value: Any, stamp: int) -> None:
         """One change; `value` None means the key is gone. Older than what is known: ignored."""
-        if not key.startswith(PREFIX):
+        if not key.startswith(KEY_PREFIX):
             return
-        name = key[len(PREFIX) :]
+        name = key[len(KEY_PREFIX) :]
         kind, _, rest = name.partition("/")
         if kind == "j" and rest in self.over and self.over[rest].settled:
             return  # final; an overlapping read may still bring what was before
@@ -458,12 +463,12 @@
         elif kind == "admission":
             self._apply_admission(rest.removeprefix("r"), value)
         elif kind == "feature" and value is not None:
-            self.features[rest] = Feature(tuple(value["seen"]), bool(value["complete"]))
+            self.features[rest] = FeatureStatus(tuple(value["seen"]), bool(value["complete"]))
         elif kind == "layout" and value is not None:
             self.seen = tuple(value["seen"])
             self.upgraded = bool(value["complete"])
         elif kind == "catalog":
-            kinds = [] if value is None else msgspec.convert(value, Catalog).types
+            kinds = [] if value is None else msgspec.convert(value, MachineTypeCatalog).types
             self._catalog = {item.name: item for item in kinds}
             self.types = self._catalog | self._single_types
         elif kind == "c":
@@ -503,17 +508,17 @@
             self.machines[name] = MachineRow(address, kind, zone, spot, key)
             self.deleted.discard(name)
 
-    def cancel_told(self, told: Cancellation) -> None:
+    def apply_peer_cancellation(self, told: Cancellation) -> None:
         """A sibling knows this cancellation to be stored. It is acted on and answered before the row is read; the
         stamp stays that of the row as read, so that no write relies on more."""
         name = told.job
         job = self.jobs.get(name)
-        if name in self.over or name in self.told or (job is not None and job.status == WITHDRAWN):
+        if name in self.over or name in self.told or (job is not None and job.status == CANCELLED):
             return
         self.told[name] = told.stamp
         self.cancellations.add(name, told.stamp)
         if job is not None:
-            job.status = WITHDRAWN
+            job.status = CANCELLED
         self.graph.cancelled(name)
 
     def _apply_job(self, name: str, value: Any, stamp: int) -> None:
@@ -523,10 +528,10 @@
             self.open_over.discard(name)
             return
         handoff = handoff_from_stored(name, value.get("h"))
-        delegated = Delegated(*value["o"]) if "o" in value else None
-        if value["s"] == WITHDRAWN and name not in self.over:
+        delegated = DelegationOrigin(*value["o"]) if "o" in value else None
+        if value["s"] == CANCELLED and name not in self.over:
             known = self.jobs.get(name)
-            if known is None or known.status != WITHDRAWN:
+            if known is None or known.status != CANCELLED:
                 self.cancellations.add(name, stamp)
             self.told.pop(name, None)
         if "spec" not in value and "parts" not in value:
@@ -535,7 +540,7 @@
             self._partial.pop(name, None)
             if self.stamp(progress_key(name)):
                 self.leftover.add(name)
-            ended = self.over[name] = Over(value["s"], value["n"], value.get("t", 0), stamp, handoff, delegated)
+            ended = self.over[name] = FinishedJob(value["s"], value["n"], value.get("t", 0), stamp, handoff, delegated)
             (self.open_over.discard if ended.settled else self.open_over.add)(name)
             if ended.settled:
                 self.stamps.pop(job_key(name), None)
@@ -546,7 +551,7 @@
             return
         known = self.jobs.get(name)
         if known is not None:
-            known.status = WITHDRAWN if name in self.told else value["s"]
+            known.status = CANCELLED if name in self.told else value["s"]
             known.stamp = stamp
             known.cancelled_ms = value.get("x", 0)
             known.handoff, known.returned_ms = handoff, value.get("h", {}).get("t", 0)
@@ -560,11 +565,11 @@
             if len(texts) < count:
                 self._partial[name] = (value, stamp)  # the first reading is by key, not by age
                 return
-            spec = unpack_spec([texts[number] for number in range(count)])
+            spec = join_spec([texts[number] for number in range(count)])
         else:
             spec = msgspec.convert(value["spec"], JobSpec)
         # Guards against a reading that was under way when a sibling told of the cancellation.
-        status = WITHDRAWN if name in self.told else value["s"]
+        status = CANCELLED if name in self.told else value["s"]
         job = Job(spec, status, stamp, stamp, value["t"], parts=parts, ready_ms=value["t"])
         job.cancelled_ms = value.get("x", 0)
         job.handoff, job.returned_ms, job.delegated = handoff, value.get("h", {}).get("t", 0), delegated
@@ -591,7 +596,7 @@
         """Each row is written once, so that none brings back what was given up since. It goes when its
         controller's run is over and what it claimed is void or stored with the jobs."""
         tag = rest.rpartition("/")[0]
-        key = f"{PREFIX}a/{rest}"
+        key = f"{KEY_PREFIX}a/{rest}"
         if value is None:
             self.adoption_keys.pop(key, None)
             if tag not in self.adoption_keys.values():
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -21,7 +21,7 @@
 import anyio
 from anyio.abc import SocketStream
 
-from sloeswitch.core.cancellations import Cancellation, Cancellations, Extract
+from sloeswitch.core.cancellations import Cancellation, CancellationDelta, CancellationLog
 from sloeswitch.settings import Sibling
 
 log = logging.getLogger("mesh")
@@ -45,7 +45,7 @@
     TYPE_IDLE_ROOM_REQUEST: TYPE_IDLE_ROOM,
 }
 MAX_BODY = 0xFFFF
-STATE_OK, WHOLE, MORE = 1, 2, 4
+FLAG_STATE_REACHABLE, FLAG_COMPLETE, FLAG_MORE = 1, 2, 4
 # Later than any view: an earlier version takes it for a reason to stop.
 NO_CONFIRMATION = (1 << 64) - 1
 # Cancellations in one frame, so that it keeps within its length whatever they are called.
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Known:
+class PeerStatus:
     """What a controller tells of itself."""
 
     view: int
@@ -84,17 +84,17 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class StatusFrame:
     """An INFORM."""
 
     view: int
     state_ok: bool
     whole: bool
     log: int
-    extract: Extract
+    extract: CancellationDelta
 
     def pack(self) -> bytes:
-        flags = STATE_OK * self.state_ok | WHOLE * self.whole | MORE * self.extract.more
+        flags = FLAG_STATE_REACHABLE * self.state_ok | FLAG_COMPLETE * self.whole | FLAG_MORE * self.extract.more
         entries = self.extract.cancellations
         body = INFORM.pack(self.view, flags, self.log, self.extract.upto, len(entries))
         for entry in entries:
@@ -103,7 +103,7 @@
         return HEADER.pack(MAGIC, VERSION, TYPE_INFORM, len(body)) + body
 
     @staticmethod
-    def unpack(body: bytes) -> Answer:
+    def unpack(body: bytes) -> StatusFrame:
         try:
             view, flags, log, upto, count = INFORM.unpack_from(body)
             entries: list[Cancellation] = []
@@ -119,8 +119,12 @@
             raise FrameError(str(error)) from None
         if at != len(body):
             raise FrameError(f"{len(body) - at} bytes too many")
-        return Answer(
-            view, bool(flags & STATE_OK), bool(flags & WHOLE), log, Extract(entries, upto, bool(flags & MORE))
+        return StatusFrame(
+            view,
+            bool(flags & FLAG_STATE_REACHABLE),
+            bool(flags & FLAG_COMPLETE),
+            log,
+            CancellationDelta(entries, upto, bool(flags & FLAG_MORE)),
         )
 
 
@@ -172,8 +176,8 @@
         siblings: tuple[Sibling, ...],
         pause_s: float,
         now: Callable[[], float],
-        known: Callable[[], Known],
-        cancellations: Cancellations,
+        known: Callable[[], PeerStatus],
+        cancellations: CancellationLog,
         learn: Callable[[list[Cancellation]], None],
     ) -> None:
         self.siblings = siblings
@@ -214,13 +218,13 @@
         finally:
             await anyio.aclose_forcefully(stream)
 
-    def answer(self, question: bytes) -> Answer:
+    def answer(self, question: bytes) -> StatusFrame:
         _view, epoch, name, place = INQUIRE.unpack(question)
         known = self.known()
         extract = self.cancellations.since(epoch, name, place, MOST_ENTRIES)
-        return Answer(known.view, known.state_ok, known.whole, self.cancellations.name, extract)
+        return StatusFrame(known.view, known.state_ok, known.whole, self.cancellations.name, extract)
 
-    def heard(self, peer: Peer, asked: float, answer: Answer) -> None:
+    def heard(self, peer: Peer, asked: float, answer: StatusFrame) -> None:
         """A sibling's answer. What it tells is known here before the answer counts for anything."""
         if answer.extract.cancellations:
             self.learn(answer.extract.cancellations)
@@ -264,7 +268,7 @@
         known = self.known()
         await stream.send(pack_inquire(known.view, known.epoch, peer.log, peer.place))
         length = check_header(await reader.exactly(HEADER.size), TYPE_INFORM)
-        answer = Answer.unpack(await reader.exactly(length))
+        answer = StatusFrame.unpack(await reader.exactly(length))
         self.heard(peer, asked, answer)
         return answer.extract.more and bool(answer.extract.cancellations)
 
--- a/sloeswitch/state.py
+++ b/sloeswitch/state.py
@@ -11,14 +11,14 @@
 from anyio.abc import TaskGroup
 
 from sloeswitch import wire
-from sloeswitch.core.tables import PREFIX, Tables
+from sloeswitch.core.tables import KEY_PREFIX, Tables
 from sloeswitch.http import Client, NoAnswerError, Reply
 from sloeswitch.settings import Settings
 
 log = logging.getLogger("state")
 
 
-class Urgency(enum.IntEnum):
+class RequestPriority(enum.IntEnum):
     """Who goes first when the state service's rates are short."""
 
     LEASE = 0
@@ -30,10 +30,15 @@
 # Share of a full bucket that a request of each urgency must leave for the more urgent ones. Users' requests may
 # borrow half a bucket: the jobs of a pipeline are submitted one right after another, and found a bucket that claims
 # had taken to its reserve, so that the last of them waited for half a second (found on the bench).
-RESERVE = {Urgency.LEASE: 0.0, Urgency.USER: -0.5, Urgency.CLAIM: 0.25, Urgency.PROGRESS: 0.4}
+RESERVED_SHARE = {
+    RequestPriority.LEASE: 0.0,
+    RequestPriority.USER: -0.5,
+    RequestPriority.CLAIM: 0.25,
+    RequestPriority.PROGRESS: 0.4,
+}
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket holding one second's worth, spent by urgency."""
 
     def __init__(self, rate: float, now: float) -> None:
@@ -41,19 +46,19 @@
         self.level = rate
         self.at = now
 
-    def wait_s(self, cost: float, urgency: Urgency, now: float) -> float:
+    def wait_s(self, cost: float, urgency: RequestPriority, now: float) -> float:
         """0 after taking the cost; else how long until it can be taken."""
         self.level = min(self.rate, self.level + (now - self.at) * self.rate)
         self.at = now
         # A full bucket always serves, or a cost near its size would wait for ever.
-        need = min(self.rate, cost + RESERVE[urgency] * self.rate)
-        if urgency is Urgency.LEASE or self.level >= need - 1e-9:
+        need = min(self.rate, cost + RESERVED_SHARE[urgency] * self.rate)
+        if urgency is RequestPriority.LEASE or self.level >= need - 1e-9:
             self.level -= cost
             return 0.0
         return (need - self.level) / self.rate
 
 
-class Outcome(enum.Enum):
+class TransactionOutcome(enum.Enum):
     DONE = "done"
     CONFLICT = "conflict"
     NO_LEASE = "no lease"
@@ -72,8 +77,8 @@
         self.share = share
         # Most answers take under 10 ms, some a few hundred; a lease must outlive two of these waits.
         self.timeout_s = settings.controller_lease_s / 4
-        self.requests = Bucket(settings.state_rps, now())
-        self.writes = Bucket(settings.state_write_rps, now())
+        self.requests = TokenBucket(settings.state_rps, now())
+        self.writes = TokenBucket(settings.state_write_rps, now())
         # What the state service takes; lowered should it take less than the settings tell.
         self.txn_ops = settings.txn_ops
         self.value_bytes = settings.value_bytes
@@ -85,19 +90,19 @@
         self.requests.rate = 0.9 * self.settings.state_rps / parts
         self.writes.rate = 0.9 * self.settings.state_write_rps / parts
 
-    async def _admit(self, bucket: Bucket, cost: float, urgency: Urgency) -> None:
+    async def _admit(self, bucket: TokenBucket, cost: float, urgency: RequestPriority) -> None:
         self._share_out()
         while (wait := bucket.wait_s(cost, urgency, self.now())) > 0:
             await anyio.sleep(wait)
 
-    def most_changes(self, urgency: Urgency) -> int:
+    def most_changes(self, urgency: RequestPriority) -> int:
         """How many changes may go into one transaction. More than the bucket holds above what is kept for
         the more urgent would leave a debt, and users' submissions waited a second or two for it (found on
         the bench). A job that ends takes two, and a team's allowance may go with it."""
         self._share_out()
-        return min(self.txn_ops, max(3, int(self.writes.rate * (1 - RESERVE[urgency]))))
+        return min(self.txn_ops, max(3, int(self.writes.rate * (1 - RESERVED_SHARE[urgency]))))
 
-    async def pay(self, changes: int, urgency: Urgency) -> None:
+    async def pay(self, changes: int, urgency: RequestPriority) -> None:
         """Waits for the right to make so many changes, for a commit whose content follows."""
         await self._admit(self.writes, changes, urgency)
 
@@ -105,7 +110,9 @@
         """What was paid for came to nothing."""
         self.writes.level += changes
 
-    async def call(self, method: str, path: str, body: bytes | None, urgency: Urgency, hold_s: float = 0.0) -> Reply:
+    async def call(
+        self, method: str, path: str, body: bytes | None, urgency: RequestPriority, hold_s: float = 0.0
+    ) -> Reply:
         """One request; NoAnswerError when its result is unknown."""
         await self._admit(self.requests, 1, urgency)
         client = self.watch_http if hold_s else self.http
@@ -138,10 +145,10 @@
         conditions: dict[str, int],
         writes: dict[str, Any],
         drops: list[str],
-        urgency: Urgency,
+        urgency: RequestPriority,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[Outcome, int]:
+    ) -> tuple[TransactionOutcome, int]:
         """One transaction, and the epoch it was answered at. `paid`: see pay()."""
         body = wire.commit_body(conditions, writes, drops, lease or {})
         if paid:
@@ -152,25 +159,25 @@
             reply = await self.call("POST", "/multi", body, urgency)
         except NoAnswerError as error:
             log.debug("transaction without answer: %s", error)
-            return Outcome.UNKNOWN, 0
+            return TransactionOutcome.UNKNOWN, 0
         try:
             if reply.status == 200:
-                return Outcome.DONE, wire.decode(reply.body, wire.Epoch).epoch
+                return TransactionOutcome.DONE, wire.decode(reply.body, wire.RevisionReply).epoch
             if reply.status == 409:
-                return Outcome.CONFLICT, wire.decode(reply.body, wire.Epoch).epoch
+                return TransactionOutcome.CONFLICT, wire.decode(reply.body, wire.RevisionReply).epoch
         except wire.MalformedError as error:
             log.error("transaction answered with %s", error)
-            return Outcome.UNKNOWN, 0
+            return TransactionOutcome.UNKNOWN, 0
         if reply.status == 400:
             if b"no such lease" in reply.body:
-                return Outcome.NO_LEASE, 0
+                return TransactionOutcome.NO_LEASE, 0
             log.error("transaction refused: %s", reply.body[:200])
             self._refused(writes, len(writes) + len(drops))
         elif reply.status == 429:
             # A rate that fell, or another controller's burst: wait for what this one took to come back.
             log.info("transaction of %d changes is over the rate", len(writes) + len(drops))
             self.writes.level = min(self.writes.level, 0.0)
-        return Outcome.REFUSED, 0
+        return TransactionOutcome.REFUSED, 0
 
     def _refused(self, writes: dict[str, Any], changes: int) -> None:
         """Guards against limits that fell further than announced: the same would be refused for ever."""
@@ -186,7 +193,7 @@
                 log.error("from now on values of at most %d bytes", self.value_bytes)
 
 
-class StaleError(Exception):
+class StaleReplicaError(Exception):
     """A fresh read could not be had in time."""
 
 
@@ -236,9 +243,9 @@
                     self._wanted.set()
                     await waiter.wait()
                     if self._read < needed and not self.client.reachable:
-                        raise StaleError
+                        raise StaleReplicaError
         except TimeoutError:
-            raise StaleError from None
+            raise StaleReplicaError from None
 
     def hint(self) -> None:
         """Something was stored: read it soon."""
@@ -257,7 +264,7 @@
         self.hint()
         self._notify()
 
-    def _caught_up(self, events: list[wire.Event]) -> None:
+    def _caught_up(self, events: list[wire.ChangeEvent]) -> None:
         """Guards against an epoch told with an answer that is not the stamp of what was stored: conditions on it
         would fail for ever."""
         seen = {(event.write or event.drop, event.stamp) for event in events}
@@ -326,8 +333,10 @@
                 await anyio.sleep(self.gap_s)
 
     async def _read_changes(self, hold_s: float) -> None:
-        path = f"/changes?starts={PREFIX}&after={self.applied}&holdMs={int(hold_s * 1000)}"
-        reply = await self.client.call("GET", path, None, Urgency.CLAIM if hold_s else Urgency.USER, hold_s)
+        path = f"/changes?starts={KEY_PREFIX}&after={self.applied}&holdMs={int(hold_s * 1000)}"
+        reply = await self.client.call(
+            "GET", path, None, RequestPriority.CLAIM if hold_s else RequestPriority.USER, hold_s
+        )
         if reply.status == 410:
             log.info("changes since %d are no longer kept: reading all again", self.applied)
             self.loaded = False
@@ -335,7 +344,7 @@
         if reply.status != 200:
             raise NoAnswerError(f"status {reply.status}")
         try:
-            changes = wire.decode(reply.body, wire.Changes)
+            changes = wire.decode(reply.body, wire.ChangeFeed)
         except wire.MalformedError as error:
             log.error("changes are malformed: %s", error)
             raise NoAnswerError("malformed") from None
@@ -358,14 +367,14 @@
         """Reads everything, page by page; changes made meanwhile follow from the first page's epoch."""
         first_epoch: int | None = None
         after = ""
-        rows: list[wire.Row] = []
+        rows: list[wire.StoredRow] = []
         while True:
-            path = f"/kv?starts={PREFIX}&page=1000" + (f"&after={after}" if after else "")
-            reply = await self.client.call("GET", path, None, Urgency.LEASE)
+            path = f"/kv?starts={KEY_PREFIX}&page=1000" + (f"&after={after}" if after else "")
+            reply = await self.client.call("GET", path, None, RequestPriority.LEASE)
             if reply.status != 200:
                 raise NoAnswerError(f"status {reply.status}")
             try:
-                page = wire.decode(reply.body, wire.RowPage)
+                page = wire.decode(reply.body, wire.StoredRowPage)
             except wire.MalformedError as error:
                 log.error("rows are malformed: %s", error)
                 raise NoAnswerError("malformed") from None
--- a/sloeswitch/wire.py
+++ b/sloeswitch/wire.py
@@ -16,7 +16,7 @@
 T = TypeVar("T")
 
 ID_FORM = re.compile(r"wk-[0-9]{1,32}")
-URGENCIES = ("critical", "urgent", "standard", "best_effort")
+PRIORITIES = ("critical", "urgent", "standard", "best_effort")
 ARRAY, GANG = "sweep", "group"
 QUEUED, RUNNING, DONE, CANCELLED = "queued", "running", "done", "withdrawn"
 MAX_TASKS = 100_000
@@ -91,7 +91,7 @@
     saved: bool | None = None
 
 
-class Report(
+class WorkerReport(
     Struct,
     rename={
         "machine": "host",
@@ -117,16 +117,16 @@
     notice_s: float | None = None
 
 
-class Order(Struct, omit_defaults=True, rename={"task": "visit", "attempt": "try", "grace_s": "windDownS"}):
+class WorkerCommand(Struct, omit_defaults=True, rename={"task": "visit", "attempt": "try", "grace_s": "windDownS"}):
     verb: str
     task: str
     attempt: int
     grace_s: float | None = None
 
 
-class Orders(Struct, omit_defaults=True, rename={"token": "baton", "session": "shift"}):
+class WorkerCommands(Struct, omit_defaults=True, rename={"token": "baton", "session": "shift"}):
     token: int
-    orders: list[Order]
+    orders: list[WorkerCommand]
     session: int | None = None
 
 
@@ -155,11 +155,11 @@
     zones: list[str]
 
 
-class Catalog(Struct, rename={"types": "builds"}):
+class MachineTypeCatalog(Struct, rename={"types": "builds"}):
     types: list[MachineType]
 
 
-class Booking(Struct, rename={"name": "booking", "type": "build", "zone": "district", "spot": "loaners"}):
+class InstanceRequest(Struct, rename={"name": "booking", "type": "build", "zone": "district", "spot": "loaners"}):
     name: str
     type: str
     zone: str
@@ -167,11 +167,11 @@
     count: int
 
 
-class Booked(Struct, rename={"machines": "hosts"}):
+class InstancesCreated(Struct, rename={"machines": "hosts"}):
     machines: list[str]
 
 
-class Listed(
+class Instance(
     Struct, rename={"type": "build", "zone": "district", "spot": "loaners", "state": "status", "age_s": "heldS"}
 ):
     id: str
@@ -183,40 +183,40 @@
     age_s: float
 
 
-class Listing(Struct, rename={"machines": "hosts", "more": "hasNext"}):
-    machines: list[Listed]
+class InstancePage(Struct, rename={"machines": "hosts", "more": "hasNext"}):
+    machines: list[Instance]
     more: bool
 
 
-class Row(Struct, rename={"key": "k", "value": "v"}):
+class StoredRow(Struct, rename={"key": "k", "value": "v"}):
     key: str
     value: Any
     stamp: int
 
 
-class RowPage(Struct, rename={"more": "hasNext"}):
-    rows: list[Row]
+class StoredRowPage(Struct, rename={"more": "hasNext"}):
+    rows: list[StoredRow]
     epoch: int
     more: bool
 
 
-class Event(Struct, rename={"value": "v"}):
+class ChangeEvent(Struct, rename={"value": "v"}):
     stamp: int
     write: str | None = None
     drop: str | None = None
     value: Any = None
 
 
-class Changes(Struct):
+class ChangeFeed(Struct):
     epoch: int
-    events: list[Event]
+    events: list[ChangeEvent]
 
 
-class Epoch(Struct):
+class RevisionReply(Struct):
     epoch: int
 
 
-class Permit(Struct):
+class LeaseGrant(Struct):
     permit: int
 
 
@@ -251,7 +251,7 @@
         raise MalformedError("id: not in the form wk-000412")
     if spec.shape not in (ARRAY, GANG):
         raise MalformedError("shape: neither sweep nor group")
-    if spec.priority not in URGENCIES:
+    if spec.priority not in PRIORITIES:
         raise MalformedError("urgency: unknown")
     if not 1 <= spec.tasks <= MAX_TASKS:
         raise MalformedError(f"visits: not between 1 and {MAX_TASKS}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.settings import Settings, parse
 
 SETTINGS = """
@@ -91,10 +91,10 @@
     return wire.check_spec(wire.decode(wire.encode(submission(name, **changes)), wire.JobSpec))
 
 
-def report(serial: int, token: int, *tasks: tuple[Any, ...], session: int = 1, name: str = "vm-1") -> wire.Report:
+def report(serial: int, token: int, *tasks: tuple[Any, ...], session: int = 1, name: str = "vm-1") -> wire.WorkerReport:
     """A machine's report; tasks are (name, attempt, state) or (name, attempt, "ended", cause)."""
     items = [wire.ReportedTask(*item) for item in tasks]
-    return wire.Report(name, "127.0.0.1:9000", "small", "a", True, session, serial, token, items)
+    return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, session, serial, token, items)
 
 
 MACHINE_TYPE = wire.MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"])
@@ -105,7 +105,7 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.tables = t.Tables(Cancellations(100, 7))
+        self.tables = t.Tables(CancellationLog(100, 7))
         self.rows: dict[str, tuple[Any, int]] = {}
 
     def put(self, key: str, value: Any) -> int:
@@ -133,17 +133,17 @@
         self.put(t.progress_key(name), t.Progress(done, held).stored())
 
     def view(self, number: int, *members: tuple[str, int]) -> None:
-        self.put(t.VIEW, {"n": number, "members": [list(member) for member in members]})
+        self.put(t.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
 
     def member(self, name: str, boot: int, settled: int = 0) -> None:
-        self.put(t.member_key(name), {"boot": boot, "settled": settled, "layout": t.LAYOUT})
+        self.put(t.member_key(name), {"boot": boot, "settled": settled, "layout": t.LAYOUT_VERSION})
 
     def upgraded(self) -> None:
         """Every configured controller has run with this layout."""
-        self.put(t.UPGRADE, {"seen": ["c0", "c1"], "complete": True})
+        self.put(t.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
 
     def types(self) -> None:
-        self.put(t.CATALOG, msgspec.to_builtins(wire.Catalog([MACHINE_TYPE])))
+        self.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE])))
 
 
 @pytest.fixture
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -13,20 +13,20 @@
 import anyio
 
 from sloeswitch.admission import compare
-from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.coordinator import AdmissionCoordinator
 from sloeswitch.admission.cuts import ROOT, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decision_log import DecisionLog, DecisionRecord, EpochRecord, encode
 from sloeswitch.admission.decisions import Decision, decide, lane_of, ticket_of
 from sloeswitch.admission.frames import pack_idle_room
 from sloeswitch.admission.gate import AdmissionGate
-from sloeswitch.admission.idle_room import IdleRoomTracker
+from sloeswitch.admission.idle_room import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
 from sloeswitch.core import tables as t
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.settings import parse
-from sloeswitch.state import StaleError
+from sloeswitch.state import StaleReplicaError
 from tests.conftest import SETTINGS, spec
 from tests.support.cluster import CORES, Node, World, settings_text
 from tests.support.seeds import play_seeds
@@ -76,7 +76,7 @@
         self.sender = sender
         self.receiver = receiver
 
-    async def idle_room(self) -> list[IdleRoom]:
+    async def idle_room(self) -> list[IdleCapacity]:
         """Asks for idle room; lost where a way is cut."""
         world = self.world
         lost = world.troubled and world.rng.random() < 0.1
@@ -96,14 +96,14 @@
 
     def __init__(self, world: AdmissionWorld, name: str) -> None:
         super().__init__(world, name)
-        self.idle = IdleRoomTracker()
+        self.idle = IdleCapacityTracker()
         links = {other: ScriptedIdleLink(world, name, other) for other in world.members if other != name}
         self.admission = AdmissionCoordinator(
             self.settings,
             AdmissionFeatures(world.deferring),
             self.client,
             self.replica,
-            self.standing,
+            self.leadership,
             lambda: self.idle.report(world.clock.time),
             links,
             world.clock,
@@ -128,9 +128,9 @@
                     continue
             try:
                 await self.admission.epoch()
-            except StaleError:
+            except StaleReplicaError:
                 return
-            if self.admission.switched_on and self.standing.coordinating and self.reaches:
+            if self.admission.switched_on and self.leadership.coordinating and self.reaches:
                 self.world.looked()
 
         anyio.run(loops)
@@ -165,7 +165,7 @@
         self.limits = AdmissionLimits.of(parse(settings_text("c0", MEMBERS, text or cluster_text())))
         super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
         self.task_ends = 0.012
-        self.store.put(t.UPGRADE, {"seen": list(MEMBERS), "complete": True})
+        self.store.put(t.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
 
     def new_node(self, name: str) -> Node:
         return AdmissionNode(self, name)
@@ -178,12 +178,12 @@
         if self.outage:
             return
         if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(t.COORD, None)
+            self.store.put(t.COORDINATOR_KEY, None)
         if tables.coordinator is None and tables.view.members:
             present = [pair for pair in tables.view.members if pair in self.leases]
             if present:
                 member, boot = self.rng.choice(present)
-                self.store.put(t.COORD, {"member": member, "boot": boot})
+                self.store.put(t.COORDINATOR_KEY, {"member": member, "boot": boot})
                 self.happened["coordinator"] += 1
 
     def looked(self) -> None:
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -7,7 +7,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import tables as t
 from tests.conftest import MACHINE_TYPE, spec
@@ -21,7 +21,7 @@
 class ScriptedInstance:
     """One instance at the cloud."""
 
-    def __init__(self, name: str, booking: wire.Booking, created_at: float, up_at: float) -> None:
+    def __init__(self, name: str, booking: wire.InstanceRequest, created_at: float, up_at: float) -> None:
         self.name = name
         self.booking = booking
         self.created_at = created_at
@@ -40,15 +40,15 @@
         if world.rng.random() < 0.05:
             raise CloudError("no answer")
 
-    async def catalog(self) -> wire.Catalog:
+    async def catalog(self) -> wire.MachineTypeCatalog:
         self._sent("catalog", b"")
-        return wire.Catalog([MACHINE_TYPE, LARGE_TYPE])
+        return wire.MachineTypeCatalog([MACHINE_TYPE, LARGE_TYPE])
 
-    async def machines(self) -> list[wire.Listed]:
+    async def machines(self) -> list[wire.Instance]:
         self._sent("list", b"")
         world = self.node.world
         return [
-            wire.Listed(
+            wire.Instance(
                 each.name,
                 "127.0.0.1:9000",
                 each.booking.type,
@@ -60,7 +60,7 @@
             for each in world.instances.values()
         ]
 
-    async def rent(self, booking: wire.Booking) -> list[str] | None:
+    async def rent(self, booking: wire.InstanceRequest) -> list[str] | None:
         self._sent("rent", wire.encode(booking))
         return self.node.world.create(booking)
 
@@ -77,9 +77,9 @@
 
     def __init__(self, world: AutoscalingWorld, name: str) -> None:
         super().__init__(world, name)
-        cloud = RecordingCloud(self.settings, lambda: self.standing.coordinating, world.clock)
+        cloud = RecordingCloud(self.settings, lambda: self.leadership.coordinating, world.clock)
         cloud.node = self
-        self.fleet = Fleet(self.settings, self.client, cloud, self.replica, self.standing, world.clock)
+        self.fleet = Autoscaler(self.settings, self.client, cloud, self.replica, self.leadership, world.clock)
         self.machines.fleet, self.fleet.machines = self.fleet, self.machines
 
     def scale(self) -> None:
@@ -87,7 +87,7 @@
         anyio.run(self._scale)
 
     async def _scale(self) -> None:
-        if self.standing.coordinating and self.replica.loaded:
+        if self.leadership.coordinating and self.replica.loaded:
             await self._scale_out()
         self.fleet.watch_idle()
         if self.fleet.returning:
@@ -128,11 +128,11 @@
         if self.outage:
             return
         if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(t.COORD, None)
+            self.store.put(t.COORDINATOR_KEY, None)
         present = [pair for pair in tables.view.members if pair in self.leases]
         if tables.coordinator is None and present:
             member, boot = self.rng.choice(present)
-            self.store.put(t.COORD, {"member": member, "boot": boot})
+            self.store.put(t.COORDINATOR_KEY, {"member": member, "boot": boot})
 
     def happen(self, luck: float, node: Node) -> None:
         """Users submit large and small jobs now and then, besides what else happens."""
@@ -145,7 +145,7 @@
         else:
             super().happen(luck, node)
 
-    def create(self, booking: wire.Booking) -> list[str] | None:
+    def create(self, booking: wire.InstanceRequest) -> list[str] | None:
         """Some of the instances asked for, or None if there is no capacity."""
         if self.rng.random() < 0.1:
             return None
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -18,8 +18,8 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.jobs import ClaimRequest, Jobs, Learnt
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.frames import CellAnswer, CellRequest, pack_summary
 from sloeswitch.cells.messages import AnswerMessage
 from sloeswitch.cells.origin import CellOrigin
@@ -31,7 +31,7 @@
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.settings import Settings, parse
-from sloeswitch.state import Outcome, StaleError
+from sloeswitch.state import StaleReplicaError, TransactionOutcome
 from tests.conftest import Store, spec
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState, settings_text
 from tests.support.recorder import TraceRecorder
@@ -70,17 +70,17 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[Outcome, int]:
+    ) -> tuple[TransactionOutcome, int]:
         world, cell = self.cell.world, self.cell
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
         if cell.outage:
-            return Outcome.REFUSED, 0
+            return TransactionOutcome.REFUSED, 0
         luck = world.rng.random() if world.troubled else 1.0
         if luck < 0.03:
             world.late.append((world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops)))
-            return Outcome.UNKNOWN, 0
+            return TransactionOutcome.UNKNOWN, 0
         outcome = self.apply(conditions, writes, drops)
-        return (Outcome.UNKNOWN, 0) if luck < 0.06 else outcome
+        return (TransactionOutcome.UNKNOWN, 0) if luck < 0.06 else outcome
 
 
 class CellReplica(ScriptedReplica):
@@ -90,7 +90,7 @@
 
     async def fresh(self, timeout_s: float) -> None:
         if self.cell.outage:
-            raise StaleError
+            raise StaleReplicaError
         self.fresh_at = self.cell.world.clock.time
 
 
@@ -143,15 +143,17 @@
         self.replica = CellReplica(client, cell.store.tables, world.clock)
         self.replica.cell = cell
         self.replica.loaded = self.replica.whole = True
-        self.standing = Standing(settings, cell.store.tables, self.replica, world.clock)
-        self.standing.boot = boot
-        self.jobs = Jobs(settings, client, self.replica, self.standing, world.clock)
+        self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock)
+        self.leadership.boot = boot
+        self.jobs = Jobs(settings, client, self.replica, self.leadership, world.clock)
         self.jobs.batch_s = 0.0
         peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
-        self.target = CellTarget(settings, features, client, self.replica, self.standing, self.jobs)
+        self.target = CellTarget(settings, features, client, self.replica, self.leadership, self.jobs)
         links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
-        self.origin = CellOrigin(settings, features, client, self.replica, self.standing, cell.line, links, world.clock)
+        self.origin = CellOrigin(
+            settings, features, client, self.replica, self.leadership, cell.line, links, world.clock
+        )
 
     async def look_round(self) -> None:
         """What its loops do in about a report's time."""
@@ -160,7 +162,7 @@
         for peer in self.origin.links:
             try:
                 await self.origin.talk(peer)
-            except (NoAnswerError, StaleError):
+            except (NoAnswerError, StaleReplicaError):
                 continue
 
 
@@ -177,7 +179,7 @@
         self.store.view(3, *((member, 1) for member in MEMBERS))
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(MACHINES)}
         self.store.put(t.group_key("c0.1.1"), {"m": rows})
-        self.store.put(t.COORD, {"member": OWNER, "boot": 1})
+        self.store.put(t.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
         for member in MEMBERS:
             self.store.member(member, 1, settled=3)
         self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
@@ -197,7 +199,7 @@
         """Leases are renewed while the state service answers."""
         for controller in self.controllers.values():
             if not self.outage:
-                controller.standing.renewed_at = controller.replica.fresh_at = self.world.clock.time
+                controller.leadership.renewed_at = controller.replica.fresh_at = self.world.clock.time
             failing = controller.target.client
             failing.failing_since = self.world.clock.time - 100 if self.outage else None
 
@@ -234,7 +236,7 @@
         job, index, tag = key
         controller = self.controllers[tag.partition(".")[0]]
         sets = {job: 1 << index}
-        await controller.jobs.handle(Learnt(done=sets) if done else Learnt(released=sets))
+        await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
         await controller.jobs._round()
 
     async def _withdrawn(self) -> None:
@@ -245,7 +247,7 @@
             for tag, mask in job.progress.claims.items():
                 if not any(key[0] == job.spec.id and key[2] == tag for key in self.running):
                     controller = self.controllers[tag.partition(".")[0]]
-                    await controller.jobs.handle(Learnt(released={job.spec.id: mask}))
+                    await controller.jobs.handle(TaskUpdates(released={job.spec.id: mask}))
                     await controller.jobs._round()
 
     async def _claim(self) -> None:
@@ -255,8 +257,8 @@
             if count <= 0:
                 return
             controller = self.controllers[OWNER]
-            held = self.store.tables.allowance("red", controller.standing.tag)[0]
-            used = sum(self.world.cores[key[0]] for key in self.running if key[2] == controller.standing.tag)
+            held = self.store.tables.allowance("red", controller.leadership.tag)[0]
+            used = sum(self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.tag)
             want = (max(held, used + count * job.spec.cores), 0.0)
             await controller.jobs.handle(ClaimRequest(wants={job.spec.id: count}, grow={"red": want}))
             await controller.jobs._round()
@@ -265,7 +267,7 @@
     def _start(self, name: str, controller: Controller) -> None:
         """Starts what this controller has claimed, within its allowance."""
         job = self.store.tables.jobs.get(name)
-        tag = controller.standing.tag
+        tag = controller.leadership.tag
         if job is None or not job.runnable:
             return
         mask = job.progress.claims.get(tag, 0) & ~job.progress.done
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -15,16 +15,16 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.commands import CommandReply, Inspected
-from sloeswitch.actors.jobs import ClaimRequest, Jobs, Learnt
-from sloeswitch.actors.machines import Deleted, Heartbeat, Machines
-from sloeswitch.actors.membership import Membership, Settled, Standing
+from sloeswitch.actors.commands import CommandReply, InspectionReply
+from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
+from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.core.registry import Machine
-from sloeswitch.mesh import HEADER, Answer, Mesh, pack_inquire
+from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
 from sloeswitch.settings import parse
-from sloeswitch.state import Outcome, Replica, StateClient
+from sloeswitch.state import Replica, StateClient, TransactionOutcome
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.recorder import TraceRecorder
 
@@ -74,20 +74,22 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[Outcome, int]:
+    ) -> tuple[TransactionOutcome, int]:
         if self.lose_answers:
             self.lose_answers -= 1
             self.late.append((conditions, writes, drops))
-            return Outcome.UNKNOWN, 0
+            return TransactionOutcome.UNKNOWN, 0
         sizes = [len(wire.encode(value)) for value in writes.values()]
         if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
             self._refused(writes, len(writes) + len(drops))
-            return Outcome.REFUSED, 0
+            return TransactionOutcome.REFUSED, 0
         return self.apply(conditions, writes, drops)
 
-    def apply(self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> tuple[Outcome, int]:
+    def apply(
+        self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]
+    ) -> tuple[TransactionOutcome, int]:
         tables = self.store.tables
         # What the state service would refuse (protocol).
         assert len(writes) + len(drops) <= self.settings.txn_ops
@@ -95,12 +97,12 @@
         assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
         if any(tables.stamp(key) != stamp for key, stamp in conditions.items()):
-            return Outcome.CONFLICT, self.store.epoch
+            return TransactionOutcome.CONFLICT, self.store.epoch
         for key, value in writes.items():
             self.store.put(key, value)
         for key in drops:
             self.store.put(key, None)
-        return Outcome.DONE, self.store.epoch
+        return TransactionOutcome.DONE, self.store.epoch
 
 
 class ScriptedReplica(Replica):
@@ -306,7 +308,7 @@
         question = pack_inquire(1, node.replica.applied, peer.log, peer.place)[HEADER.size :]
         frame = other.mesh.answer(question).pack()
         self.recorder.record("frames", node.settings.member, question, other.settings.member, frame)
-        answer = Answer.unpack(frame[HEADER.size :])
+        answer = StatusFrame.unpack(frame[HEADER.size :])
         node.mesh.heard(peer, self.clock.time, answer)
 
     def step(self, calm: bool = False) -> None:
@@ -359,29 +361,29 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[Outcome, int]:
+    ) -> tuple[TransactionOutcome, int]:
         world = self.node.world
         world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
         if not self.node.reaches:
-            return Outcome.REFUSED, 0
+            return TransactionOutcome.REFUSED, 0
 
-        def carry_out() -> tuple[Outcome, int]:
+        def carry_out() -> tuple[TransactionOutcome, int]:
             stored = world.store.tables
             if any(stored.stamp(key) != stamp for key, stamp in conditions.items()):
-                return Outcome.CONFLICT, world.store.epoch
+                return TransactionOutcome.CONFLICT, world.store.epoch
             # One transaction, one revision.
             world.store.epoch += 1
             for key, value in [*writes.items(), *((key, None) for key in drops)]:
                 world.store.epoch -= 1
                 world.store.put(key, value)
-            return Outcome.DONE, world.store.epoch
+            return TransactionOutcome.DONE, world.store.epoch
 
         luck = world.rng.random()
         if luck < 0.04:
             world.late.append((world.clock.time + 10 * world.rng.random(), carry_out))
-            return Outcome.UNKNOWN, 0
+            return TransactionOutcome.UNKNOWN, 0
         outcome = carry_out()
-        return (Outcome.UNKNOWN, 0) if luck < 0.08 else outcome
+        return (TransactionOutcome.UNKNOWN, 0) if luck < 0.08 else outcome
 
 
 class Reading(Replica):
@@ -413,7 +415,7 @@
         worker = self.node.world.worker(machine)
         self.node.world.recorder.record("inspection", self.node.settings.member, machine)
         lost = worker is None or worker.hung or worker.deaf or self.node.world.rng.random() < 0.1
-        self.node.inbox.append(Inspected(machine, None if lost or worker is None else worker.report()))
+        self.node.inbox.append(InspectionReply(machine, None if lost or worker is None else worker.report()))
 
     def command(self, machine: Machine) -> None:
         """A direct command: carried out and answered, only carried out, carried out late, or lost."""
@@ -421,10 +423,10 @@
         worker = world.worker(machine.name)
         commands = node.machines.commands
         commands.begun(machine)
-        if worker is None or not node.standing.may_answer:
+        if worker is None or not node.leadership.may_answer:
             return
         orders = node.machines.registry.orders(machine, node.tables, None) if machine.heard else []
-        message = wire.Orders(node.standing.view.number, orders, machine.session or 1)
+        message = wire.WorkerCommands(node.leadership.view.number, orders, machine.session or 1)
         world.recorder.record("command", node.settings.member, machine.name, wire.encode(message))
         # As at the end of a real one, which waits for an answer no longer than this.
         wait_s = min(2.0, node.settings.lease_s / 6)
@@ -457,11 +459,11 @@
         def delete() -> None:
             self.returning.discard(machine)
             node = self.node
-            standing = node.standing
-            ours = standing.owner(machine) == node.settings.member
-            if (ours and standing.may_act) or (pressing and (standing.may_answer or standing.unattended)):
+            leadership = node.leadership
+            ours = leadership.owner(machine) == node.settings.member
+            if (ours and leadership.may_act) or (pressing and (leadership.may_answer or leadership.unattended)):
                 node.world.delete(machine)
-                node.inbox.append(Deleted([machine]))
+                node.inbox.append(InstancesDeleted([machine]))
 
         self.node.world.late.append((self.node.world.clock.time + self.node.world.rng.random(), delete))
         return True
@@ -476,24 +478,24 @@
         clock = world.clock
         self.refused = False
         self.place = 0
-        self.tables = t.Tables(Cancellations(50, world.rng.getrandbits(40) + 1))
+        self.tables = t.Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
         self.client = Client(self.settings, lambda: len(world.members), clock)
         self.client.node = self
         self.replica = Reading(self.client, self.tables, clock)
         self.replica.node = self
-        self.standing = Standing(self.settings, self.tables, self.replica, clock)
+        self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
         self.mesh = Mesh(
-            self.settings.siblings, 1.0, clock, self.standing.known, self.tables.cancellations, self.standing.learn
+            self.settings.siblings, 1.0, clock, self.leadership.known, self.tables.cancellations, self.leadership.learn
         )
-        self.standing.mesh = self.mesh
-        self.membership = Membership(self.settings, self.client, self.replica, self.standing)
-        self.jobs = Jobs(self.settings, self.client, self.replica, self.standing, clock)
+        self.leadership.mesh = self.mesh
+        self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
+        self.jobs = Jobs(self.settings, self.client, self.replica, self.leadership, clock)
         self.machines = Machines(
-            self.settings, self.client, self.replica, self.standing, self.jobs, self.membership, clock
+            self.settings, self.client, self.replica, self.leadership, self.jobs, self.membership, clock
         )
         # Pauses would be real ones.
         self.machines.pace_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
-        self.inbox: list[CommandReply | Deleted | Inspected] = []
+        self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
             self.machines.fleet = ScriptedCloud(self)
         self.group = Group(self)
@@ -525,13 +527,13 @@
         if not self.reaches:
             return
         name, now = self.settings.member, self.world.clock.time
-        if not self.standing.boot or (name, self.standing.boot) not in self.world.leases:
+        if not self.leadership.boot or (name, self.leadership.boot) not in self.world.leases:
             self.world.boots += 1
-            self.standing.boot = self.world.boots
+            self.leadership.boot = self.world.boots
             self.membership.settled = 0
-            self.world.store.member(name, self.standing.boot)
-        self.world.leases[name, self.standing.boot] = now
-        self.standing.renewed_at = now
+            self.world.store.member(name, self.leadership.boot)
+        self.world.leases[name, self.leadership.boot] = now
+        self.leadership.renewed_at = now
         self.read()
         anyio.run(self.membership._write_member)
 
@@ -560,11 +562,11 @@
             group.pending.clear()
             while self.membership._inbox:
                 message = self.membership._inbox.popleft()
-                assert isinstance(message, Settled)
+                assert isinstance(message, ShardRecovered)
                 await self.membership.handle(message)
             while self.jobs._inbox:
                 message = self.jobs._inbox.popleft()
-                assert isinstance(message, Learnt)
+                assert isinstance(message, TaskUpdates)
                 await self.jobs.handle(message)
             for request in asked:
                 await self.jobs.handle(request)
@@ -595,7 +597,7 @@
         self.renewed_at = world.clock.time
         self.flight: list[tuple[float, float, int, bytes]] = []
         self.heard_answer = False
-        self.copies: list[wire.Report] = []
+        self.copies: list[wire.WorkerReport] = []
         self.hung_until = self.deaf_until = self.mute_until = float("-inf")
 
     @property
@@ -613,7 +615,7 @@
         """Whether it reaches no controller."""
         return self.world.clock.time < self.mute_until
 
-    def command(self, message: wire.Orders, late: bool = False) -> None:
+    def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
         """A direct command: carried out if token and session still match."""
         if self.hung or message.token < self.token or message.session != self.session:
             return
@@ -632,10 +634,10 @@
             self.session += 1
             self.renewed_at = self.world.clock.time
 
-    def report(self) -> wire.Report:
+    def report(self) -> wire.WorkerReport:
         self.serial += 1
         items = [wire.ReportedTask(task, number, state, cause) for (task, number), (state, cause) in self.tasks.items()]
-        return wire.Report(
+        return wire.WorkerReport(
             self.name, "127.0.0.1:9000", self.kind, self.zone, self.spot, self.session, self.serial, self.token, items
         )
 
@@ -653,12 +655,12 @@
             self.copies.append(report)
         if self.copies and rng.random() < 0.1:
             copy = self.copies.pop(rng.randrange(len(self.copies)))
-            message = Heartbeat(report=copy, received=False)
+            message = HeartbeatRequest(report=copy, received=False)
             anyio.run(world.nodes[rng.choice(world.members)].machines.handle, message)
             world.recorder.record("heartbeat copy", self.name, message.answer.status, message.answer.body)
         if rng.random() < 0.05:
             return  # never arrives
-        message = Heartbeat(report=report, received=self.heard_answer)
+        message = HeartbeatRequest(report=report, received=self.heard_answer)
         anyio.run(world.nodes[self.target].machines.handle, message)
         answer, self.heard_answer = message.answer, False
         world.answered[str(answer.status)] += 1
@@ -676,7 +678,7 @@
         now = self.world.clock.time
         for at, sent, session, body in [item for item in self.flight if item[0] <= now]:
             self.flight.remove((at, sent, session, body))
-            orders = wire.decode(body, wire.Orders)
+            orders = wire.decode(body, wire.WorkerCommands)
             if now - sent > 4.0 or session != self.session or orders.token < self.token:
                 continue
             self.token = orders.token
@@ -685,7 +687,7 @@
             for order in orders.orders:
                 self.carry_out(order)
 
-    def carry_out(self, order: wire.Order) -> None:
+    def carry_out(self, order: wire.WorkerCommand) -> None:
         key = (order.task, order.attempt)
         if order.verb == "start" and key not in self.tasks:
             live = [task for (task, _), (state, _) in self.tasks.items() if state != "ended"]
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -15,9 +15,9 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.machines import Deleted, Heartbeat
+from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted
 from sloeswitch.core import tables as t
-from sloeswitch.state import Outcome, Urgency
+from sloeswitch.state import RequestPriority, TransactionOutcome
 from tests.conftest import SETTINGS, Store, spec
 from tests.test_actors import World
 
@@ -50,7 +50,7 @@
         self._watch_commits()
         self.machines.commands.spawn = lambda call, *args: self.commands.append((call, args))
         rows = {machine_name(n): ["127.0.0.1:9000", "small", "a", True] for n in range(machines)}
-        for number, group in enumerate(t.fit_groups(rows, self.settings.value_bytes)):
+        for number, group in enumerate(t.split_machine_groups(rows, self.settings.value_bytes)):
             store.put(t.group_key(f"{FORMER_TAG}.{number}"), {"m": group})
         self.jobs_count = -(-machines // MACHINES_OF_A_JOB)
         size = MACHINES_OF_A_JOB * TASKS_OF_A_MACHINE
@@ -63,7 +63,9 @@
     def _watch_commits(self) -> None:
         commit = self.client.commit
 
-        async def watched(conditions: Any, writes: Any, drops: Any, urgency: Any, **more: Any) -> tuple[Outcome, int]:
+        async def watched(
+            conditions: Any, writes: Any, drops: Any, urgency: Any, **more: Any
+        ) -> tuple[TransactionOutcome, int]:
             self.transactions.append((len(writes) + len(drops), len(wire.commit_body(conditions, writes, drops, {}))))
             return await commit(conditions, writes, drops, urgency, **more)
 
@@ -76,15 +78,15 @@
 
     def renew(self) -> None:
         """The lease is renewed and the tables are read afresh."""
-        self.standing.renewed_at = self.replica.fresh_at = self.clock.time
+        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
 
     async def report(self, number: int, token: int) -> int:
         """A machine reports its tasks as running; the status of the answer."""
         name = machine_name(number)
         self.serials[name] += 1
         items = [wire.ReportedTask(task, 7, "running") for task in self.tasks_of(number)]
-        message = Heartbeat(
-            report=wire.Report(name, "127.0.0.1:9000", "small", "a", True, 1, self.serials[name], token, items),
+        message = HeartbeatRequest(
+            report=wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, 1, self.serials[name], token, items),
             received=True,
         )
         await self.machines.handle(message)
@@ -127,20 +129,20 @@
         """Every job is cancelled at once, by rows that other controllers wrote."""
         for number in range(self.jobs_count):
             key = t.job_key(job_name(number))
-            self.store.put(key, {**self.store.rows[key][0], "s": t.WITHDRAWN, "x": int(self.clock.time * 1000)})
+            self.store.put(key, {**self.store.rows[key][0], "s": t.CANCELLED, "x": int(self.clock.time * 1000)})
 
     def delete_all(self) -> int:
         """All machines are deleted; how many transactions take them out of what is stored."""
         names = [machine_name(number) for number in range(self.machine_count)]
         for start in range(0, len(names), 100):
-            anyio.run(self.machines.handle, Deleted(names[start : start + 100]))
+            anyio.run(self.machines.handle, InstancesDeleted(names[start : start + 100]))
         before = len(self.transactions)
         registration = self.machines.registration
 
         async def unregister() -> None:
             while transaction := registration._removals():
                 await self.client.commit(
-                    transaction.conditions, transaction.writes, transaction.drops, Urgency.PROGRESS
+                    transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
                 )
 
         anyio.run(unregister)
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -16,7 +16,7 @@
 from sloeswitch.admission.cuts import AdmissionRow
 from sloeswitch.cells.handoff import OriginRow
 from sloeswitch.core import tables as t
-from sloeswitch.state import Outcome
+from sloeswitch.state import TransactionOutcome
 from tests.conftest import SETTINGS, Store
 from tests.test_actors import World
 
@@ -51,9 +51,11 @@
         self.lines: list[str] = []
         apply = self.client.apply
 
-        def record(conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> tuple[Outcome, int]:
+        def record(
+            conditions: dict[str, int], writes: dict[str, Any], drops: list[str]
+        ) -> tuple[TransactionOutcome, int]:
             outcome = apply(conditions, writes, drops)
-            assert outcome[0] is Outcome.DONE, (outcome, conditions)
+            assert outcome[0] is TransactionOutcome.DONE, (outcome, conditions)
             self.lines += [line_of(key, value) for key, value in writes.items()]
             self.lines += sorted(drops)  # one transaction: their order means nothing
             return outcome
@@ -73,7 +75,7 @@
     def later(self, seconds: float) -> None:
         """Time passes, and the lease is renewed."""
         self.clock.time += seconds
-        self.standing.renewed_at = self.replica.fresh_at = self.clock.time
+        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
 
 
 # -- tables as plain values; the only place with Python names of what is read
@@ -161,7 +163,7 @@
     }
 
 
-def dump_over(over: t.Over) -> dict[str, Any]:
+def dump_over(over: t.FinishedJob) -> dict[str, Any]:
     """A job that is over."""
     return {
         "end": [over.status, over.tasks, over.at_ms, over.stamp, over.done, over.settled],
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class Outcome:
+class TransactionOutcome:
     """One run: waits from submission to the first start, in milliseconds, by kind of job."""
 
     flood_ms: list[int] = field(default_factory=list)
@@ -76,7 +76,7 @@
         self.started_at.setdefault(task.partition("/")[0], self.clock.time)
 
 
-def load(seed: int, deferring: bool) -> Outcome:
+def load(seed: int, deferring: bool) -> TransactionOutcome:
     """A flood of the red team's jobs in a minute, and green's urgent ones beside it, until all are done."""
     world = LoadWorld(seed, deferring)
     arrivals = random.Random(seed)
@@ -101,7 +101,7 @@
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
             break
-    outcome = Outcome(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
+    outcome = TransactionOutcome(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
     outcome.unfinished = len(plan) - len(ended_at)
     for name, at in world.started_at.items():
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
@@ -135,7 +135,7 @@
     return found
 
 
-def report(found: dict[str, list[Outcome]], path: str) -> None:
+def report(found: dict[str, list[TransactionOutcome]], path: str) -> None:
     """A page with the waits of both loads, with and without."""
     import plotly.graph_objects as graph
 
@@ -152,7 +152,7 @@
     figure.write_html(path, include_plotlyjs=True)
 
 
-def play(seed: int, mode: str) -> Outcome:
+def play(seed: int, mode: str) -> TransactionOutcome:
     """One run, in a process of its own."""
     with pytest.MonkeyPatch.context() as monkeypatch:
         follow_newest_world(monkeypatch)
@@ -162,7 +162,7 @@
 def main(first: int, last: int, path: str) -> None:
     """Prints each seed's two runs and the means with their spread, and writes the page."""
     runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT, WITH)]
-    found: dict[str, list[Outcome]] = {WITHOUT: [], WITH: []}
+    found: dict[str, list[TransactionOutcome]] = {WITHOUT: [], WITH: []}
     with ProcessPoolExecutor(WORKERS) as pool:
         for (seed, mode), outcome in zip(runs, pool.map(play, *zip(*runs, strict=True)), strict=True):
             found[mode].append(outcome)
@@ -175,7 +175,7 @@
     report(found, path)
 
 
-def summary(outcomes: list[Outcome]) -> str:
+def summary(outcomes: list[TransactionOutcome]) -> str:
     """Waits of several runs together."""
     texts: list[str] = []
     for title, waits_ms in (
@@ -200,20 +200,20 @@
     world = FleetWorld(MACHINES)
     world.take_over()
     world.store_all()
-    wall_ms = int(1000 * world.clock.time)
+    wall_clock_ms = int(1000 * world.clock.time)
     for number in range(DEFERRED_JOBS):
         job = spec(job_name(500_000 + number), roster=f"class-{number % 16}")
-        value = {"s": t.LIVE, "n": job.tasks, "t": wall_ms + number, "spec": msgspec.to_builtins(job)}
+        value = {"s": t.LIVE, "n": job.tasks, "t": wall_clock_ms + number, "spec": msgspec.to_builtins(job)}
         world.store.put(t.job_key(job.id), value)
     timed("tick without admission", world.tick)
-    row = AdmissionRow().raised(LaneCut(Ticket(wall_ms - 1, ""), wall_ms), {}, {})
+    row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
     world.store.put(t.admission_key(ROOT), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
     world.machines.gate = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
     timed("tick with admission", world.tick)
     limits = AdmissionLimits.of(world.settings)
-    later_ms = wall_ms + int(1000 * limits.patience_s) + DEFERRED_JOBS
+    later_ms = wall_clock_ms + int(1000 * limits.patience_s) + DEFERRED_JOBS
 
     def reckon() -> list[epochs.RowChange]:
         return epochs.next_rows(world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes)
--- a/tests/support/seeds.py
+++ b/tests/support/seeds.py
@@ -21,7 +21,7 @@
         clocks.append(clock)
 
     monkeypatch.setattr(Clock, "__init__", made)
-    monkeypatch.setattr(machines_module, "wall_ms", lambda: int(clocks[-1].time * 1000))
+    monkeypatch.setattr(machines_module, "wall_clock_ms", lambda: int(clocks[-1].time * 1000))
     monkeypatch.setattr(time, "time", lambda: clocks[-1].time)
 
 
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class TransactionOutcome:
     """What users and state services saw of one run."""
 
     in_time: float
@@ -34,7 +34,7 @@
     unfinished: int
 
 
-async def load(seed: int, moving: bool) -> Outcome:
+async def load(seed: int, moving: bool) -> TransactionOutcome:
     """Sixty jobs in half a minute or so, nine of ten in the north, until all are done."""
     world = CellWorld(seed, moving=moving, troubled=False)
     arrivals = random.Random(seed)
@@ -53,12 +53,14 @@
     moved = sum(set(where) != {world.home[job]} for job, where in world.starts.items())
     changes = sum(cell.store.epoch for cell in world.cells.values()) - before
     in_time = sum(each <= DUE_S for each in times) / len(world.home)
-    return Outcome(in_time, statistics.mean(times), max(times), moved, changes, world.messages, len(world.unfinished()))
+    return TransactionOutcome(
+        in_time, statistics.mean(times), max(times), moved, changes, world.messages, len(world.unfinished())
+    )
 
 
 def main(first: int, last: int) -> None:
     """Prints each seed's two runs, and the means with their spread."""
-    found: dict[bool, list[Outcome]] = {False: [], True: []}
+    found: dict[bool, list[TransactionOutcome]] = {False: [], True: []}
     with pytest.MonkeyPatch.context() as monkeypatch:
         follow_newest_world(monkeypatch)
         for seed in range(first, last):
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -9,9 +9,9 @@
 import pytest
 
 from sloeswitch import controller, wire
-from sloeswitch.actors.jobs import ClaimRequest, Jobs, Learnt
-from sloeswitch.actors.machines import Heartbeat, Machines
-from sloeswitch.actors.membership import Membership, Standing
+from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.machines import HeartbeatRequest, Machines
+from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.core import tables as t
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import parse
@@ -34,13 +34,13 @@
         self.replica = ScriptedReplica(self.client, store.tables, self.clock)
         self.replica.loaded = self.replica.whole = True
         self.replica.fresh = self.read  # type: ignore[method-assign]
-        self.standing = Standing(self.settings, store.tables, self.replica, self.clock)
-        self.standing.boot = 1
-        self.standing.renewed_at = self.replica.fresh_at = self.clock.time
-        self.membership = Membership(self.settings, self.client, self.replica, self.standing)
-        self.jobs = Jobs(self.settings, self.client, self.replica, self.standing, self.clock)
+        self.leadership = Leadership(self.settings, store.tables, self.replica, self.clock)
+        self.leadership.boot = 1
+        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
+        self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
+        self.jobs = Jobs(self.settings, self.client, self.replica, self.leadership, self.clock)
         self.machines = Machines(
-            self.settings, self.client, self.replica, self.standing, self.jobs, self.membership, self.clock
+            self.settings, self.client, self.replica, self.leadership, self.jobs, self.membership, self.clock
         )
         store.view(3, ("c0", 1))
         store.member("c0", 1, settled=3)
@@ -48,14 +48,14 @@
     async def read(self, timeout_s: float) -> None:
         return None
 
-    def heartbeat(self, heard: wire.Report) -> wire.Orders:
+    def heartbeat(self, heard: wire.WorkerReport) -> wire.WorkerCommands:
         """What the machine is answered, which is seen to have received the answer before."""
-        message = Heartbeat(report=heard, received=True)
+        message = HeartbeatRequest(report=heard, received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
-        return wire.decode(message.answer.body, wire.Orders)
+        return wire.decode(message.answer.body, wire.WorkerCommands)
 
-    def tell_jobs(self, learnt: Learnt) -> None:
+    def tell_jobs(self, learnt: TaskUpdates) -> None:
         anyio.run(self.jobs.handle, learnt)
 
     def round(self, request: ClaimRequest | None = None) -> None:
@@ -89,15 +89,15 @@
 
 def meshed(world: World) -> Mesh:
     """The controller's part of the mesh; none of its siblings has told anything yet."""
-    world.standing.mesh = Mesh(
+    world.leadership.mesh = Mesh(
         world.settings.siblings,
         1.0,
         world.clock,
-        world.standing.known,
+        world.leadership.known,
         world.store.tables.cancellations,
-        world.standing.learn,
+        world.leadership.learn,
     )
-    return world.standing.mesh
+    return world.leadership.mesh
 
 
 @pytest.fixture
@@ -130,9 +130,9 @@
 
 def test_an_old_view_claims_nothing(world: World) -> None:
     world.store.job(spec())
-    standing_view = world.standing.claim_conditions()
+    standing_view = world.leadership.claim_conditions()
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.standing.claim_conditions = lambda: standing_view  # type: ignore[method-assign]
+    world.leadership.claim_conditions = lambda: standing_view  # type: ignore[method-assign]
     world.round(ClaimRequest(wants={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
@@ -148,13 +148,13 @@
     machine_up(world)
     mesh = meshed(world)
     world.clock.time += world.settings.controller_lease_s
-    refused = Heartbeat(report=report(3, 3))
+    refused = HeartbeatRequest(report=report(3, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
     mesh.peers["c1"].asked_at, mesh.peers["c1"].view, mesh.peers["c1"].whole = world.clock.time, 3, True
     world.heartbeat(report(4, 3))
     mesh.peers["c1"].view = 4
-    refused = Heartbeat(report=report(5, 3))
+    refused = HeartbeatRequest(report=report(5, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
 
@@ -178,7 +178,7 @@
     start = world.heartbeat(report(3, 3)).orders[0]
     answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
     assert answer.orders == []  # neither a start nor, before it is stored, a clear
-    world.tell_jobs(Learnt(done={JOB: 1}))
+    world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
     assert world.store.tables.over[JOB][:2] == (t.DONE, 1)
@@ -199,7 +199,7 @@
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c0_1=0b1)
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
-    world.tell_jobs(Learnt(done={JOB: 1}))
+    world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
     assert world.jobs.status(JOB) == wire.CANCELLED
@@ -230,7 +230,7 @@
     world.tell_jobs(world.machines.learnt)
     world.clock.time += 1.0
     world.round()
-    assert world.store.tables.over[JOB][:2] == (t.WITHDRAWN, 1)
+    assert world.store.tables.over[JOB][:2] == (t.CANCELLED, 1)
 
 
 def test_repeated_submission_finds_the_job(world: World) -> None:
@@ -243,7 +243,7 @@
 
     world.store.view(4, ("c0", 1), ("c1", 2))
     name = next(f"vm-{n}" for n in range(100) if owner(f"vm-{n}", world.store.tables.view.members) == "c1")
-    message = Heartbeat(report=report(1, 0, name=name))
+    message = HeartbeatRequest(report=report(1, 0, name=name))
     anyio.run(world.machines.handle, message)
     assert (message.answer.status, message.answer.body) == (421, b'{"foreman":"c1"}')
 
@@ -259,7 +259,7 @@
 
 def test_malformed_report_is_refused(world: World) -> None:
     machine_up(world)
-    message = Heartbeat(report=report(3, 3, ("nonsense", 1, "running")))
+    message = HeartbeatRequest(report=report(3, 3, ("nonsense", 1, "running")))
     anyio.run(world.machines.handle, message)
     assert message.answer.status == 400
 
@@ -292,11 +292,11 @@
     """Failure found on the bench: each was counted as one change and takes two."""
     names = [f"wk-{number:06d}" for number in range(20)]
     for name in names:
-        world.store.job(spec(name, visits=1), t.WITHDRAWN)
+        world.store.job(spec(name, visits=1), t.CANCELLED)
         world.store.progress(name, c0_1=0b1)
     world.store.job(spec("wk-000099"))
-    world.tell_jobs(Learnt(done={"wk-000099": 0b1}))
-    world.tell_jobs(Learnt(released=dict.fromkeys(names, 1)))
+    world.tell_jobs(TaskUpdates(done={"wk-000099": 0b1}))
+    world.tell_jobs(TaskUpdates(released=dict.fromkeys(names, 1)))
     world.clock.time += 20.0
     for _ in range(20):
         world.clock.time += 20.0
@@ -309,7 +309,7 @@
     scattered = sum(1 << index for index in range(0, 2400, 2))
     for name in names:
         world.store.job(spec(name, visits=3000))
-    world.tell_jobs(Learnt(done=dict.fromkeys(names, scattered)))
+    world.tell_jobs(TaskUpdates(done=dict.fromkeys(names, scattered)))
     for _ in range(20):
         world.clock.time += 20.0
         world.round()
@@ -320,8 +320,8 @@
     machine_up(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.machines._follow_view()
-    kits = {world.standing.owner(f"image img-{number}"): f"img-{number}" for number in range(20)}
-    name = next(f"vm-{number}" for number in range(9) if world.standing.owner(f"vm-{number}") == "c0")
+    kits = {world.leadership.owner(f"image img-{number}"): f"img-{number}" for number in range(20)}
+    name = next(f"vm-{number}" for number in range(9) if world.leadership.owner(f"vm-{number}") == "c0")
     world.store.put(t.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(9, 3, name=name))
     world.heartbeat(report(10, 4, name=name))
@@ -346,7 +346,7 @@
     world.store.put(t.team_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines._release(JOB, 0b11)
     world.tell_jobs(world.machines.learnt)
-    world.machines.learnt = Learnt()
+    world.machines.learnt = TaskUpdates()
     world.clock.time += 2 * world.jobs.batch_s
 
     async def rounds() -> None:
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -11,18 +11,18 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.base import BATCH, Actor, InboxFullError
-from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, InboxFullError
+from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.machines import Heartbeat
+from sloeswitch.actors.machines import HeartbeatRequest
 from sloeswitch.actors.users import Users
 from sloeswitch.core import ready
 from sloeswitch.core import tables as t
-from sloeswitch.core.ready import PATIENCE_LEASES
+from sloeswitch.core.ready import STARVATION_LEASES
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http import Answer, Request
 from sloeswitch.settings import parse
-from sloeswitch.state import Outcome
+from sloeswitch.state import TransactionOutcome
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.test_actors import JOB, World, machine_up, meshed
 
@@ -36,8 +36,8 @@
     yield world
 
 
-def heartbeat(world: World, heard: wire.Report, received: bool = True) -> Any:
-    message = Heartbeat(report=heard, received=received)
+def heartbeat(world: World, heard: wire.WorkerReport, received: bool = True) -> Any:
+    message = HeartbeatRequest(report=heard, received=received)
     anyio.run(world.machines.handle, message)
     return message.answer
 
@@ -45,11 +45,11 @@
 def later(world: World, seconds: float) -> None:
     """Time passes and the controller keeps its lease."""
     world.clock.time += seconds
-    world.standing.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
 
 
 def verbs(answer: Any) -> list[str]:
-    return [order.verb for order in wire.decode(answer.body, wire.Orders).orders]
+    return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).orders]
 
 
 def running(world: World) -> tuple[str, int]:
@@ -71,12 +71,12 @@
 def test_a_job_with_nothing_begun_goes_first_after_a_bounded_wait(store: Store) -> None:
     store.job(spec("wk-000001", urgency="best_effort", visits=5000))
     store.job(spec("wk-000002", urgency="critical", visits=9))  # more than the guarantee
-    assert names(store, PATIENCE_LEASES * LEASE_S - 1) == ["wk-000002", "wk-000001"]
-    assert names(store, PATIENCE_LEASES * LEASE_S + 1)[0] == "wk-000001"
+    assert names(store, STARVATION_LEASES * LEASE_S - 1) == ["wk-000002", "wk-000001"]
+    assert names(store, STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
     store.progress("wk-000001", done=0b1)  # begun: others first again, for a while
     store.progress("wk-000002", done=0b1)
-    assert names(store, PATIENCE_LEASES * LEASE_S + 1) == ["wk-000002", "wk-000001"]
-    assert names(store, 2 * PATIENCE_LEASES * LEASE_S + 1) == ["wk-000001", "wk-000002"]
+    assert names(store, STARVATION_LEASES * LEASE_S + 1) == ["wk-000002", "wk-000001"]
+    assert names(store, 2 * STARVATION_LEASES * LEASE_S + 1) == ["wk-000001", "wk-000002"]
 
 
 def test_a_hopeless_job_stands_back_for_a_bounded_time(store: Store) -> None:
@@ -85,7 +85,7 @@
     store.job(spec("wk-000002", dueS=500.0))
     store.progress("wk-000002", done=0b1)
     assert names(store, 60.0)[0] == "wk-000002"
-    assert names(store, 2 * PATIENCE_LEASES * LEASE_S + 1)[0] == "wk-000001"
+    assert names(store, 2 * STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
 
 
 def test_every_waiting_team_and_class_begins_within_four_minutes(store: Store) -> None:
@@ -94,13 +94,13 @@
     for number in range(2, 40):
         store.job(spec(f"wk-{number:06d}", urgency="critical", dueS=1000.0))
         store.progress(f"wk-{number:06d}", done=0b1)
-    assert PATIENCE_LEASES * 14.0 < 0.5 * 240.0
-    assert names(store, PATIENCE_LEASES * LEASE_S + 1)[0] == "wk-000001"
+    assert STARVATION_LEASES * 14.0 < 0.5 * 240.0
+    assert names(store, STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
 
 
 def test_only_a_part_of_a_job_goes_first_for_having_waited(world: World) -> None:
     world.store.job(spec(visits=16, cores=0.1, memoryGb=0.0))
-    job, again = ready.order(world.store.tables, world.settings, int((PATIENCE_LEASES * LEASE_S + 1) * 1000))
+    job, again = ready.order(world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000))
     assert job is again and job.beginning
     world.machines.line = [job]
     assert world.claim_requests()[0].wants == {JOB: 2}
@@ -161,10 +161,10 @@
 
 
 def test_only_a_prompt_report_on_the_same_connection_shows_that_an_answer_came(world: World) -> None:
-    users = Users(world.settings, world.client, world.replica, world.standing, world.jobs, world.machines)
+    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
     seen: list[bool] = []
 
-    async def ask(message: Heartbeat) -> Answer:
+    async def ask(message: HeartbeatRequest) -> Answer:
         seen.append(message.received)
         return Answer(200)
 
@@ -255,7 +255,7 @@
     mesh.peers["c1"].asked_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
-    return Users(world.settings, world.client, world.replica, world.standing, world.jobs, world.machines)
+    return Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
 
 
 def test_a_cut_off_controller_sends_workers_and_users_elsewhere_at_once(world: World) -> None:
@@ -273,7 +273,7 @@
 
 def test_in_an_outage_that_siblings_share_a_controller_stays_healthy(world: World) -> None:
     users = cut_off(world)
-    mesh = world.standing.mesh
+    mesh = world.leadership.mesh
     assert mesh is not None
     mesh.peers["c1"].asked_at, mesh.peers["c1"].state_ok = world.clock.time, False
     assert users._healthz().status == 200
@@ -288,16 +288,16 @@
     world.membership.settled = 4
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)  # on its way when the former run is killed
-    world.standing.boot = 7
+    world.leadership.boot = 7
     world.membership.settled = 0
     assert anyio.run(world.membership._write_member)
     for write in world.client.late:
-        assert world.client.apply(*write)[0] is Outcome.CONFLICT
+        assert world.client.apply(*write)[0] is TransactionOutcome.CONFLICT
     assert world.store.tables.members["c0"].boot == 7
 
 
 def test_a_member_row_lost_to_the_former_run_is_written_again(world: World) -> None:
-    world.standing.boot = 7
+    world.leadership.boot = 7
     world.store.member("c0", 1, settled=3)
     assert not world.membership._row_stands(7)
     assert anyio.run(world.membership._write_member)
@@ -305,8 +305,8 @@
 
 
 def test_a_new_run_takes_the_coordinators_key_and_the_view_from_its_former_one(world: World) -> None:
-    world.store.put(t.COORD, {"member": "c0", "boot": 1})
-    world.standing.boot = 7
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.leadership.boot = 7
     assert anyio.run(world.membership._write_member)
     anyio.run(world.membership._coordinate)
     assert world.store.tables.coordinator == ("c0", 7)
@@ -417,7 +417,7 @@
         self.deleted += machines
 
 
-def deletions(world: World, fleet: Fleet) -> list[str]:
+def deletions(world: World, fleet: Autoscaler) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
@@ -432,7 +432,7 @@
 
 def test_after_a_freeze_no_machine_is_deleted_on_what_was_known_before(world: World) -> None:
     cloud: Any = Cloud()
-    fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     fleet.machines = world.machines
     both = (("c0", 1), ("c1", 2))
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
@@ -452,7 +452,7 @@
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
     assert heartbeat(world, report(3, 3)).status == 503
-    assert not world.standing.may_act and not world.standing.coordinating
+    assert not world.leadership.may_act and not world.leadership.coordinating
     epoch = world.store.epoch
     world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
     assert world.store.epoch == epoch
@@ -539,4 +539,4 @@
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    assert handled == list(range(100)) and turns > 100 / BATCH
+    assert handled == list(range(100)) and turns > 100 / MAX_MESSAGES_PER_TURN
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,22 +12,22 @@
 from sloeswitch import wire
 from sloeswitch.admission import compare, cuts
 from sloeswitch.admission import epoch as epochs
-from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.coordinator import AdmissionCoordinator
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decisions import Ground, decide, lane_of
-from sloeswitch.admission.frames import MeshIdleRoomLink, pack_idle_room, unpack_idle_room
+from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room, unpack_idle_room
 from sloeswitch.admission.gate import AdmissionGate
-from sloeswitch.admission.idle_room import IdleRoomTracker
+from sloeswitch.admission.idle_room import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
 from sloeswitch.cli import main
 from sloeswitch.core import ready
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellations
-from sloeswitch.core.placement import Room
+from sloeswitch.core.cancellations import CancellationLog
+from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import TYPE_IDLE_ROOM_REQUEST, FrameError, Known, Mesh
+from sloeswitch.mesh import TYPE_IDLE_ROOM_REQUEST, FrameError, Mesh, PeerStatus
 from sloeswitch.settings import Address, Settings, parse
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, Store, spec
@@ -44,7 +44,7 @@
 
     def __init__(self, teams: dict[str, tuple[float, float]] | None = None, machines: int = 2) -> None:
         self.store = Store()
-        self.store.put(t.CATALOG, msgspec.to_builtins(wire.Catalog([MACHINE_TYPE, LARGE])))
+        self.store.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
         self.settings: Settings = parse(cluster_text(teams or {"red": (0.0, 4000.0), "blue": (0.0, 4000.0)}))
         self.limits = AdmissionLimits.of(self.settings)
         self.now_ms = START_MS
@@ -69,12 +69,12 @@
         self.store.put(t.job_key(name), value)
 
     def cancel(self, name: str) -> None:
-        self.store.put(t.job_key(name), {**self.store.rows[t.job_key(name)][0], "s": t.WITHDRAWN})
+        self.store.put(t.job_key(name), {**self.store.rows[t.job_key(name)][0], "s": t.CANCELLED})
 
-    def changes(self, idle: list[IdleRoom] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
+    def changes(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
         return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
 
-    def epoch(self, idle: list[IdleRoom] | None = None, value_bytes: int = 10000) -> int:
+    def epoch(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> int:
         """Stores all changes of an epoch; how many values that were."""
         count = 0
         for change in self.changes(idle, value_bytes):
@@ -187,16 +187,16 @@
 
 def coordinator(world: World) -> AdmissionCoordinator:
     world.store.put(t.feature_key("admission"), {"seen": ["c0", "c1"], "complete": True})
-    world.store.put(t.COORD, {"member": "c0", "boot": 1})
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     return AdmissionCoordinator(
-        world.settings, AdmissionFeatures(True), world.client, world.replica, world.standing, list, {}, world.clock
+        world.settings, AdmissionFeatures(True), world.client, world.replica, world.leadership, list, {}, world.clock
     )
 
 
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
     """A controller that coordinates, with a lane of deferred jobs and no machine."""
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
-    monkeypatch.setattr("sloeswitch.admission.coordinator.wall_ms", lambda: int(1000 * world.clock.time))
+    monkeypatch.setattr("sloeswitch.admission.coordinator.wall_clock_ms", lambda: int(1000 * world.clock.time))
     each = coordinator(world)
     anyio.run(each.epoch)
     later(world, 2 * each.limits.lead_s + 1)
@@ -210,7 +210,7 @@
 
 def later(world: World, seconds: float) -> None:
     world.clock.time += seconds
-    world.standing.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
 
 
 def test_an_epoch_that_is_carried_out_late_after_a_newer_one_changes_nothing(
@@ -234,8 +234,8 @@
     world.client.lose_answers = 1
     anyio.run(each.epoch)
     conditions, writes, drops = world.client.late[0]
-    conditions = {key: stamp for key, stamp in conditions.items() if key != t.COORD}
-    store.put(t.COORD, {"member": "c1", "boot": 9})
+    conditions = {key: stamp for key, stamp in conditions.items() if key != t.COORDINATOR_KEY}
+    store.put(t.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.epoch)  # deposed, so that it reckons no more
     assert store.tables.admission[cuts.ROOT].number == 1
     row = AdmissionRow.from_stored(writes[t.admission_key(cuts.ROOT)])
@@ -392,9 +392,9 @@
     cluster = Cluster()
     names = cluster.overload(3)
     kind = ("small", "a", True)
-    cluster.epoch([IdleRoom(kind, 1.0, cluster.limits.idle_s / 2)])
+    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.idle_s / 2)])
     assert cluster.admitted() == ["wk-000000"]
-    cluster.epoch([IdleRoom(kind, 1.0, cluster.limits.idle_s)])
+    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.idle_s)])
     assert cluster.admitted() == ["wk-000000", names[0]]
 
 
@@ -573,7 +573,7 @@
     gate.apply()
     assert sum(map(len, gate._deferred.values())) == 50
     for name in names[:40]:
-        cluster.store.put(t.job_key(name), {"s": t.WITHDRAWN, "n": 1, "t": cluster.now_ms})
+        cluster.store.put(t.job_key(name), {"s": t.CANCELLED, "n": 1, "t": cluster.now_ms})
     gate.apply()
     assert len(gate._decided) == len(cluster.store.tables.jobs) == 11
     assert sum(map(len, gate._deferred.values())) == 10
@@ -583,20 +583,20 @@
 
 
 def test_idle_room_is_as_old_as_the_kind_has_been_left_over() -> None:
-    tracker = IdleRoomTracker()
+    tracker = IdleCapacityTracker()
     types = {MACHINE_TYPE.name: MACHINE_TYPE}
-    room = Room("vm-1", "small", "a", True, 4.0, 0.0, 16.0)
-    full = Room("vm-2", "small", "b", True, 0.0, 0.0, 16.0)
+    room = FreeCapacity("vm-1", "small", "a", True, 4.0, 0.0, 16.0)
+    full = FreeCapacity("vm-2", "small", "b", True, 0.0, 0.0, 16.0)
     tracker.observe([room, full], types, 10.0)
     tracker.observe([room, full], types, 13.0)
-    assert tracker.report(14.0) == [IdleRoom(("small", "a", True), 0.5, 4.0)]
+    assert tracker.report(14.0) == [IdleCapacity(("small", "a", True), 0.5, 4.0)]
     tracker.observe([], types, 15.0)
     tracker.observe([room], types, 16.0)
-    assert tracker.report(16.0) == [IdleRoom(("small", "a", True), 0.5, 0.0)]
+    assert tracker.report(16.0) == [IdleCapacity(("small", "a", True), 0.5, 0.0)]
 
 
 def test_the_frame_of_idle_room_survives_the_way_and_what_is_none_is_refused() -> None:
-    rooms = [IdleRoom(("small", "a", True), 0.5, 4.0), IdleRoom(("größe", "", False), 12.25, 0.0)]
+    rooms = [IdleCapacity(("small", "a", True), 0.5, 4.0), IdleCapacity(("größe", "", False), 12.25, 0.0)]
     body = pack_idle_room(rooms)
     assert unpack_idle_room(body) == rooms and unpack_idle_room(pack_idle_room([])) == []
     for bad in (
@@ -605,7 +605,7 @@
         body[:-1],
         body + b"x",
         body[:5],
-        pack_idle_room([IdleRoom(("a", "b", True), -1.0, 0.0)]),
+        pack_idle_room([IdleCapacity(("a", "b", True), -1.0, 0.0)]),
     ):
         with pytest.raises(FrameError):
             unpack_idle_room(bad)
@@ -685,20 +685,22 @@
 def test_a_sibling_is_asked_over_the_mesh_and_answers_only_where_the_feature_is_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told = [IdleRoom(("small", "a", True), 0.5, 4.0)]
+    told = [IdleCapacity(("small", "a", True), 0.5, 4.0)]
 
     async def answer(_kind: int, _body: bytes) -> bytes:
         return pack_idle_room(told)
 
     async def run() -> None:
-        mesh = Mesh((), 1.0, lambda: 0.0, lambda: Known(1, True, 1, True, True), Cancellations(1, 1), lambda _: None)
+        mesh = Mesh(
+            (), 1.0, lambda: 0.0, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
+        )
         async with anyio.create_task_group() as group:
 
             async def connect(host: str, port: int) -> Any:
                 return connect_to(mesh, group)
 
             monkeypatch.setattr(anyio, "connect_tcp", connect)
-            link = MeshIdleRoomLink(FrameLink("c1", (Address("peer", 1),), 5.0))
+            link = MeshIdleCapacityLink(FrameLink("c1", (Address("peer", 1),), 5.0))
             with pytest.raises(NoAnswerError):
                 await link.idle_room()
             mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
@@ -713,9 +715,9 @@
 
     def __init__(self) -> None:
         self.asked = 0
-        self.rooms: list[IdleRoom] | None = [IdleRoom(("small", "a", True), 2.0, 1.0)]
+        self.rooms: list[IdleCapacity] | None = [IdleCapacity(("small", "a", True), 2.0, 1.0)]
 
-    async def idle_room(self) -> list[IdleRoom]:
+    async def idle_room(self) -> list[IdleCapacity]:
         self.asked += 1
         if self.rooms is None:
             raise NoAnswerError("lost")
@@ -736,7 +738,7 @@
         anyio.run(each.ask, "c1")
     later(world, 3 * each.limits.epoch_s)
     assert each._idle_rooms() == []
-    store.put(t.COORD, {"member": "c1", "boot": 9})
+    store.put(t.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.ask, "c1")
     assert link.asked == 2
 
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import tables as t
 from sloeswitch.core import taskset
-from sloeswitch.state import Outcome
+from sloeswitch.state import TransactionOutcome
 from tests.conftest import Store, spec
 from tests.test_actors import World
 from tests.test_upgrade import NARROW
@@ -37,7 +37,7 @@
 
 
 def adopt(world: World, rounds: int = 1) -> None:
-    world.tell_jobs(Learnt(adopted=dict.fromkeys(NAMES, HALF), view=3))
+    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view=3))
     for _ in range(rounds):
         world.round()
 
@@ -58,7 +58,7 @@
 
 def test_what_is_given_up_after_an_adoption_stays_given_up(world: World) -> None:
     adopt(world, 3)
-    world.tell_jobs(Learnt(released={JOB: 0b100}, done={JOB: 0b10000}))
+    world.tell_jobs(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
     world.clock.time += 20.0
     world.round()
     for tables in (world.store.tables, world.store.read_again()):
@@ -83,10 +83,10 @@
     conditions, writes, _drops = world.client.late[0]
     assert [conditions[key] for key in writes if key.startswith(t.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == HALF for name in NAMES)
-    assert world.client.apply(*world.client.late[0])[0] is Outcome.CONFLICT
+    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
     # Late in the other order: it comes first, and what was tried again under its key fails.
     world.store.view(4, ("c0", 1))
-    assert world.client.apply(*world.client.late[0])[0] is Outcome.CONFLICT
+    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
 
 
 def test_adoptions_and_allowances_of_many_teams_keep_within_a_transaction(store: Store) -> None:
@@ -102,7 +102,7 @@
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
         store.progress(name, c1_9=0b1)
-    world.tell_jobs(Learnt(adopted=dict.fromkeys(names, 1), view=3))
+    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view=3))
     for _ in range(8):
         grow = {f"t{number}": (3.0, 0.0) for number in (2, 3)}
         world.round(ClaimRequest(wants={names[2]: 2, names[3]: 2}, grow=grow))
@@ -112,14 +112,14 @@
 
 
 def test_adoptions_of_a_run_in_the_view_are_kept_and_those_of_former_ones_dropped(world: World) -> None:
-    world.store.put(t.COORD, {"member": "c0", "boot": 1})
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     adopt(world, 3)
     keys = set(world.store.tables.adoption_keys)
     anyio.run(world.jobs._clear_away)
     assert keys and set(world.store.tables.adoption_keys) == keys
     world.store.view(4, ("c0", 7))
-    world.standing.boot = 7
-    world.store.put(t.COORD, {"member": "c0", "boot": 7})
+    world.leadership.boot = 7
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 7})
     anyio.run(world.jobs._clear_away)
     assert set(world.store.tables.adoption_keys) == keys  # not settled: still counted
     world.store.member("c0", 7, settled=4)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from sloeswitch.core.allowances import Allowance
-from sloeswitch.core.quota import Use
+from sloeswitch.core.allowances import QuotaAllocation
+from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.settings import Settings
 
 
-def allowance(settings: Settings, held: float, use: float, free: float) -> Allowance:
+def allowance(settings: Settings, held: float, use: float, free: float) -> QuotaAllocation:
     """Of the limit of 20 cores, between two controllers."""
-    return Allowance(settings.teams["red"], (held, 0.0), Use(use, 0.0), (free, 0.0), 2)
+    return QuotaAllocation(settings.teams["red"], (held, 0.0), ResourceUsage(use, 0.0), (free, 0.0), 2)
 
 
 def test_while_much_of_a_limit_is_free_an_equal_part_is_taken(settings: Settings) -> None:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import tables as t
-from sloeswitch.state import Bucket, Urgency
+from sloeswitch.state import RequestPriority, TokenBucket
 from tests.conftest import Store, spec
 from tests.test_actors import World, machine_up
 from tests.test_upgrade import NARROW
@@ -16,24 +16,24 @@
     """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
     client = World(store).client
     client.share = lambda: 3
-    for urgency in (Urgency.CLAIM, Urgency.PROGRESS):
+    for urgency in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
         most = client.most_changes(urgency)
-        bucket = Bucket(client.writes.rate, 0.0)
+        bucket = TokenBucket(client.writes.rate, 0.0)
         assert bucket.wait_s(most, urgency, 0.0) == 0.0
-        assert bucket.wait_s(1, Urgency.USER, 0.0) == 0.0
+        assert bucket.wait_s(1, RequestPriority.USER, 0.0) == 0.0
 
 
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
     """Failure found on the bench: after a round of claims the last of them waited for half a second."""
     client = World(store, NARROW).client
     client.share = lambda: 3
-    bucket = Bucket(client.writes.rate, 0.0)
-    while bucket.wait_s(client.most_changes(Urgency.CLAIM), Urgency.CLAIM, 0.0) == 0.0:
+    bucket = TokenBucket(client.writes.rate, 0.0)
+    while bucket.wait_s(client.most_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
         pass
-    assert [bucket.wait_s(1, Urgency.USER, 0.02 * number) for number in range(3)] == [0.0] * 3
+    assert [bucket.wait_s(1, RequestPriority.USER, 0.02 * number) for number in range(3)] == [0.0] * 3
     # Borrowing is bounded, and claims wait until it is returned.
-    assert any(bucket.wait_s(1, Urgency.USER, 0.06) > 0 for _ in range(20))
-    assert bucket.wait_s(1, Urgency.CLAIM, 0.06) > 0.5
+    assert any(bucket.wait_s(1, RequestPriority.USER, 0.06) > 0 for _ in range(20))
+    assert bucket.wait_s(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
 def test_fresh_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
@@ -41,7 +41,7 @@
     world = World(store)
     for members in (1, 3):
         world.client.share = lambda members=members: members  # type: ignore[misc]
-        world.client.most_changes(Urgency.CLAIM)  # reckons the rates anew
+        world.client.most_changes(RequestPriority.CLAIM)  # reckons the rates anew
         assert 1.0 / world.replica.read_gap_s <= world.client.requests.rate / 2
 
 
@@ -51,7 +51,7 @@
     for number in range(1, 9):
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
-    world.tell_jobs(Learnt(adopted=adopted, view=3))
+    world.tell_jobs(TaskUpdates(adopted=adopted, view=3))
     due = world.jobs._due(ClaimRequest(wants={"wk-000007": 4, "wk-000008": 4}))
     assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
 
@@ -63,7 +63,7 @@
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
     world.client.share = lambda: 3
-    world.tell_jobs(Learnt(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view=3))
     world.round()
     moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
     assert len(moved) >= 2
@@ -121,12 +121,12 @@
     world = World(store)
     store.job(spec())
     store.progress("wk-000001", c1_2=0b1111)
-    world.standing.renewed_at = float("-inf")  # claims nothing
+    world.leadership.renewed_at = float("-inf")  # claims nothing
     before = world.client.writes.level
-    world.tell_jobs(Learnt(released={"wk-000001": 0b1}))
+    world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
-    async def pay(changes: int, urgency: Urgency) -> None:
+    async def pay(changes: int, urgency: RequestPriority) -> None:
         world.client.writes.level -= changes
 
     world.client.pay = pay  # type: ignore[method-assign]
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -8,10 +8,10 @@
 import pytest
 
 from sloeswitch.actors import machines as machines_module
-from sloeswitch.actors.commands import Inspected
-from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.commands import InspectionReply
+from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE, CancellationGuard
+from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellations import Cancellation
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import Settings
@@ -29,7 +29,7 @@
     store.job(spec(JOB))
     store.put(t.progress_key(JOB), t.Progress(0, {tag: 1}).stored())
     row = store.rows[t.job_key(JOB)][0]
-    store.put(t.job_key(JOB), {**row, "s": t.WITHDRAWN, "x": cancelled_ms})
+    store.put(t.job_key(JOB), {**row, "s": t.CANCELLED, "x": cancelled_ms})
 
 
 def two_members(store: Store) -> None:
@@ -42,7 +42,7 @@
 
 
 def overdue_ms(settings: Settings) -> int:
-    return CANCELLED_MS + int(1000 * OVERDUE * settings.cancel_s) + 1
+    return CANCELLED_MS + int(1000 * OVERDUE_SHARE * settings.cancel_s) + 1
 
 
 def test_machines_of_the_run_that_holds_the_claims_are_suspected(settings: Settings, store: Store) -> None:
@@ -64,10 +64,10 @@
 def test_a_cancellation_that_a_sibling_told_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
     """Its row is not read, so that nothing is known of its claims."""
     two_members(store)
-    store.tables.cancel_told(Cancellation("wk-000077", 99))
+    store.tables.apply_peer_cancellation(Cancellation("wk-000077", 99))
     guard = CancellationGuard(settings)
     guard.observe(store.tables, NOW)
-    later = NOW + OVERDUE * settings.cancel_s
+    later = NOW + OVERDUE_SHARE * settings.cancel_s
     assert guard.suspects(store.tables, "c0.1", later - 0.1, CANCELLED_MS) == set()
     assert guard.suspects(store.tables, "c0.1", later, CANCELLED_MS) == owned_by(store, "c1")
 
@@ -97,11 +97,16 @@
         cancelled_job(store, "c1.2")
         self.world = world = World(store)
         store.view(5, ("c0", 1), ("c1", 2))
-        monkeypatch.setattr(machines_module, "wall_ms", lambda: overdue_ms(world.settings))
-        world.standing.mesh = Mesh(
-            world.settings.siblings, 1.0, world.clock, world.standing.known, store.tables.cancellations, lambda _: None
+        monkeypatch.setattr(machines_module, "wall_clock_ms", lambda: overdue_ms(world.settings))
+        world.leadership.mesh = Mesh(
+            world.settings.siblings,
+            1.0,
+            world.clock,
+            world.leadership.known,
+            store.tables.cancellations,
+            lambda _: None,
         )
-        self.peer = world.standing.mesh.peers["c1"]
+        self.peer = world.leadership.mesh.peers["c1"]
         self.started: list[str] = []
         self.given_back: list[str] = []
         world.machines.group = self  # type: ignore[assignment]
@@ -123,13 +128,13 @@
 
     def inspect(self, silent: set[str]) -> None:
         """One round of questions, which all machines answer but the silent ones."""
-        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_ms())
+        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_clock_ms())
         for name in self.started:
             answer = None if name in silent else report(1, 5, name=name)
-            anyio.run(self.world.machines.handle, Inspected(name, answer))
+            anyio.run(self.world.machines.handle, InspectionReply(name, answer))
         self.started.clear()
         self.world.clock.time += self.world.settings.report_s
-        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_ms())
+        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_clock_ms())
 
 
 def test_only_the_silent_machines_of_a_sibling_that_restarted_are_deleted(
@@ -161,7 +166,7 @@
     outage = Outage(store, monkeypatch)
     cloud: Any = Cloud()
     world = outage.world
-    fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     fleet.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
     fleet.give_back(pressing, pressing=True)
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -39,7 +39,7 @@
 
 
 def _give_back_begun(held: Delegation) -> Delegation:
-    return replace(held, state=DelegationState.WITHDRAWN) if held.startable else held
+    return replace(held, state=DelegationState.CANCELLED) if held.startable else held
 
 
 def _any_number(row: OriginRow, placement: Placement, message: AnswerMessage) -> bool:
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -17,13 +17,13 @@
 from sloeswitch.cells.origin import STAY_LEASES, TAKE_BACK_LEASES
 from sloeswitch.cells.summary import Summary
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
-from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError, Known, Mesh
+from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError, Mesh, PeerStatus
 from sloeswitch.settings import Address
-from sloeswitch.state import StaleError
+from sloeswitch.state import StaleReplicaError
 from tests.conftest import spec, submission
 from tests.support.cells import Cell, CellWorld, RuleError, play, settings_cache
 from tests.support.seeds import follow_newest_world
@@ -88,7 +88,7 @@
         async def talk() -> None:
             try:
                 await self.controller.origin.talk("south")
-            except (NoAnswerError, StaleError):
+            except (NoAnswerError, StaleReplicaError):
                 for name, _row in list(self.controller.origin._rows()):
                     await self.controller.origin._settle(name, "south", self.controller.origin.links["south"])
 
@@ -143,7 +143,12 @@
         controller = cell.controllers["c0"]
         nobody: Any = None
         users = Users(
-            settings_cache(), controller.target.client, controller.replica, controller.standing, controller.jobs, nobody
+            settings_cache(),
+            controller.target.client,
+            controller.replica,
+            controller.leadership,
+            controller.jobs,
+            nobody,
         )
         data = b"" if body is None else wire.encode(body)
         answer = anyio.run(users.handle, HttpRequest(method, path, data))
@@ -361,7 +366,9 @@
     async def run() -> None:
         for controller in south.controllers.values():
             await controller.origin.mark()
-        mesh = Mesh((), 1.0, world.clock, lambda: Known(1, True, 1, True, True), Cancellations(1, 1), lambda _: None)
+        mesh = Mesh(
+            (), 1.0, world.clock, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
+        )
         async with anyio.create_task_group() as group:
 
             async def connect(host: str, port: int) -> Any:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,24 +12,24 @@
 
 
 def test_the_cheapest_kind_is_rented_first_and_the_refused_one_passed_over() -> None:
-    need = [fleet.Need(spec(), 10)]
+    need = [fleet.Demand(spec(), 10)]
     spot = fleet.rent(need, {}, TYPES, set(), 50)
-    assert spot == fleet.Plan(SPOT, 2)
+    assert spot == fleet.ScaleOutPlan(SPOT, 2)
     refused = {SPOT, ("small", "b", True)}
-    assert fleet.rent(need, {}, TYPES, refused, 50) == fleet.Plan(ORDINARY, 2)
+    assert fleet.rent(need, {}, TYPES, refused, 50) == fleet.ScaleOutPlan(ORDINARY, 2)
 
 
 def test_nothing_is_rented_for_what_fits_already() -> None:
-    assert fleet.rent([fleet.Need(spec(), 8)], {SPOT: 2}, TYPES, set(), 50) is None
+    assert fleet.rent([fleet.Demand(spec(), 8)], {SPOT: 2}, TYPES, set(), 50) is None
 
 
 def test_a_job_that_forbids_spot_machines_gets_an_ordinary_one() -> None:
-    plan = fleet.rent([fleet.Need(spec(loaners=False), 4)], {SPOT: 5}, TYPES, set(), 50)
-    assert plan == fleet.Plan(ORDINARY, 1)
+    plan = fleet.rent([fleet.Demand(spec(loaners=False), 4)], {SPOT: 5}, TYPES, set(), 50)
+    assert plan == fleet.ScaleOutPlan(ORDINARY, 1)
 
 
 def test_the_dearest_machines_are_let_go_with_a_margin_of_one() -> None:
-    need = [fleet.Need(spec(), 8)]
+    need = [fleet.Demand(spec(), 8)]
     assert fleet.surplus(need, {SPOT: 2, ORDINARY: 1}, TYPES) == {}
     assert fleet.surplus(need, {SPOT: 2, ORDINARY: 3}, TYPES) == {ORDINARY: 2}
     assert fleet.surplus(need, {SPOT: 4, ORDINARY: 3}, TYPES) == {SPOT: 1, ORDINARY: 3}
@@ -38,9 +38,9 @@
 
 def test_a_job_too_small_to_be_worth_a_machine_gets_one_if_there_is_none_for_it() -> None:
     """Failure found on the bench: jobs that forbid spot machines were never started, and those after them neither."""
-    small = [fleet.Need(spec(loaners=False, visits=1), 1)]
-    assert fleet.rent(small, {SPOT: 5}, TYPES, set(), 50) == fleet.Plan(ORDINARY, 1)
-    assert fleet.rent([fleet.Need(spec(), 4), *small], {ORDINARY: 1}, TYPES, set(), 50) is None
+    small = [fleet.Demand(spec(loaners=False, visits=1), 1)]
+    assert fleet.rent(small, {SPOT: 5}, TYPES, set(), 50) == fleet.ScaleOutPlan(ORDINARY, 1)
+    assert fleet.rent([fleet.Demand(spec(), 4), *small], {ORDINARY: 1}, TYPES, set(), 50) is None
 
 
 def test_machines_in_the_zone_to_which_a_job_is_bound_are_kept_and_rented(store: Store) -> None:
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -17,16 +17,16 @@
 from sloeswitch import wire
 from sloeswitch.actors.commands import CommandSender
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.machines import Heartbeat
-from sloeswitch.actors.membership import Membership, Standing
+from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.core.registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Server
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StateClient, Urgency
+from sloeswitch.state import Replica, RequestPriority, StateClient
 from tests.conftest import Store
 from tests.test_actors import World
 
@@ -70,10 +70,10 @@
         self.world = World(store, SETTINGS)
         world = self.world
         world.machines.ask = self.ask  # type: ignore[method-assign, assignment]
-        users = Users(world.settings, world.client, world.replica, world.standing, world.jobs, world.machines)
+        users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
         self.server = Server(users.handle, idle_s=60, request_s=60, most_connections=4, now=world.clock)
 
-    async def ask(self, message: Heartbeat) -> Any:
+    async def ask(self, message: HeartbeatRequest) -> Any:
         """The machines' actor, in this turn; each report shows that the answer before it was received."""
         message.received = True
         await self.world.machines.handle(message)
@@ -127,18 +127,18 @@
         self.streams: list[Stream] = []
         monkeypatch.setattr(anyio, "connect_tcp", self.connect)
         self.settings = settings = parse(SETTINGS.replace("rps = 2.0", "rps = 1000.0"))
-        self.tables = Tables(Cancellations(9, 7))
+        self.tables = Tables(CancellationLog(9, 7))
         self.client = StateClient(settings, lambda: 1, self.now)
         self.replica = Replica(self.client, self.tables, self.now)
         self.replica.fresh = self.fresh  # type: ignore[method-assign]
-        self.standing = Standing(settings, self.tables, self.replica, self.now)
-        self.membership = Membership(settings, self.client, self.replica, self.standing)
+        self.leadership = Leadership(settings, self.tables, self.replica, self.now)
+        self.membership = Membership(settings, self.client, self.replica, self.leadership)
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
         self.machine = registry.take("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
         self.commands = CommandSender(
-            settings, self.standing, registry, self.tables, lambda *_: None, self.told.append, self.now
+            settings, self.leadership, registry, self.tables, lambda *_: None, self.told.append, self.now
         )
         # A busy machine may take long over an exchange in memory.
         self.client.timeout_s = self.cloud.timeout_s = self.commands.timeout_s = 60.0
@@ -166,7 +166,7 @@
     def act(self) -> None:
         """This controller may act and answer, under view 3 and lease 7."""
         self.store(("s1/m/c0", {"boot": 7, "settled": 3, "layout": 3}), ("s1/view", {"n": 3, "members": [["c0", 7]]}))
-        self.standing.boot, self.standing.renewed_at, self.replica.fresh_at = 7, 1000.0, 1000.0
+        self.leadership.boot, self.leadership.renewed_at, self.replica.fresh_at = 7, 1000.0, 1000.0
 
 
 async def inspect(asking: Asking) -> Any:
@@ -183,15 +183,15 @@
 
 
 async def renew(asking: Asking) -> Any:
-    asking.standing.boot = 7
+    asking.leadership.boot = 7
     await asking.membership._renew()
-    return [asking.standing.boot, asking.standing.renewed_at]
+    return [asking.leadership.boot, asking.leadership.renewed_at]
 
 
 async def join(asking: Asking) -> Any:
     asking.replica.loaded = True
     await asking.membership._renew()
-    return [asking.standing.boot, asking.standing.renewed_at]
+    return [asking.leadership.boot, asking.leadership.renewed_at]
 
 
 async def coordinate(asking: Asking) -> Any:
@@ -211,7 +211,9 @@
 
 
 async def commit(asking: Asking) -> Any:
-    outcome, epoch = await asking.client.commit({"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"], Urgency.USER, {"a/b": 7})
+    outcome, epoch = await asking.client.commit(
+        {"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"], RequestPriority.USER, {"a/b": 7}
+    )
     return [outcome.value, epoch]
 
 
@@ -235,7 +237,7 @@
 # By what is asked for; what follows a colon tells the answers apart.
 CALLS: dict[str, Callable[[Asking], Awaitable[Any]]] = {
     "catalog": lambda asking: asking.cloud.catalog(),
-    "rent": lambda asking: asking.cloud.rent(wire.Booking("r-17", "g8", "a", True, 12)),
+    "rent": lambda asking: asking.cloud.rent(wire.InstanceRequest("r-17", "g8", "a", True, 12)),
     "delete": lambda asking: asking.cloud.delete(["vm-000231", "vm-000232"]),
     "machines": lambda asking: asking.cloud.machines(),
     "commit": commit,
@@ -271,11 +273,11 @@
 
 def heard(state: str, cause: str | None) -> list[int]:
     """How many tasks a report of this state and cause shows to be done, and failed."""
-    registry, tables = MachineRegistry(), Tables(Cancellations(9, 7))
+    registry, tables = MachineRegistry(), Tables(CancellationLog(9, 7))
     machine = registry.take("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
     task = {"visit": "wk-000412/3", "try": 2, "status": state, "cause": cause}
     report = json.loads(FROZEN["report"]) | {"visits": [task]}
-    found = registry.hear(machine, wire.decode(json.dumps(report).encode(), wire.Report), True, 1.0, 3, tables)
+    found = registry.hear(machine, wire.decode(json.dumps(report).encode(), wire.WorkerReport), True, 1.0, 3, tables)
     return [len(found.done), len(found.failed)]
 
 
--- a/tests/test_frozen_keys.py
+++ b/tests/test_frozen_keys.py
@@ -21,15 +21,15 @@
 
 # The only place with Python names of keys.
 MADE = {
-    "prefix": t.PREFIX,
-    "view": t.VIEW,
-    "coordinator": t.COORD,
-    "catalog": t.CATALOG,
-    "layout mark": t.UPGRADE,
+    "prefix": t.KEY_PREFIX,
+    "view": t.VIEW_KEY,
+    "coordinator": t.COORDINATOR_KEY,
+    "catalog": t.CATALOG_KEY,
+    "layout mark": t.LAYOUT_KEY,
     "member": t.member_key("c0"),
     "job": t.job_key("wk-000001"),
     "progress": t.progress_key("wk-000001"),
-    "part of a spec": t.part_key("wk-000001", "c0.1.2", 10),
+    "part of a spec": t.chunk_key("wk-000001", "c0.1.2", 10),
     "adoptions": t.adoption_key("c0.1", 12),
     "feature mark": t.feature_key("cells"),
     "admission row, root": t.admission_key(""),
@@ -40,12 +40,12 @@
     "single type": t.type_key("small"),
     "group": t.group_key("c0.1.3"),
     "group named by a key": t.group_of("s1/g/c0.1.3"),
-    "tag of a run": t.tag_of("c0", 1),
+    "tag of a run": t.incarnation_id_of("c0", 1),
     "status live": t.LIVE,
     "status done": t.DONE,
-    "status withdrawn": t.WITHDRAWN,
-    "layout with groups": str(t.GROUPS),
-    "layout": str(t.LAYOUT),
+    "status withdrawn": t.CANCELLED,
+    "layout with groups": str(t.MACHINE_GROUPS_LAYOUT),
+    "layout": str(t.LAYOUT_VERSION),
 }
 PACKS = {"pack": taskset.pack, "dense": taskset.pack_dense}
 
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -15,11 +15,11 @@
 
 from sloeswitch import frame_link, mesh
 from sloeswitch.admission import frames as admission_frames
-from sloeswitch.admission.capacity import IdleRoom
+from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.cells import frames as cell_frames
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
 from sloeswitch.cells.summary import MachinePool, Resources, Summary
-from sloeswitch.core.cancellations import Cancellation, Cancellations, Extract
+from sloeswitch.core.cancellations import Cancellation, CancellationDelta, CancellationLog
 from sloeswitch.settings import Address
 from sloeswitch.wire import JobSpec
 
@@ -58,7 +58,7 @@
     900.0,
 )
 HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
-KNOWN = mesh.Known(3, True, 9, True, True)
+KNOWN = mesh.PeerStatus(3, True, 9, True, True)
 CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
 SUMMARY = Summary(
     "north",
@@ -72,9 +72,9 @@
 )
 
 
-def inform(answer: mesh.Answer) -> Form:
+def inform(answer: mesh.StatusFrame) -> Form:
     """An answer between controllers, with its header."""
-    return Form(answer, mesh.Answer.pack, lambda frame: mesh.Answer.unpack(frame[mesh.HEADER.size :]))
+    return Form(answer, mesh.StatusFrame.pack, lambda frame: mesh.StatusFrame.unpack(frame[mesh.HEADER.size :]))
 
 
 def cell_request(request: Request, offer: cell_frames.Offer | None = None) -> Form:
@@ -93,7 +93,7 @@
     return Form(value, cell_frames.pack_summary, cell_frames.unpack_summary)
 
 
-def idle_room(*rooms: IdleRoom) -> Form:
+def idle_room(*rooms: IdleCapacity) -> Form:
     """What a controller tells of its idle room."""
     return Form(list(rooms), admission_frames.pack_idle_room, admission_frames.unpack_idle_room)
 
@@ -114,11 +114,13 @@
     "tell without state service": fixed(mesh.TELL, mesh.TYPE_TELL, (9, False), mesh.pack_tell),
     "tell that confirms nothing": fixed(mesh.TELL, mesh.TYPE_TELL, (mesh.NO_CONFIRMATION, True), mesh.pack_tell),
     "inquire": fixed(mesh.INQUIRE, mesh.TYPE_INQUIRE, (1, 2, 3, 0x0102030405060708), mesh.pack_inquire),
-    "inform of nothing": inform(mesh.Answer(3, False, False, 7, Extract([], 9))),
-    "inform with state service": inform(mesh.Answer(3, True, False, 7, Extract([], 9))),
-    "inform by a whole reader": inform(mesh.Answer(3, False, True, 7, Extract([], 9))),
-    "inform with more to come": inform(mesh.Answer(3, False, False, 7, Extract(CANCELLED, 9, True))),
-    "inform with all": inform(mesh.Answer(1 << 63, True, True, (1 << 63) + 7, Extract(CANCELLED, 1 << 40, True))),
+    "inform of nothing": inform(mesh.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
+    "inform with state service": inform(mesh.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
+    "inform by a whole reader": inform(mesh.StatusFrame(3, False, True, 7, CancellationDelta([], 9))),
+    "inform with more to come": inform(mesh.StatusFrame(3, False, False, 7, CancellationDelta(CANCELLED, 9, True))),
+    "inform with all": inform(
+        mesh.StatusFrame(1 << 63, True, True, (1 << 63) + 7, CancellationDelta(CANCELLED, 1 << 40, True))
+    ),
     "offer": cell_request(Request.OFFER, cell_frames.Offer(SPEC, 1_700_000_000_123)),
     "query": cell_request(Request.QUERY),
     "withdraw": cell_request(Request.WITHDRAW),
@@ -128,7 +130,7 @@
     "refused": cell_answer(Answer.REFUSED),
     "accepted": cell_answer(Answer.ACCEPTED),
     "begun": cell_answer(Answer.BEGUN),
-    "withdrawn": cell_answer(Answer.WITHDRAWN),
+    "withdrawn": cell_answer(Answer.CANCELLED),
     "stopping": cell_answer(Answer.STOPPING),
     "stopped": cell_answer(Answer.STOPPED),
     "done": cell_answer(Answer.DONE),
@@ -136,7 +138,9 @@
     "summary": summary(SUMMARY),
     "summary of nothing": summary(Summary("north", 2, 431)),
     "no summary": summary(None),
-    "idle room": idle_room(IdleRoom(("g8", "a", True), 2.5, 61.5), IdleRoom(("small", "zone-b", False), 0.25, 0.0)),
+    "idle room": idle_room(
+        IdleCapacity(("g8", "a", True), 2.5, 61.5), IdleCapacity(("small", "zone-b", False), 0.25, 0.0)
+    ),
     "no idle room": idle_room(),
 }
 
@@ -155,7 +159,7 @@
         mesh.TYPE_IDLE_ROOM,
     ],
     "types of answers": lambda: {str(asked): answer for asked, answer in mesh.ANSWER_TYPES.items()},
-    "flags": lambda: [mesh.STATE_OK, mesh.WHOLE, mesh.MORE],
+    "flags": lambda: [mesh.FLAG_STATE_REACHABLE, mesh.FLAG_COMPLETE, mesh.FLAG_MORE],
     "limits": lambda: [mesh.MAX_BODY, mesh.MOST_ENTRIES, cell_frames.MOST_SPEC_BYTES, admission_frames.MOST_ENTRIES],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
     "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
@@ -244,7 +248,7 @@
         asked.append((number, body))
         return answer[mesh.HEADER.size :]
 
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, Cancellations(9, 7), lambda _found: None)
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, CancellationLog(9, 7), lambda _found: None)
     serving.handlers[int(kind)] = handle
     near: Any = ScriptedStream(question)
     anyio.run(serving.serve, near)
@@ -255,6 +259,6 @@
 def test_a_mesh_answers_controllers_as_ever(asked: str, told: str) -> None:
     literals = FROZEN["frames"] | FROZEN["served"]
     near: Any = ScriptedStream(bytes.fromhex(literals[asked]))
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, Cancellations(9, 7), lambda _found: None)
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, CancellationLog(9, 7), lambda _found: None)
     anyio.run(serving.serve, near)
     assert near.sent.hex() == literals[told]
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -16,9 +16,9 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.feature_mark import FeatureMark
-from sloeswitch.actors.fleet import Fleet
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.feature_mark import FeatureRollout
+from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.admission.coordinator import AdmissionCoordinator
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket
 from sloeswitch.cells.frames import CellAnswer, CellRequest, Offer
@@ -86,16 +86,16 @@
 def layout_mark(world: Recorder) -> None:
     world.run(world.membership._mark)
     world.given("member")
-    world.store.put(t.UPGRADE, {"seen": ["c1"], "complete": False})
+    world.store.put(t.LAYOUT_KEY, {"seen": ["c1"], "complete": False})
     world.run(world.membership._mark)
 
 
 def feature_mark(world: Recorder) -> None:
     world.given("layout mark, complete")
     for name in ("cells", "admission"):
-        world.run(FeatureMark(name, world.settings, world.client, world.replica, world.standing).mark)
+        world.run(FeatureRollout(name, world.settings, world.client, world.replica, world.leadership).mark)
     world.given("feature mark, begun")
-    world.run(FeatureMark("cells", world.settings, world.client, world.replica, world.standing).mark)
+    world.run(FeatureRollout("cells", world.settings, world.client, world.replica, world.leadership).mark)
 
 
 # -- machines
@@ -103,7 +103,7 @@
 
 def catalog(world: Recorder) -> None:
     cloud: Any = None
-    fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
     world.run(fleet._store_catalog, [MACHINE_TYPE, other])
     world.given("layout mark, complete")
@@ -184,7 +184,7 @@
 def job_done(world: Recorder) -> None:
     world.given("job")
     world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
-    world.tell_jobs(Learnt(done={JOB: 0b1111}))
+    world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
 
@@ -220,14 +220,14 @@
 
 def cancel_and_release(world: Recorder, name: str, tasks: int) -> None:
     assert world.run(world.jobs.cancel, name) == wire.CANCELLED
-    world.tell_jobs(Learnt(released={name: tasks}))
+    world.tell_jobs(TaskUpdates(released={name: tasks}))
     world.later(20.0)
     world.round()
 
 
 def job_withdrawn_before_layout_3(world: Recorder) -> None:
     world.given("job withdrawn, with tasks, before layout 3")
-    world.tell_jobs(Learnt(released={JOB: 1}))
+    world.tell_jobs(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
     world.round()
 
@@ -245,7 +245,7 @@
 
 def progress_before_the_mark(world: Recorder) -> None:
     world.given("progress with every field")
-    world.tell_jobs(Learnt(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
+    world.tell_jobs(TaskUpdates(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
     world.later(20.0)
     world.round()
 
@@ -258,7 +258,7 @@
 def scattered_claims(world: Recorder) -> None:
     world.given("layout mark, complete", "progress with every field")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[],"c":{"c0.1":[0,9]},"z":"b"}'))
-    world.tell_jobs(Learnt(released={JOB: 0b10101010}))
+    world.tell_jobs(TaskUpdates(released={JOB: 0b10101010}))
     world.later(20.0)
     world.round()
 
@@ -273,20 +273,20 @@
 
 def progress_beside_adoptions(world: Recorder) -> None:
     world.given("layout mark, complete", "adoptions after the progress")
-    world.tell_jobs(Learnt(done={JOB: 0b10}))
+    world.tell_jobs(TaskUpdates(done={JOB: 0b10}))
     world.later(20.0)
     world.round()
 
 
 def adoptions_before_the_mark(world: Recorder) -> None:
     world.given("progress", "team limits")
-    world.tell_jobs(Learnt(adopted={JOB: 0b11000}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={JOB: 0b11000}, view=3))
     world.round()
 
 
 def adoptions_after_the_mark(world: Recorder) -> None:
     world.given("layout mark, complete", "progress", "team limits")
-    world.tell_jobs(Learnt(adopted={JOB: 0b101001000}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={JOB: 0b101001000}, view=3))
     world.round()
 
 
@@ -305,7 +305,7 @@
     world.given("layout mark, complete", "feature marks, complete", "coordinator")
     features = AdmissionFeatures(True)
     each = AdmissionCoordinator(
-        world.settings, features, world.client, world.replica, world.standing, list, {}, world.clock
+        world.settings, features, world.client, world.replica, world.leadership, list, {}, world.clock
     )
     world.run(each.epoch)
 
@@ -362,7 +362,7 @@
     world.given("layout mark, complete", "feature marks, complete")
     links: Any = {"south": AnswersInTurn(*answers)}
     return CellOrigin(
-        world.settings, cell_features(), world.client, world.replica, world.standing, list, links, world.clock
+        world.settings, cell_features(), world.client, world.replica, world.leadership, list, links, world.clock
     )
 
 
@@ -424,7 +424,7 @@
     """A job that runs at home while an earlier handoff is not stopped yet."""
     world.store.put(t.job_key(JOB), recalled_job())
     world.round(ClaimRequest(wants={JOB: 4}))
-    world.tell_jobs(Learnt(done={JOB: 0b1111}))
+    world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
 
@@ -449,7 +449,7 @@
 
 def target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
     world.given("layout mark, complete", "feature marks, complete")
-    each = CellTarget(world.settings, cell_features(), world.client, world.replica, world.standing, world.jobs)
+    each = CellTarget(world.settings, cell_features(), world.client, world.replica, world.leadership, world.jobs)
     monkeypatch.setattr(each, "_has_room", lambda handoff, offer: offer is not None)
     return each
 
@@ -465,7 +465,7 @@
     each = target(world, monkeypatch)
     assert asked(world, each, Request.OFFER) is Answer.ACCEPTED
     world.round(ClaimRequest(wants={JOB: 1}))
-    world.tell_jobs(Learnt(done={JOB: 1}))
+    world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.later(20.0)
     world.round()
     assert asked(world, each, Request.ACKNOWLEDGE) is Answer.DONE
@@ -482,7 +482,7 @@
     world.given("job handed over by a cell")
     world.round(ClaimRequest(wants={JOB: 1}))
     assert asked(world, each, Request.STOP) is Answer.STOPPING
-    world.tell_jobs(Learnt(released={JOB: 1}))
+    world.tell_jobs(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
     world.round()
 
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -42,38 +42,38 @@
 TASK = wire.ReportedTask("wk-000412/3", 2, "running")
 ENDED = wire.ReportedTask("wk-000398/0", 1, "ended", "halted", True)
 REPORT = ("vm-000231", "10.1.0.232:9000", "g8", "a", True, 1, 88, 41, [TASK, ENDED])
-START = wire.Order("start", "wk-000412/4", 2)
-KILL = wire.Order("kill", "wk-000377/1", 1, 10.0)
+START = wire.WorkerCommand("start", "wk-000412/4", 2)
+KILL = wire.WorkerCommand("kill", "wk-000377/1", 1, 10.0)
 TYPE = wire.MachineType("g8", 96.0, 8.0, 768.0, 200.0, 1.5, 12.0, 4.5, 45.0, ["a", "b"])
-LISTED = wire.Listed("vm-000231", "10.1.0.232:9000", "g8", "a", True, "running", 61.5)
-ROW = wire.Row("a/b", {"x": 1}, 412)
-WRITTEN, DROPPED = wire.Event(433, "c/9", None, {"y": [2]}), wire.Event(432, None, "c/d")
+LISTED = wire.Instance("vm-000231", "10.1.0.232:9000", "g8", "a", True, "running", 61.5)
+ROW = wire.StoredRow("a/b", {"x": 1}, 412)
+WRITTEN, DROPPED = wire.ChangeEvent(433, "c/9", None, {"y": [2]}), wire.ChangeEvent(432, None, "c/d")
 
 MESSAGES: dict[str, msgspec.Struct] = {
     "submission": wire.JobSpec(*SPEC),
     "submission with all fields": wire.JobSpec(*SPEC, ["g8", "g4"], "a", 900.0, ("wk-000001", "wk-000002")),
     "reported task": TASK,
     "reported task with all fields": ENDED,
-    "report": wire.Report(*REPORT),
-    "report with all fields": wire.Report(*REPORT, 25.5),
+    "report": wire.WorkerReport(*REPORT),
+    "report with all fields": wire.WorkerReport(*REPORT, 25.5),
     "order": START,
     "order with all fields": KILL,
-    "orders": wire.Orders(41, [START, KILL]),
-    "orders with all fields": wire.Orders(41, [KILL], 7),
+    "orders": wire.WorkerCommands(41, [START, KILL]),
+    "orders with all fields": wire.WorkerCommands(41, [KILL], 7),
     "machine type": TYPE,
-    "catalog": wire.Catalog([TYPE]),
-    "booking": wire.Booking("r-17", "g8", "a", True, 12),
-    "booked": wire.Booked(["vm-000231", "vm-000232"]),
+    "catalog": wire.MachineTypeCatalog([TYPE]),
+    "booking": wire.InstanceRequest("r-17", "g8", "a", True, 12),
+    "booked": wire.InstancesCreated(["vm-000231", "vm-000232"]),
     "listed": LISTED,
-    "listing": wire.Listing([LISTED], False),
+    "listing": wire.InstancePage([LISTED], False),
     "row": ROW,
-    "row page": wire.RowPage([ROW], 431, True),
-    "event": wire.Event(434),
+    "row page": wire.StoredRowPage([ROW], 431, True),
+    "event": wire.ChangeEvent(434),
     "event of a write": WRITTEN,
     "event of a drop": DROPPED,
-    "changes": wire.Changes(433, [WRITTEN, DROPPED]),
-    "epoch": wire.Epoch(431),
-    "lease": wire.Permit(7),
+    "changes": wire.ChangeFeed(433, [WRITTEN, DROPPED]),
+    "epoch": wire.RevisionReply(431),
+    "lease": wire.LeaseGrant(7),
 }
 
 BODIES: dict[str, Callable[[], bytes]] = {
@@ -89,7 +89,7 @@
 }
 
 WORDS: dict[str, Callable[[], Any]] = {
-    "urgencies": lambda: list(wire.URGENCIES),
+    "urgencies": lambda: list(wire.PRIORITIES),
     "shapes": lambda: {"array": wire.ARRAY, "gang": wire.GANG},
     "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
     "task states": lambda: sorted(registry.TASK_STATES),
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -13,12 +13,12 @@
 
 from sloeswitch import mesh, wire
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.membership import Standing
+from sloeswitch.actors.membership import Leadership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellation, Cancellations
+from sloeswitch.core.cancellations import Cancellation, CancellationLog
 from sloeswitch.http import Request
-from sloeswitch.mesh import Answer, Known, Mesh
+from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
 from sloeswitch.settings import parse
 from sloeswitch.state import Replica, StateClient
 from tests.conftest import SETTINGS, Store, report, spec
@@ -34,17 +34,17 @@
     yield world
 
 
-def told(log: Cancellations, world: World, whole: bool = True, view: int = 3) -> Answer:
+def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
-    sibling = Mesh((), 1.0, world.clock, lambda: Known(view, False, 0, whole, True), log, lambda entries: None)
-    peer = meshed(world).peers["c1"] if world.standing.mesh is None else world.standing.mesh.peers["c1"]
+    sibling = Mesh((), 1.0, world.clock, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
+    peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
     question = mesh.pack_inquire(3, world.replica.applied, peer.log, peer.place)
     frame = sibling.answer(question[mesh.HEADER.size :]).pack()
     length = mesh.check_header(frame[: mesh.HEADER.size], mesh.TYPE_INFORM)
-    answer = Answer.unpack(frame[mesh.HEADER.size :])
+    answer = StatusFrame.unpack(frame[mesh.HEADER.size :])
     assert length == len(frame) - mesh.HEADER.size
-    assert world.standing.mesh is not None
-    world.standing.mesh.heard(peer, world.clock.time, answer)
+    assert world.leadership.mesh is not None
+    world.leadership.mesh.heard(peer, world.clock.time, answer)
     return answer
 
 
@@ -55,18 +55,18 @@
 
 
 def poll(world: World, name: str = JOB) -> Any:
-    users = Users(world.settings, world.client, world.replica, world.standing, world.jobs, world.machines)
+    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
     answer = anyio.run(users.handle, Request("GET", f"/submissions/{name}", b""))
     return wire.decode(answer.body, dict[str, Any]).get("status") if answer.status == 200 else answer.status
 
 
 def test_a_cancellation_told_elsewhere_reaches_who_cannot_read_it(world: World) -> None:
     task = running(world)
-    log = Cancellations(100, 9)
+    log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied + 1)  # c1 stored it and told its user
     outage(world)
     told(log, world)
-    assert world.standing.may_answer and not world.standing.may_act
+    assert world.leadership.may_answer and not world.leadership.may_act
     orders = world.heartbeat(report(5, 3, (*task, "running"))).orders
     assert orders == []  # known, and marked at the next tick, which the news wakes
     world.machines.registry.machines["vm-1"].heard = False  # no direct command in this test
@@ -81,7 +81,7 @@
     world.store.job(spec())
     world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
     world.machines.registry.withdraw_unsent(world.machines.registry.machines["vm-1"])
-    log = Cancellations(100, 9)
+    log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied + 1)
     outage(world)
     told(log, world)
@@ -93,17 +93,17 @@
 def test_a_sibling_that_has_read_nothing_since_it_started_confirms_nothing(world: World) -> None:
     running(world)
     outage(world)
-    told(Cancellations(100, 9), world, whole=False)
-    assert not world.standing.may_answer
-    told(Cancellations(100, 9), world)
-    assert world.standing.may_answer
-    told(Cancellations(100, 9), world, view=4)
-    assert not world.standing.may_answer
+    told(CancellationLog(100, 9), world, whole=False)
+    assert not world.leadership.may_answer
+    told(CancellationLog(100, 9), world)
+    assert world.leadership.may_answer
+    told(CancellationLog(100, 9), world, view=4)
+    assert not world.leadership.may_answer
 
 
 def test_a_confirmation_counts_only_with_all_that_comes_with_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh, "MOST_ENTRIES", 2)
-    log = Cancellations(100, 9)
+    log = CancellationLog(100, 9)
     for number in range(5):
         log.add(f"wk-{number}", world.replica.applied + 1)
     outage(world)
@@ -111,14 +111,14 @@
     for _ in range(3):
         answer = told(log, world)
         seen += [entry.job for entry in answer.extract.cancellations]
-        assert world.standing.may_answer == (len(seen) == 5)
+        assert world.leadership.may_answer == (len(seen) == 5)
     assert seen == [f"wk-{number}" for number in range(5)]
     assert told(log, world).extract.cancellations == []
 
 
 def test_what_was_learnt_later_is_told_later_whatever_its_stamp() -> None:
     """Own writes are known before what others stored earlier."""
-    log = Cancellations(100, 9)
+    log = CancellationLog(100, 9)
     log.add("wk-2", 50)
     first = log.since(40, 0, 0, 10)
     assert [entry.job for entry in first.cancellations] == ["wk-2"]
@@ -130,7 +130,7 @@
 
 
 def test_who_may_lack_what_was_dropped_is_not_confirmed() -> None:
-    log = Cancellations(2, 9)
+    log = CancellationLog(2, 9)
     for stamp in (10, 20, 30):
         log.add(f"wk-{stamp}", stamp)
     assert log.since(5, 0, 0, 10).more
@@ -143,8 +143,8 @@
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002", awaits=["wk-000001"]))
     tables = store.tables
-    tables.cancel_told(Cancellation("wk-000001", 90))
-    tables.cancel_told(Cancellation("wk-000003", 91))
+    tables.apply_peer_cancellation(Cancellation("wk-000001", 90))
+    tables.apply_peer_cancellation(Cancellation("wk-000003", 91))
     assert tables.jobs["wk-000001"].cancelled and tables.jobs["wk-000002"].condemned
     # A reading that was under way brings what was before.
     store.job(spec("wk-000003"))
@@ -153,25 +153,25 @@
     store.epoch = 100
     store.job(spec("wk-000001"))
     assert tables.jobs["wk-000001"].cancelled
-    store.job(spec("wk-000001"), t.WITHDRAWN)
+    store.job(spec("wk-000001"), t.CANCELLED)
     assert tables.jobs["wk-000001"].cancelled and "wk-000001" not in tables.told
 
 
 def test_every_cancellation_that_may_be_told_is_in_the_log(store: Store) -> None:
     log = store.tables.cancellations
     store.job(spec("wk-000001"))
-    store.job(spec("wk-000001"), t.WITHDRAWN)  # read
-    store.job(spec("wk-000002"), t.WITHDRAWN)  # read at start
-    store.put(t.job_key("wk-000003"), {"s": t.WITHDRAWN, "n": 1, "t": 5})  # over at once
+    store.job(spec("wk-000001"), t.CANCELLED)  # read
+    store.job(spec("wk-000002"), t.CANCELLED)  # read at start
+    store.put(t.job_key("wk-000003"), {"s": t.CANCELLED, "n": 1, "t": 5})  # over at once
     store.job(spec("wk-000004"))
-    store.tables.cancel_told(Cancellation("wk-000004", 99))  # learnt from a sibling
-    store.put(t.job_key("wk-000001"), {"s": t.WITHDRAWN, "n": 1, "t": 5})
+    store.tables.apply_peer_cancellation(Cancellation("wk-000004", 99))  # learnt from a sibling
+    store.put(t.job_key("wk-000001"), {"s": t.CANCELLED, "n": 1, "t": 5})
     assert [entry.job for entry in log.since(0, 0, 0, 10).cancellations] == [f"wk-{n:06d}" for n in range(1, 5)]
 
 
 def test_frames_of_an_earlier_version_confirm_nothing_and_are_not_confirmed(world: World) -> None:
     answers: list[bytes] = []
-    standing = world.standing
+    leadership = world.leadership
     own = meshed(world)
 
     class Stream:
@@ -197,7 +197,7 @@
     outage(world)
     anyio.run(play)
     assert answers[0] == mesh.pack_tell(mesh.NO_CONFIRMATION, False)
-    assert own.peers["c1"].view == 3 and not standing.may_answer
+    assert own.peers["c1"].view == 3 and not leadership.may_answer
 
 
 @pytest.mark.parametrize("upgraded", [False, True])
@@ -265,28 +265,28 @@
             text = text.replace(f'[[siblings]]\nmember = "{slot}"', f'[[siblings]]\nmember = "#{other}"')
         self.settings = parse(text.replace('"#', '"'))
         self.clock = clock
-        log = Cancellations(6, number)
+        log = CancellationLog(6, number)
         self.tables = t.Tables(log)
         self.replica = Replica(StateClient(self.settings, lambda: 3, clock), self.tables, clock)
-        self.standing = Standing(self.settings, self.tables, self.replica, clock)
-        self.mesh = Mesh(self.settings.siblings, 1.0, clock, self.standing.known, log, self.standing.learn)
-        self.standing.mesh = self.mesh
+        self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
+        self.mesh = Mesh(self.settings.siblings, 1.0, clock, self.leadership.known, log, self.leadership.learn)
+        self.leadership.mesh = self.mesh
         self.knows: set[str] = set()
 
     def join(self) -> None:
         """All three are members of one view, which stays: what is at stake here is cancellations alone."""
-        self.standing.boot = 1
+        self.leadership.boot = 1
         members = [["c0", 1], ["c1", 1], ["c2", 1]]
-        self.tables.apply(t.VIEW, {"n": 3, "members": members}, 1)
+        self.tables.apply(t.VIEW_KEY, {"n": 3, "members": members}, 1)
 
     def read(self, service: Service) -> None:
         """A fresh read, sent now and answered at once."""
         for row in service.rows:
             if row.stamp > self.replica.applied:
-                self.tables.apply(t.job_key(row.job), {"s": t.WITHDRAWN, "n": 1, "t": 5}, row.stamp)
+                self.tables.apply(t.job_key(row.job), {"s": t.CANCELLED, "n": 1, "t": 5}, row.stamp)
         self.replica.applied = service.epoch
         self.replica.loaded = self.replica.whole = True
-        self.replica.fresh_at = self.standing.renewed_at = self.clock.time
+        self.replica.fresh_at = self.leadership.renewed_at = self.clock.time
 
     def knows_of(self, job: str) -> bool:
         return job in self.tables.over or job in self.tables.told
@@ -308,10 +308,10 @@
     for member in members.values():
         member.read(service)
         member.join()
-    span = members["c0"].standing.span_s
+    span = members["c0"].leadership.span_s
     reaches = dict.fromkeys(members, True)
     confirmed: dict[str, float] = {}
-    frames: list[tuple[Member, str, float, Answer]] = []
+    frames: list[tuple[Member, str, float, StatusFrame]] = []
     answering_unread = 0
     for step in range(400):
         clock.time += rng.random() * 0.3
@@ -328,7 +328,7 @@
             job = f"wk-{step}"
             service.rows.append(Cancellation(job, service.epoch))
             if rng.random() < 0.7:
-                member.tables.apply(t.job_key(job), {"s": t.WITHDRAWN, "n": 1, "t": 5}, service.epoch)
+                member.tables.apply(t.job_key(job), {"s": t.CANCELLED, "n": 1, "t": 5}, service.epoch)
                 confirmed[job] = clock.time
         elif action < 0.35 and reaches[name]:
             member.read(service)
@@ -349,9 +349,9 @@
         # One question at a time between two of them; its answer takes a while.
         while frames and (rng.random() < 0.6 or any(frame[:2] == frames[-1][:2] for frame in frames[:-1])):
             asker, other, asked, answer = frames.pop(0)
-            asker.mesh.heard(asker.mesh.peers[other], asked, Answer.unpack(answer.pack()[mesh.HEADER.size :]))
+            asker.mesh.heard(asker.mesh.peers[other], asked, StatusFrame.unpack(answer.pack()[mesh.HEADER.size :]))
         for member in members.values():
-            if not member.standing.may_answer:
+            if not member.leadership.may_answer:
                 continue
             answering_unread += member.replica.applied < service.epoch
             for job, at in confirmed.items():
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,12 +10,12 @@
 
 from sloeswitch import wire
 from sloeswitch.actors import machines
-from sloeswitch.actors.fleet import Fleet
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import placement
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellation_guard import OVERDUE
-from sloeswitch.core.cancellations import Cancellations
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
+from sloeswitch.core.cancellations import CancellationLog
 from sloeswitch.core.registry import Machine
 from sloeswitch.http import Reply
 from sloeswitch.settings import parse
@@ -31,10 +31,10 @@
 @pytest.fixture
 def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
     world = World(store)
-    monkeypatch.setattr(machines, "wall_ms", lambda: int(world.clock.time * 1000))
+    monkeypatch.setattr(machines, "wall_clock_ms", lambda: int(world.clock.time * 1000))
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    world.machines.fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     world.machines.fleet.machines = world.machines
     yield world
 
@@ -45,7 +45,7 @@
 
 def cancelled(world: World, at: float | None = None) -> None:
     """The job is stored as cancelled, at that time."""
-    value = dict(world.store.rows[t.job_key(JOB)][0], s=t.WITHDRAWN)
+    value = dict(world.store.rows[t.job_key(JOB)][0], s=t.CANCELLED)
     world.store.put(t.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
 
 
@@ -55,13 +55,13 @@
     heard, vm.heard = vm.heard, False
     world.machines._stop_cancelled()
     vm.heard = heard
-    world.machines.cancellation_overdue = world.machines.cancellations.overdue(machines.wall_ms())
+    world.machines.cancellation_overdue = world.machines.cancellations.overdue(machines.wall_clock_ms())
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._watch_over(vm, world.clock.time)
 
 
 def deleted(world: World) -> list[str]:
-    assert isinstance(world.machines.fleet, Fleet)
+    assert isinstance(world.machines.fleet, Autoscaler)
     world.machines.fleet.wake = anyio.Event()  # of this event loop
     return deletions(world, world.machines.fleet)
 
@@ -71,8 +71,8 @@
     """Also while the state service is down, and although our books say that its lease is over."""
     running(world)
     cancelled(world)
-    log = Cancellations(10, 9)
-    soon = OVERDUE * world.settings.cancel_s
+    log = CancellationLog(10, 9)
+    soon = OVERDUE_SHARE * world.settings.cancel_s
     since = world.clock.time
     look(world)
     while world.clock.time - since < soon - 1:
@@ -82,7 +82,7 @@
         else:
             later(world, 1.0)
         look(world)
-    assert world.standing.may_answer and world.standing.may_act != outage
+    assert world.leadership.may_answer and world.leadership.may_act != outage
     assert JOB not in world.machines.registry.placed  # its lease is over in our books
     assert deleted(world) == []
     world.clock.time += 2.0
@@ -130,12 +130,12 @@
     machine(world).cancelled_since = None
     world.machines.registry.unhear(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
     cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
-    log = Cancellations(10, 9)
+    log = CancellationLog(10, 9)
     for _ in range(5):
         world.clock.time += 1.0
         told(log, world)
         look(world)
-    assert world.standing.may_answer
+    assert world.leadership.may_answer
     assert deleted(world) == (["vm-1"] if overdue else [])
 
 
@@ -167,14 +167,14 @@
     does: what another node told in between must be in the answer."""
     settings = parse(SETTINGS)
     clock = Clock()
-    answers: list[wire.Changes] = []
+    answers: list[wire.ChangeFeed] = []
 
     class Slow(StateClient):
         reads = 0
 
         async def call(self, method: str, path: str, body: Any, urgency: Any, hold_s: float = 0.0) -> Reply:
             self.reads += 1
-            answer = wire.Changes(self.reads, list(answers[-1].events) if answers else [])
+            answer = wire.ChangeFeed(self.reads, list(answers[-1].events) if answers else [])
             await anyio.sleep(0)
             await anyio.sleep(0)
             return Reply(200, wire.encode(answer))
@@ -194,14 +194,14 @@
             if answered:
                 await replica.fresh(1.0)
             # Another node stores and tells a cancellation now.
-            row = dict(store.rows[t.job_key(JOB)][0], s=t.WITHDRAWN)
-            answers.append(wire.Changes(9, [wire.Event(9, write=t.job_key(JOB), value=row)]))
+            row = dict(store.rows[t.job_key(JOB)][0], s=t.CANCELLED)
+            answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=t.job_key(JOB), value=row)]))
             await replica.fresh(1.0)
             seen.append(store.tables.jobs[JOB].status)
             group.cancel_scope.cancel()
 
     anyio.run(play)
-    assert seen == [t.WITHDRAWN] and client.reads == 2 + answered
+    assert seen == [t.CANCELLED] and client.reads == 2 + answered
 
 
 # -- machines that cannot report, and late registrations
@@ -265,11 +265,11 @@
     world.round(ClaimRequest(wants={JOB: 4}, zones={JOB: "b"}, picks={JOB: 0b1111}, grow={"red": (8.0, 0.0)}))
     job = world.store.tables.jobs[JOB]
     assert job.progress.zone == "b" and job.progress.claims
-    world.tell_jobs(Learnt(released={JOB: 0b0111}))
+    world.tell_jobs(TaskUpdates(released={JOB: 0b0111}))
     later(world, 20.0)
     world.round()
     assert job.progress.zone == "b"  # one is still claimed, and may be there
-    world.tell_jobs(Learnt(released={JOB: 0b1000}))
+    world.tell_jobs(TaskUpdates(released={JOB: 0b1000}))
     later(world, 20.0)
     world.round()
     assert job.progress.zone is None and not job.progress.claims
@@ -369,7 +369,7 @@
 def test_bound_tasks_take_no_more_room_than_asked_and_none_without_a_zone(world: World) -> None:
     world.store.job(spec(together=True))
     job = world.store.tables.jobs[JOB]
-    rooms = [placement.Room("vm-1", "small", "a", True, 8.0, 0.0, 16.0)]
+    rooms = [placement.FreeCapacity("vm-1", "small", "a", True, 8.0, 0.0, 16.0)]
     assert placement.place(job, 0b1111, rooms) == []
     assert [index for index, _ in placement.place(job, 0b1111, rooms, "a", 1)] == [0]
     assert rooms[0].cores == 6.0
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,13 +8,13 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.users import Users
 from sloeswitch.core import fleet, ready
 from sloeswitch.core import tables as t
 from sloeswitch.http import Answer, Reply, Request
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StaleError
+from sloeswitch.state import Replica, StaleReplicaError
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.test_actors import World, machine_up
 
@@ -29,8 +29,8 @@
     return world
 
 
-def line(store: Store, wall_ms: int = 0, text: str = SETTINGS) -> list[str]:
-    return [job.spec.id for job in ready.order(store.tables, parse(text), wall_ms)]
+def line(store: Store, wall_clock_ms: int = 0, text: str = SETTINGS) -> list[str]:
+    return [job.spec.id for job in ready.order(store.tables, parse(text), wall_clock_ms)]
 
 
 def done(store: Store, name: str, at_ms: int = 0) -> None:
@@ -38,7 +38,7 @@
 
 
 def ask(world: World, method: str, path: str, body: Any = None) -> Answer:
-    users = Users(world.settings, world.client, world.replica, world.standing, world.jobs, world.machines)
+    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
     world.client.last_ok = world.clock.time
 
     async def handle() -> Answer:
@@ -66,7 +66,7 @@
     assert not world.store.tables.jobs[B].progress.claims
     start = world.heartbeat(report(3, 3)).orders[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    world.tell_jobs(world.machines.learnt if world.machines.learnt else Learnt(done={A: 1}))
+    world.tell_jobs(world.machines.learnt if world.machines.learnt else TaskUpdates(done={A: 1}))
     assert line(world.store) == [A]  # told, not stored
     world.round()  # at once: nothing that others wait for is kept for company
     assert line(world.store) == [B]
@@ -141,7 +141,7 @@
     by key, whatever they need."""
     rows = {
         t.job_key("wk-000009"): {"s": t.DONE, "n": 1, "t": 5000},
-        t.job_key("wk-000008"): {"s": t.WITHDRAWN, "n": 1, "t": 5000},
+        t.job_key("wk-000008"): {"s": t.CANCELLED, "n": 1, "t": 5000},
     }
     store = Store()
     for name, awaits in ((A, ["wk-000009"]), (B, [A]), (C, ["wk-000008", A]), (D, [C, "wk-000009"])):
@@ -162,7 +162,7 @@
     store.job(spec("wk-200000", awaits=[names[-1]], urgency="critical", dueS=90000.0))
     assert line(store) == [names[0]]
     assert store.tables.jobs[names[0]].inherited_rank == 0
-    store.put(t.job_key(names[0]), {"s": t.WITHDRAWN, "n": 4})
+    store.put(t.job_key(names[0]), {"s": t.CANCELLED, "n": 4})
     assert all(job.cancelled for job in store.tables.jobs.values()) and line(store) == []
 
 
@@ -170,7 +170,7 @@
 
 
 def test_cancelling_decides_all_that_needs_it_at_once_and_its_rows_are_settled_later(world: World) -> None:
-    world.store.put(t.COORD, {"member": "c0", "boot": 1})
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for name, awaits in ((A, []), (B, [A]), (C, [B])):
         assert submit(world, name, *awaits) == 201
     assert submit(world, D) == 201
@@ -181,7 +181,7 @@
 
     # Asked about, cancelled or submitted again the answer is the same, and needs no state service.
     async def stale(timeout_s: float) -> None:
-        raise StaleError
+        raise StaleReplicaError
 
     world.replica.fresh = stale  # type: ignore[method-assign]
     for again in (ask(world, "POST", f"/submissions/{C}/cancel"), ask(world, "POST", "/submissions", submission(C))):
@@ -190,12 +190,12 @@
     world.clock.time += 0.1
     world.round()
     over = world.store.tables.over
-    assert over[B].status == over[C].status == t.WITHDRAWN and D in world.store.tables.jobs
+    assert over[B].status == over[C].status == t.CANCELLED and D in world.store.tables.jobs
     assert status(world, C) == wire.CANCELLED
 
 
 def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled(world: World) -> None:
-    world.store.put(t.job_key(A), {"s": t.WITHDRAWN, "n": 1})
+    world.store.put(t.job_key(A), {"s": t.CANCELLED, "n": 1})
     assert submit(world, B, A) == 201
     assert submit(world, C, B) == 201
     assert status(world, B) == status(world, C) == wire.CANCELLED
@@ -207,7 +207,7 @@
     world.store.job(spec(A))
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
-    world.store.put(t.job_key(A), {"s": t.WITHDRAWN, "n": 4})
+    world.store.put(t.job_key(A), {"s": t.CANCELLED, "n": 4})
     world.client.apply(*world.client.late[0])
     assert status(world, B) == wire.CANCELLED and line(world.store) == []
 
@@ -217,7 +217,7 @@
     world.store.job(spec(A, visits=1))
     world.store.progress(A, c0_1=1)
     world.store.job(spec(B, awaits=[A]))
-    world.tell_jobs(Learnt(done={A: 1}))
+    world.tell_jobs(TaskUpdates(done={A: 1}))
     if first == "end":
         world.client.lose_answers = 1
         world.round()  # carried out later, its answer lost
@@ -265,7 +265,7 @@
 
 def test_an_unknown_prerequisite_is_judged_on_a_fresh_read_only(world: World) -> None:
     async def stale(timeout_s: float) -> None:
-        raise StaleError
+        raise StaleReplicaError
 
     async def just_accepted_elsewhere(timeout_s: float) -> None:
         if A not in world.store.tables.jobs:
@@ -306,14 +306,14 @@
     again.put(t.job_key("wk-100001"), {"s": t.LIVE, "n": 4, "t": 0, "parts": list(job.parts or ())})
     assert not again.tables.jobs
     for number, text in store.tables.parts["wk-100001"][job.parts[0] if job.parts else ""].items():
-        again.put(t.part_key("wk-100001", job.parts[0] if job.parts else "", number), text)
+        again.put(t.chunk_key("wk-100001", job.parts[0] if job.parts else "", number), text)
     assert again.tables.jobs["wk-100001"].spec == job.spec
     # With claims its cancelled row names the parts too; over, they are dropped.
     store.progress("wk-100001", c0_1=1)
     assert anyio.run(world.jobs.cancel, "wk-100001") == wire.CANCELLED
     assert store.tables.jobs["wk-100001"].cancelled
     store.progress("wk-100001")
-    world.store.put(t.COORD, {"member": "c0", "boot": 1})
+    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.round()
     for _ in range(20):
         anyio.run(world.jobs._clear_away)
@@ -393,10 +393,10 @@
     jobs = store.tables.jobs
     # 200 s less 10 s, a report and 1 GB at 0.5 GB/s; less 30 s, a report and 2 GB.
     assert jobs[B].inherited_ms == (187_000, 287_000)
-    assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == ready.RANK["urgent"]
+    assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == ready.PRIORITY_RANKS["urgent"]
     assert ready.targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # With the last job cancelled nothing needs the others any more.
-    store.put(t.job_key(C), {"s": t.WITHDRAWN, "n": 4})
+    store.put(t.job_key(C), {"s": t.CANCELLED, "n": 4})
     assert line(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_ms is None
 
 
@@ -410,7 +410,7 @@
     store.job(spec("wk-000007", awaits=["wk-000006"]))
     store.job(spec("wk-000008"))
     store.job(spec("wk-000009"))
-    world.tell_jobs(Learnt(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
+    world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
     due = world.jobs._due(ClaimRequest(wants={"wk-000008": 4, "wk-000009": 4}))
     assert due[0] == "wk-000006" and set(due[1:6]) == {f"wk-00000{number}" for number in range(1, 6)}
@@ -494,7 +494,7 @@
     store.job(spec(B, urgency="best_effort", dueS=500.0, visits=20))
     store.job(spec(C, urgency="urgent", awaits=[A], dueS=35.0, visits=20))
     assert line(store, 60_000, AIMS) == [A, B]  # late, and urgent for what needs it
-    store.put(t.job_key(C), {"s": t.WITHDRAWN, "n": 20})
+    store.put(t.job_key(C), {"s": t.CANCELLED, "n": 20})
     assert line(store, 60_000, AIMS) == [B, A]
 
 
@@ -515,7 +515,7 @@
     store.job(spec(A, urgency="best_effort", visits=50))
     store.progress(A, done=0b1)
     store.job(spec(B, urgency="best_effort", visits=50))
-    late_s = 2 * ready.PATIENCE_LEASES * 10.0 + 1
+    late_s = 2 * ready.STARVATION_LEASES * 10.0 + 1
     row = {"s": t.LIVE, "n": 2, "t": int(late_s * 1000), "spec": submission(C, urgency="urgent", visits=2)}
     store.put(t.job_key(C), row)
     # What waits for its beginning is first still, with a part of its tasks, then the urgent, then the old.
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from sloeswitch.core import preemption
-from sloeswitch.core.placement import Room
-from sloeswitch.core.quota import Use
+from sloeswitch.core.placement import FreeCapacity
+from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.registry import Attempt
 from tests.conftest import Store, spec
 
@@ -14,8 +14,8 @@
 GANG: dict[str, Any] = {"shape": "group", "visits": 1, "cores": 6.0, "memoryGb": 1.0}
 
 
-def room(name: str, free: float) -> Room:
-    return Room(name, "small", "a", True, free, 0.0, 16.0)
+def room(name: str, free: float) -> FreeCapacity:
+    return FreeCapacity(name, "small", "a", True, free, 0.0, 16.0)
 
 
 def running(count: int, **changes: Any) -> list[Attempt]:
@@ -25,11 +25,11 @@
 
 
 def choose(
-    store: Store, *machines: tuple[Room, list[Attempt]], behind: bool = True, lendable: int = 0
+    store: Store, *machines: tuple[FreeCapacity, list[Attempt]], behind: bool = True, lendable: int = 0
 ) -> preemption.Preemption | None:
     store.job(spec(SOLVE, **GANG))
     positions = {SOLVE: 0, FILL: 1} if behind else {FILL: 0, SOLVE: 1}
-    order = preemption.LineOrder(positions, {FILL: lendable})
+    order = preemption.QueueOrder(positions, {FILL: lendable})
     return preemption.choose(store.tables.jobs[SOLVE], machines, order)
 
 
@@ -69,13 +69,13 @@
     store.job(spec(SOLVE, **GANG))
     old, new = store.tables.jobs[FILL], store.tables.jobs[SOLVE]
     old.rank, new.rank = (1, False, False, 0, 0), (2, False, True, 2, 1)
-    order = preemption.LineOrder.of([old, new], {FILL: 0b11111})
+    order = preemption.QueueOrder.of([old, new], {FILL: 0b11111})
     assert order.lendable == {FILL: 2} and order.behind(FILL, SOLVE) and not order.behind(SOLVE, FILL)
 
 
 def test_at_the_limit_only_the_teams_own_tasks_make_room_in_it(store: Store) -> None:
     job = spec(SOLVE, **GANG)
     mixed = [*running(4, crew="blue"), *running(4)]
-    chosen = preemption.within_limit(job, Use(3.0), mixed)
+    chosen = preemption.within_limit(job, ResourceUsage(3.0), mixed)
     assert chosen is not None and {attempt.spec.team for attempt in chosen} == {"red"} and len(chosen) == 3
-    assert preemption.within_limit(job, Use(5.0), mixed) is None
+    assert preemption.within_limit(job, ResourceUsage(5.0), mixed) is None
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -28,8 +28,8 @@
 def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
     """vm-1 is large and full of tasks of a job of the least priority."""
     world = World(store, SETTINGS.replace("cpus_max = 20.0", "cpus_max = 100.0"))
-    monkeypatch.setattr(machines, "wall_ms", lambda: int((world.clock.time - 1000.0) * 1000))
-    store.put(t.CATALOG, msgspec.to_builtins(wire.Catalog([MACHINE_TYPE, LARGE])))
+    monkeypatch.setattr(machines, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
+    store.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
     store.put(t.group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
     world.heartbeat(large(1, 0))
     world.heartbeat(large(2, 3))
@@ -41,7 +41,7 @@
     yield world
 
 
-def large(serial: int, token: int, *tasks: Any) -> wire.Report:
+def large(serial: int, token: int, *tasks: Any) -> wire.WorkerReport:
     return msgspec.structs.replace(report(serial, token, *tasks), type="large", spot=False)
 
 
@@ -58,8 +58,8 @@
     }
     machine(world).heard = True
     kill = world.machines.registry.kill
-    world.machines.gang_room.kill = kill  # type: ignore[assignment]
-    world.machines.gang_room.make_room(world.clock.time)
+    world.machines.gang_preemption.kill = kill  # type: ignore[assignment]
+    world.machines.gang_preemption.make_room(world.clock.time)
     return sum(attempt.kill_grace_s is not None for attempt in machine(world).attempts.values())
 
 
@@ -68,8 +68,8 @@
     assert placement.scarce_types([spec(SOLVE, **GANG), spec()], kinds) == {"large"}
     assert placement.scarce_types([spec()], kinds) == set()
     rooms = [
-        placement.Room("vm-1", "large", "a", True, 32.0, 0.0, 64.0, {"img-1"}, scarce=True),
-        placement.Room("vm-2", "small", "a", False, 8.0, 0.0, 16.0),
+        placement.FreeCapacity("vm-1", "large", "a", True, 32.0, 0.0, 64.0, {"img-1"}, scarce=True),
+        placement.FreeCapacity("vm-2", "small", "a", False, 8.0, 0.0, 16.0),
     ]
     assert [room.machine for room in placement.fitting(spec(), rooms)] == ["vm-2", "vm-1"]
     assert [room.machine for room in placement.fitting(spec(SOLVE, **GANG), rooms)] == ["vm-1"]
@@ -96,14 +96,14 @@
 def test_the_room_is_held_no_longer_than_needed_or_a_worker_lease(world: World, cancelled: bool) -> None:
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
-    assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_room.held
+    assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_preemption.held
     if cancelled:
-        world.store.job(spec(SOLVE, **GANG), t.WITHDRAWN)
+        world.store.job(spec(SOLVE, **GANG), t.CANCELLED)
     tick(world, 0.1)
-    assert bool(world.machines.gang_room.held) != cancelled
+    assert bool(world.machines.gang_preemption.held) != cancelled
     # The tasks do not stop, and no others may.
     tick(world, world.settings.lease_s)
-    assert not world.machines.gang_room.held
+    assert not world.machines.gang_preemption.held
 
 
 @pytest.mark.parametrize("urgency", ["standard", "critical"])
@@ -139,7 +139,7 @@
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     assert tick(world, 2.5) == 12
-    assert world.machines.gang_room.held.keys() == {"vm-2"}
+    assert world.machines.gang_preemption.held.keys() == {"vm-2"}
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     world.store.put(t.team_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
@@ -158,7 +158,7 @@
     for attempt in machine(world).attempts.values():
         attempt.spec = msgspec.structs.replace(attempt.spec, team="blue")
     tick(world, 0.1)
-    assert tick(world, 5.0) == 0 and not world.machines.gang_room.held
+    assert tick(world, 5.0) == 0 and not world.machines.gang_preemption.held
 
 
 def test_room_is_made_for_a_gang_that_only_a_run_that_is_gone_has_claimed(world: World) -> None:
@@ -169,7 +169,7 @@
     assert not world.machines._has_begun(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
     # It is kept at the next look too.
-    assert tick(world, 0.1) == 30 and world.machines.gang_room.held
+    assert tick(world, 0.1) == 30 and world.machines.gang_preemption.held
 
 
 def test_a_gang_that_a_present_controller_has_claimed_gets_no_room_here(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors import machines as machines_module
-from sloeswitch.actors.fleet import Fleet
+from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core import placement
@@ -29,7 +29,7 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Iterator[FleetWorld]:
     world = FleetWorld(MACHINES)
-    monkeypatch.setattr(machines_module, "wall_ms", lambda: int(world.clock.time * 1000))
+    monkeypatch.setattr(machines_module, "wall_clock_ms", lambda: int(world.clock.time * 1000))
     world.take_over()
     yield world
 
@@ -123,15 +123,15 @@
         self.clock.time += 1 / self.rate
         self.calls.append("list" if path.startswith("/machines?") else "rent")
         if method == "POST":
-            count = wire.decode(body or b"", wire.Booking).count
-            return Reply(200, wire.encode(wire.Booked([f"new-{len(self.calls)}-{n}" for n in range(count)])))
+            count = wire.decode(body or b"", wire.InstanceRequest).count
+            return Reply(200, wire.encode(wire.InstancesCreated([f"new-{len(self.calls)}-{n}" for n in range(count)])))
         _, _, after = path.partition("&after=")
         first = int(after.removeprefix("vm-")) + 1 if after else 0
         hosts = [
-            wire.Listed(machine_name(number), "127.0.0.1:9000", "small", "a", True, "running", 99.0)
+            wire.Instance(machine_name(number), "127.0.0.1:9000", "small", "a", True, "running", 99.0)
             for number in range(first, min(first + PAGE, MACHINES))
         ]
-        return Reply(200, wire.encode(wire.Listing(hosts, first + PAGE < MACHINES)))
+        return Reply(200, wire.encode(wire.InstancePage(hosts, first + PAGE < MACHINES)))
 
 
 def test_lists_of_many_pages_leave_most_of_the_rate_to_bookings(
@@ -142,9 +142,9 @@
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
     monkeypatch.setattr(cloud.bucket, "wait_s", lambda *_: 0.0)
-    renting = Fleet(fleet.settings, fleet.client, cloud, fleet.replica, fleet.standing, fleet.clock)
+    renting = Autoscaler(fleet.settings, fleet.client, cloud, fleet.replica, fleet.leadership, fleet.clock)
     renting.types = {"small": MACHINE_TYPE}
-    fleet.store.put(t.COORD, {"member": "c0", "boot": 1})
+    fleet.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=1000, cores=1.0))
     monkeypatch.setattr("sloeswitch.actors.fleet.time.time", lambda: fleet.clock.time)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -117,12 +117,12 @@
     assert [job.spec.image for job in dealt[:6]] == ["img-1"] * 3 + ["img-0"] * 3
     assert {job.spec.priority for job in dealt[:6]} == {"critical"}
     # Nobody's turn moves by more than the window.
-    assert all(abs(line.index(job) - place) < ready.WINDOW * 2 for place, job in enumerate(dealt))
+    assert all(abs(line.index(job) - place) < ready.DEAL_WINDOW * 2 for place, job in enumerate(dealt))
 
 
 def test_allowances_never_pass_the_limit() -> None:
     held = {"c0.1": (12.0, 0.0), "c1.2": (6.0, 0.0)}
-    after = quota.reallot(held, (20.0, 0.0), "c0.1", (18.0, 0.0))
+    after = quota.reallocate(held, (20.0, 0.0), "c0.1", (18.0, 0.0))
     assert after == {"c0.1": (14.0, 0.0), "c1.2": (6.0, 0.0)}
 
 
@@ -161,7 +161,7 @@
     store.job(spec("wk-000001", dueS=400.0, visits=10))
     job = store.tables.jobs["wk-000001"]
     settings = parse(SETTINGS)
-    early, late = (fleet.at_once(job, settings, wall_ms, 0.5) for wall_ms in (0, 300_000))
+    early, late = (fleet.parallel_tasks(job, settings, wall_clock_ms, 0.5) for wall_clock_ms in (0, 300_000))
     assert early == 2 and late == 8
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,8 +11,8 @@
 import pytest
 
 from sloeswitch import mesh, wire
-from sloeswitch.actors.fleet import Fleet
-from sloeswitch.actors.jobs import ClaimRequest, Learnt
+from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.machines import Machines
 from sloeswitch.core import tables as t
 from sloeswitch.core import taskset
@@ -136,26 +136,26 @@
     written = watched(world)
     heartbeat_and_register(world, 40)
     assert anyio.run(world.membership._write_member)
-    world.standing.mesh = None
+    world.leadership.mesh = None
     anyio.run(world.membership._mark)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
     world.round(ClaimRequest(wants={JOB: 400, "wk-000002": 4}, grow={"red": (8.0, 0.0)}))
     scattered = sum(1 << index for index in range(0, 120, 3))
-    world.tell_jobs(Learnt(done={JOB: scattered}))
+    world.tell_jobs(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
-    world.standing.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
     world.round()
     assert store.tables.jobs[JOB].progress.done == scattered
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.CANCELLED
     assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.CANCELLED
     read = [Production().read(key, value) for key, value in written.items()]
-    assert ("j", "wk-000002", t.WITHDRAWN) in [row[:3] for row in read if row]
-    assert ("j", "wk-000003", t.WITHDRAWN, 4) in read
+    assert ("j", "wk-000002", t.CANCELLED) in [row[:3] for row in read if row]
+    assert ("j", "wk-000003", t.CANCELLED, 4) in read
     progress = store.tables.jobs[JOB].progress
     assert ("r", JOB, progress.done, progress.claims, None, 0) in read
     assert {vm for row in read if row and row[0] == "g" for vm in row[2]} == store.tables.machines.keys()
-    world.tell_jobs(Learnt(done={JOB: taskset.full(400)}))
+    world.tell_jobs(TaskUpdates(done={JOB: taskset.full(400)}))
     world.clock.time += 1.0
     world.round()
     assert Production().read(t.job_key(JOB), written[t.job_key(JOB)]) == ("j", JOB, t.DONE, 400)
@@ -201,7 +201,7 @@
     store.put(t.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
     assert not mark(world)
     # Its turn comes; its former run's row is still there when it is first seen.
-    store.put(t.UPGRADE, {"seen": ["c0", "c1"], "complete": False})
+    store.put(t.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": False})
     assert not mark(world)
     store.member("c1", 6)
     assert mark(world)
@@ -213,9 +213,9 @@
 
 def test_the_mark_is_written_by_members_of_the_view_only(store: Store) -> None:
     world = World(store)
-    conditions = world.standing.claim_conditions()
+    conditions = world.leadership.claim_conditions()
     store.view(4, ("c1", 2))
-    world.standing.claim_conditions = lambda: conditions  # type: ignore[method-assign]
+    world.leadership.claim_conditions = lambda: conditions  # type: ignore[method-assign]
     assert not mark(world) and store.tables.seen == ()
 
 
@@ -278,14 +278,14 @@
         for name in names:
             ended = sum(1 << index for index in range(600) if shuffle.random() < 0.1) & left[name]
             left[name] &= ~ended
-            world.tell_jobs(Learnt(done={name: ended}))
+            world.tell_jobs(TaskUpdates(done={name: ended}))
         world.clock.time += 20.0
         for _ in range(4):
             world.round()
         assert all(store.tables.jobs[n].progress.done == taskset.full(600) & ~left[n] for n in store.tables.jobs)
         if not any(left.values()):
             break
-    world.tell_jobs(Learnt(done=left | dict.fromkeys(names, taskset.full(600))))
+    world.tell_jobs(TaskUpdates(done=left | dict.fromkeys(names, taskset.full(600))))
     world.clock.time += 20.0
     for _ in range(4):
         world.round()
@@ -346,7 +346,7 @@
 def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
     world = World(store, NARROW)
     cloud: Any = None
-    fleet = Fleet(world.settings, world.client, cloud, world.replica, world.standing, world.clock)
+    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     kinds = [
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
@@ -382,13 +382,13 @@
         store.progress(f"wk-00000{number}", c1_9=1)
     world.client.most_changes_now, world.client.most_bytes_now = changes, size
     heartbeat_and_register(world, 12)
-    world.tell_jobs(Learnt(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view=3))
     for _ in range(12):
         world.round()
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
     accepted = [submit(world, "wk-000009", kit="x" * 200) for _ in range(6)]
     assert accepted[-1] == 200 and 201 in accepted
-    world.tell_jobs(Learnt(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
+    world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
     for _ in range(6):
         world.round()
@@ -420,9 +420,9 @@
 
 
 def t_urgency() -> Any:
-    from sloeswitch.state import Urgency
+    from sloeswitch.state import RequestPriority
 
-    return Urgency.LEASE
+    return RequestPriority.LEASE
 
 
 def test_a_few_changes_a_transaction_hold_teams_and_claims(store: Store) -> None:
