--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -31,52 +31,52 @@
         leadership: Leadership,
         registry: MachineRegistry,
         commands: CommandSender,
-        give_back: Callable[[str], bool],
+        scale_in: Callable[[str], bool],
     ) -> None:
         self.settings = settings
         self.tables = tables
         self.leadership = leadership
         self.registry = registry
         self.commands = commands
-        self.give_back = give_back
+        self.scale_in = scale_in
         self.guard = CancellationGuard(settings)
         # When a machine last told anything, whether or not it could be answered.
         self.any_heard_at = float("-inf")
 
-    def look(self, now: float, wall_time_ms: int) -> None:
+    def inspect_suspects(self, now: float, wall_time_ms: int) -> None:
         """Has machines inspected, and deleted if need be, that may hold cancelled tasks while nobody may answer."""
         self.guard.observe(self.tables, now)
-        if not self.leadership.unattended:
+        if not self.leadership.is_leaderless:
             self.guard.clear()
             return
-        suspects = self.guard.suspects(self.tables, self.leadership.tag, now, wall_time_ms)
+        suspects = self.guard.suspects(self.tables, self.leadership.incarnation_id, now, wall_time_ms)
         suspects |= self._own_suspects(now, wall_time_ms)
         for name in self.guard.due(suspects, now):
             self.commands.inspect(name, self._address(name))
-        if self._hears_nobody(now):
+        if self._all_machines_silent(now):
             return
         for name in self.guard.deletable():
-            if self.give_back(name):
+            if self.scale_in(name):
                 log.info("%s goes back: cancelled tasks may be on it, and no controller may answer it", name)
 
-    def inspected(self, message: InspectionReply, now: float) -> None:
+    def apply_inspection(self, message: InspectionReply, now: float) -> None:
         """The answer of a machine that was asked what is on it, or none."""
         if message.report is None:
-            self.guard.failed(message.machine, now)
+            self.guard.record_no_answer(message.machine, now)
         else:
             self.any_heard_at = now
-            self.guard.answered(message.report, self.tables, now)
+            self.guard.record_answer(message.report, self.tables, now)
 
-    def overdue(self, wall_time_ms: int) -> bool:
+    def has_overdue(self, wall_time_ms: int) -> bool:
         """Whether a job that was cancelled longer ago than a part of the time allowed still has claims."""
         return any(overdue_job(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values())
 
     def _own_suspects(self, now: float, wall_time_ms: int) -> set[str]:
-        overdue = self.overdue(wall_time_ms)
+        overdue = self.has_overdue(wall_time_ms)
         return {
             machine.name
             for machine in self.registry.machines.values()
-            if (overdue and not machine.heard)
+            if (overdue and not machine.reconciled)
             or (
                 machine.cancelled_since is not None
                 and now - machine.cancelled_since > OVERDUE_SHARE * self.settings.cancel_s
@@ -87,7 +87,7 @@
         known = self.registry.machines.get(machine)
         return known.address if known is not None else self.tables.machines[machine].address
 
-    def _hears_nobody(self, now: float) -> bool:
+    def _all_machines_silent(self, now: float) -> bool:
         """Whether no machine at all was heard for two leases though there are some: our own network is the likely
         reason, and what does not answer may be well."""
         return len(self.tables.machines) > 3 and now - self.any_heard_at > 2 * self.settings.lease_s
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -67,7 +67,7 @@
         self.registry = registry
         self.tables = tables
         self.spawn = spawn
-        self.tell = tell
+        self.deliver = tell
         self.now = now
         self.failures: dict[str, int] = {}
         self.probe_at: dict[str, float] = {}
@@ -94,7 +94,7 @@
         """Asks a machine what it holds. That needs no permission: it changes nothing there."""
         self.spawn(self._inspect, name, address)
 
-    def answered(self, machine: str) -> None:
+    def record_reply(self, machine: str) -> None:
         """The machine was heard: earlier failures count no more."""
         self.failures.pop(machine, None)
 
@@ -103,15 +103,15 @@
         self.failures.pop(machine, None)
         self.probe_at.pop(machine, None)
 
-    def begun(self, machine: Machine) -> None:
+    def record_begun(self, machine: Machine) -> None:
         """A command is being made up: what is decided from here on needs another one."""
         self._waiting.discard(machine.name)
 
-    def failed(self, machine: Machine) -> None:
+    def record_failure(self, machine: Machine) -> None:
         """A command found no answer."""
         self.failures[machine.name] = self.failures.get(machine.name, 0) + 1
 
-    def ended(self, machine: Machine) -> None:
+    def record_ended(self, machine: Machine) -> None:
         """A command is over, answered or not."""
         if self.registry.machines.get(machine.name) is machine:
             self.probe_at[machine.name] = self.now() + self.settings.report_s / 4
@@ -120,31 +120,31 @@
         """Sends what is to be stopped under the present token."""
         try:
             async with self._sockets:
-                self.begun(machine)
-                await self._send_orders(machine)
+                self.record_begun(machine)
+                await self._send_commands(machine)
         except NoAnswerError:
-            self.failed(machine)
+            self.record_failure(machine)
         except (wire.MalformedError, ValueError, InboxFullError) as error:
             log.error("%s answered a command with %s", machine.name, error)
         finally:
-            self.begun(machine)
-            self.ended(machine)
+            self.record_begun(machine)
+            self.record_ended(machine)
 
-    async def _send_orders(self, machine: Machine) -> None:
-        session = machine.session or 1
+    async def _send_commands(self, machine: Machine) -> None:
+        session = machine.agent_epoch or 1
         for _ in range(2):
-            if not self.leadership.may_answer or self.registry.machines.get(machine.name) is not machine:
+            if not self.leadership.may_answer_workers or self.registry.machines.get(machine.name) is not machine:
                 return
-            orders = self.registry.orders(machine, self.tables, None) if machine.heard else []
+            orders = self.registry.commands(machine, self.tables, None) if machine.reconciled else []
             body = wire.encode(wire.WorkerCommands(self.leadership.view.number, orders, session))
             reply = await self._client(machine.address).request("POST", "/commands", body, self.timeout_s)
             if reply.status not in (200, 409):
                 return
             report = wire.decode(reply.body, wire.WorkerReport)
-            self.tell(CommandReply(report))
-            if reply.status == 200 or report.session == session:
+            self.deliver(CommandReply(report))
+            if reply.status == 200 or report.agent_epoch == session:
                 return
-            session = report.session
+            session = report.agent_epoch
 
     async def _inspect(self, name: str, address: str) -> None:
         report: wire.WorkerReport | None = None
@@ -158,7 +158,7 @@
         except (wire.MalformedError, ValueError) as error:
             log.error("%s answered an inspection with %s", name, error)
         try:
-            self.tell(InspectionReply(name, report))
+            self.deliver(InspectionReply(name, report))
         except InboxFullError:
             log.debug("no place for what %s told", name)
 
--- a/sloeswitch/actors/feature_mark.py
+++ b/sloeswitch/actors/feature_mark.py
@@ -25,15 +25,15 @@
         self.leadership = leadership
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every configured controller has run with the feature."""
         return self.replica.tables.features.get(self.feature, t.FeatureStatus()).complete
 
-    async def mark(self) -> None:
+    async def record_member(self) -> None:
         """Notes that this controller runs with the feature; complete once every configured one does."""
         tables = self.replica.tables
         known = tables.features.get(self.feature, t.FeatureStatus())
-        if known.complete or not (self.leadership.may_act and tables.upgraded):
+        if known.complete or not (self.leadership.is_leader and tables.layout_complete):
             return
         seen = {*known.seen, self.settings.member}
         complete = seen >= set(self.settings.members)
@@ -41,8 +41,8 @@
             return
         key = t.feature_key(self.feature)
         value = {"seen": sorted(seen), "complete": complete}
-        conditions = {key: tables.stamp(key), **self.leadership.claim_conditions()}
-        outcome, _ = await self.client.commit(conditions, {key: value}, [], RequestPriority.CLAIM)
-        self.replica.hint()
-        if outcome is TransactionOutcome.DONE:
+        conditions = {key: tables.mod_revision(key), **self.leadership.view_conditions()}
+        outcome, _ = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.CLAIM)
+        self.replica.request_read()
+        if outcome is TransactionOutcome.COMMITTED:
             log.info("%s: run by %s%s", self.feature, ", ".join(sorted(seen)), "; it is on" if complete else "")
--- a/sloeswitch/actors/fleet.py
+++ b/sloeswitch/actors/fleet.py
@@ -38,7 +38,7 @@
     """A machine that was rented and is not registered yet."""
 
     kind: InstanceKind
-    since: float
+    requested_at: float
 
 
 class Autoscaler:
@@ -60,14 +60,14 @@
         self.now = now
         self.machines: Machines | None = None
         self.types: dict[str, wire.MachineType] = {}
-        self.expected: dict[str, PendingInstance] = {}
-        self.refused: dict[InstanceKind, float] = {}
+        self.pending_instances: dict[str, PendingInstance] = {}
+        self.refused_until: dict[InstanceKind, float] = {}
         # Machines on their way back; True for those that the coordinator gives back, whoever owns them.
-        self.returning: dict[str, bool] = {}
+        self.terminating: dict[str, bool] = {}
         # Those of them on which cancelled tasks may be.
-        self.pressing: set[str] = set()
+        self.urgent: set[str] = set()
         self.wake = anyio.Event()
-        self.bookings = 0
+        self.requests_made = 0
         self.listed_at = float("-inf")
         # How long the last list took: thousands of machines are many pages, and the cloud's rate paces them.
         self.listing_s = 0.0
@@ -76,74 +76,74 @@
 
     # -- returning
 
-    def give_back(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
+    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
         """Has the machine deleted; if `pressing`, also while this controller may only answer machines, or nobody may.
         False when that is under way already."""
-        if machine in self.returning and pressing <= (machine in self.pressing):
+        if machine in self.terminating and pressing <= (machine in self.urgent):
             return False
-        self.returning[machine] = listed
+        self.terminating[machine] = listed
         if pressing:
-            self.pressing.add(machine)
+            self.urgent.add(machine)
         self.wake.set()
         return True
 
-    def _still_ours(self, machine: str) -> bool:
-        if self.returning[machine]:
-            return self.leadership.coordinating
-        return self.leadership.owner(machine) == self.settings.member
+    def _may_terminate(self, machine: str) -> bool:
+        if self.terminating[machine]:
+            return self.leadership.is_coordinator
+        return self.leadership.owner_of(machine) == self.settings.member
 
-    async def return_forever(self) -> None:
+    async def terminate_forever(self) -> None:
         while True:
-            if not self.returning:
+            if not self.terminating:
                 await self.wake.wait()
             self.wake = anyio.Event()
-            may_press = self.leadership.may_answer or self.leadership.unattended
-            pressing = list(self.pressing) if may_press else []
-            if not self.leadership.may_act and not pressing:
+            may_press = self.leadership.may_answer_workers or self.leadership.is_leaderless
+            pressing = list(self.urgent) if may_press else []
+            if not self.leadership.is_leader and not pressing:
                 await anyio.sleep(self.settings.report_s / 4)
                 continue
             # Guards against a controller that stood still, or lost the state service, since it decided: the
             # machine may have another owner by now, and work on it.
-            for name in [name for name in self.returning if not self._still_ours(name)]:
-                if self.leadership.may_act:
-                    del self.returning[name]
-                    self.pressing.discard(name)
+            for name in [name for name in self.terminating if not self._may_terminate(name)]:
+                if self.leadership.is_leader:
+                    del self.terminating[name]
+                    self.urgent.discard(name)
             # Those on which cancelled tasks may be go first; the others only while we may act.
-            others = [name for name in self.returning if name not in self.pressing] if self.leadership.may_act else []
-            batch = [name for name in (*pressing, *others) if name in self.returning][:100]
+            others = [name for name in self.terminating if name not in self.urgent] if self.leadership.is_leader else []
+            batch = [name for name in (*pressing, *others) if name in self.terminating][:100]
             if not batch:
                 continue
             try:
-                await self.cloud.delete(batch)
+                await self.cloud.delete_instances(batch)
             except CloudError as error:
                 log.info("deleting %s: %s", ", ".join(batch), error)
                 await anyio.sleep(self.settings.report_s)
                 continue
             for name in batch:
-                self.returning.pop(name, None)
-                self.pressing.discard(name)
-                self.expected.pop(name, None)
+                self.terminating.pop(name, None)
+                self.urgent.discard(name)
+                self.pending_instances.pop(name, None)
             assert self.machines is not None
             self.machines.tell(InstancesDeleted(batch))
 
     # -- renting
 
-    async def rent_forever(self) -> None:
+    async def scale_out_forever(self) -> None:
         while True:
-            if self.tables.types:
+            if self.tables.machine_types:
                 await anyio.sleep(self.settings.list_lag_s / 10)
             else:
                 await self.replica.wait_change(self.settings.list_lag_s / 10)
             if not self.replica.loaded:
                 continue
             try:
-                if self.leadership.coordinating:
+                if self.leadership.is_coordinator:
                     await self._read_catalog()
-                    await self._list()
-                    while await self._rent():
+                    await self._list_instances()
+                    while await self._scale_out():
                         pass
-                elif self.expected:
-                    self.expected.clear()
+                elif self.pending_instances:
+                    self.pending_instances.clear()
             except CloudError as error:
                 log.info("cloud: %s", error)
                 await anyio.sleep(self.settings.list_lag_s / 5)
@@ -154,10 +154,10 @@
         now = self.now()
         if now - self.catalog_at < 6 * self.settings.list_lag_s and self.types:
             return
-        catalog = await self.cloud.catalog()
+        catalog = await self.cloud.read_catalog()
         self.catalog_at = now
         self.types = {kind.name: kind for kind in catalog.types}
-        stored = self.tables.types
+        stored = self.tables.machine_types
         if stored.keys() != self.types.keys() or any(
             (a.cores, a.gpus, a.memory, a.zones) != (b.cores, b.gpus, b.memory, b.zones)
             for a, b in ((stored[name], self.types[name]) for name in stored)
@@ -169,86 +169,90 @@
         """All types in one value if they fit. If not, each has its own, which an earlier layout does not read."""
         together = {t.CATALOG_KEY: msgspec.to_builtins(wire.MachineTypeCatalog(kinds))}
         fits = len(wire.encode(together[t.CATALOG_KEY])) <= self.client.value_bytes
-        if not fits and not self.tables.upgraded:
+        if not fits and not self.tables.layout_complete:
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
         writes = together if fits else {t.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
-        stored = {t.CATALOG_KEY, *(t.type_key(name) for name in self.tables.types)}
-        drops = [key for key in stored if key not in writes and self.tables.stamp(key)]
+        stored = {t.CATALOG_KEY, *(t.type_key(name) for name in self.tables.machine_types)}
+        drops = [key for key in stored if key not in writes and self.tables.mod_revision(key)]
         # Written before the others are dropped, so that no type is missing in between.
         changes = [*writes, *drops]
         while changes:
             batch = set(changes[: self.client.txn_ops])
             del changes[: self.client.txn_ops]
-            outcome, _ = await self.client.commit(
-                {t.COORDINATOR_KEY: self.tables.stamp(t.COORDINATOR_KEY)},
+            outcome, _ = await self.client.compare_and_swap(
+                {t.COORDINATOR_KEY: self.tables.mod_revision(t.COORDINATOR_KEY)},
                 {key: value for key, value in writes.items() if key in batch},
                 [key for key in drops if key in batch],
                 RequestPriority.CLAIM,
             )
-            self.replica.hint()
-            if outcome is not TransactionOutcome.DONE:
+            self.replica.request_read()
+            if outcome is not TransactionOutcome.COMMITTED:
                 return
 
-    async def _list(self) -> None:
+    async def _list_instances(self) -> None:
         now = self.now()
         if now - self.listed_at < max(self.settings.list_lag_s / 2, LIST_PAUSE * self.listing_s):
             return
         self.listed_at = now
-        listed = await self.cloud.machines()
+        listed = await self.cloud.list_instances()
         self.listing_s = self.now() - now
         lag = 2.5 * self.settings.list_lag_s + self.listing_s
         for item in listed:
-            if item.id in self.tables.deleted or item.id in self.returning:
+            if item.id in self.tables.deleted_machines or item.id in self.terminating:
                 continue
             if item.state == "failed":
                 # It stopped on its own; deleting it accounts for its tasks.
-                self.give_back(item.id, listed=True)
+                self.scale_in(item.id, listed=True)
                 continue
-            if item.id in self.tables.machines or item.id in self.expected:
+            if item.id in self.tables.machines or item.id in self.pending_instances:
                 continue
             log.info("%s was not expected", item.id)
-            self.expected[item.id] = PendingInstance((item.type, item.zone, item.spot), now - item.age_s)
+            self.pending_instances[item.id] = PendingInstance((item.type, item.zone, item.spot), now - item.age_s)
         names = {item.id for item in listed}
-        for name, item2 in list(self.expected.items()):
+        for name, item2 in list(self.pending_instances.items()):
             kind = self.types.get(item2.kind[0])
-            age = now - item2.since
-            if name in self.tables.machines or name in self.tables.deleted or (age > lag and name not in names):
-                del self.expected[name]
+            age = now - item2.requested_at
+            if (
+                name in self.tables.machines
+                or name in self.tables.deleted_machines
+                or (age > lag and name not in names)
+            ):
+                del self.pending_instances[name]
             elif kind is not None and age > 3 * kind.boot_s:
                 log.info("%s does not come up", name)
-                self.refused[item2.kind] = now + self.settings.list_lag_s
-                self.give_back(name, listed=True)
+                self.refused_until[item2.kind] = now + self.settings.list_lag_s
+                self.scale_in(name, listed=True)
 
-    async def _rent(self) -> bool:
+    async def _scale_out(self) -> bool:
         """One booking, if one is needed. Whether there may be another; the cloud's rate paces them."""
         now = self.now()
-        for name in [name for name in self.expected if name in self.tables.machines]:
-            del self.expected[name]
-        supply = self._registered()
-        for item in self.expected.values():
+        for name in [name for name in self.pending_instances if name in self.tables.machines]:
+            del self.pending_instances[name]
+        supply = self._registered_supply()
+        for item in self.pending_instances.values():
             supply[item.kind] = supply.get(item.kind, 0) + 1
-        refused = {kind for kind, until in self.refused.items() if now < until}
+        refused = {kind for kind, until in self.refused_until.items() if now < until}
         wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_OUT_SPREAD)
         choice = plan.rent(wanted, supply, self.types, refused, 50)
         if choice is None:
             return False
-        self.bookings += 1
+        self.requests_made += 1
         # The view number is stored and never given twice; within it the coordinator counts.
-        name = f"{self.leadership.view.number}-{self.leadership.tag}-{self.bookings}"
+        name = f"{self.leadership.view.number}-{self.leadership.incarnation_id}-{self.requests_made}"
         kind_name, zone, spot = choice.kind
-        rented = await self.cloud.rent(wire.InstanceRequest(name, kind_name, zone, spot, choice.count))
+        rented = await self.cloud.create_instances(wire.InstanceRequest(name, kind_name, zone, spot, choice.count))
         if rented is None or len(rented) < choice.count:
-            self.refused[choice.kind] = now + 2 * self.settings.list_lag_s
+            self.refused_until[choice.kind] = now + 2 * self.settings.list_lag_s
         for machine in rented or ():
-            self.expected[machine] = PendingInstance(choice.kind, now)
+            self.pending_instances[machine] = PendingInstance(choice.kind, now)
         log.info(
             "rented %d of %d %s in %s%s", len(rented or ()), choice.count, kind_name, zone, " (spot)" if spot else ""
         )
         list_again_s = max(self.settings.list_lag_s, LIST_PAUSE * self.listing_s)
-        return self.leadership.coordinating and now - self.listed_at < list_again_s
+        return self.leadership.is_coordinator and now - self.listed_at < list_again_s
 
-    def _registered(self) -> dict[InstanceKind, int]:
+    def _registered_supply(self) -> dict[InstanceKind, int]:
         supply: dict[InstanceKind, int] = {}
         for row in self.tables.machines.values():
             kind = (row.type, row.zone, row.spot)
@@ -257,12 +261,12 @@
 
     # -- machines not needed
 
-    def _spare_dear(self) -> None:
+    def _mark_surplus(self) -> None:
         """Lets machines run empty that are not needed, the dearest first. Every controller reckons from the
         same tables and picks by name, so that together they spare the right number."""
         assert self.machines is not None
         wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_IN_SPREAD)
-        spared = plan.surplus(wanted, self._registered(), self.tables.types)
+        spared = plan.surplus(wanted, self._registered_supply(), self.tables.machine_types)
         chosen: set[str] = set()
         for name in sorted(self.tables.machines):
             row = self.tables.machines[name]
@@ -271,35 +275,39 @@
                 spared[kind] -= 1
                 chosen.add(name)
         for machine in self.machines.registry.machines.values():
-            machine.spared = machine.name in chosen
+            machine.surplus = machine.name in chosen
 
-    def watch_idle(self) -> None:
+    def scale_in_idle(self) -> None:
         """Returns this controller's machines that had nothing to do for about a boot time."""
-        if self.machines is None or not self.leadership.may_act:
+        if self.machines is None or not self.leadership.is_leader:
             return
         now = self.now()
-        self._spare_dear()
-        settled = self.tables.all_settled()
-        backlog = self.machines.limits.startable(
-            [job.spec for job in self.tables.jobs.values() if job.runnable and self.tables.open_tasks(job, settled)]
+        self._mark_surplus()
+        settled = self.tables.recovery_complete()
+        backlog = self.machines.quota.startable(
+            [
+                job.spec
+                for job in self.tables.jobs.values()
+                if job.is_runnable and self.tables.unclaimed_tasks(job, settled)
+            ]
         )
         for machine in list(self.machines.registry.machines.values()):
-            kind = self.tables.types.get(machine.type)
-            if kind is None or not machine.heard or machine.draining:
+            kind = self.tables.machine_types.get(machine.type)
+            if kind is None or not machine.reconciled or machine.draining:
                 continue
             offer = plan.InstanceOffer((machine.type, machine.zone, machine.spot), kind)
-            if machine.attempts or (not machine.spared and any(offer.suits(spec) for spec in backlog)):
+            if machine.attempts or (not machine.surplus and any(offer.suits(spec) for spec in backlog)):
                 self.idle_since.pop(machine.name, None)
                 continue
             since = self.idle_since.setdefault(machine.name, now)
-            if now - since > kind.boot_s or (machine.spared and now - since > 2 * self.settings.report_s):
+            if now - since > kind.boot_s or (machine.surplus and now - since > 2 * self.settings.report_s):
                 del self.idle_since[machine.name]
-                self.machines.return_machine(machine, "idle")
+                self.machines.drain_and_scale_in(machine, "idle")
 
-    async def watch_idle_forever(self) -> None:
+    async def scale_in_idle_forever(self) -> None:
         while True:
             await anyio.sleep(self.settings.report_s)
             try:
-                self.watch_idle()
+                self.scale_in_idle()
             except Exception:
                 log.exception("while looking for idle machines")
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -21,11 +21,11 @@
 class QueueView(Protocol):
     """The jobs in the order in which they get room, as of the last tick."""
 
-    line: list[Job]
-    scarce: set[str]
-    met: dict[str, float]
+    queue: list[Job]
+    scarce_types: set[str]
+    queued_since: dict[str, float]
 
-    def at_home(self, job: Job) -> bool:
+    def has_image_affinity(self, job: Job) -> bool:
         """Whether the job's image is one that this controller's machines are to have."""
 
 
@@ -50,44 +50,44 @@
         self.registry = registry
         self.health = health
         self.limits = limits
-        self.line = line
+        self.queue_view = line
         self.kill = kill
         self.pace_s = pace_s
         # Machines on which room was made for a job, each until when it is held for that.
-        self.held: dict[str, tuple[str, float]] = {}
+        self.reservations: dict[str, tuple[str, float]] = {}
 
-    def make_room(self, now: float) -> None:
+    def preempt_for_gangs(self, now: float) -> None:
         """Stops tasks of lower priority for a gang of one task that fits nowhere. The room is held for it until it
         is placed or a worker lease is over."""
-        self._release_held(now)
-        if not self.line.scarce:
+        self._expire_reservations(now)
+        if not self.queue_view.scarce_types:
             return
-        order = preemption.QueueOrder.of(self.line.line, self.registry.placed)
+        order = preemption.QueueOrder.of(self.queue_view.queue, self.registry.placed_tasks)
         rooms: dict[str, placement.FreeCapacity] | None = None
-        for job in self._gangs_without_room(now):
+        for job in self._unplaced_gangs(now):
             if rooms is None:
-                rooms = self._scarce_rooms()
+                rooms = self._scarce_capacities()
             fitting = [
                 (room, self.registry.machines[room.machine].attempts.values())
-                for room in placement.usable(job.spec.id, list(rooms.values()), self.held, self.health)
-                if placement.allowed(job.spec, room) and fits_type(job.spec, self.tables.types[room.type])
+                for room in placement.usable(job.spec.id, list(rooms.values()), self.reservations, self.health)
+                if placement.allowed(job.spec, room) and fits_type(job.spec, self.tables.machine_types[room.type])
             ]
             short = self.limits.shortfall(job.spec)
             at_limit = short.cores > 0 or short.gpus > 0
             chosen = preemption.choose(job, fitting, order, at_limit)
             if chosen is None:
                 continue
-            more = self._of_the_team(job, chosen, short, order) if at_limit else []
+            more = self._preempt_within_team(job, chosen, short, order) if at_limit else []
             if more is None:
                 continue
-            self.held[chosen.machine] = (job.spec.id, now + self.settings.lease_s)
+            self.reservations[chosen.machine] = (job.spec.id, now + self.settings.lease_s)
             del rooms[chosen.machine]
             log.info("%s: %d tasks of lower priority stop on %s", job.spec.id, len(chosen.attempts), chosen.machine)
             if more:
                 log.info("%s: %d more tasks of %s stop, which is at its limit", job.spec.id, len(more), job.spec.team)
             self._stop([*chosen.attempts, *more])
 
-    def _of_the_team(
+    def _preempt_within_team(
         self, job: Job, chosen: preemption.Preemption, short: quota.ResourceUsage, order: preemption.QueueOrder
     ) -> list[Attempt] | None:
         """The team's tasks on other machines that have to stop so that its limit has room for the gang; None when that
@@ -112,60 +112,66 @@
                 if attempt.key in keys:
                     self.kill(machine, attempt, attempt.spec.save_s)
 
-    def reserved(self) -> dict[str, tuple[str, quota.ResourceUsage]]:
+    def reserved_usage(self) -> dict[str, tuple[str, quota.ResourceUsage]]:
         """What gangs for which room is held, and which are not placed, want of their teams' limits: team and amounts.
         Guards against small tasks of the team that take one by one what was freed for a gang."""
         found: dict[str, tuple[str, quota.ResourceUsage]] = {}
-        for holder, _until in self.held.values():
+        for holder, _until in self.reservations.values():
             job = self.tables.jobs.get(holder)
-            if job is not None and not self.registry.placed.get(holder):
+            if job is not None and not self.registry.placed_tasks.get(holder):
                 found[holder] = (job.spec.team, quota.ResourceUsage(job.spec.cores, job.spec.gpus))
         return found
 
-    def use_beside(self, job: Job) -> quota.ResourceUsage:
+    def usage_with_reservations(self, job: Job) -> quota.ResourceUsage:
         """What the team uses or is reserved of its limit, for a job to be placed beside."""
-        use = self.limits.use(job.spec.team)
-        for holder, (team, reserved) in self.reserved().items():
+        use = self.limits.usage(job.spec.team)
+        for holder, (team, reserved) in self.reserved_usage().items():
             if team == job.spec.team and holder != job.spec.id:
                 use = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
         return use
 
-    def _release_held(self, now: float) -> None:
+    def _expire_reservations(self, now: float) -> None:
         """Ends the holding of room whose job is placed, over or has waited long enough."""
-        settled = self.tables.all_settled()
-        for name, (holder, until) in list(self.held.items()):
+        settled = self.tables.recovery_complete()
+        for name, (holder, until) in list(self.reservations.items()):
             job = self.tables.jobs.get(holder)
-            if now >= until or job is None or not job.runnable or not self.tables.open_tasks(job, settled):
-                del self.held[name]
+            if now >= until or job is None or not job.is_runnable or not self.tables.unclaimed_tasks(job, settled):
+                del self.reservations[name]
 
-    def _gangs_without_room(self, now: float) -> Iterator[Job]:
+    def _unplaced_gangs(self, now: float) -> Iterator[Job]:
         """Gangs of one task that have waited for room for a while, in the order of the line. The controller at which
         a job's image is goes first, the others a report later each, so that they do not all make room for it.
 
         A claim of a run that is gone is none. Guards against a gang that was claimed when its controller ended: open to
         all, it counted as claimed here, and got no room for minutes (found on the bench).
         """
-        settled = self.tables.all_settled()
+        settled = self.tables.recovery_complete()
         members = [member for member, _ in self.leadership.view.members]
         turn = members.index(self.settings.member)
-        passed = {holder for holder, _ in self.held.values()}
-        for job in self.line.line:
+        passed = {holder for holder, _ in self.reservations.values()}
+        for job in self.queue_view.queue:
             spec = job.spec
-            if not (spec.gang and spec.tasks == 1) or spec.id in passed or not self.tables.open_tasks(job, settled):
+            if (
+                not (spec.gang and spec.tasks == 1)
+                or spec.id in passed
+                or not self.tables.unclaimed_tasks(job, settled)
+            ):
                 continue
             passed.add(spec.id)  # it may stand in the line twice
-            wait = 4 * self.pace_s + (0 if self.line.at_home(job) else (1 + turn) * self.settings.report_s)
-            if now - self.line.met.get(spec.id, now) < wait or self.health.paused(spec.id, now):
+            wait = 4 * self.pace_s + (
+                0 if self.queue_view.has_image_affinity(job) else (1 + turn) * self.settings.report_s
+            )
+            if now - self.queue_view.queued_since.get(spec.id, now) < wait or self.health.is_job_paused(spec.id, now):
                 continue
             yield job
 
-    def _scarce_rooms(self) -> dict[str, placement.FreeCapacity]:
+    def _scarce_capacities(self) -> dict[str, placement.FreeCapacity]:
         """What is free on machines of types that some live job fits and others not, by machine."""
         return {
-            machine.name: self.registry.room(machine, self.tables.types[machine.type])
+            machine.name: self.registry.free_capacity(machine, self.tables.machine_types[machine.type])
             for machine in self.registry.machines.values()
-            if machine.type in self.line.scarce
-            and machine.type in self.tables.types
-            and self.registry.usable(machine)
+            if machine.type in self.queue_view.scarce_types
+            and machine.type in self.tables.machine_types
+            and self.registry.is_schedulable(machine)
             and machine.name in self.tables.machines
         }
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -36,17 +36,17 @@
     """Claim so many tasks of these jobs, and ask for these allowances of teams. Answered when that is
     in the tables, or not to be had."""
 
-    wants: dict[str, int] = field(default_factory=dict)
-    grow: dict[str, tuple[float, float]] = field(default_factory=dict)
+    task_counts: dict[str, int] = field(default_factory=dict)
+    quota_increases: dict[str, tuple[float, float]] = field(default_factory=dict)
     # Smaller allowances, each with the stamp of the stored ones that the asker went by.
-    shrink: dict[str, tuple[int, float, float]] = field(default_factory=dict)
+    quota_decreases: dict[str, tuple[int, float, float]] = field(default_factory=dict)
     # Teams whose allowance is to be written even if it stays, so that an earlier write fails for certain.
-    rewrite: set[str] = field(default_factory=set)
+    forced_rewrites: set[str] = field(default_factory=set)
     zones: dict[str, str] = field(default_factory=dict)
     # Of jobs whose tasks are bound to zones, which ones: those for which there is room.
-    picks: dict[str, int] = field(default_factory=dict)
+    zone_bound_tasks: dict[str, int] = field(default_factory=dict)
     # What was taken, as sets of tasks by job: free until then, whether or not the write went through.
-    gained: dict[str, int] = field(default_factory=dict)
+    granted: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass
@@ -60,7 +60,7 @@
     released: dict[str, int] = field(default_factory=dict)
     # Found on machines that were another controller's and are ours under this view.
     adopted: dict[str, int] = field(default_factory=dict)
-    view: int = 0
+    view_number: int = 0
 
     def __bool__(self) -> bool:
         return bool(self.done or self.released or self.adopted)
@@ -124,7 +124,7 @@
         self.tables: Tables = replica.tables
         self.leadership = leadership
         self.now = now
-        self.unstored: dict[str, UncommittedUpdates] = {}
+        self.uncommitted: dict[str, UncommittedUpdates] = {}
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
         # A job's last completions wait this long for company; users expect them within 3 s (protocol).
@@ -144,14 +144,14 @@
     async def handle(self, message: Any) -> None:
         if isinstance(message, TaskUpdates):
             for name, tasks in message.done.items():
-                self._note(name).done |= tasks
+                self._uncommitted_for(name).done |= tasks
             for name, tasks in message.released.items():
-                self._note(name).released |= tasks
+                self._uncommitted_for(name).released |= tasks
             for name, tasks in message.adopted.items():
-                note = self._note(name)
-                if message.view > note.adopted_view:
-                    note.adopted, note.adopted_view = 0, message.view
-                if message.view == note.adopted_view:
+                note = self._uncommitted_for(name)
+                if message.view_number > note.adopted_view:
+                    note.adopted, note.adopted_view = 0, message.view_number
+                if message.view_number == note.adopted_view:
                     note.adopted |= tasks
         elif isinstance(message, ClaimRequest):
             if self.request is not None:
@@ -159,40 +159,42 @@
             self.request = message
         self.wake.set()
 
-    def _note(self, job: str) -> UncommittedUpdates:
-        note = self.unstored.get(job)
+    def _uncommitted_for(self, job: str) -> UncommittedUpdates:
+        note = self.uncommitted.get(job)
         if note is None:
-            note = self.unstored[job] = UncommittedUpdates(since=self.now())
+            note = self.uncommitted[job] = UncommittedUpdates(since=self.now())
         return note
 
-    def forget(self) -> None:
+    def reset_claims(self) -> None:
         """A new run of the controller: claims are not its own any more. Completions stay true."""
-        for note in self.unstored.values():
+        for note in self.uncommitted.values():
             note.released = note.adopted = 0
 
     # -- rounds
 
-    async def store_forever(self) -> None:
+    async def commit_forever(self) -> None:
         while True:
             with anyio.move_on_after(self.batch_s):
                 await self.wake.wait()
             self.wake = anyio.Event()
             try:
-                await self._round()
+                await self._commit_round()
             except Exception:
                 log.exception("while storing")
                 await anyio.sleep(self.batch_s)
 
-    async def _round(self) -> None:
+    async def _commit_round(self) -> None:
         request, self.request = self.request, None
-        if not self.replica.loaded or not self.leadership.boot:
+        if not self.replica.loaded or not self.leadership.incarnation:
             if request is not None:
                 request.reply(False)
             return
-        acting = self.leadership.may_act
+        acting = self.leadership.is_leader
         names = self._due(request if acting else None)
-        cost = len(names) + (len(request.grow) + len(request.shrink) if request is not None and acting else 0)
-        cost += 2 * bool(self.tables.upgraded and self._adopted())
+        cost = len(names) + (
+            len(request.quota_increases) + len(request.quota_decreases) if request is not None and acting else 0
+        )
+        cost += 2 * bool(self.tables.layout_complete and self._adopted())
         if not cost:
             if request is not None:
                 request.reply(False)
@@ -200,34 +202,34 @@
         urgency = RequestPriority.PROGRESS if request is None and not self._pressing() else RequestPriority.CLAIM
         # The rate first, then the freshest tables: conditions that wait for their turn grow stale, and a
         # transaction that fails on them costs as much as one that does not.
-        room = self.client.most_changes(urgency)
+        room = self.client.available_changes(urgency)
         paid = min(cost, room)
-        await self.client.pay(paid, urgency)
+        await self.client.acquire_changes(paid, urgency)
         if request is not None and acting:
             try:
-                await self.replica.fresh(self.client.timeout_s)
+                await self.replica.read_linearizable(self.client.timeout_s)
             except StaleReplicaError:
                 acting = False
-        self._tidy()
-        acting = acting and self.leadership.may_act
+        self._prune_committed()
+        acting = acting and self.leadership.is_leader
         names = self._due(request if acting else None)
-        settled = self.tables.all_settled()
+        settled = self.tables.recovery_complete()
         conditions: dict[str, int] = {}
         writes: dict[str, Any] = {}
         claimed = False
         size = 0
         teams: dict[str, dict[str, tuple[float, float]]] = {}
-        shrinking = len(request.shrink) if request is not None and acting else 0
+        shrinking = len(request.quota_decreases) if request is not None and acting else 0
         adopted: dict[str, Any] = {}
-        if self.tables.upgraded and shrinking + 2 <= self.client.txn_ops:
+        if self.tables.layout_complete and shrinking + 2 <= self.client.txn_ops:
             adopted = self._adopt_together(teams, settled, room)
         if adopted:
-            key = t.adoption_key(self.leadership.tag, self.adoptions_made)
+            key = t.adoption_key(self.leadership.incarnation_id, self.adoptions_made)
             writes[key], conditions[key] = {"m": adopted}, 0
             claimed = True
         if request is not None and acting:
-            tag = self.leadership.tag
-            for team, wanted in request.grow.items():
+            tag = self.leadership.incarnation_id
+            for team, wanted in request.quota_increases.items():
                 if adopted and team not in teams and len(teams) + 1 >= room:
                     continue  # asked for again
                 limit = self.settings.teams[team]
@@ -236,8 +238,8 @@
                 mine = held.get(tag, (0.0, 0.0))
                 more = max(wanted[0], mine[0]), max(wanted[1], mine[1])
                 teams[team] = quota.reallocate(held, (limit.cpus_max, limit.gpus_max), tag, more)
-            for team, (stamp, cores, gpus) in request.shrink.items():
-                if stamp == self.tables.stamp(t.team_key(team)):
+            for team, (stamp, cores, gpus) in request.quota_decreases.items():
+                if stamp == self.tables.mod_revision(t.team_key(team)):
                     held = self._held(teams, team, settled)
                     mine = held.get(tag, (0.0, 0.0))
                     held[tag] = min(mine[0], cores), min(mine[1], gpus)
@@ -247,11 +249,11 @@
             job = self.tables.jobs.get(name)
             if job is None:
                 continue
-            want = request.wants.get(name, 0) if request is not None and acting else 0
+            want = request.task_counts.get(name, 0) if request is not None and acting else 0
             team = job.spec.team
-            adopting = self.unstored[name].adopted if name in self.unstored and name not in adopted else 0
-            done = job.progress.done | (self.unstored[name].done if name in self.unstored else 0)
-            if done == job.everything:
+            adopting = self.uncommitted[name].adopted if name in self.uncommitted and name not in adopted else 0
+            done = job.progress.done | (self.uncommitted[name].done if name in self.uncommitted else 0)
+            if done == job.all_tasks:
                 adopting = 0
             cost = 1 + (1 if adopting and team not in teams else 0)
             if len(writes) + cost > room or size > self.most_bytes:
@@ -260,12 +262,12 @@
                 # The task's part of the limit comes with it, in the same transaction.
                 room -= team not in teams
                 self._move_allowance(teams, job, adopting, settled)
-            voiding = settled and acting and bool(self.tables.abandoned(job))
+            voiding = settled and acting and bool(self.tables.void_claim_holders(job))
             progress = self._updated(job, voiding)
             if voiding:
                 claimed = True  # relies on the view
             gained = False
-            if want and job.runnable:
+            if want and job.is_runnable:
                 gained = self._claim(job, progress, want, request)
             if gained or adopting:
                 claimed = True
@@ -276,38 +278,40 @@
             size += self._put(job, progress, conditions, writes)
         for team, held in teams.items():
             value = {tag: list(amounts) for tag, amounts in held.items() if amounts[0] > 0 or amounts[1] > 0}
-            if held != self.tables.allowances.get(team, {}) or (request is not None and team in request.rewrite):
+            if held != self.tables.quota_allocations.get(team, {}) or (
+                request is not None and team in request.forced_rewrites
+            ):
                 writes[t.team_key(team)] = value
-                conditions[t.team_key(team)] = self.tables.stamp(t.team_key(team))
+                conditions[t.team_key(team)] = self.tables.mod_revision(t.team_key(team))
                 claimed = True
         if not writes:
-            self.client.pay_back(paid)
+            self.client.refund_changes(paid)
             if request is not None:
                 request.reply(False)
             return
         if claimed:
-            conditions.update(self.leadership.claim_conditions())
-        outcome, epoch = await self.client.commit(conditions, writes, [], urgency, paid=paid)
-        if outcome is TransactionOutcome.DONE:
-            self.replica.stored(epoch, writes)
+            conditions.update(self.leadership.view_conditions())
+        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], urgency, paid=paid)
+        if outcome is TransactionOutcome.COMMITTED:
+            self.replica.apply_own_write(epoch, writes)
         else:
             log.debug("stored nothing of %d values: %s", len(conditions), outcome.value)
             with contextlib.suppress(StaleReplicaError):
-                await self.replica.fresh(self.client.timeout_s)
-        self._tidy()
+                await self.replica.read_linearizable(self.client.timeout_s)
+        self._prune_committed()
         if request is not None:
-            request.reply(outcome is TransactionOutcome.DONE)
-        if outcome in (TransactionOutcome.UNKNOWN, TransactionOutcome.REFUSED):
+            request.reply(outcome is TransactionOutcome.COMMITTED)
+        if outcome in (TransactionOutcome.UNKNOWN, TransactionOutcome.REJECTED):
             await anyio.sleep(self.batch_s / 2)
 
     def _adopted(self) -> list[str]:
         """Jobs with adoptions to be stored. Those of one team share the change of its allowance."""
-        for note in self.unstored.values():
+        for note in self.uncommitted.values():
             # An adoption holds for the view in which the machine was ours. Stored later, it would take
             # the task back from the machine's new owner, and the task would be started a second time.
-            if note.adopted_view != self.leadership.view.number or not self.leadership.included:
+            if note.adopted_view != self.leadership.view.number or not self.leadership.is_member:
                 note.adopted = 0
-        names = [name for name, note in self.unstored.items() if note.adopted and name in self.tables.jobs]
+        names = [name for name, note in self.uncommitted.items() if note.adopted and name in self.tables.jobs]
         return sorted(names, key=lambda name: self.tables.jobs[name].spec.team)
 
     def _adopt_together(
@@ -324,7 +328,7 @@
             job = self.tables.jobs[name]
             if job.spec.team not in teams and teams and len(teams) + 1 >= room:
                 break
-            tasks = self.unstored[name].adopted & ~job.progress.done
+            tasks = self.uncommitted[name].adopted & ~job.progress.done
             packed = taskset.pack_dense(tasks)
             while not stored and tasks and len(wire.encode({name: packed})) > left:
                 tasks = taskset.lowest(tasks, tasks.bit_count() // 2)
@@ -336,7 +340,7 @@
                 stored[name] = packed
                 self._move_allowance(teams, job, tasks, settled)
         # A write without an answer is tried again under its own key, unless it was carried out.
-        if t.adoption_key(self.leadership.tag, self.adoptions_made) in self.tables.adoption_keys:
+        if t.adoption_key(self.leadership.incarnation_id, self.adoptions_made) in self.tables.adoption_keys:
             self.adoptions_made += 1
         return stored
 
@@ -346,32 +350,32 @@
         """The part of the limit that adopted tasks take comes with them."""
         held = self._held(teams, job.spec.team, settled)
         for holder, mask in job.progress.claims.items():
-            if holder != self.leadership.tag and mask & adopted:
-                held = quota.move(held, holder, self.leadership.tag, job.spec, (mask & adopted).bit_count())
+            if holder != self.leadership.incarnation_id and mask & adopted:
+                held = quota.move(held, holder, self.leadership.incarnation_id, job.spec, (mask & adopted).bit_count())
         teams[job.spec.team] = held
 
     def _due(self, request: ClaimRequest | None) -> list[str]:
         """Jobs to be written in this round, the most urgent first."""
         # Before the mark adoptions are stored job by job, in turns with claims: what is adopted runs meanwhile,
         # but free room should not wait.
-        adopting = [] if self.tables.upgraded else self._adopted()
-        wanted = list(request.wants) if request is not None else []
+        adopting = [] if self.tables.layout_complete else self._adopted()
+        wanted = list(request.task_counts) if request is not None else []
         pairs = itertools.zip_longest(wanted, adopting)
         taken = [name for pair in pairs for name in pair if name is not None]
         now = self.now()
         ending: list[str] = []
         others: list[str] = []
-        for name, note in self.unstored.items():
+        for name, note in self.uncommitted.items():
             if now - note.since >= self._patience_s(name, note):
                 job = self.tables.jobs.get(name)
-                ends = job is not None and job.everything == job.progress.done | note.done
+                ends = job is not None and job.all_tasks == job.progress.done | note.done
                 (ending if ends else others).append(name)
         # Ends of jobs come first, those that others wait for before all. Where a transaction takes few changes
         # claims alone would fill every round, and jobs that are done would not be told so.
         ending.sort(key=lambda name: name not in self.tables.graph.successors)
-        settled = self.tables.all_settled()
+        settled = self.tables.recovery_complete()
         for name, job in self.tables.jobs.items():
-            if job.cancelled and self._withdrawn_over(job, settled):
+            if job.is_cancelled and self._withdrawn_over(job, settled):
                 others.append(name)
         return list(dict.fromkeys([*ending, *taken, *others]))
 
@@ -384,7 +388,7 @@
     def _pressing(self) -> bool:
         """Whether somebody waits for what is learnt: adoptions hold up the view, and users expect to be
         told of a job's end."""
-        return any(note.adopted or self._runs_dry(name, note) for name, note in self.unstored.items())
+        return any(note.adopted or self._runs_dry(name, note) for name, note in self.uncommitted.items())
 
     def _held(
         self, teams: dict[str, dict[str, tuple[float, float]]], team: str, settled: bool
@@ -393,10 +397,10 @@
         task that they covered can exist."""
         if team in teams:
             return teams[team]
-        held = self.tables.allowances.get(team, {})
+        held = self.tables.quota_allocations.get(team, {})
         if not settled:
             return dict(held)
-        tags = self.tables.view.tags
+        tags = self.tables.view.incarnation_ids
         return {tag: amounts for tag, amounts in held.items() if tag in tags}
 
     def _runs_dry(self, name: str, note: UncommittedUpdates) -> bool:
@@ -404,29 +408,29 @@
         job = self.tables.jobs.get(name)
         if job is None:
             return False
-        mine = job.progress.claims.get(self.leadership.tag, 0)
+        mine = job.progress.claims.get(self.leadership.incarnation_id, 0)
         return not mine & ~(note.done | note.released) or bool(note.released)
 
     def _withdrawn_over(self, job: Job, settled: bool) -> bool:
         """Whether a cancelled job has no task left that may exist. The coordinator puts those away
         that no claim holder will."""
-        if not self.leadership.coordinating:
+        if not self.leadership.is_coordinator:
             return False
-        tags = self.tables.view.tags
+        tags = self.tables.view.incarnation_ids
         return not any(mask for tag, mask in job.progress.claims.items() if tag in tags or not settled)
 
     def _updated(self, job: Job, settled: bool) -> Progress:
         """The job's progress with what is not yet stored."""
         progress = job.progress.copy()
         if settled:
-            for tag in self.tables.abandoned(job):
+            for tag in self.tables.void_claim_holders(job):
                 del progress.claims[tag]
-        note = self.unstored.get(job.spec.id)
+        note = self.uncommitted.get(job.spec.id)
         if note is None:
             return progress
-        tag = self.leadership.tag
-        progress.done |= note.done & job.everything
-        adopted = note.adopted & ~progress.done & job.everything
+        tag = self.leadership.incarnation_id
+        progress.done |= note.done & job.all_tasks
+        adopted = note.adopted & ~progress.done & job.all_tasks
         for holder in list(progress.claims):
             mask = progress.claims[holder] & ~progress.done
             mask &= ~(note.released if holder == tag else adopted)
@@ -438,28 +442,28 @@
 
     def _claim(self, job: Job, progress: Progress, want: int, request: ClaimRequest | None) -> bool:
         spec = job.spec
-        note = self.unstored.get(spec.id)
+        note = self.uncommitted.get(spec.id)
         # What is being released is for others to take.
-        free = job.everything & ~progress.done & ~progress.claimed() & ~(note.released if note else 0)
+        free = job.all_tasks & ~progress.done & ~progress.claimed_tasks() & ~(note.released if note else 0)
         if spec.gang and want < free.bit_count():
             return False
         if (
-            spec.bound
+            spec.zone_bound
             and progress.zone is None
             and (request is None or spec.id not in request.zones or progress.claims)
         ):
             # Guards against tasks claimed ahead of any room: without a stored zone they would go to any. Those that
             # an earlier version claimed so are to be gone before there is one.
             return False
-        if spec.bound and request is not None:
-            free &= request.picks.get(spec.id, 0)
+        if spec.zone_bound and request is not None:
+            free &= request.zone_bound_tasks.get(spec.id, 0)
         gained = taskset.lowest(free, want)
         if not gained:
             return False
-        tag = self.leadership.tag
+        tag = self.leadership.incarnation_id
         progress.claims[tag] = progress.claims.get(tag, 0) | gained
         if request is not None:
-            request.gained[spec.id] = gained
+            request.granted[spec.id] = gained
             if spec.id in request.zones and progress.zone is None:
                 progress.zone = request.zones[spec.id]
         return True
@@ -469,19 +473,19 @@
         progress of a job that is over is dropped later (see _clear_away): its end should be one change."""
         name = job.spec.id
         job_key, progress_key = t.job_key(name), t.progress_key(name)
-        known = {job_key: job.stamp, progress_key: job.progress_stamp}
-        if job.status == LIVE and progress.done == job.everything:
+        known = {job_key: job.mod_revision, progress_key: job.progress_revision}
+        if job.status == LIVE and progress.done == job.all_tasks:
             writes[job_key] = stored_end(DONE, job.spec) | stored_links(job, over=True)
-        elif job.cancelled and not progress.claims:
+        elif job.is_cancelled and not progress.claims:
             writes[job_key] = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
         else:
-            dense = self.tables.upgraded
+            dense = self.tables.layout_complete
             value = progress.stored(dense)
             if value == job.progress.stored(dense):
                 return 0
             if self.tables.adoption_keys:
                 # Right after a first reading the job's row may be newer than all that is surely known.
-                value["e"] = max(self.replica.applied, job.progress.epoch)
+                value["e"] = max(self.replica.applied_revision, job.progress.adoption_revision)
             size = len(wire.encode(value))
             if size > self.client.value_bytes:
                 log.error("progress of %s is too scattered to be stored now", name)
@@ -492,22 +496,22 @@
         conditions.update(known)
         return 0
 
-    def _tidy(self) -> None:
+    def _prune_committed(self) -> None:
         """Forgets what the tables hold by now."""
-        tag = self.leadership.tag
-        for name in list(self.unstored):
-            note = self.unstored[name]
+        tag = self.leadership.incarnation_id
+        for name in list(self.uncommitted):
+            note = self.uncommitted[name]
             job = self.tables.jobs.get(name)
             if job is None:
-                if name in self.tables.over:
-                    del self.unstored[name]
+                if name in self.tables.finished_jobs:
+                    del self.uncommitted[name]
                 continue
             progress = job.progress
             note.done &= ~progress.done
             note.released &= progress.claims.get(tag, 0)
             note.adopted &= ~progress.claims.get(tag, 0) & ~progress.done
             if not (note.done or note.released or note.adopted):
-                del self.unstored[name]
+                del self.uncommitted[name]
 
     # -- users' requests; each runs beside the rounds, as its own conditional write
 
@@ -519,21 +523,21 @@
         conditions = {key: 0}
         if len(wire.encode(value)) > self.client.value_bytes:
             # An earlier layout reads no parts.
-            head = await self._store_parts(spec) if self.tables.upgraded else None
+            head = await self._store_parts(spec) if self.tables.layout_complete else None
             if head is None:
                 return None
             attempt, count, stamp = head
             value = stored_job(LIVE, spec, now_ms, (attempt, count))
             conditions[t.chunk_key(spec.id, attempt, 0)] = stamp
-        outcome, epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.USER)
-        if outcome is TransactionOutcome.DONE:
-            self.replica.stored(epoch, {key: value})
+        outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
+        if outcome is TransactionOutcome.COMMITTED:
+            self.replica.apply_own_write(epoch, {key: value})
             return self.status(spec.id) or self._first_status(spec), True
-        if outcome is TransactionOutcome.REFUSED:
+        if outcome is TransactionOutcome.REJECTED:
             return None
         # Somebody stored it before us, or the answer was lost: read what is there.
         try:
-            await self.replica.fresh(self.client.timeout_s)
+            await self.replica.read_linearizable(self.client.timeout_s)
         except StaleReplicaError:
             return None
         status = self.status(spec.id)
@@ -541,7 +545,7 @@
 
     def _first_status(self, spec: wire.JobSpec) -> str:
         """What a job that was just accepted is: cancelled at once if it names a cancelled one."""
-        gone = any(self.status(name) == wire.CANCELLED for name in spec.awaits)
+        gone = any(self.status(name) == wire.CANCELLED for name in spec.prerequisites)
         return wire.CANCELLED if gone else wire.QUEUED
 
     async def _store_parts(self, spec: wire.JobSpec) -> tuple[str, int, int] | None:
@@ -549,7 +553,7 @@
         stamp of the first, or None. The job's row is written on condition of that stamp, so that no job is
         accepted whose parts were taken for left over (see _clear_away)."""
         self.tries += 1
-        attempt = f"{self.leadership.tag}.{self.tries}"
+        attempt = f"{self.leadership.incarnation_id}.{self.tries}"
         texts = t.split_spec(spec, self.client.value_bytes)
         keys = [t.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
         left = list(zip(keys, texts, strict=True))
@@ -557,103 +561,107 @@
         while left:
             batch = dict(left[-most:])
             del left[-most:]
-            outcome, _epoch = await self.client.commit(dict.fromkeys(batch, 0), batch, [], RequestPriority.USER)
-            if outcome is not TransactionOutcome.DONE:
+            outcome, _epoch = await self.client.compare_and_swap(
+                dict.fromkeys(batch, 0), batch, [], RequestPriority.USER
+            )
+            if outcome is not TransactionOutcome.COMMITTED:
                 return None
         try:
-            await self.replica.fresh(self.client.timeout_s)
+            await self.replica.read_linearizable(self.client.timeout_s)
         except StaleReplicaError:
             return None
-        stored = self.tables.parts.get(spec.id, {}).get(attempt, {})
-        return (attempt, len(texts), self.tables.stamp(keys[0])) if len(stored) == len(texts) else None
+        stored = self.tables.spec_chunks.get(spec.id, {}).get(attempt, {})
+        return (attempt, len(texts), self.tables.mod_revision(keys[0])) if len(stored) == len(texts) else None
 
     # -- what is left over
 
-    async def tidy_forever(self) -> None:
+    async def collect_garbage_forever(self) -> None:
         while True:
             await anyio.sleep(self.settings.report_s)
             try:
-                if self.replica.loaded and self.leadership.coordinating:
-                    await self._clear_away()
+                if self.replica.loaded and self.leadership.is_coordinator:
+                    await self._collect_garbage()
             except Exception:
                 log.exception("while clearing away")
 
-    async def _clear_away(self) -> None:
+    async def _collect_garbage(self) -> None:
         """Drops the progress of jobs that are over, adoptions of former runs, and parts of specs that are no job's.
         Guards against the parts of a submission whose controller ended, or that another one was quicker with, being
         kept for ever. Those go on condition of the first part, which is stored last and dropped first, and of the
         job's row: either this fails or a submission under way does."""
         now = self.now()
-        most = self.client.most_changes(RequestPriority.PROGRESS)
-        drops = [t.progress_key(name) for name in itertools.islice(self.tables.leftover, most)]
+        most = self.client.available_changes(RequestPriority.PROGRESS)
+        drops = [t.progress_key(name) for name in itertools.islice(self.tables.leftover_progress, most)]
         conditions: dict[str, int] = {}
-        if self.tables.all_settled():
-            former = [key for key, tag in self.tables.adoption_keys.items() if tag not in self.tables.view.tags]
+        if self.tables.recovery_complete():
+            former = [
+                key for key, tag in self.tables.adoption_keys.items() if tag not in self.tables.view.incarnation_ids
+            ]
             if former and len(drops) < most:
                 # Void like all else that they claimed. A run in the view keeps its own (see _adopt_together).
                 drops += former[: most - len(drops)]
-                conditions.update(self.leadership.claim_conditions())
+                conditions.update(self.leadership.view_conditions())
         lone: dict[tuple[str, str], float] = {}
-        for name, attempts in self.tables.parts.items():
+        for name, attempts in self.tables.spec_chunks.items():
             job = self.tables.jobs.get(name)
-            over = name in self.tables.over
+            over = name in self.tables.finished_jobs
             for attempt, texts in attempts.items():
-                if job is not None and job.parts is not None and job.parts[0] == attempt:
+                if job is not None and job.spec_chunks is not None and job.spec_chunks[0] == attempt:
                     continue
                 since = lone[name, attempt] = self.lone_since.get((name, attempt), now)
                 if len(drops) >= most or not (over or now - since > 4 * self.settings.lease_s):
                     continue
                 if not over:
                     first = t.chunk_key(name, attempt, 0)
-                    conditions[first] = self.tables.stamp(first)
-                    conditions[t.job_key(name)] = 0 if job is None else job.stamp
+                    conditions[first] = self.tables.mod_revision(first)
+                    conditions[t.job_key(name)] = 0 if job is None else job.mod_revision
                 drops += [t.chunk_key(name, attempt, number) for number in sorted(texts)][: most - len(drops)]
         self.lone_since = lone
         if drops:
-            conditions.update({key: self.tables.stamp(key) for key in drops})
-            await self.client.commit(conditions, {}, drops, RequestPriority.PROGRESS)
-            self.replica.hint()
+            conditions.update({key: self.tables.mod_revision(key) for key in drops})
+            await self.client.compare_and_swap(conditions, {}, drops, RequestPriority.PROGRESS)
+            self.replica.request_read()
 
     async def cancel(self, name: str, only_unclaimed: bool = False) -> str | None:
         """Cancels a job: the final status, "" when there is no such job, None when it cannot be stored now, or another
         cell may still start or hold a task of it. `only_unclaimed`: not if a task of it was ever claimed."""
         for _ in range(4):
-            if name in self.tables.over:
+            if name in self.tables.finished_jobs:
                 return self.status(name)
             job = self.tables.jobs.get(name)
             if job is None:
                 try:
-                    await self.replica.fresh(self.client.timeout_s)
+                    await self.replica.read_linearizable(self.client.timeout_s)
                 except StaleReplicaError:
                     return None
                 if self.status(name) is None:
                     return ""
                 continue
-            if job.cancelled:
+            if job.is_cancelled:
                 return wire.CANCELLED
-            if only_unclaimed and job.progress_stamp:
+            if only_unclaimed and job.progress_revision:
                 return None
             if job.handoff is not None and job.handoff.placements:
                 await self._request_cancellation(job, job.handoff)
                 return None
             key = t.job_key(name)
-            conditions = {key: job.stamp}
-            if job.progress_stamp:
-                value = stored_job(CANCELLED, job.spec, job.submitted_ms, job.parts) | stored_links(job)
+            conditions = {key: job.mod_revision}
+            if job.progress_revision:
+                value = stored_job(CANCELLED, job.spec, job.submitted_ms, job.spec_chunks) | stored_links(job)
                 # Whoever has its tasks then is to be done with them in time, over changes of owner too.
                 value["x"] = int(time.time() * 1000)
             else:
                 # Never claimed, so nowhere: it is over with the same change.
                 value = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
                 conditions[t.progress_key(name)] = 0
-            outcome, epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.USER)
-            if outcome is TransactionOutcome.DONE:
-                self.replica.stored(epoch, {key: value})
+            outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
+            if outcome is TransactionOutcome.COMMITTED:
+                self.replica.apply_own_write(epoch, {key: value})
                 return wire.CANCELLED
-            if outcome is TransactionOutcome.REFUSED:
+            if outcome is TransactionOutcome.REJECTED:
                 return None
             try:
-                await self.replica.fresh(self.client.timeout_s)
+                await self.replica.read_linearizable(self.client.timeout_s)
             except StaleReplicaError:
                 return None
         return None
@@ -663,20 +671,22 @@
         if handoff.cancelling:
             return
         wanted = t.stored_handoff(request_cancellation(handoff), job.returned_ms)
-        value = stored_job(job.status, job.spec, job.submitted_ms, job.parts) | {"h": wanted}
+        value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks) | {"h": wanted}
         key = t.job_key(job.spec.id)
-        outcome, epoch = await self.client.commit({key: job.stamp}, {key: value}, [], RequestPriority.USER)
-        if outcome is TransactionOutcome.DONE:
-            self.replica.stored(epoch, {key: value})
+        outcome, epoch = await self.client.compare_and_swap(
+            {key: job.mod_revision}, {key: value}, [], RequestPriority.USER
+        )
+        if outcome is TransactionOutcome.COMMITTED:
+            self.replica.apply_own_write(epoch, {key: value})
 
     def status(self, name: str) -> str | None:
         """The status that the tables tell, in the users' words."""
-        over = self.tables.over.get(name)
+        over = self.tables.finished_jobs.get(name)
         if over is not None:
-            return wire.DONE if over.done else wire.CANCELLED
+            return wire.DONE if over.is_done else wire.CANCELLED
         job = self.tables.jobs.get(name)
         if job is None:
             return None
-        if job.cancelled:
+        if job.is_cancelled:
             return wire.CANCELLED
         return wire.RUNNING if any(job.progress.claims.values()) else wire.QUEUED
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -29,7 +29,7 @@
 class ShardRecovered:
     """All machines of this controller under the view are heard or accounted for."""
 
-    view: int
+    view_number: int
 
 
 class Leadership:
@@ -47,75 +47,85 @@
         self.tables = tables
         self.replica = replica
         self.now = now
-        self.boot = 0
-        self.renewed_at = float("-inf")
+        self.incarnation = 0
+        self.lease_renewed_at = float("-inf")
         self.mesh: Mesh | None = None
-        self.span_s = settings.controller_lease_s * (1 - settings.drift)
+        self.lease_span_s = settings.controller_lease_s * (1 - settings.clock_drift)
 
     @property
-    def tag(self) -> str:
-        return t.incarnation_id_of(self.settings.member, self.boot)
+    def incarnation_id(self) -> str:
+        return t.incarnation_id_of(self.settings.member, self.incarnation)
 
     @property
     def view(self) -> t.View:
         return self.tables.view
 
     @property
-    def included(self) -> bool:
-        return self.boot != 0 and self.view.boot_of(self.settings.member) == self.boot
+    def is_member(self) -> bool:
+        return self.incarnation != 0 and self.view.incarnation_of(self.settings.member) == self.incarnation
 
     @property
-    def may_act(self) -> bool:
+    def is_leader(self) -> bool:
         # The fresh read bounds how long a newer view can have gone unseen; the renewal bounds the lease.
-        return self.included and self.now() < min(self.renewed_at, self.replica.fresh_at) + self.span_s
+        return (
+            self.is_member and self.now() < min(self.lease_renewed_at, self.replica.linearizable_at) + self.lease_span_s
+        )
 
     @property
-    def may_answer(self) -> bool:
-        if self.may_act:
+    def may_answer_workers(self) -> bool:
+        if self.is_leader:
             return True
-        if not self.included or self.mesh is None or not self.mesh.peers:
+        if not self.is_member or self.mesh is None or not self.mesh.peers:
             return False
         peers = self.mesh.peers.values()
         return all(
-            peer.whole and peer.view <= self.view.number and self.now() < peer.asked_at + self.span_s for peer in peers
+            peer.cancellations_complete
+            and peer.view_number <= self.view.number
+            and self.now() < peer.asked_at + self.lease_span_s
+            for peer in peers
         )
 
     @property
-    def unattended(self) -> bool:
+    def is_leaderless(self) -> bool:
         """Whether, as far as can be known here, no controller may answer machines: the state service does not answer,
         some sibling confirms nothing, and none tells that it reaches the state service or knows of a newer view."""
-        if self.may_answer or not self.replica.whole or self.replica.client.reachable:
+        if self.may_answer_workers or not self.replica.fully_read or self.replica.client.is_reachable:
             return False
         now = self.now()
         peers = self.mesh.peers.values() if self.mesh is not None else ()
         return not any(
-            peer.view > self.view.number or (peer.state_ok and now < peer.asked_at + self.span_s) for peer in peers
+            peer.view_number > self.view.number or (peer.state_reachable and now < peer.asked_at + self.lease_span_s)
+            for peer in peers
         )
 
-    def known(self) -> PeerStatus:
+    def peer_status(self) -> PeerStatus:
         """What siblings are told."""
         replica = self.replica
         return PeerStatus(
-            self.view.number, replica.client.reachable, replica.applied, replica.whole, self.tables.upgraded
+            self.view.number,
+            replica.client.is_reachable,
+            replica.applied_revision,
+            replica.fully_read,
+            self.tables.layout_complete,
         )
 
-    def learn(self, cancellations: list[Cancellation]) -> None:
+    def apply_peer_cancellations(self, cancellations: list[Cancellation]) -> None:
         """What a sibling told."""
         for cancellation in cancellations:
             self.tables.apply_peer_cancellation(cancellation)
         log.info("told of %d cancellations by a sibling", len(cancellations))
-        self.replica.told()
+        self.replica.notify_peer_update()
 
     @property
-    def coordinating(self) -> bool:
-        return self.may_act and self.tables.coordinator == (self.settings.member, self.boot)
+    def is_coordinator(self) -> bool:
+        return self.is_leader and self.tables.coordinator == (self.settings.member, self.incarnation)
 
-    def owner(self, machine: str) -> str | None:
+    def owner_of(self, machine: str) -> str | None:
         return self.view.owner(machine)
 
-    def claim_conditions(self) -> dict[str, int]:
+    def view_conditions(self) -> dict[str, int]:
         """What a write that relies on the view is conditional on."""
-        return {t.VIEW_KEY: self.tables.stamp(t.VIEW_KEY)}
+        return {t.VIEW_KEY: self.tables.mod_revision(t.VIEW_KEY)}
 
 
 class Membership(Actor):
@@ -127,11 +137,11 @@
         self.client = client
         self.replica = replica
         self.leadership = leadership
-        self.settled = 0
+        self.recovered_view = 0
 
     async def handle(self, message: Any) -> None:
-        if isinstance(message, ShardRecovered) and message.view != self.settled:
-            self.settled = message.view
+        if isinstance(message, ShardRecovered) and message.view_number != self.recovered_view:
+            self.recovered_view = message.view_number
             await self._write_member()
 
     async def keep_lease(self) -> None:
@@ -142,11 +152,11 @@
             started = self.client.now()
             try:
                 await self._renew()
-                await self.replica.fresh(self.client.timeout_s)
-                if self.leadership.boot and not self._row_stands(self.leadership.boot):
+                await self.replica.read_linearizable(self.client.timeout_s)
+                if self.leadership.incarnation and not self._row_is_current(self.leadership.incarnation):
                     await self._write_member()
-                if self.leadership.may_act and not self.replica.tables.upgraded:
-                    await self._mark()
+                if self.leadership.is_leader and not self.replica.tables.layout_complete:
+                    await self._record_layout()
             except (NoAnswerError, StaleReplicaError):
                 pass
             pause = self.settings.controller_lease_s / 4 - (self.client.now() - started)
@@ -154,75 +164,81 @@
 
     async def _renew(self) -> None:
         leadership = self.leadership
-        if leadership.boot:
+        if leadership.incarnation:
             sent = self.client.now()
-            reply = await self.client.call("POST", f"/grants/{leadership.boot}/renew", b"{}", RequestPriority.LEASE)
+            reply = await self.client.call(
+                "POST", f"/grants/{leadership.incarnation}/renew", b"{}", RequestPriority.LEASE
+            )
             if reply.status == 200:
-                leadership.renewed_at = sent
+                leadership.lease_renewed_at = sent
                 return
             if reply.status != 404:
                 return
             # Others may already have acted on our absence: whatever was ours is so no more.
-            log.info("lease %d is over: joining anew", leadership.boot)
-            leadership.boot = 0
+            log.info("lease %d is over: joining anew", leadership.incarnation)
+            leadership.incarnation = 0
         sent = self.client.now()
         body = wire.encode({"lifeMs": int(self.settings.controller_lease_s * 1000)})
         reply = await self.client.call("POST", "/grants", body, RequestPriority.LEASE)
         if reply.status != 200:
             return
         try:
-            boot = wire.decode(reply.body, wire.LeaseGrant).permit
+            boot = wire.decode(reply.body, wire.LeaseGrant).lease_id
         except wire.MalformedError as error:
             log.error("grant is malformed: %s", error)
             return
-        self.settled = 0
+        self.recovered_view = 0
         if await self._write_member(boot):
-            leadership.boot = boot
-            leadership.renewed_at = sent
-            log.info("joined as %s", leadership.tag)
+            leadership.incarnation = boot
+            leadership.lease_renewed_at = sent
+            log.info("joined as %s", leadership.incarnation_id)
 
-    def _row_stands(self, boot: int) -> bool:
+    def _row_is_current(self, boot: int) -> bool:
         return self.replica.tables.members.get(self.settings.member) == t.MemberRow(
-            boot, self.settled, t.LAYOUT_VERSION
+            boot, self.recovered_view, t.LAYOUT_VERSION
         )
 
     async def _write_member(self, boot: int | None = None) -> bool:
         """Stores this run's row, on condition of what is there. Guards against a former run of this member,
         killed a moment ago, whose own write is carried out only now: it must not take the row from us, nor
         may it vanish with that run's lease. Should it have come first, ours follows."""
-        boot = boot or self.leadership.boot
+        boot = boot or self.leadership.incarnation
         if not boot:
             return False
         key = t.member_key(self.settings.member)
         for _ in range(3):
-            if self._row_stands(boot):
+            if self._row_is_current(boot):
                 return True
-            value = {"boot": boot, "settled": self.settled, "layout": t.LAYOUT_VERSION}
-            conditions = {key: self.replica.tables.stamp(key)}
-            outcome, _epoch = await self.client.commit(conditions, {key: value}, [], RequestPriority.LEASE, {key: boot})
-            if outcome in (TransactionOutcome.DONE, TransactionOutcome.NO_LEASE):
-                self.replica.hint()
-                return outcome is TransactionOutcome.DONE
+            value = {"boot": boot, "settled": self.recovered_view, "layout": t.LAYOUT_VERSION}
+            conditions = {key: self.replica.tables.mod_revision(key)}
+            outcome, _epoch = await self.client.compare_and_swap(
+                conditions, {key: value}, [], RequestPriority.LEASE, {key: boot}
+            )
+            if outcome in (TransactionOutcome.COMMITTED, TransactionOutcome.NO_LEASE):
+                self.replica.request_read()
+                return outcome is TransactionOutcome.COMMITTED
             with contextlib.suppress(StaleReplicaError):
-                await self.replica.fresh(self.client.timeout_s)
+                await self.replica.read_linearizable(self.client.timeout_s)
         return False
 
-    async def _mark(self) -> None:
+    async def _record_layout(self) -> None:
         """Notes that this controller has run with this layout. Once every configured one has, and none of an
         earlier layout is left, the mark is complete for good. Guards against a controller that is down: it has
         not been seen, so it may come back old, and would ignore what a job awaits."""
         tables = self.replica.tables
-        seen = {*tables.seen, self.settings.member}
+        seen = {*tables.layout_members, self.settings.member}
         complete = seen >= set(self.settings.members) and all(
             row.layout >= t.LAYOUT_VERSION for row in tables.members.values()
         )
-        if seen == set(tables.seen) and not complete:
+        if seen == set(tables.layout_members) and not complete:
             return
-        conditions = {t.LAYOUT_KEY: tables.stamp(t.LAYOUT_KEY), **self.leadership.claim_conditions()}
+        conditions = {t.LAYOUT_KEY: tables.mod_revision(t.LAYOUT_KEY), **self.leadership.view_conditions()}
         value = {"seen": sorted(seen), "complete": complete}
-        outcome, _epoch = await self.client.commit(conditions, {t.LAYOUT_KEY: value}, [], RequestPriority.LEASE)
-        self.replica.hint()
-        if outcome is TransactionOutcome.DONE:
+        outcome, _epoch = await self.client.compare_and_swap(
+            conditions, {t.LAYOUT_KEY: value}, [], RequestPriority.LEASE
+        )
+        self.replica.request_read()
+        if outcome is TransactionOutcome.COMMITTED:
             log.info(
                 "layout %d: run by %s%s",
                 t.LAYOUT_VERSION,
@@ -234,7 +250,7 @@
         """Takes the coordinator's key when it is free, and writes a new view when members come or go."""
         while True:
             await self.replica.wait_change(self.settings.controller_lease_s / 4)
-            if not self.leadership.boot or not self.replica.loaded:
+            if not self.leadership.incarnation or not self.replica.loaded:
                 continue
             try:
                 await self._coordinate()
@@ -242,34 +258,37 @@
                 log.exception("while coordinating")
 
     async def _coordinate(self) -> None:
-        tables, boot, me = self.replica.tables, self.leadership.boot, self.settings.member
+        tables, boot, me = self.replica.tables, self.leadership.incarnation, self.settings.member
         known = tables.coordinator
-        if tables.members.get(me) is None or tables.members[me].boot != boot:
+        if tables.members.get(me) is None or tables.members[me].incarnation != boot:
             return
         # A coordinator's key of an earlier run of this very member is free as well: that process is gone.
         if known is None or (known[0] == me and known[1] != boot):
-            conditions = {t.COORDINATOR_KEY: tables.stamp(t.COORDINATOR_KEY)}
+            conditions = {t.COORDINATOR_KEY: tables.mod_revision(t.COORDINATOR_KEY)}
             value = {"member": me, "boot": boot}
-            outcome, _ = await self.client.commit(
+            outcome, _ = await self.client.compare_and_swap(
                 conditions, {t.COORDINATOR_KEY: value}, [], RequestPriority.LEASE, {t.COORDINATOR_KEY: boot}
             )
-            await self._catch_up()
-            if outcome is TransactionOutcome.DONE:
+            await self._refresh_replica()
+            if outcome is TransactionOutcome.COMMITTED:
                 log.info("coordinating")
             return
         if known != (me, boot):
             return
-        members = tuple(sorted((name, row.boot) for name, row in tables.members.items()))
+        members = tuple(sorted((name, row.incarnation) for name, row in tables.members.items()))
         if members == tables.view.members:
             return
-        conditions = {t.COORDINATOR_KEY: tables.stamp(t.COORDINATOR_KEY), t.VIEW_KEY: tables.stamp(t.VIEW_KEY)}
+        conditions = {
+            t.COORDINATOR_KEY: tables.mod_revision(t.COORDINATOR_KEY),
+            t.VIEW_KEY: tables.mod_revision(t.VIEW_KEY),
+        }
         number = tables.view.number + 1
         value = {"n": number, "members": [list(pair) for pair in members]}
-        outcome, _ = await self.client.commit(conditions, {t.VIEW_KEY: value}, [], RequestPriority.LEASE)
-        if outcome is TransactionOutcome.DONE:
+        outcome, _ = await self.client.compare_and_swap(conditions, {t.VIEW_KEY: value}, [], RequestPriority.LEASE)
+        if outcome is TransactionOutcome.COMMITTED:
             log.info("view %d: %s", number, ", ".join(t.incarnation_id_of(*pair) for pair in members))
-        await self._catch_up()
+        await self._refresh_replica()
 
-    async def _catch_up(self) -> None:
+    async def _refresh_replica(self) -> None:
         with contextlib.suppress(StaleReplicaError):
-            await self.replica.fresh(self.client.timeout_s)
+            await self.replica.read_linearizable(self.client.timeout_s)
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -50,17 +50,17 @@
         self.tables: Tables = replica.tables
         self.leadership = leadership
         self.pace_s = pace_s
-        self.changed = changed
+        self.on_change = changed
         self.sleep: Callable[[float], Awaitable[None]] = anyio.sleep
         # Machines whose registration is under way, and deleted ones that are still stored.
-        self.arriving: set[str] = set()
-        self.leaving: set[str] = set()
+        self.pending_registrations: set[str] = set()
+        self.pending_removals: set[str] = set()
         self.groups_made = 0
 
     def _new_group(self, parted: str = "") -> str:
         """A name never used before. What is parted from another group comes after it by name (see tables)."""
         self.groups_made += 1
-        return (f"{parted}." if parted else t.group_key("")) + f"{self.leadership.tag}.{self.groups_made}"
+        return (f"{parted}." if parted else t.group_key("")) + f"{self.leadership.incarnation_id}.{self.groups_made}"
 
     def _transaction_bytes(self) -> int:
         """What values of a transaction may take together."""
@@ -73,7 +73,9 @@
         fresh = [
             machine
             for machine in machines
-            if machine.heard and machine.name not in self.tables.machines and machine.name not in self.arriving
+            if machine.reconciled
+            and machine.name not in self.tables.machines
+            and machine.name not in self.pending_registrations
         ]
         if not all(row.layout >= t.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             fresh = fresh[: self.client.txn_ops]
@@ -86,15 +88,15 @@
 
     async def store(self, names: set[str], writes: dict[str, Any], view_number: int) -> None:
         """Stores new machines on condition of the view under which they were heard."""
-        conditions = self.leadership.claim_conditions()
+        conditions = self.leadership.view_conditions()
         try:
             if self.leadership.view.number == view_number:
-                await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
-                self.replica.hint()
+                await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
+                self.replica.request_read()
                 await anyio.sleep(self.pace_s)
         finally:
-            self.arriving -= names
-            self.changed()
+            self.pending_registrations -= names
+            self.on_change()
 
     # -- deleted machines
 
@@ -104,10 +106,10 @@
             await self.sleep(2 * self.settings.report_s)
             transaction = self._removals()
             if transaction:
-                await self.client.commit(
+                await self.client.compare_and_swap(
                     transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
                 )
-                self.replica.hint()
+                self.replica.request_read()
 
     def _removals(self) -> Transaction:
         """As many groups without their deleted machines as fit a transaction.
@@ -115,12 +117,12 @@
         Guards against a wave of deletions in many full groups: all of them in one transaction would be over the
         limit, refused again and again, and the machines reckoned with for ever.
         """
-        self.leaving &= self.tables.machines.keys()
+        self.pending_removals &= self.tables.machines.keys()
         room = self._transaction_bytes()
         found = Transaction()
-        for key in sorted({self.tables.machines[name].key for name in self.leaving}):
+        for key in sorted({self.tables.machines[name].key for name in self.pending_removals}):
             groups = self._without_leaving(key)
-            if len(groups) > 1 and not self.tables.upgraded:
+            if len(groups) > 1 and not self.tables.layout_complete:
                 # An earlier layout would take machines that leave one group for another as deleted. Until
                 # none is left a machine too many in the tables costs little.
                 continue
@@ -129,9 +131,9 @@
                 if len(found) + changes > self.client.txn_ops or room < changes * self.client.value_bytes:
                     break
             elif changes > self.client.txn_ops:
-                return self._part(key, groups)
+                return self._split_group(key, groups)
             room -= changes * self.client.value_bytes
-            found.conditions[key] = self.tables.stamp(key)
+            found.conditions[key] = self.tables.mod_revision(key)
             if groups:
                 found.writes[key] = {"m": groups[0]}
                 found.writes.update((self._new_group(key), {"m": group}) for group in groups[1:])
@@ -143,15 +145,15 @@
         """The machines that stay of those that a key holds, in groups that each fit a value."""
         names = sorted(
             name
-            for name in self.tables.groups.get(t.group_of(key), ())
-            if name not in self.leaving and self.tables.machines[name].key == key
+            for name in self.tables.machine_groups.get(t.group_of(key), ())
+            if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: self.tables.machines[name].stored() for name in names}
         return t.split_machine_groups(rows, self.client.value_bytes)
 
-    def _part(self, key: str, groups: list[dict[str, list[Any]]]) -> Transaction:
+    def _split_group(self, key: str, groups: list[dict[str, list[Any]]]) -> Transaction:
         """For a group that is too large for one transaction: first all but the first part get groups of their own,
         which loses no machine."""
         parted = groups[1 : self.client.txn_ops]
         writes = {self._new_group(key): {"m": group} for group in parted}
-        return Transaction({key: self.tables.stamp(key)}, writes)
+        return Transaction({key: self.tables.mod_revision(key)}, writes)
--- a/sloeswitch/actors/team_limits.py
+++ b/sloeswitch/actors/team_limits.py
@@ -31,86 +31,86 @@
         self.leadership = leadership
         self.registry = registry
         # Smaller allowances being stored: team -> (stamp it relies on, cores, gpus).
-        self.shrinking: dict[str, tuple[int, float, float]] = {}
+        self.pending_decreases: dict[str, tuple[int, float, float]] = {}
         self.surplus_since: dict[str, float] = {}
         # What tasks use that may be somewhere, and are on no machine that was heard (see registry).
-        self.limbo_uses: dict[str, quota.ResourceUsage] = {}
+        self.handed_off_usage: dict[str, quota.ResourceUsage] = {}
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Another run of this controller begins: nothing is under way."""
-        self.shrinking.clear()
+        self.pending_decreases.clear()
         self.surplus_since.clear()
 
-    def reckon_limbo(self) -> None:
+    def update_handed_off_usage(self) -> None:
         """Reckons anew what tasks use whose place is not known."""
-        self.limbo_uses = {}
-        for name, mask in self.registry.limbo.items():
+        self.handed_off_usage = {}
+        for name, mask in self.registry.handed_off_tasks.items():
             job = self.tables.jobs.get(name)
             if job is not None:
-                self.limbo_uses.setdefault(job.spec.team, quota.ResourceUsage()).add(job.spec, mask.bit_count())
+                self.handed_off_usage.setdefault(job.spec.team, quota.ResourceUsage()).add(job.spec, mask.bit_count())
 
-    def use(self, team: str) -> quota.ResourceUsage:
+    def usage(self, team: str) -> quota.ResourceUsage:
         """What tasks of the team that may exist under this controller's responsibility use."""
-        use = self.registry.uses.get(team, quota.ResourceUsage())
-        limbo = self.limbo_uses.get(team, quota.ResourceUsage())
+        use = self.registry.team_usage.get(team, quota.ResourceUsage())
+        limbo = self.handed_off_usage.get(team, quota.ResourceUsage())
         return quota.ResourceUsage(use.cores + limbo.cores, use.gpus + limbo.gpus)
 
-    def allowance(self, team: str) -> tuple[float, float]:
+    def allocation(self, team: str) -> tuple[float, float]:
         """What may be used now: the stored allowance, or less while a smaller one is being stored."""
-        cores, gpus = self.tables.allowance(team, self.leadership.tag)
-        shrinking = self.shrinking.get(team)
+        cores, gpus = self.tables.quota_allocation(team, self.leadership.incarnation_id)
+        shrinking = self.pending_decreases.get(team)
         if shrinking is not None:
             # A write without an answer may be carried out until another one makes its condition false.
-            if shrinking[0] == self.tables.stamp(t.team_key(team)):
+            if shrinking[0] == self.tables.mod_revision(t.team_key(team)):
                 return min(cores, shrinking[1]), min(gpus, shrinking[2])
-            del self.shrinking[team]
+            del self.pending_decreases[team]
         return cores, gpus
 
-    def spare(self, team: Team, use: quota.ResourceUsage) -> tuple[float, float]:
+    def available(self, team: Team, use: quota.ResourceUsage) -> tuple[float, float]:
         """The most that this controller could be allowed now: its allowance and what nobody holds."""
-        cores, gpus = self.tables.allowance(team.name, self.leadership.tag)
-        more_cores, more_gpus = self.tables.unallotted(team)
+        cores, gpus = self.tables.quota_allocation(team.name, self.leadership.incarnation_id)
+        more_cores, more_gpus = self.tables.unallocated_quota(team)
         return max(cores + more_cores, use.cores), max(gpus + more_gpus, use.gpus)
 
     def startable(self, specs: Iterable[JobSpec]) -> list[JobSpec]:
         """Those of which the team's limit leaves this controller room for one more task."""
-        uses = {team: self.use(team) for team in self.settings.teams}
-        spare = {team.name: self.spare(team, uses[team.name]) for team in self.settings.teams.values()}
+        uses = {team: self.usage(team) for team in self.settings.teams}
+        spare = {team.name: self.available(team, uses[team.name]) for team in self.settings.teams.values()}
         return [
             spec for spec in specs if spec.team in spare and quota.room_for(spec, spare[spec.team], uses[spec.team]) > 0
         ]
 
     def shortfall(self, spec: JobSpec) -> quota.ResourceUsage:
         """By how much the team's limit leaves this controller too little room for one more task."""
-        use = self.use(spec.team)
-        cores, gpus = self.spare(self.settings.teams[spec.team], use)
+        use = self.usage(spec.team)
+        cores, gpus = self.available(self.settings.teams[spec.team], use)
         return quota.ResourceUsage(
             max(0.0, use.cores + spec.cores - cores - quota.SLACK), max(0.0, use.gpus + spec.gpus - gpus - quota.SLACK)
         )
 
-    def request_allowances(
+    def request_allocations(
         self, request: ClaimRequest, useful: Mapping[str, quota.ResourceUsage], controllers: int, now: float
     ) -> None:
         """Adds the allowances to ask for, given what each team could put to use on these machines."""
         # Some changes of a round are left for claims.
-        max_teams = max(1, min(self.client.txn_ops // 2, self.client.most_changes(RequestPriority.CLAIM) - 1))
+        max_teams = max(1, min(self.client.txn_ops // 2, self.client.available_changes(RequestPriority.CLAIM) - 1))
         for name, use in useful.items():
-            if len(request.grow) + len(request.shrink) >= max_teams:
+            if len(request.quota_increases) + len(request.quota_decreases) >= max_teams:
                 break
             team = self.settings.teams[name]
-            part = QuotaAllocation(team, self.allowance(name), use, self.tables.unallotted(team), controllers)
-            if part.short:
+            part = QuotaAllocation(team, self.allocation(name), use, self.tables.unallocated_quota(team), controllers)
+            if part.is_short:
                 self.surplus_since.pop(name, None)
-                if name in self.shrinking or part.any_free:
-                    request.grow[name] = part.larger
-            elif not part.in_surplus:
+                if name in self.pending_decreases or part.has_unallocated:
+                    request.quota_increases[name] = part.increased
+            elif not part.has_surplus:
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
                 # Returned after a while: the next job of the team is likely to want it again.
-                request.shrink[name] = (self.tables.stamp(t.team_key(name)), *part.smaller)
-                self.shrinking[name] = request.shrink[name]
+                request.quota_decreases[name] = (self.tables.mod_revision(t.team_key(name)), *part.decreased)
+                self.pending_decreases[name] = request.quota_decreases[name]
                 del self.surplus_since[name]
         # A smaller allowance may be under way and its answer lost, and until something else is written we
         # hold ourselves to it. Found on the bench: a team stood still, since growing back to what was
         # stored all along wrote nothing.
-        request.rewrite = {name for name in request.grow if name in self.shrinking}
+        request.forced_rewrites = {name for name in request.quota_increases if name in self.pending_decreases}
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -75,13 +75,13 @@
         return Answer(405, b'{"error":"method not allowed"}', [("Allow", method)])
 
     @property
-    def ready(self) -> bool:
-        return self.replica.loaded and bool(self.tables.types) and self.leadership.included
+    def is_ready(self) -> bool:
+        return self.replica.loaded and bool(self.tables.machine_types) and self.leadership.is_member
 
     def _healthz(self) -> Answer:
-        if not self.ready:
+        if not self.is_ready:
             return refuse(self.retry_s)
-        if self.leadership.may_act:
+        if self.leadership.is_leader:
             return Answer(200)
         # Without the state service a node still tells final states and refuses the rest at once, which
         # is as good as any other node can do, unless a sibling still reaches the state service. One that
@@ -91,13 +91,13 @@
             return Answer(200)
         now, span = self.client.now(), self.settings.controller_lease_s
         heard = [peer for peer in mesh.peers.values() if now - peer.asked_at < span]
-        return Answer(200) if heard and not any(peer.state_ok for peer in heard) else refuse(self.retry_s)
+        return Answer(200) if heard and not any(peer.state_reachable for peer in heard) else refuse(self.retry_s)
 
-    async def _fresh(self) -> bool:
-        if not self.replica.loaded or not self.client.reachable:
+    async def _read_linearizable(self) -> bool:
+        if not self.replica.loaded or not self.client.is_reachable:
             return False
         try:
-            await self.replica.fresh(self.read_s)
+            await self.replica.read_linearizable(self.read_s)
         except StaleReplicaError:
             return False
         return True
@@ -115,22 +115,22 @@
             # It has the name of a job that another cell handed over, until that is acknowledged there.
             return refuse(self.retry_s)
         if self.jobs.status(name) is not None:
-            return await self._known(name)
+            return await self._answer_known(name)
         try:
             spec = wire.check_spec(wire.decode(request.body, wire.JobSpec))
         except wire.MalformedError as error:
             # A repeat of an accepted job is known whatever else is in it: look before refusing.
             log.info("%s is malformed: %s", name, error)
-            return await self._known_or(name, fault(400, str(error)))
-        if not self.tables.types:
+            return await self._answer_known_or(name, fault(400, str(error)))
+        if not self.tables.machine_types:
             return refuse(self.retry_s)
-        why = impossible(spec, self.settings.teams, self.tables.types)
+        why = impossible(spec, self.settings.teams, self.tables.machine_types)
         if why is not None:
-            return await self._known_or(name, fault(422, why))
-        if not self.client.reachable:
+            return await self._answer_known_or(name, fault(422, why))
+        if not self.client.is_reachable:
             return refuse(self.retry_s)
-        if spec.awaits:
-            refused = await self._judge_awaits(spec)
+        if spec.prerequisites:
+            refused = await self._check_prerequisites(spec)
             if refused is not None:
                 return refused
         accepted = await self.jobs.submit(spec)
@@ -141,57 +141,57 @@
 
     def _handed_over(self, name: str) -> bool:
         """Whether another cell handed the job over: for this cell's users there is none of that name."""
-        job, over = self.tables.jobs.get(name), self.tables.over.get(name)
+        job, over = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         return (job is not None and job.delegated is not None) or (over is not None and over.delegated is not None)
 
-    async def _judge_awaits(self, spec: wire.JobSpec) -> Answer | None:
+    async def _check_prerequisites(self, spec: wire.JobSpec) -> Answer | None:
         """The refusal of a submission for the jobs that it awaits, or None. Jobs once accepted stay known, so
         that only one which the tables lack needs a fresh read."""
-        if not self.tables.upgraded:
+        if not self.tables.layout_complete:
             # A controller of an earlier layout would start its tasks too early.
             return refuse(self.retry_s)
-        if any(self._handed_over(name) for name in spec.awaits):
+        if any(self._handed_over(name) for name in spec.prerequisites):
             return refuse(self.retry_s)
-        if all(self.jobs.status(name) is not None for name in spec.awaits):
+        if all(self.jobs.status(name) is not None for name in spec.prerequisites):
             return None
-        if not await self._fresh():
+        if not await self._read_linearizable():
             return refuse(self.retry_s)
         if self.jobs.status(spec.id) is not None:
-            return await self._known(spec.id)
-        unknown = [name for name in spec.awaits if self.jobs.status(name) is None]
+            return await self._answer_known(spec.id)
+        unknown = [name for name in spec.prerequisites if self.jobs.status(name) is None]
         return fault(422, f"awaits {unknown[0]}, which was never accepted") if unknown else None
 
-    async def _known(self, name: str) -> Answer:
+    async def _answer_known(self, name: str) -> Answer:
         """Final states are told from the tables; anything else needs a fresh read, so that no user
         gets an older answer than another node gave."""
-        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not await self._fresh():
+        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not await self._read_linearizable():
             return refuse(self.retry_s)
         return Answer(200, wire.submission_reply(name, self.jobs.status(name) or wire.QUEUED))
 
-    async def _known_or(self, name: str, otherwise: Answer) -> Answer:
-        if not await self._fresh():
+    async def _answer_known_or(self, name: str, otherwise: Answer) -> Answer:
+        if not await self._read_linearizable():
             return refuse(self.retry_s)
-        return await self._known(name) if self.jobs.status(name) is not None else otherwise
+        return await self._answer_known(name) if self.jobs.status(name) is not None else otherwise
 
     async def _poll(self, name: str) -> Answer:
-        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not await self._fresh():
+        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not await self._read_linearizable():
             return refuse(self.retry_s)
         status = self.jobs.status(name)
         if status is None or self._handed_over(name):
             return fault(404, "no such job")
-        over = self.tables.over.get(name)
+        over = self.tables.finished_jobs.get(name)
         if over is not None:
-            return Answer(200, wire.poll_reply(name, status, over.tasks if over.done else 0, 0))
+            return Answer(200, wire.poll_reply(name, status, over.tasks if over.is_done else 0, 0))
         job = self.tables.jobs[name]
         done = job.progress.done.bit_count()
-        running = job.progress.claimed().bit_count()
+        running = job.progress.claimed_tasks().bit_count()
         away = None if job.handoff is None else job.handoff.away
         return Answer(200, wire.poll_reply(name, status, done, running, None if away is None else away.target))
 
     async def _cancel(self, name: str) -> Answer:
         if not self.replica.loaded:
             return refuse(self.retry_s)
-        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not self.client.reachable:
+        if self.jobs.status(name) not in (wire.DONE, wire.CANCELLED) and not self.client.is_reachable:
             return refuse(self.retry_s)
         if self._handed_over(name):
             return fault(404, "no such job")
@@ -211,7 +211,7 @@
         # A report on the same connection, as soon as the next one is due, shows that the last answer was
         # received. One that was held up on the way shows nothing of the kind.
         received = self.client.now() - request.talk.get(report.machine, -math.inf) < 2 * self.settings.report_s
-        answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, received=received))
+        answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, last_answer_received=received))
         if answer is None:
             return refuse(self.retry_s)
         if answer.status == 200:
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -26,14 +26,14 @@
     @property
     def cost(self) -> float:
         """What it costs the round robin: the cores of all remaining tasks."""
-        return sum(job.left * job.spec.cores for job in self.released)
+        return sum(job.remaining_tasks * job.spec.cores for job in self.released)
 
     def use_of(self, team: str) -> ResourceUsage:
         """What it uses of a team's guarantee."""
         use = ResourceUsage()
         for job in self.released:
             if job.spec.team == team:
-                use.add(job.spec, job.left)
+                use.add(job.spec, job.remaining_tasks)
         return use
 
     def fits(self, capacity: Capacity) -> bool:
@@ -84,7 +84,7 @@
         self.tables = tables
         self.decisions = decisions
         self.lanes: dict[Lane, LaneQueue] = {}
-        rows: Mapping[str, AdmissionRow] = tables.admission
+        rows: Mapping[str, AdmissionRow] = tables.admission_rows
         for name, decision in decisions.items():
             job = tables.jobs[name]
             if decision.admitted or not _may_enter(job):
@@ -118,7 +118,7 @@
     def bundle(self, job: Job) -> JobBundle:
         """The job with all deferred ones that it needs."""
         needed = (each for each in ancestors(job, self.tables) if not self.decisions[each.spec.id].admitted)
-        released = [each for each in (job, *(needed if job.waits else ())) if each.runnable]
+        released = [each for each in (job, *(needed if job.unfinished_prerequisites else ())) if each.is_runnable]
         return JobBundle(job, tuple(released))
 
     def risen(self) -> Iterator[LaneQueue]:
@@ -132,7 +132,7 @@
 
 def _may_enter(job: Job) -> bool:
     """Whether there is anything to be admitted: not cancelled, and not with another cell."""
-    return job.status == LIVE and not job.cancelled and bool(job.runnable or job.waits)
+    return job.status == LIVE and not job.is_cancelled and bool(job.is_runnable or job.unfinished_prerequisites)
 
 
 def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
@@ -141,6 +141,6 @@
     uses: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
-        if decision is not None and decision.admitted and job.runnable and job.delegated is None:
-            uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.left)
+        if decision is not None and decision.admitted and job.is_runnable and job.delegated is None:
+            uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
     return uses
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -41,16 +41,18 @@
         wall_clock_ms: int,
         surplus: float,
     ) -> None:
-        self.offers: list[InstanceOffer] = fleet.offers(tables.types)
+        self.offers: list[InstanceOffer] = fleet.offers(tables.machine_types)
         self.limits = fleet.team_limits_of(settings)
         supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = (row.type, row.zone, row.spot)
             supply[kind] = supply.get(kind, 0.0) + 1.0
         self.cores = sum(
-            tables.types[kind[0]].cores * count for kind, count in supply.items() if kind[0] in tables.types
+            tables.machine_types[kind[0]].cores * count
+            for kind, count in supply.items()
+            if kind[0] in tables.machine_types
         )
-        released = (job for job in admitted if job.runnable)
+        released = (job for job in admitted if job.is_runnable)
         needs = fleet.demand_within_limits(
             released, settings, wall_clock_ms, SPREAD_ADMITTED, self.limits, fleet.parallel_or_gang_tasks
         )
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -73,7 +73,7 @@
     @property
     def switched_on(self) -> bool:
         """Whether jobs are deferred here: turned on, and every configured controller has run with the feature."""
-        return self.features.deferring and self.feature.complete
+        return self.features.deferring and self.feature.is_complete
 
     # -- loops
 
@@ -82,7 +82,7 @@
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
-                await self.feature.mark()
+                await self.feature.record_member()
                 await self.epoch()
             except StaleReplicaError:
                 pass
@@ -102,7 +102,7 @@
 
     async def ask(self, member: str) -> None:
         """One question to a sibling. Sent only once every controller knows the frame."""
-        if not (self.switched_on and self.leadership.coordinating):
+        if not (self.switched_on and self.leadership.is_coordinator):
             self.told.pop(member, None)
             return
         asked_at = self.now()
@@ -112,10 +112,10 @@
 
     async def epoch(self) -> None:
         """Reckons the cuts from the tables as they are, and stores what rises, on condition of what was read."""
-        if not (self.switched_on and self.leadership.coordinating):
+        if not (self.switched_on and self.leadership.is_coordinator):
             return
         # Guards against tables that lag: cuts reckoned from them would fail or be low.
-        await self.replica.fresh(self.client.timeout_s)
+        await self.replica.read_linearizable(self.client.timeout_s)
         tables = self.replica.tables
         changes = next_rows(
             tables, self.settings, self.limits, self._idle_rooms(), wall_clock_ms(), self.client.value_bytes
@@ -126,14 +126,14 @@
         writes = {t.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
         # On the rows' own stamps rests that no cut falls (docs/admission.md); the coordinator's key only spares a
         # deposed one its changes.
-        conditions = {key: tables.stamp(key) for key in (t.COORDINATOR_KEY, *writes)}
-        outcome, epoch = await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
+        conditions = {key: tables.mod_revision(key) for key in (t.COORDINATOR_KEY, *writes)}
+        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
         now = self.now()
         self.written_at |= {change.path: now for change in chosen}
-        if outcome is TransactionOutcome.DONE:
-            self.replica.stored(epoch, writes)
+        if outcome is TransactionOutcome.COMMITTED:
+            self.replica.apply_own_write(epoch, writes)
         else:
-            self.replica.hint()
+            self.replica.request_read()
 
     def _idle_rooms(self) -> list[IdleCapacity]:
         """All idle room that was told lately, each as old as it is by now."""
--- a/sloeswitch/admission/cuts.py
+++ b/sloeswitch/admission/cuts.py
@@ -30,7 +30,7 @@
     """Jobs that are admitted in the order of their tickets. The priority is the job's own, not an inherited one."""
 
     team: str
-    klass: str
+    job_class: str
     priority: str
 
 
@@ -100,7 +100,7 @@
         lanes: dict[str, dict[str, list[list[Any]]]] = {}
         for lane, cut in sorted(self.lanes.items()):
             entry = [lane.priority, cut.cut.submitted_ms - base_ms, cut.cut.job, cut.risen_ms - base_ms]
-            lanes.setdefault(lane.team, {}).setdefault(lane.klass, []).append(entry)
+            lanes.setdefault(lane.team, {}).setdefault(lane.job_class, []).append(entry)
         value: dict[str, Any] = {"n": self.number, "c": [*self.common.cut, self.common.risen_ms]}
         if lanes:
             value["l"] = lanes
--- a/sloeswitch/admission/decisions.py
+++ b/sloeswitch/admission/decisions.py
@@ -38,7 +38,7 @@
 
 def lane_of(spec: JobSpec) -> Lane:
     """The lane in which a job stands."""
-    return Lane(spec.team, spec.klass, spec.priority)
+    return Lane(spec.team, spec.job_class, spec.priority)
 
 
 def ticket_of(job: Job) -> Ticket:
@@ -62,7 +62,7 @@
 
     def cut(self, spec: JobSpec) -> tuple[str | None, int, Ticket]:
         """The same for a job's lane."""
-        key = (spec.team, spec.klass, spec.priority)
+        key = (spec.team, spec.job_class, spec.priority)
         found = self._lanes.get(key)
         if found is None:
             found = self._lanes[key] = self.cut_of(lane_of(spec))
@@ -73,7 +73,7 @@
         path, number, cut = self.cut(job.spec)
         if path is not None and (job.submitted_ms, job.spec.id) <= cut:
             ground = Ground.CUT
-        elif job.progress_stamp:
+        elif job.progress_revision:
             # Begun under a cut that is not read yet here, or before the feature was on: it must not stand still.
             ground = Ground.BEGUN
         else:
@@ -84,7 +84,7 @@
 def ancestors(job: Job, tables: Tables) -> Iterable[Job]:
     """The jobs that this one needs, directly or through others, and that are not over."""
     seen: set[str] = set()
-    stack = list(job.spec.awaits)
+    stack = list(job.spec.prerequisites)
     while stack:
         name = stack.pop()
         needed = tables.jobs.get(name)
@@ -92,12 +92,12 @@
             continue
         seen.add(name)
         yield needed
-        stack += needed.spec.awaits
+        stack += needed.spec.prerequisites
 
 
 def decide(tables: Tables, names: Iterable[str] | None = None) -> dict[str, Decision]:
     """The decisions of the jobs that are not over. `names`: only these, and those that they need."""
-    reader = CutReader(tables.admission)
+    reader = CutReader(tables.admission_rows)
     found: dict[str, Decision] = {}
     waiting: list[Job] = []
     for name in tables.jobs if names is None else names:
@@ -105,7 +105,7 @@
         if job is None:
             continue
         found[name] = decision = reader.decide(job)
-        if job.waits and not job.cancelled and decision.admitted:
+        if job.unfinished_prerequisites and not job.is_cancelled and decision.admitted:
             waiting.append(job)
     for job in waiting:
         cause = found[job.spec.id]
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -65,7 +65,7 @@
 
     def changes(self, value_bytes: int) -> list[RowChange]:
         """What is to be stored: nothing where no cut rises. Rows that would pass the value limit are split."""
-        rows = self.tables.admission
+        rows = self.tables.admission_rows
         if not rows:
             return [RowChange(ROOT, {ROOT: AdmissionRow().raised(self._ahead(), {}, {})})]
         self._admit_guaranteed()
@@ -95,7 +95,7 @@
         owed = {
             team: amount
             for team, amount in self.deficits.items()
-            if row_of(self.tables.admission, team_lane(team)) == path
+            if row_of(self.tables.admission_rows, team_lane(team)) == path
         }
         after = row.raised(common, lanes, owed)
         if after.size_bytes <= value_bytes:
@@ -110,9 +110,9 @@
     def _stored_deficits(self) -> dict[str, float]:
         found: dict[str, float] = {}
         for team in self.settings.teams:
-            path = row_of(self.tables.admission, team_lane(team))
+            path = row_of(self.tables.admission_rows, team_lane(team))
             if path is not None:
-                found[team] = self.tables.admission[path].deficits.get(team, 0.0)
+                found[team] = self.tables.admission_rows[path].deficits.get(team, 0.0)
         return found
 
     # -- guarantees
@@ -139,7 +139,7 @@
         bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
             if job.delegated is None:
-                self.uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.left)
+                self.uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
         queue.raise_to(place, self.wall_clock_ms)
         self.admissions += 1
 
@@ -203,7 +203,11 @@
         for queue in self.backlog.of_team(team):
             while queue.looked < len(queue.waiting):
                 job = queue.waiting[queue.looked][1]
-                alike = None if job.waits else (job.spec.team, job.spec.gang and job.spec.tasks, shape_of(job.spec))
+                alike = (
+                    None
+                    if job.unfinished_prerequisites
+                    else (job.spec.team, job.spec.gang and job.spec.tasks, shape_of(job.spec))
+                )
                 if alike not in self.no_room:
                     bundle = self.backlog.bundle(job)
                     if bundle.fits(self.capacity):
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -33,7 +33,7 @@
         if not self.switched_on():
             self._open()
             return
-        rows = self.tables.admission
+        rows = self.tables.admission_rows
         names: set[str] = set()
         if rows is not self._rows:
             self.log.epochs(self._rows or {}, rows)
@@ -60,7 +60,7 @@
 
     def _of_changed_lanes(self) -> set[str]:
         """Deferred jobs of lanes whose cut rose. With thousands of them most lanes stand still in an epoch."""
-        reader = CutReader(self.tables.admission)
+        reader = CutReader(self.tables.admission_rows)
         found: set[str] = set()
         for lane, names in self._deferred.items():
             path, _, cut = reader.cut_of(lane)
@@ -75,7 +75,7 @@
             name
             for name, (_, decision) in self._decided.items()
             if decision.ground in (Ground.NEEDED, Ground.BEGUN)
-            or ((job := self.tables.jobs.get(name)) is not None and job.waits)
+            or ((job := self.tables.jobs.get(name)) is not None and job.unfinished_prerequisites)
         }
 
     def _dependents(self, names: set[str]) -> set[str]:
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -119,18 +119,18 @@
 
     async def mark(self) -> None:
         """Notes that this controller runs with the feature; complete once every configured one does."""
-        await self.feature.mark()
+        await self.feature.record_member()
 
     @property
     def switched_on(self) -> bool:
         """Whether every configured controller of this cell runs with the feature."""
-        return self.feature.complete
+        return self.feature.is_complete
 
     # -- choosing
 
     async def select(self) -> None:
         """Stores the moves that are to be made now; the offers follow when the peer is talked to."""
-        if not (self.features.moving and self.switched_on and self.leadership.may_act):
+        if not (self.features.moving and self.switched_on and self.leadership.is_leader):
             return
         wall_clock_ms = int(time.time() * 1000)
         movable = {job.spec.id for job in self.line() if self._movable(job, wall_clock_ms)}
@@ -150,16 +150,16 @@
         stays_ms = 1000 * STAY_LEASES * self.settings.lease_s
         return (
             job.delegated is None
-            and job.parts is None
+            and job.spec_chunks is None
             and not job.progress.claims
-            and self.features.policy(job.spec.klass) is not MovePolicy.NEVER
+            and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
             and not (job.returned_ms and wall_clock_ms - job.returned_ms < stays_ms)
             and len(msgspec.json.encode(job.spec)) <= MOST_SPEC_BYTES
             and self._looked_after_here(job.spec.id)
         )
 
     def _looked_after_here(self, name: str) -> bool:
-        return self.leadership.owner("handoff " + name) == self.settings.member
+        return self.leadership.owner_of("handoff " + name) == self.settings.member
 
     def _under_way(self) -> dict[str, int]:
         counts: dict[str, int] = {}
@@ -170,9 +170,9 @@
 
     async def _move(self, job: Job, cell: str) -> None:
         # Larger than any number that this job had: that was no larger than the epoch at which it was stored.
-        number = 1 + max(self.replica.applied, job.stamp)
+        number = 1 + max(self.replica.applied_revision, job.mod_revision)
         row = rules.move(self.row(job), cell, number)
-        conditions = {t.progress_key(job.spec.id): job.progress_stamp, **self.leadership.claim_conditions()}
+        conditions = {t.progress_key(job.spec.id): job.progress_revision, **self.leadership.view_conditions()}
         if await self._store(job, row, conditions):
             log.info("%s is offered to %s", job.spec.id, cell)
 
@@ -181,7 +181,7 @@
     async def talk(self, peer: str) -> None:
         """One round with a peer: its summary, and each handoff of this controller that it has."""
         link = self.links[peer]
-        if self.leadership.may_act and self.switched_on:
+        if self.leadership.is_leader and self.switched_on:
             asked_at = self.now()
             summary = await link.summary()
             if summary is not None and summary.cell == peer and self._heard(peer, summary.incarnation):
@@ -189,7 +189,7 @@
                 await self._acknowledge(summary, link)
         names = [name for name, row in self._rows() if any(each.target == peer for each in row.placements)]
         for name in names:
-            if self.leadership.may_act and self._looked_after_here(name):
+            if self.leadership.is_leader and self._looked_after_here(name):
                 await self._settle(name, peer, link)
         placements = {(name, each) for name, row in self._rows() for each in row.placements}
         self.contacts = {key: contact for key, contact in self.contacts.items() if key in placements}
@@ -199,7 +199,7 @@
         if not summary.ended:
             return
         # Guards against tables that lag: a handoff that another controller stored a moment ago is on record.
-        await self.replica.fresh(self.client.timeout_s)
+        await self.replica.read_linearizable(self.client.timeout_s)
         for name, number in summary.ended:
             row = self._current(name)
             if row is None or Placement(summary.cell, number) not in row.placements:
@@ -219,21 +219,21 @@
         for name, job in list(self.tables.jobs.items()):
             if job.handoff is not None and job.handoff.placements:
                 yield name, self.row(job)
-        for name in sorted(self.tables.open_over):
-            over = self.tables.over[name]
+        for name in sorted(self.tables.unsettled_jobs):
+            over = self.tables.finished_jobs[name]
             if over.handoff is not None:
                 yield name, self._over_row(name, over)
 
     def row(self, job: Job) -> OriginRow:
         """What is stored of a job's handoffs, as the rules take it."""
-        policy = self.features.policy(job.spec.klass)
+        policy = self.features.policy(job.spec.job_class)
         row = job.handoff or OriginRow("", job.spec.id, policy)
-        result = Result.CANCELLED if job.cancelled else None
-        return replace(row, cell=self.features.name, begun_at_home=bool(job.progress_stamp), result=result)
+        result = Result.CANCELLED if job.is_cancelled else None
+        return replace(row, cell=self.features.name, begun_at_home=bool(job.progress_revision), result=result)
 
     def _over_row(self, name: str, over: FinishedJob) -> OriginRow:
         assert over.handoff is not None
-        result = Result.DONE if over.done else Result.CANCELLED
+        result = Result.DONE if over.is_done else Result.CANCELLED
         return replace(over.handoff, cell=self.features.name, result=result)
 
     async def _settle(self, name: str, peer: str, link: Link) -> None:
@@ -258,7 +258,7 @@
     async def _ask(self, link: Link, job: Job | None, message: RequestMessage) -> Answer | None:
         offer = None
         if message.request is Request.OFFER and job is not None:
-            offer = Offer(msgspec.structs.replace(job.spec, awaits=()), job.submitted_ms)
+            offer = Offer(msgspec.structs.replace(job.spec, prerequisites=()), job.submitted_ms)
         try:
             reply = await link.request(CellRequest(message, self.features.incarnation, offer))
         except NoAnswerError:
@@ -304,7 +304,7 @@
     # -- storing
 
     def _current(self, name: str) -> OriginRow | None:
-        job, over = self.tables.jobs.get(name), self.tables.over.get(name)
+        job, over = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         if job is not None:
             return self.row(job) if job.handoff is not None else None
         return self._over_row(name, over) if over is not None and over.handoff is not None else None
@@ -313,27 +313,27 @@
         job = self.tables.jobs.get(name)
         if job is not None:
             return await self._store(job, row, {})
-        over = self.tables.over[name]
-        value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.at_ms}
+        over = self.tables.finished_jobs[name]
+        value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
         if row.placements:
             value["h"] = t.stored_handoff(row)
         key = t.job_key(name)
-        return await self._commit({key: self.tables.stamp(key)}, {key: value})
+        return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
     async def _store(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> bool:
         """Writes a job's row with its handoffs, on condition of the row as it was read."""
         key = t.job_key(job.spec.id)
-        conditions = {**conditions, key: job.stamp}
+        conditions = {**conditions, key: job.mod_revision}
         if row.result is Result.DONE:
             value = stored_end(t.DONE, job.spec)
             if row.placements:
                 value["h"] = t.stored_handoff(row)
-        elif row.result is Result.CANCELLED and not job.cancelled:
+        elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
             came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
             returned_ms = int(time.time() * 1000) if came_back else job.returned_ms
-            value = stored_job(job.status, job.spec, job.submitted_ms, job.parts)
+            value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
             value["h"] = t.stored_handoff(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
@@ -341,21 +341,21 @@
 
     @staticmethod
     def _cancelled(job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
-        if not job.progress_stamp:
+        if not job.progress_revision:
             conditions[t.progress_key(job.spec.id)] = 0
             return stored_end(t.CANCELLED, job.spec)
-        value = stored_job(t.CANCELLED, job.spec, job.submitted_ms, job.parts)
+        value = stored_job(t.CANCELLED, job.spec, job.submitted_ms, job.spec_chunks)
         return {**value, "x": int(time.time() * 1000)}
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
             return False  # too close to the limit for the handoff beside the job; it stays
-        outcome, epoch = await self.client.commit(conditions, writes, [], RequestPriority.CLAIM)
-        if outcome is TransactionOutcome.DONE:
-            self.replica.stored(epoch, writes)
+        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
+        if outcome is TransactionOutcome.COMMITTED:
+            self.replica.apply_own_write(epoch, writes)
         else:
-            self.replica.hint()
-        return outcome is TransactionOutcome.DONE
+            self.replica.request_read()
+        return outcome is TransactionOutcome.COMMITTED
 
 
 def _part_of(summary: Summary, part: float) -> Summary:
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -53,8 +53,10 @@
     line: Iterable[Job], movable: set[str], tables: Tables, settings: Settings, wall_clock_ms: int
 ) -> list[Candidate]:
     """The jobs of the line that may move, in its order, each with the work before it reckoned in."""
-    cores = sum(tables.types[row.type].cores for row in tables.machines.values() if row.type in tables.types)
-    settled = tables.all_settled()
+    cores = sum(
+        tables.machine_types[row.type].cores for row in tables.machines.values() if row.type in tables.machine_types
+    )
+    settled = tables.recovery_complete()
     free = cores - _claimed_cores(tables)
     ahead_core_s = 0.0
     found: list[Candidate] = []
@@ -64,7 +66,7 @@
         if spec.id in seen:
             continue  # it stands in the line twice
         seen.add(spec.id)
-        waiting_cores = tables.open_tasks(job, settled).bit_count() * spec.cores
+        waiting_cores = tables.unclaimed_tasks(job, settled).bit_count() * spec.cores
         work_core_s = waiting_cores * spec.estimate_s
         wait_s = 0.0
         if free < waiting_cores:
@@ -81,7 +83,7 @@
 
 def _claimed_cores(tables: Tables) -> float:
     return sum(
-        (job.progress.claimed() & ~job.progress.done).bit_count() * job.spec.cores for job in tables.jobs.values()
+        (job.progress.claimed_tasks() & ~job.progress.done).bit_count() * job.spec.cores for job in tables.jobs.values()
     )
 
 
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -96,13 +96,13 @@
     used, wanted = Resources(), Resources()
     wanted_core_s = 0.0
     teams = {name: [team.cpus_max, team.gpus_max] for name, team in settings.teams.items()}
-    settled = tables.all_settled()
+    settled = tables.recovery_complete()
     for job in tables.jobs.values():
-        if not job.runnable:
+        if not job.is_runnable:
             continue
         spec = job.spec
-        claimed = (job.progress.claimed() & ~job.progress.done).bit_count()
-        waiting = tables.open_tasks(job, settled).bit_count()
+        claimed = (job.progress.claimed_tasks() & ~job.progress.done).bit_count()
+        waiting = tables.unclaimed_tasks(job, settled).bit_count()
         used = used.plus(task_resources(spec), claimed)
         wanted = wanted.plus(task_resources(spec), waiting)
         wanted_core_s += waiting * spec.cores * spec.estimate_s
@@ -125,9 +125,9 @@
 def _pools(tables: Tables) -> tuple[MachinePool, ...]:
     counts: dict[tuple[str, bool], int] = {}
     for row in tables.machines.values():
-        if row.type in tables.types:
+        if row.type in tables.machine_types:
             counts[row.type, row.spot] = counts.get((row.type, row.spot), 0) + 1
-    return tuple(_pool(tables.types[kind], spot, count) for (kind, spot), count in sorted(counts.items()))
+    return tuple(_pool(tables.machine_types[kind], spot, count) for (kind, spot), count in sorted(counts.items()))
 
 
 def _pool(kind: MachineType, spot: bool, count: int) -> MachinePool:
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -56,9 +56,9 @@
 
     def summary(self, origin: str = "") -> Summary | None:
         """This cell's summary for another one; None while it cannot know. Without room while it takes no jobs."""
-        if not (self.switched_on and self.leadership.may_act):
+        if not (self.switched_on and self.leadership.is_leader):
             return None
-        name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied
+        name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied_revision
         if not self.features.moving:
             return Summary(name, incarnation, sequence, ended=self._ended(origin))
         summary = summarise(self.tables, self.settings, name, incarnation, sequence)
@@ -72,8 +72,8 @@
         """
         found = (
             (name, over.delegated.number)
-            for name in sorted(self.tables.open_over)
-            if (over := self.tables.over[name]).delegated is not None and over.delegated.origin == origin
+            for name in sorted(self.tables.unsettled_jobs)
+            if (over := self.tables.finished_jobs[name]).delegated is not None and over.delegated.origin == origin
         )
         return tuple(itertools.islice(found, MOST_ENDED))
 
@@ -82,10 +82,10 @@
         handoff = request.message.handoff
         if not self._heard_from(handoff.origin, request.incarnation) or not self.switched_on:
             return None
-        if not self.replica.loaded or not self.leadership.may_act:
+        if not self.replica.loaded or not self.leadership.is_leader:
             return None
         try:
-            await self.replica.fresh(self.client.timeout_s)
+            await self.replica.read_linearizable(self.client.timeout_s)
         except StaleReplicaError:
             return None
         record = self.record(handoff)
@@ -111,18 +111,18 @@
 
     def record(self, handoff: HandoffId) -> TargetRecord:
         """What is stored of an origin's handoffs of one job."""
-        floor = self.tables.floors.get(handoff.origin, 0)
+        floor = self.tables.handoff_floors.get(handoff.origin, 0)
         job = self.tables.jobs.get(handoff.job)
-        over = self.tables.over.get(handoff.job)
+        over = self.tables.finished_jobs.get(handoff.job)
         delegated = job.delegated if job is not None else over.delegated if over is not None else None
         if delegated is None or delegated.origin != handoff.origin:
             return TargetRecord(floor)
         if job is None:
-            state = DelegationState.DONE if over is not None and over.done else DelegationState.STOPPED
-        elif job.cancelled:
+            state = DelegationState.DONE if over is not None and over.is_done else DelegationState.STOPPED
+        elif job.is_cancelled:
             state = DelegationState.STOPPING
         else:
-            state = DelegationState.BEGUN if job.progress_stamp else DelegationState.ACCEPTED
+            state = DelegationState.BEGUN if job.progress_revision else DelegationState.ACCEPTED
         return TargetRecord(floor, Delegation(HandoffId(handoff.origin, handoff.job, delegated.number), state))
 
     def _has_room(self, handoff: HandoffId, offer: Offer | None) -> bool:
@@ -132,12 +132,12 @@
             return False
         spec = offer.spec
         # A job of this cell's own users, or what is left of an earlier handoff, has the name.
-        known = handoff.job in tables.jobs or handoff.job in tables.over
-        if known or tables.stamp(t.progress_key(handoff.job)) or spec.id != handoff.job:
+        known = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
+        if known or tables.mod_revision(t.progress_key(handoff.job)) or spec.id != handoff.job:
             return False
-        if spec.awaits or not may_move_by_shape(spec):
+        if spec.prerequisites or not may_move_by_shape(spec):
             return False
-        if impossible(spec, self.settings.teams, tables.types) is not None:
+        if impossible(spec, self.settings.teams, tables.machine_types) is not None:
             return False
         if len(wire.encode(self._delegated_job(handoff, offer))) > self.client.value_bytes:
             return False
@@ -161,20 +161,20 @@
             return await self.jobs.cancel(name, only_unclaimed=unclaimed) is not None
         origin = request.message.handoff.origin
         floor, job = t.floor_key(origin), t.job_key(name)
-        conditions = {floor: self.tables.stamp(floor), **self.leadership.claim_conditions()}
+        conditions = {floor: self.tables.mod_revision(floor), **self.leadership.view_conditions()}
         writes: dict[str, Any] = {}
         drops: list[str] = []
         if after.floor != before.floor:
             writes[floor] = {"n": after.floor}
         if before.delegation is not None:
-            conditions[job] = self.tables.stamp(job)
+            conditions[job] = self.tables.mod_revision(job)
             drops.append(job)
         elif after.delegation is not None:
             assert request.offer is not None
             conditions[job] = conditions[t.progress_key(name)] = 0
             writes[job] = self._delegated_job(after.delegation.handoff, request.offer)
-        outcome, epoch = await self.client.commit(conditions, writes, drops, RequestPriority.CLAIM)
-        if outcome is TransactionOutcome.DONE and not drops:
-            self.replica.stored(epoch, writes)
-        self.replica.hint()
-        return outcome is TransactionOutcome.DONE
+        outcome, epoch = await self.client.compare_and_swap(conditions, writes, drops, RequestPriority.CLAIM)
+        if outcome is TransactionOutcome.COMMITTED and not drops:
+            self.replica.apply_own_write(epoch, writes)
+        self.replica.request_read()
+        return outcome is TransactionOutcome.COMMITTED
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -35,41 +35,41 @@
 
     async def _call(self, method: str, path: str, body: bytes | None) -> Reply:
         self.bucket.rate = self.rps * (self.greater if self.coordinating() else self.lesser)
-        self.bucket.wait_s(1.0, RequestPriority.LEASE, self.now())
-        if self.bucket.level < 0:
-            await anyio.sleep(-self.bucket.level / self.bucket.rate)
+        self.bucket.acquire(1.0, RequestPriority.LEASE, self.now())
+        if self.bucket.tokens < 0:
+            await anyio.sleep(-self.bucket.tokens / self.bucket.rate)
         try:
             return await self.http.request(method, path, body, self.timeout_s)
         except NoAnswerError as error:
             raise CloudError(str(error)) from None
 
-    async def catalog(self) -> wire.MachineTypeCatalog:
+    async def read_catalog(self) -> wire.MachineTypeCatalog:
         reply = await self._call("GET", "/catalog", None)
         return self._read(reply, wire.MachineTypeCatalog)
 
-    async def rent(self, booking: wire.InstanceRequest) -> list[str] | None:
+    async def create_instances(self, booking: wire.InstanceRequest) -> list[str] | None:
         """Machines rented, or None when the cloud has none of the kind."""
         reply = await self._call("POST", "/machines", wire.encode(booking))
         if reply.status == 503 and b"no capacity" in reply.body:
             return None
-        return self._read(reply, wire.InstancesCreated).machines
+        return self._read(reply, wire.InstancesCreated).instances
 
-    async def delete(self, machines: list[str]) -> None:
+    async def delete_instances(self, machines: list[str]) -> None:
         """Returns once the machines and all that is on them are gone."""
         reply = await self._call("POST", "/machines/delete", wire.delete_body(machines))
         if reply.status != 200:
             raise CloudError(f"status {reply.status}")
 
-    async def machines(self) -> list[wire.Instance]:
+    async def list_instances(self) -> list[wire.Instance]:
         found: list[wire.Instance] = []
         after = ""
         while True:
             path = "/machines?page=500" + (f"&after={after}" if after else "")
             page = self._read(await self._call("GET", path, None), wire.InstancePage)
-            found += page.machines
-            if not page.more or not page.machines:
+            found += page.instances
+            if not page.more or not page.instances:
                 return found
-            after = page.machines[-1].id
+            after = page.instances[-1].id
 
     @staticmethod
     def _read(reply: Reply, kind: type[wire.T]) -> wire.T:
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -40,15 +40,20 @@
     replica = Replica(client, tables, now)
     leadership = Leadership(settings, tables, replica, now)
     leadership.mesh = mesh = Mesh(
-        settings.siblings, settings.controller_lease_s / 4, now, leadership.known, cancellations, leadership.learn
+        settings.siblings,
+        settings.controller_lease_s / 4,
+        now,
+        leadership.peer_status,
+        cancellations,
+        leadership.apply_peer_cancellations,
     )
     membership = Membership(settings, client, replica, leadership)
     jobs = Jobs(settings, client, replica, leadership, now)
     machines = Machines(settings, client, replica, leadership, jobs, membership, now)
     fleet = Autoscaler(
-        settings, client, CloudClient(settings, lambda: leadership.coordinating, now), replica, leadership, now
+        settings, client, CloudClient(settings, lambda: leadership.is_coordinator, now), replica, leadership, now
     )
-    machines.fleet, fleet.machines = fleet, machines
+    machines.autoscaler, fleet.machines = fleet, machines
     users = Users(settings, client, replica, leadership, jobs, machines)
     # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
     server = Server(
@@ -65,20 +70,20 @@
         machines.group = group
         replica.start(group)
         for sibling in settings.siblings:
-            group.start_soon(mesh.ask_forever, sibling)
+            group.start_soon(mesh.poll_forever, sibling)
         for loop in (
             membership.run,
             membership.keep_lease,
             membership.coordinate,
             jobs.run,
-            jobs.store_forever,
-            jobs.tidy_forever,
+            jobs.commit_forever,
+            jobs.collect_garbage_forever,
             machines.run,
             machines.tick_forever,
             machines.registration.unregister_forever,
-            fleet.return_forever,
-            fleet.rent_forever,
-            fleet.watch_idle_forever,
+            fleet.terminate_forever,
+            fleet.scale_out_forever,
+            fleet.scale_in_idle_forever,
             server.sweep_forever,
         ):
             group.start_soon(loop)
@@ -141,8 +146,8 @@
         },
         now,
     )
-    machines.gate = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
-    machines.on_rooms_left = lambda rooms, at: idle.observe(rooms, machines.tables.types, at)
+    machines.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
+    machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
     mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
--- a/sloeswitch/core/allowances.py
+++ b/sloeswitch/core/allowances.py
@@ -27,46 +27,46 @@
     team: Team
     # What this controller may use, what it could put to use, and what nobody holds.
     held: tuple[float, float]
-    use: ResourceUsage
-    free: tuple[float, float]
+    usage: ResourceUsage
+    unallocated: tuple[float, float]
     controllers: int
 
     @property
-    def scarce(self) -> bool:
+    def is_scarce(self) -> bool:
         """Whether little of the limit is free."""
         return (
-            self.free[0] < SCARCE_FREE_SHARE * self.team.cpus_max
-            or self.free[1] < SCARCE_FREE_SHARE * self.team.gpus_max
+            self.unallocated[0] < SCARCE_FREE_SHARE * self.team.cpus_max
+            or self.unallocated[1] < SCARCE_FREE_SHARE * self.team.gpus_max
         )
 
     @property
-    def ample(self) -> tuple[float, float]:
+    def target(self) -> tuple[float, float]:
         """What this controller should hold."""
-        margin, part = (1.0, 0.0) if self.scarce else (SPARE_MARGIN, 1.0 / self.controllers)
+        margin, part = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controllers)
         return (
-            max(margin * self.use.cores, part * self.team.cpus_max),
-            max(margin * self.use.gpus, part * self.team.gpus_max),
+            max(margin * self.usage.cores, part * self.team.cpus_max),
+            max(margin * self.usage.gpus, part * self.team.gpus_max),
         )
 
     @property
-    def short(self) -> bool:
+    def is_short(self) -> bool:
         """Whether more could be put to use than is held."""
-        return self.use.cores > self.held[0] + SLACK or self.use.gpus > self.held[1] + SLACK
+        return self.usage.cores > self.held[0] + SLACK or self.usage.gpus > self.held[1] + SLACK
 
     @property
-    def any_free(self) -> bool:
-        return self.free[0] > SLACK or self.free[1] > SLACK
+    def has_unallocated(self) -> bool:
+        return self.unallocated[0] > SLACK or self.unallocated[1] > SLACK
 
     @property
-    def in_surplus(self) -> bool:
+    def has_surplus(self) -> bool:
         """Whether a part that others may need lies idle."""
-        cores, gpus = self.ample
-        return self.scarce and (cores < MIN_SHRINK_RATIO * self.held[0] or gpus < MIN_SHRINK_RATIO * self.held[1])
+        cores, gpus = self.target
+        return self.is_scarce and (cores < MIN_SHRINK_RATIO * self.held[0] or gpus < MIN_SHRINK_RATIO * self.held[1])
 
     @property
-    def larger(self) -> tuple[float, float]:
-        return max(self.ample[0], self.held[0]), max(self.ample[1], self.held[1])
+    def increased(self) -> tuple[float, float]:
+        return max(self.target[0], self.held[0]), max(self.target[1], self.held[1])
 
     @property
-    def smaller(self) -> tuple[float, float]:
-        return min(self.held[0], self.ample[0]), min(self.held[1], self.ample[1])
+    def decreased(self) -> tuple[float, float]:
+        return min(self.held[0], self.target[0]), min(self.held[1], self.target[1])
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -25,7 +25,7 @@
 def overdue_job(job: Job, cancel_s: float, wall_clock_ms: int) -> bool:
     """Whether the job was cancelled longer ago than a part of the time allowed, and still has claims."""
     latest_ms = wall_clock_ms - 1000 * OVERDUE_SHARE * cancel_s
-    return job.cancelled and bool(job.progress.claims) and 0 < job.cancelled_ms < latest_ms
+    return job.is_cancelled and bool(job.progress.claims) and 0 < job.cancelled_ms < latest_ms
 
 
 @dataclass
@@ -44,35 +44,35 @@
     settings: Settings
     inspections: dict[str, Inspection] = field(default_factory=dict)
     # When a cancellation whose time is not stored was first seen here.
-    _learnt_at: dict[str, float] = field(default_factory=dict)
+    _observed_at: dict[str, float] = field(default_factory=dict)
 
     def observe(self, tables: Tables, now: float) -> None:
         """Notes since when cancellations are known whose rows do not tell it: a sibling told of them."""
-        undated = set(tables.told)
-        self._learnt_at = {name: self._learnt_at.get(name, now) for name in undated}
+        undated = set(tables.peer_cancellations)
+        self._observed_at = {name: self._observed_at.get(name, now) for name in undated}
 
     def suspects(self, tables: Tables, tag: str, now: float, wall_clock_ms: int) -> set[str]:
         """Machines whose tasks may include cancelled ones that are overdue, as far as that does not follow from this
         run's own books. What a controller that left the view had claimed may be on any machine."""
-        tags = self._suspect_tags(tables, now, wall_clock_ms) - {tag}
-        if not tags <= tables.view.tags:
+        tags = self._suspected_incarnations(tables, now, wall_clock_ms) - {tag}
+        if not tags <= tables.view.incarnation_ids:
             return set(tables.machines)
         members = {name for name, boot in tables.view.members if incarnation_id_of(name, boot) in tags}
         return {name for name in tables.machines if tables.view.owner(name) in members} if members else set()
 
-    def _suspect_tags(self, tables: Tables, now: float, wall_clock_ms: int) -> set[str]:
+    def _suspected_incarnations(self, tables: Tables, now: float, wall_clock_ms: int) -> set[str]:
         """Controllers' runs that hold claims of overdue cancelled jobs."""
         cancel_s = self.settings.cancel_s
         tags: set[str] = set()
         for job in tables.jobs.values():
             if overdue_job(job, cancel_s, wall_clock_ms):
                 tags.update(job.progress.claims)
-        for name, learnt_at in self._learnt_at.items():
+        for name, learnt_at in self._observed_at.items():
             if now - learnt_at < OVERDUE_SHARE * cancel_s:
                 continue
             job_row = tables.jobs.get(name)
             # Without a row nothing is known of its claims: any controller may have some.
-            tags.update(tables.view.tags if job_row is None else job_row.progress.claims)
+            tags.update(tables.view.incarnation_ids if job_row is None else job_row.progress.claims)
         return tags
 
     def due(self, suspects: Iterable[str], now: float) -> list[str]:
@@ -88,7 +88,7 @@
                 found.append(name)
         return found
 
-    def answered(self, report: WorkerReport, tables: Tables, now: float) -> None:
+    def record_answer(self, report: WorkerReport, tables: Tables, now: float) -> None:
         """A machine told what it holds."""
         inspection = self.inspections.get(report.machine)
         if inspection is None:
@@ -97,7 +97,7 @@
         inspection.deletable = holds_cancelled(report, tables)
         inspection.ask_at = now + self.settings.lease_s
 
-    def failed(self, machine: str, now: float) -> None:
+    def record_no_answer(self, machine: str, now: float) -> None:
         """A machine did not answer."""
         inspection = self.inspections.get(machine)
         if inspection is None:
@@ -123,8 +123,8 @@
         except MalformedError:
             continue
         job = tables.jobs.get(name)
-        cancelled = name in tables.told or (job is not None and job.cancelled)
-        over = tables.over.get(name)
-        if item.state != "ended" and (cancelled or (over is not None and not over.done)):
+        cancelled = name in tables.peer_cancellations or (job is not None and job.is_cancelled)
+        over = tables.finished_jobs.get(name)
+        if item.state != "ended" and (cancelled or (over is not None and not over.is_done)):
             return True
     return False
--- a/sloeswitch/core/cancellations.py
+++ b/sloeswitch/core/cancellations.py
@@ -16,7 +16,7 @@
 
 class Cancellation(NamedTuple):
     job: str
-    stamp: int
+    revision: int
 
 
 @dataclass
@@ -25,16 +25,16 @@
 
     cancellations: list[Cancellation]
     # The place in the log up to which the sibling then knows all.
-    upto: int
+    position: int
     # Whether more is to come, or some was dropped that the sibling may lack.
     more: bool = False
 
 
 class CancellationLog:
     def __init__(self, most: int, name: int) -> None:
-        self.most = most
+        self.max_entries = most
         # Tells the logs of two processes apart; 0 is nobody's.
-        self.name = name
+        self.log_id = name
         self._kept: deque[Cancellation] = deque()
         self._dropped = 0
         # Whoever has read up to here lacks nothing that was dropped.
@@ -42,14 +42,14 @@
 
     def add(self, job: str, stamp: int) -> None:
         self._kept.append(Cancellation(job, stamp))
-        if len(self._kept) > self.most:
+        if len(self._kept) > self.max_entries:
             self._dropped += 1
-            self._dropped_stamp = max(self._dropped_stamp, self._kept.popleft().stamp)
+            self._dropped_stamp = max(self._dropped_stamp, self._kept.popleft().revision)
 
     def since(self, epoch: int, name: int, place: int, most: int) -> CancellationDelta:
         """What a sibling lacks that has read up to `epoch`, and the log `name` up to `place`: at most so many."""
         last = self._dropped + len(self._kept)
-        if name != self.name or place > last:
+        if name != self.log_id or place > last:
             place = 0
         if place < self._dropped:
             if epoch < self._dropped_stamp:
@@ -57,7 +57,7 @@
             place = self._dropped
         found: list[Cancellation] = []
         for entry in islice(self._kept, place - self._dropped, None):
-            if entry.stamp > epoch:
+            if entry.revision > epoch:
                 if len(found) == most:
                     return CancellationDelta(found, place, True)
                 found.append(entry)
--- a/sloeswitch/core/fleet.py
+++ b/sloeswitch/core/fleet.py
@@ -45,11 +45,11 @@
     tasks: float
     # The zone to which tasks that run, or will, bind the others. Guards against machines there that are let go for room
     # in other zones, which the job can't use.
-    home: str | None = None
+    bound_zone: str | None = None
 
     def suits(self, offer: InstanceOffer) -> bool:
         """Whether such machines are of use."""
-        return offer.suits(self.spec, self.home)
+        return offer.suits(self.spec, self.bound_zone)
 
 
 def bound_zone_of(job: Job) -> str | None:
@@ -73,7 +73,7 @@
     age = (wall_clock_ms - job.submitted_ms) / 1000
     ahead = [target - age for target in targets(job, settings.objectives) if target - age > estimate]
     span = spread * ahead[0] if ahead else NO_TARGET_SPREAD * estimate
-    return min(job.left, math.ceil(job.left * estimate / max(span, estimate)))
+    return min(job.remaining_tasks, math.ceil(job.remaining_tasks * estimate / max(span, estimate)))
 
 
 def parallel_or_gang_tasks(job: Job, settings: Settings, wall_clock_ms: int, spread: float) -> int:
@@ -85,9 +85,9 @@
     """Whether all that the job still waits for has begun and it may not use spot machines: of the others there are
     few, and one may be up by the time that it is released. The rest finds room; looked for ahead as well, it cost
     more than it gained (found on the bench)."""
-    if job.spec.spot or not job.waits or job.condemned:
+    if job.spec.spot or not job.unfinished_prerequisites or job.prerequisite_cancelled:
         return False
-    return all(begun(tables.jobs[name]) for name in job.spec.awaits if name in tables.jobs)
+    return all(begun(tables.jobs[name]) for name in job.spec.prerequisites if name in tables.jobs)
 
 
 def demand_within_limits(
@@ -101,7 +101,7 @@
     """What jobs need at once, within what is left of their teams' limits (cores, gpus by team), oldest first. Takes it
     from `left`. `count`: how many tasks of a job should run at a time."""
     found: list[Demand] = []
-    for job in sorted(jobs, key=lambda job: job.born):
+    for job in sorted(jobs, key=lambda job: job.ready_revision):
         limit = left.get(job.spec.team)
         if limit is None:
             continue
@@ -121,7 +121,7 @@
 
 def needs(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
     """What the jobs need that are released, or soon will be, within the teams' limits, oldest first."""
-    jobs = (job for job in tables.jobs.values() if job.runnable or is_released_soon(job, tables))
+    jobs = (job for job in tables.jobs.values() if job.is_runnable or is_released_soon(job, tables))
     return demand_within_limits(jobs, settings, wall_clock_ms, spread, team_limits_of(settings))
 
 
@@ -163,7 +163,7 @@
                 left[offer.kind] -= taken * part
                 tasks -= taken
         if tasks > 1e-6:
-            short.append(Demand(need.spec, tasks, need.home))
+            short.append(Demand(need.spec, tasks, need.bound_zone))
     return left, short
 
 
--- a/sloeswitch/core/graph.py
+++ b/sloeswitch/core/graph.py
@@ -25,49 +25,49 @@
         # Awaited job, known or not and not over -> jobs that wait for it.
         self.successors: dict[str, set[str]] = {}
         # Whether priorities and deadlines that pass upstream are to be reckoned anew (see ready).
-        self.changed = False
+        self.priorities_stale = False
 
-    def joined(self, job: Job) -> None:
+    def add_job(self, job: Job) -> None:
         """A job's row was read for the first time."""
-        for name in job.spec.awaits:
+        for name in job.spec.prerequisites:
             ended = self.over.get(name)
-            if ended is not None and ended.done:
+            if ended is not None and ended.is_done:
                 self._passed(job, ended)
                 continue
-            job.waits += 1
+            job.unfinished_prerequisites += 1
             known = self.jobs.get(name)
-            if ended is not None or (known is not None and known.cancelled):
-                job.condemned = True
+            if ended is not None or (known is not None and known.is_cancelled):
+                job.prerequisite_cancelled = True
             else:
                 self.successors.setdefault(name, set()).add(job.spec.id)
-        if job.waits or job.spec.id in self.successors:
-            self.changed = True
-        if job.cancelled:
-            self.cancelled(job.spec.id)
+        if job.unfinished_prerequisites or job.spec.id in self.successors:
+            self.priorities_stale = True
+        if job.is_cancelled:
+            self.cancel(job.spec.id)
 
-    def done(self, name: str, ended: FinishedJob) -> None:
+    def finish(self, name: str, ended: FinishedJob) -> None:
         """A job is stored as done."""
         for waiting in self.successors.pop(name, ()):
             job = self.jobs.get(waiting)
             if job is not None:
-                job.waits -= 1
+                job.unfinished_prerequisites -= 1
                 self._passed(job, ended)
 
     @staticmethod
     def _passed(job: Job, ended: FinishedJob) -> None:
         """The moment from which a job's times count is the end of the last that it needs. A row of a version
         that stored no such time was written before anything could await it: the submission is later."""
-        job.ready_ms = max(job.ready_ms, ended.at_ms)
-        job.born = max(job.born, ended.stamp)
+        job.ready_ms = max(job.ready_ms, ended.finished_ms)
+        job.ready_revision = max(job.ready_revision, ended.mod_revision)
         job.targets = None
 
-    def cancelled(self, name: str) -> None:
+    def cancel(self, name: str) -> None:
         """A job is cancelled, by its user or by what it needs: so is all that needs it."""
-        self.changed = True
+        self.priorities_stale = True
         walk = [name]
         while walk:
             for waiting in self.successors.pop(walk.pop(), ()):
                 job = self.jobs.get(waiting)
-                if job is not None and not job.condemned:
-                    job.condemned = True
+                if job is not None and not job.prerequisite_cancelled:
+                    job.prerequisite_cancelled = True
                     walk.append(waiting)
--- a/sloeswitch/core/health.py
+++ b/sloeswitch/core/health.py
@@ -25,46 +25,46 @@
         self.first_pause_s = first_pause_s
         self.last_pause_s = last_pause_s
         self.jobs: dict[str, JobHealth] = {}
-        self.rows: dict[str, int] = {}
+        self.consecutive_failures: dict[str, int] = {}
 
-    def success(self, job: str, machine: str) -> None:
-        self.rows.pop(machine, None)
+    def record_success(self, job: str, machine: str) -> None:
+        self.consecutive_failures.pop(machine, None)
         health = self.jobs.get(job)
         if health is not None:
             health.succeeded = True
             health.pause_s = health.retry_at = 0.0
 
-    def failure(self, job: str, machine: str, now: float) -> None:
+    def record_failure(self, job: str, machine: str, now: float) -> None:
         health = self.jobs.setdefault(job, JobHealth())
         health.failed_on.add(machine)
-        if self.job_faulty(job):
+        if self.is_job_faulty(job):
             # Not the machine's fault: take back what the job's earlier failures put on it.
             for name in health.failed_on:
-                self.rows.pop(name, None)
+                self.consecutive_failures.pop(name, None)
             if now >= health.retry_at:
                 health.pause_s = min(self.last_pause_s, max(self.first_pause_s, 2 * health.pause_s))
                 health.retry_at = now + health.pause_s
             return
-        self.rows[machine] = self.rows.get(machine, 0) + 1
+        self.consecutive_failures[machine] = self.consecutive_failures.get(machine, 0) + 1
 
-    def job_faulty(self, job: str) -> bool:
+    def is_job_faulty(self, job: str) -> bool:
         health = self.jobs.get(job)
         return health is not None and not health.succeeded and len(health.failed_on) >= FAULTY_JOB_MACHINES
 
-    def paused(self, job: str, now: float) -> bool:
+    def is_job_paused(self, job: str, now: float) -> bool:
         """A faulty job waits between tries, and then tries one task."""
         health = self.jobs.get(job)
         return health is not None and now < health.retry_at
 
-    def avoid(self, job: str, machine: str) -> bool:
+    def has_failed_on(self, job: str, machine: str) -> bool:
         health = self.jobs.get(job)
-        return health is not None and machine in health.failed_on and not self.job_faulty(job)
+        return health is not None and machine in health.failed_on and not self.is_job_faulty(job)
 
-    def machine_faulty(self, machine: str) -> bool:
-        return self.rows.get(machine, 0) >= QUARANTINE_FAILURES
+    def is_machine_quarantined(self, machine: str) -> bool:
+        return self.consecutive_failures.get(machine, 0) >= QUARANTINE_FAILURES
 
     def forget_job(self, job: str) -> None:
         self.jobs.pop(job, None)
 
     def forget_machine(self, machine: str) -> None:
-        self.rows.pop(machine, None)
+        self.consecutive_failures.pop(machine, None)
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -28,7 +28,7 @@
     # Whether some live job fits such machines and not others.
     scarce: bool = False
 
-    def count(self, spec: JobSpec) -> int:
+    def max_tasks(self, spec: JobSpec) -> int:
         """How many tasks of the job fit."""
         most = spec.tasks
         if spec.cores > 0:
@@ -63,7 +63,7 @@
         rooms = [room for room in rooms if held.get(room.machine, (job, 0.0))[0] == job]
     if job not in health.jobs:
         return rooms
-    return [room for room in rooms if not health.avoid(job, room.machine)]
+    return [room for room in rooms if not health.has_failed_on(job, room.machine)]
 
 
 def without_full(rooms: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
@@ -119,9 +119,9 @@
     for room in fitting(spec, rooms):
         if not tasks:
             break
-        count = room.count(spec)
+        count = room.max_tasks(spec)
         choice = tasks
-        if spec.bound:
+        if spec.zone_bound:
             choice = sum(
                 1 << index for index in taskset.members(tasks) if satisfies_zone_binding(spec, index, room.zone, home)
             )
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -33,7 +33,7 @@
     # The places of jobs in the line; a job without one is last.
     positions: Mapping[str, int]
     # How many running tasks may stop of jobs that stand where they do by their age alone.
-    lendable: Mapping[str, int] = field(default_factory=dict)
+    preemptible_counts: Mapping[str, int] = field(default_factory=dict)
 
     @staticmethod
     def of(line: Iterable[Job], placed: Mapping[str, int]) -> QueueOrder:
@@ -52,7 +52,7 @@
                 lendable[name] = int(PREEMPTIBLE_SHARE * placed.get(name, 0).bit_count())
         return QueueOrder(positions, lendable)
 
-    def behind(self, job: str, other: str) -> bool:
+    def is_behind(self, job: str, other: str) -> bool:
         """Whether the other job stands behind this one."""
         last = len(self.positions)
         return self.positions.get(other, last) > self.positions.get(job, last)
@@ -68,8 +68,8 @@
             continue
         if PRIORITY_RANKS[attempt.spec.priority] <= urgency(job):
             continue
-        if not order.behind(job.spec.id, attempt.job):
-            if lent[attempt.job] >= order.lendable.get(attempt.job, 0):
+        if not order.is_behind(job.spec.id, attempt.job):
+            if lent[attempt.job] >= order.preemptible_counts.get(attempt.job, 0):
                 continue
             lent[attempt.job] += 1
         found.append(attempt)
@@ -95,11 +95,11 @@
     trial = FreeCapacity(**vars(room))
     chosen: list[Attempt] = []
     for attempt in attempts:
-        if trial.count(spec):
+        if trial.max_tasks(spec):
             break
         trial.take(attempt.spec, -1)
         chosen.append(attempt)
-    return chosen if trial.count(spec) else []
+    return chosen if trial.max_tasks(spec) else []
 
 
 def within_limit(spec: JobSpec, short: ResourceUsage, attempts: Iterable[Attempt]) -> list[Attempt] | None:
@@ -126,7 +126,7 @@
     the job from room that is there, so that a machine with room will do."""
     best: Preemption | None = None
     for room, attempts in rooms:
-        if at_limit and room.count(job.spec):
+        if at_limit and room.max_tasks(job.spec):
             return Preemption(room.machine, [])
         stopped = victims(job.spec, room, preemptible(job, attempts, order))
         if stopped and (best is None or len(stopped) < len(best.attempts)):
--- a/sloeswitch/core/ready.py
+++ b/sloeswitch/core/ready.py
@@ -24,7 +24,7 @@
     """Seconds from submission by which the job is due, by what is aimed at for its class."""
     if spec.deadline_s is None:
         return set()
-    times = {aim.times for aim in objectives if aim.kind == "deadline" and aim.klass == spec.klass}
+    times = {aim.times for aim in objectives if aim.kind == "deadline" and aim.job_class == spec.job_class}
     return {each * spec.deadline_s for each in times}
 
 
@@ -37,7 +37,7 @@
     found = deadlines(spec, objectives)
     waited_s = (job.ready_ms - job.submitted_ms) / 1000
     for objective in objectives:
-        if objective.klass != spec.klass or objective.within_s is None:
+        if objective.job_class != spec.job_class or objective.within_s is None:
             continue
         if objective.kind == "finished":
             found.add(waited_s + objective.within_s)
@@ -56,10 +56,10 @@
     be done by their deadlines less the path between, the usual backward pass over a critical path. A step of
     the path is an estimate, the image's way to a machine and a report."""
     graph, jobs = tables.graph, tables.jobs
-    graph.changed = False
-    fetch_gb_s = min((kind.fetch_gb_s for kind in tables.types.values() if kind.fetch_gb_s > 0), default=0.0)
+    graph.priorities_stale = False
+    fetch_gb_s = min((kind.fetch_gb_s for kind in tables.machine_types.values() if kind.fetch_gb_s > 0), default=0.0)
     needed_by = {
-        name: {waiting for waiting in waitings if waiting in jobs and not jobs[waiting].cancelled}
+        name: {waiting for waiting in waitings if waiting in jobs and not jobs[waiting].is_cancelled}
         for name, waitings in graph.successors.items()
         if name in jobs
     }
@@ -68,7 +68,11 @@
         if job.inherited_rank is not None or job.inherited_ms is not None or name in needed_by:
             was[name] = (job.inherited_rank, job.inherited_ms)
             job.inherited_rank = job.inherited_ms = None
-    walk = deque(name for name, job in jobs.items() if job.waits and not job.cancelled and not needed_by.get(name))
+    walk = deque(
+        name
+        for name, job in jobs.items()
+        if job.unfinished_prerequisites and not job.is_cancelled and not needed_by.get(name)
+    )
     while walk:
         name = walk.popleft()
         job = jobs[name]
@@ -81,7 +85,7 @@
         if job.inherited_ms is not None:
             ends += job.inherited_ms
         lead_ms = 1000 * (spec.estimate_s + settings.report_s + (spec.image_gb / fetch_gb_s if fetch_gb_s else 0.0))
-        for before in spec.awaits:
+        for before in spec.prerequisites:
             waitings = needed_by.get(before)
             if waitings is None or name not in waitings:
                 continue
@@ -92,7 +96,7 @@
                 known = earlier.inherited_ms or (first, last)
                 earlier.inherited_ms = (min(first, known[0]), min(last, known[1]))
             waitings.discard(name)
-            if not waitings and earlier.waits:
+            if not waitings and earlier.unfinished_prerequisites:
                 walk.append(before)
     for name, before_ in was.items():
         if before_ != (jobs[name].inherited_rank, jobs[name].inherited_ms):
@@ -129,14 +133,14 @@
 
 def is_ordered_by_age(job: Job) -> bool:
     """Whether the job stands in the line by its age alone, since it has not been done for so long."""
-    return job.rank[:1] == (1,)
+    return job.queue_rank[:1] == (1,)
 
 
 def next_target(job: Job, objectives: tuple[Objective, ...], age_s: float) -> tuple[int, float | None]:
     """How many targets of the job are missed for certain, and the age at which its last tasks must have
     started to meet the next one; None when there is no such target."""
     found = targets(job, objectives)
-    needed = job.spec.estimate_s if job.unstarted else 0.0
+    needed = job.spec.estimate_s if job.has_unclaimed_tasks else 0.0
     for missed, target in enumerate(found):
         if target >= age_s + needed:
             return missed, target - needed
@@ -161,9 +165,9 @@
     day). How long a job may stand back is bounded: one that waited too long for its beginning stands in the line
     twice, in front for a part of its tasks (`beginning`) and in its ordinary place for the rest.
     """
-    if tables.graph.changed:
+    if tables.graph.priorities_stale:
         inherit(tables, settings)
-    live = sorted((job for job in tables.jobs.values() if job.runnable), key=lambda job: job.born)
+    live = sorted((job for job in tables.jobs.values() if job.is_runnable), key=lambda job: job.ready_revision)
     wanted: dict[tuple[str, bool], tuple[float, float]] = {}
     keyed: list[tuple[tuple[int, bool, bool, int, int, float], Job]] = []
     for job in live:
@@ -184,9 +188,9 @@
         if job.guaranteed is None:
             job.guaranteed = team is not None and within_guarantee(team, cores, gpus)
         missed, start_by_s = next_target(job, settings.objectives, age_s)
-        job.beginning = back == 0
-        if job.beginning:
-            keyed.append(((0, False, False, -1, 0, float(job.born)), job))
+        job.starved = back == 0
+        if job.starved:
+            keyed.append(((0, False, False, -1, 0, float(job.ready_revision)), job))
             back = 2
         start_by = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
         if job.guaranteed and urgency(job) < STANDARD_RANK:
@@ -194,13 +198,13 @@
             # small urgent stages waited behind it for two minutes (found on a recorded day). The guarantees bound it.
             key = (0, False, False, urgency(job), missed, start_by)
         elif back < 2:
-            key = (back, False, False, 0, 0, float(job.born))
+            key = (back, False, False, 0, 0, float(job.ready_revision))
         elif missed and start_by_s is None and urgency(job) >= STANDARD_RANK:
             # Only the end of all work is at stake: the longest tasks first, so that none is left over.
             key = (back, True, False, 0, 0, -spec.estimate_s)
         else:
             key = (back, False, not job.guaranteed, urgency(job), missed, start_by)
-        job.rank = key[:-1]
+        job.queue_rank = key[:-1]
         keyed.append((key, job))
     keyed.sort(key=lambda pair: pair[0])
     return [job for _, job in keyed]
@@ -228,7 +232,7 @@
 
     def window_from(start: int) -> list[Job]:
         most = jobs[start : start + DEAL_WINDOW * parts]
-        return list(takewhile(lambda job: job.rank == most[0].rank, most))
+        return list(takewhile(lambda job: job.queue_rank == most[0].queue_rank, most))
 
     start = 0
     while start < len(jobs):
