--- a/sloeswitch/core/registry.py
+++ b/sloeswitch/core/registry.py
@@ -44,8 +44,8 @@
     number: int
     spec: JobSpec
     state: str = PENDING
-    seen: bool = False
-    sent_serial: int | None = None
+    reported: bool = False
+    sent_sequence: int | None = None
     kill_grace_s: float | None = None
     placed_at: float = 0.0
     killed_at: float = 0.0
@@ -72,55 +72,55 @@
     type: str
     zone: str
     spot: bool
-    session: int = 0
-    serial: int = 0
+    agent_epoch: int = 0
+    report_sequence: int = 0
     # The last session whose lease is surely over: nothing that it reported can be true any more.
-    session_over: int = 0
+    expired_agent_epoch: int = 0
     # Reports under tokens from here on are ours: we have owned the machine since that view.
-    since_token: int = 0
-    heard: bool = False
+    owned_since_token: int = 0
+    reconciled: bool = False
     # Nothing of an earlier owner can be on it any more.
-    accounted: bool = False
+    accounted_for: bool = False
     # Whether the last report came from a machine seen to have received the answer before it.
-    reached: bool = False
-    reached_at: float = float("-inf")
+    reachable: bool = False
+    reachable_at: float = float("-inf")
     answered_at: float = float("-inf")
-    heard_at: float = float("-inf")
+    last_heard_at: float = float("-inf")
     # The last report of its own accord; the first word of any kind under this ownership counts as one.
     reported_at: float | None = None
-    gone_at: float = float("inf")
-    notice_s: float | None = None
+    lease_expires_at: float = float("inf")
+    preemption_notice_s: float | None = None
     draining: bool = False
     # Since when users have been told of a cancellation of which a task may be on it. It outlasts our books'
     # word that the lease is over: a machine that hangs gives its tasks up only when it goes on.
     cancelled_since: float | None = None
-    spared: bool = False
+    surplus: bool = False
     attempts: dict[Task, Attempt] = field(default_factory=dict)
     # The same attempts by what reports call them, what they use together, and their images.
-    keyed: dict[tuple[str, int], Attempt] = field(default_factory=dict)
-    use: ResourceUsage = field(default_factory=ResourceUsage)
+    attempts_by_key: dict[tuple[str, int], Attempt] = field(default_factory=dict)
+    usage: ResourceUsage = field(default_factory=ResourceUsage)
     memory: float = 0.0
-    fetched: dict[str, int] = field(default_factory=dict)
+    image_attempts: dict[str, int] = field(default_factory=dict)
     # Exited attempts to be cleared: (task name, attempt) -> whether the result is a completion.
-    exited: dict[tuple[str, int], bool] = field(default_factory=dict)
+    ended_attempts: dict[tuple[str, int], bool] = field(default_factory=dict)
     # Attempts the worker reports that are not ours to keep.
-    unwanted: dict[tuple[str, int], None] = field(default_factory=dict)
+    foreign_attempts: dict[tuple[str, int], None] = field(default_factory=dict)
     images: dict[str, None] = field(default_factory=dict)
 
     @property
-    def known(self) -> bool:
-        return self.heard or self.accounted
+    def is_recovered(self) -> bool:
+        return self.reconciled or self.accounted_for
 
 
 @dataclass
 class ReconcileResult:
     """What a report brought to light."""
 
-    fresh: bool = False
+    accepted: bool = False
     done: list[tuple[Task, str]] = field(default_factory=list)
     failed: list[tuple[Task, str]] = field(default_factory=list)
-    adopt: list[Task] = field(default_factory=list)
-    freed: bool = False
+    adopted: list[Task] = field(default_factory=list)
+    capacity_freed: bool = False
 
 
 class MachineRegistry:
@@ -128,11 +128,11 @@
 
     def __init__(self) -> None:
         self.machines: dict[str, Machine] = {}
-        self.placed: dict[str, int] = {}
+        self.placed_tasks: dict[str, int] = {}
         # What the attempts of each team use.
-        self.uses: dict[str, ResourceUsage] = {}
+        self.team_usage: dict[str, ResourceUsage] = {}
         # Tasks of ours that were on machines which moved to another owner; nowhere else until settled.
-        self.limbo: dict[str, int] = {}
+        self.handed_off_tasks: dict[str, int] = {}
         self.adopting: dict[str, int] = {}
 
     # -- ownership
@@ -141,36 +141,38 @@
         """A new run of the controller owns nothing yet."""
         self.__init__()  # type: ignore[misc]
 
-    def take(self, name: str, address: str, kind: str, zone: str, spot: bool, token: int, gone_at: float) -> Machine:
+    def add_machine(
+        self, name: str, address: str, kind: str, zone: str, spot: bool, token: int, gone_at: float
+    ) -> Machine:
         """A machine that is ours from this view on."""
-        machine = Machine(name, address, kind, zone, spot, since_token=token, gone_at=gone_at)
+        machine = Machine(name, address, kind, zone, spot, owned_since_token=token, lease_expires_at=gone_at)
         self.machines[name] = machine
         return machine
 
-    def unhear(self, machine: Machine, token: int, gone_at: float) -> None:
+    def mark_unreconciled(self, machine: Machine, token: int, gone_at: float) -> None:
         """The machine may have had another owner in between: what is on it must be heard again."""
-        self._to_limbo(machine)
-        machine.since_token = token
-        machine.heard = machine.accounted = False
+        self._hand_off_attempts(machine)
+        machine.owned_since_token = token
+        machine.reconciled = machine.accounted_for = False
         machine.reported_at = None
-        machine.serial = machine.session = 0
-        machine.gone_at = gone_at
-        machine.exited.clear()
-        machine.unwanted.clear()
+        machine.report_sequence = machine.agent_epoch = 0
+        machine.lease_expires_at = gone_at
+        machine.ended_attempts.clear()
+        machine.foreign_attempts.clear()
 
-    def give_up(self, name: str) -> None:
+    def release_machine(self, name: str) -> None:
         machine = self.machines.pop(name)
-        self._to_limbo(machine)
+        self._hand_off_attempts(machine)
 
-    def _to_limbo(self, machine: Machine) -> None:
+    def _hand_off_attempts(self, machine: Machine) -> None:
         for attempt in list(machine.attempts.values()):
-            self.limbo[attempt.job] = self.limbo.get(attempt.job, 0) | 1 << attempt.index
-            self.drop(machine, attempt)
+            self.handed_off_tasks[attempt.job] = self.handed_off_tasks.get(attempt.job, 0) | 1 << attempt.index
+            self.remove_attempt(machine, attempt)
 
-    def settled(self, tables: Tables, tag: str) -> bool:
+    def is_recovered(self, tables: Tables, tag: str) -> bool:
         """Whether everything of the present view is heard or accounted for, and adoptions are stored."""
         for machine in self.machines.values():
-            if not machine.known:
+            if not machine.is_recovered:
                 return False
         for job, mask in self.adopting.items():
             record = tables.jobs.get(job)
@@ -179,102 +181,102 @@
         self.adopting.clear()
         return True
 
-    def still_adopting(self) -> dict[str, int]:
+    def pending_adoptions(self) -> dict[str, int]:
         """Adoptions not yet known to be stored, of tasks that are still on our machines."""
-        kept = {job: mask & self.placed.get(job, 0) for job, mask in self.adopting.items()}
+        kept = {job: mask & self.placed_tasks.get(job, 0) for job, mask in self.adopting.items()}
         self.adopting = {job: mask for job, mask in kept.items() if mask}
         return self.adopting
 
-    def prune_limbo(self, tables: Tables, tag: str) -> None:
+    def prune_handed_off(self, tables: Tables, tag: str) -> None:
         """Tasks that a new owner adopted or saw done are out of our hands, their allowance too."""
-        for name in list(self.limbo):
+        for name in list(self.handed_off_tasks):
             job = tables.jobs.get(name)
-            mask = self.limbo[name] & job.progress.claims.get(tag, 0) if job is not None else 0
+            mask = self.handed_off_tasks[name] & job.progress.claims.get(tag, 0) if job is not None else 0
             if mask:
-                self.limbo[name] = mask
+                self.handed_off_tasks[name] = mask
             else:
-                del self.limbo[name]
+                del self.handed_off_tasks[name]
 
     # -- attempts
 
-    def start(self, machine: Machine, job: str, index: int, number: int, spec: JobSpec, now: float) -> None:
-        self._put(machine, Attempt(job, index, number, spec, placed_at=now))
+    def add_attempt(self, machine: Machine, job: str, index: int, number: int, spec: JobSpec, now: float) -> None:
+        self._insert_attempt(machine, Attempt(job, index, number, spec, placed_at=now))
 
-    def _put(self, machine: Machine, attempt: Attempt) -> None:
+    def _insert_attempt(self, machine: Machine, attempt: Attempt) -> None:
         spec = attempt.spec
-        machine.attempts[attempt.task] = machine.keyed[attempt.key] = attempt
-        machine.use.add(spec)
+        machine.attempts[attempt.task] = machine.attempts_by_key[attempt.key] = attempt
+        machine.usage.add(spec)
         machine.memory += spec.memory
-        machine.fetched[spec.image] = machine.fetched.get(spec.image, 0) + 1
-        self.uses.setdefault(spec.team, ResourceUsage()).add(spec)
-        self.placed[attempt.job] = self.placed.get(attempt.job, 0) | 1 << attempt.index
+        machine.image_attempts[spec.image] = machine.image_attempts.get(spec.image, 0) + 1
+        self.team_usage.setdefault(spec.team, ResourceUsage()).add(spec)
+        self.placed_tasks[attempt.job] = self.placed_tasks.get(attempt.job, 0) | 1 << attempt.index
 
-    def drop(self, machine: Machine, attempt: Attempt) -> None:
+    def remove_attempt(self, machine: Machine, attempt: Attempt) -> None:
         if machine.attempts.get(attempt.task) is not attempt:
             return
         spec = attempt.spec
-        del machine.attempts[attempt.task], machine.keyed[attempt.key]
-        machine.use.add(spec, -1)
+        del machine.attempts[attempt.task], machine.attempts_by_key[attempt.key]
+        machine.usage.add(spec, -1)
         machine.memory -= spec.memory
         if not machine.attempts:
-            machine.use, machine.memory = ResourceUsage(), 0.0  # so that rounding does not add up
-        machine.fetched[spec.image] -= 1
-        if not machine.fetched[spec.image]:
-            del machine.fetched[spec.image]
-        self.uses[spec.team].add(spec, -1)
-        mask = self.placed.get(attempt.job, 0) & ~(1 << attempt.index)
+            machine.usage, machine.memory = ResourceUsage(), 0.0  # so that rounding does not add up
+        machine.image_attempts[spec.image] -= 1
+        if not machine.image_attempts[spec.image]:
+            del machine.image_attempts[spec.image]
+        self.team_usage[spec.team].add(spec, -1)
+        mask = self.placed_tasks.get(attempt.job, 0) & ~(1 << attempt.index)
         if mask:
-            self.placed[attempt.job] = mask
+            self.placed_tasks[attempt.job] = mask
         else:
-            self.placed.pop(attempt.job, None)
-        if not self.placed:
-            self.uses.clear()
+            self.placed_tasks.pop(attempt.job, None)
+        if not self.placed_tasks:
+            self.team_usage.clear()
 
-    def lose(self, machine: Machine) -> list[Task]:
+    def fail_machine(self, machine: Machine) -> list[Task]:
         """All that was on the machine is gone for certain."""
         lost = list(machine.attempts)
         for attempt in list(machine.attempts.values()):
-            self.drop(machine, attempt)
-        machine.exited.clear()
-        machine.unwanted.clear()
-        machine.accounted = True
-        machine.heard = machine.reached = False
+            self.remove_attempt(machine, attempt)
+        machine.ended_attempts.clear()
+        machine.foreign_attempts.clear()
+        machine.accounted_for = True
+        machine.reconciled = machine.reachable = False
         return lost
 
-    def lease_over(self, machine: Machine) -> list[Task]:
+    def expire_lease(self, machine: Machine) -> list[Task]:
         """The machine's lease is surely over. Guards against reports of that session which were held up on
         the way: they may come with numbers never seen before, and would bring its tasks back to life."""
-        machine.session_over = max(machine.session_over, machine.session)
-        return self.lose(machine)
+        machine.expired_agent_epoch = max(machine.expired_agent_epoch, machine.agent_epoch)
+        return self.fail_machine(machine)
 
-    def withdraw_unsent(self, machine: Machine) -> int:
+    def remove_unsent(self, machine: Machine) -> int:
         """Takes back what was placed on a machine and never sent there."""
-        unsent = [a for a in machine.attempts.values() if a.sent_serial is None and not a.seen]
+        unsent = [a for a in machine.attempts.values() if a.sent_sequence is None and not a.reported]
         for attempt in unsent:
-            self.drop(machine, attempt)
+            self.remove_attempt(machine, attempt)
         return len(unsent)
 
     def busy_tasks(self, job: str) -> int:
         """Tasks of the job that are, or may be, somewhere under this controller's responsibility."""
-        return self.placed.get(job, 0) | self.limbo.get(job, 0)
+        return self.placed_tasks.get(job, 0) | self.handed_off_tasks.get(job, 0)
 
-    def waiting(self, job: str, claimed: int, done: int) -> int:
+    def unplaced_tasks(self, job: str, claimed: int, done: int) -> int:
         """Tasks claimed by this controller that are nowhere: handed back, or not yet placed."""
         return claimed & ~done & ~self.busy_tasks(job)
 
     # -- reports
 
-    def hear(
+    def reconcile(
         self, machine: Machine, report: WorkerReport, heartbeat: bool, now: float, token: int, tables: Tables
     ) -> ReconcileResult:
         heard = ReconcileResult()
-        if self.is_late(machine, report):
+        if self.is_outdated(machine, report):
             return heard  # something newer is known
-        if not machine.since_token <= report.token <= token:
+        if not machine.owned_since_token <= report.fencing_token <= token:
             return heard  # not yet fenced: an earlier owner's answer may still act
-        renewed = report.session > machine.session > 0
-        ours = {} if renewed else machine.keyed
-        exited = {} if renewed else machine.exited
+        renewed = report.agent_epoch > machine.agent_epoch > 0
+        ours = {} if renewed else machine.attempts_by_key
+        exited = {} if renewed else machine.ended_attempts
         same = 0
         changed: list[tuple[Attempt, ReportedTask]] = []
         kept: set[tuple[str, int]] = set()
@@ -282,7 +284,7 @@
         for item in report.tasks:
             key = (item.task, item.attempt)
             attempt = ours.get(key)
-            if attempt is not None and attempt.seen and item.state == attempt.state:
+            if attempt is not None and attempt.reported and item.state == attempt.state:
                 same += 1
                 kept.add(key)
                 continue
@@ -295,58 +297,58 @@
                 kept.add(key)
             else:
                 foreign.append((split_task(item.task), item))
-        heard.fresh = True
+        heard.accepted = True
         if renewed:
-            self.lose(machine)
-            heard.freed = True
-        first = not machine.known
-        machine.session, machine.serial = report.session, report.serial
-        machine.heard, machine.accounted = True, True
-        machine.heard_at = now
+            self.fail_machine(machine)
+            heard.capacity_freed = True
+        first = not machine.is_recovered
+        machine.agent_epoch, machine.report_sequence = report.agent_epoch, report.sequence
+        machine.reconciled, machine.accounted_for = True, True
+        machine.last_heard_at = now
         if heartbeat or machine.reported_at is None:
             machine.reported_at = now
-        machine.notice_s = report.notice_s
+        machine.preemption_notice_s = report.preemption_notice_s
         machine.address = report.address
         if same != len(machine.attempts):
             for attempt in list(machine.attempts.values()):
                 if attempt.key not in kept:
-                    self._missing(machine, attempt, heartbeat, report.serial, heard)
+                    self._reconcile_missing(machine, attempt, heartbeat, report.sequence, heard)
             for attempt, item in changed:
-                self._progressed(machine, attempt, item.state, item.cause, now, heard)
-        if machine.exited:
-            for key in [key for key in machine.exited if key not in kept]:
-                del machine.exited[key]
+                self._reconcile_known(machine, attempt, item.state, item.cause, now, heard)
+        if machine.ended_attempts:
+            for key in [key for key in machine.ended_attempts if key not in kept]:
+                del machine.ended_attempts[key]
         if machine.cancelled_since is not None and all(a.kill_grace_s is None for a in machine.attempts.values()):
             machine.cancelled_since = None
-        machine.unwanted.clear()
+        machine.foreign_attempts.clear()
         for task, item in foreign:
-            self._foreign(machine, task, item, first, tables, heard, now)
+            self._reconcile_foreign(machine, task, item, first, tables, heard, now)
         return heard
 
     @staticmethod
-    def is_late(machine: Machine, report: WorkerReport) -> bool:
+    def is_outdated(machine: Machine, report: WorkerReport) -> bool:
         """Whether something newer is known than what the report says, or its session is over."""
-        return report.session <= machine.session_over or (report.session, report.serial) <= (
-            machine.session,
-            machine.serial,
+        return report.agent_epoch <= machine.expired_agent_epoch or (report.agent_epoch, report.sequence) <= (
+            machine.agent_epoch,
+            machine.report_sequence,
         )
 
-    def _missing(
+    def _reconcile_missing(
         self, machine: Machine, attempt: Attempt, heartbeat: bool, serial: int, heard: ReconcileResult
     ) -> None:
         """An attempt that a report lacks."""
-        if attempt.seen:
-            self.drop(machine, attempt)
-            heard.freed = True
-        elif heartbeat and attempt.sent_serial is not None and serial > attempt.sent_serial:
-            attempt.sent_serial = None  # the answer that carried it was dropped: tell it again
+        if attempt.reported:
+            self.remove_attempt(machine, attempt)
+            heard.capacity_freed = True
+        elif heartbeat and attempt.sent_sequence is not None and serial > attempt.sent_sequence:
+            attempt.sent_sequence = None  # the answer that carried it was dropped: tell it again
             if attempt.kill_grace_s is not None:
-                self.drop(machine, attempt)
+                self.remove_attempt(machine, attempt)
 
-    def _progressed(
+    def _reconcile_known(
         self, machine: Machine, attempt: Attempt, state: str, cause: str | None, now: float, heard: ReconcileResult
     ) -> None:
-        attempt.seen = True
+        attempt.reported = True
         attempt.state = state
         if state == RUNNING and attempt.running_at is None:
             attempt.running_at = now
@@ -355,20 +357,20 @@
             machine.images[attempt.spec.image] = None
         if state != ENDED:
             return
-        self.drop(machine, attempt)
-        heard.freed = True
-        self._exited(machine, attempt.key, attempt.task, cause, heard)
+        self.remove_attempt(machine, attempt)
+        heard.capacity_freed = True
+        self._record_ended(machine, attempt.key, attempt.task, cause, heard)
 
-    def _exited(
+    def _record_ended(
         self, machine: Machine, key: tuple[str, int], task: Task, cause: str | None, heard: ReconcileResult
     ) -> None:
-        machine.exited[key] = cause == "done"
+        machine.ended_attempts[key] = cause == "done"
         if cause == "done":
             heard.done.append((task, machine.name))
         elif cause in ("error", "no_such"):
             heard.failed.append((task, machine.name))
 
-    def _foreign(
+    def _reconcile_foreign(
         self,
         machine: Machine,
         task: Task,
@@ -383,48 +385,48 @@
         name, index = task
         key = (item.task, item.attempt)
         if item.state == ENDED:
-            self._exited(machine, key, task, item.cause, heard)
+            self._record_ended(machine, key, task, item.cause, heard)
             return
         if not first:
             # Its place was accounted for without it, so that it may have been started elsewhere.
-            machine.unwanted[key] = None
+            machine.foreign_attempts[key] = None
             return
         job = tables.jobs.get(name)
         if job is None or index >= job.spec.tasks or job.progress.done >> index & 1:
-            machine.unwanted[key] = None
+            machine.foreign_attempts[key] = None
             return
-        if self.placed.get(name, 0) >> index & 1 or not job.progress.claimed() >> index & 1:
+        if self.placed_tasks.get(name, 0) >> index & 1 or not job.progress.claimed_tasks() >> index & 1:
             # Stored claims say that it cannot be here; stop it rather than trust it.
-            machine.unwanted[key] = None
+            machine.foreign_attempts[key] = None
             return
-        attempt = Attempt(name, index, key[1], job.spec, item.state, seen=True, placed_at=now)
+        attempt = Attempt(name, index, key[1], job.spec, item.state, reported=True, placed_at=now)
         if item.state == RUNNING:
             attempt.running_at = now
-        self._put(machine, attempt)
-        mask = self.limbo.get(name, 0) & ~(1 << index)
+        self._insert_attempt(machine, attempt)
+        mask = self.handed_off_tasks.get(name, 0) & ~(1 << index)
         if mask:
-            self.limbo[name] = mask
+            self.handed_off_tasks[name] = mask
         else:
-            self.limbo.pop(name, None)
+            self.handed_off_tasks.pop(name, None)
         self.adopting[name] = self.adopting.get(name, 0) | 1 << index
-        heard.adopt.append(task)
+        heard.adopted.append(task)
 
     # -- orders
 
-    def orders(self, machine: Machine, tables: Tables, serial: int | None) -> list[WorkerCommand]:
+    def commands(self, machine: Machine, tables: Tables, serial: int | None) -> list[WorkerCommand]:
         """What to tell the machine. `serial`: of the heartbeat that is answered; None for a direct command,
         which carries no start, since it could be carried out minutes late."""
         orders = []
-        for key, completed in machine.exited.items():
+        for key, completed in machine.ended_attempts.items():
             if (not completed or self._stored_done(tables, key[0])) and serial is not None:
                 orders.append(WorkerCommand("clear", key[0], key[1]))
-        for key in machine.unwanted:
+        for key in machine.foreign_attempts:
             orders.append(WorkerCommand("kill", key[0], key[1], 0.0))
         for attempt in machine.attempts.values():
             if attempt.kill_grace_s is not None:
                 orders.append(WorkerCommand("kill", attempt.name, attempt.number, attempt.kill_grace_s))
-            elif not attempt.seen and serial is not None and machine.reached:
-                attempt.sent_serial = serial
+            elif not attempt.reported and serial is not None and machine.reachable:
+                attempt.sent_sequence = serial
                 orders.append(WorkerCommand("start", attempt.name, attempt.number))
         return orders
 
@@ -434,10 +436,10 @@
         record = tables.jobs.get(job)
         return record is None or record.status != LIVE or bool(record.progress.done >> index & 1)
 
-    def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> bool:
+    def mark_for_kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> bool:
         """Marks an attempt to be stopped. True when the machine must be told."""
-        if attempt.sent_serial is None and not attempt.seen:
-            self.drop(machine, attempt)
+        if attempt.sent_sequence is None and not attempt.reported:
+            self.remove_attempt(machine, attempt)
             return False
         if attempt.kill_grace_s is None or grace_s < attempt.kill_grace_s:
             attempt.kill_grace_s = grace_s
@@ -449,26 +451,26 @@
     @staticmethod
     def free_cores(machine: Machine, kind: MachineType) -> float:
         """Nothing while unwanted tasks are on it: of unknown size, they will be gone soon."""
-        return 0.0 if machine.unwanted else kind.cores - machine.use.cores
+        return 0.0 if machine.foreign_attempts else kind.cores - machine.usage.cores
 
-    def room(self, machine: Machine, kind: MachineType) -> FreeCapacity:
-        images = {*machine.images, *machine.fetched}
+    def free_capacity(self, machine: Machine, kind: MachineType) -> FreeCapacity:
+        images = {*machine.images, *machine.image_attempts}
         return FreeCapacity(
             machine.name,
             machine.type,
             machine.zone,
             machine.spot,
             self.free_cores(machine, kind),
-            kind.gpus - machine.use.gpus,
+            kind.gpus - machine.usage.gpus,
             kind.memory - machine.memory,
             images,
         )
 
-    def usable(self, machine: Machine) -> bool:
+    def is_schedulable(self, machine: Machine) -> bool:
         return (
-            machine.heard
-            and machine.reached
+            machine.reconciled
+            and machine.reachable
             and not machine.draining
-            and not machine.spared
-            and machine.notice_s is None
+            and not machine.surplus
+            and machine.preemption_notice_s is None
         )
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -151,14 +151,14 @@
     members: tuple[tuple[str, int], ...]
 
     @cached_property
-    def tags(self) -> frozenset[str]:
+    def incarnation_ids(self) -> frozenset[str]:
         return frozenset(incarnation_id_of(member, boot) for member, boot in self.members)
 
     def owner(self, machine: str) -> str | None:
         """The member that owns a machine under this view; None when the view is empty."""
         return owner(machine, self.members)
 
-    def boot_of(self, member: str) -> int | None:
+    def incarnation_of(self, member: str) -> int | None:
         return next((boot for name, boot in self.members if name == member), None)
 
 
@@ -174,10 +174,10 @@
     zone: str | None = None
     attempt: int = 0
     # Adoptions stored up to this epoch are in the claims.
-    epoch: int = 0
+    adoption_revision: int = 0
 
     def copy(self) -> Progress:
-        return Progress(self.done, dict(self.claims), self.zone, self.attempt, self.epoch)
+        return Progress(self.done, dict(self.claims), self.zone, self.attempt, self.adoption_revision)
 
     def adopt(self, tag: str, tasks: int) -> None:
         """The tasks were found on machines of this controller: they are its claims, whoever had them."""
@@ -186,7 +186,7 @@
         claims[tag] = claims.get(tag, 0) | tasks
         self.claims = {holder: mask for holder, mask in claims.items() if mask}
 
-    def claimed(self) -> int:
+    def claimed_tasks(self) -> int:
         taken = 0
         for mask in self.claims.values():
             taken |= mask
@@ -251,18 +251,18 @@
 
     status: str
     tasks: int
-    at_ms: int = 0
-    stamp: int = 0
+    finished_ms: int = 0
+    mod_revision: int = 0
     # Handoffs that are still to be stopped, and the handoff that it came with, until that is acknowledged.
     handoff: OriginRow | None = None
     delegated: DelegationOrigin | None = None
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         return self.status == DONE
 
     @property
-    def settled(self) -> bool:
+    def is_final(self) -> bool:
         """Whether its row changes no more."""
         return self.handoff is None and self.delegated is None
 
@@ -273,17 +273,17 @@
 
     spec: JobSpec
     status: str
-    stamp: int
-    born: int
+    mod_revision: int
+    ready_revision: int
     submitted_ms: int
     progress: Progress = field(default_factory=Progress)
-    progress_stamp: int = 0
+    progress_revision: int = 0
     # Where its spec is, if in parts: the try that stored them, and how many there are.
-    parts: tuple[str, int] | None = None
+    spec_chunks: tuple[str, int] | None = None
     # How many of those that it awaits are not stored as done: dwork's join counter (see graph).
-    waits: int = 0
+    unfinished_prerequisites: int = 0
     # Whether one that it needs, directly or through others, is cancelled.
-    condemned: bool = False
+    prerequisite_cancelled: bool = False
     # When its user cancelled it, by the clock of whoever stored that; 0 if it is not told.
     cancelled_ms: int = 0
     # When the last that it needs was done; its submission when it needs none.
@@ -301,37 +301,41 @@
     # Whether admission keeps it out of the line for now (see admission.gate).
     deferred: bool = False
     # Whether it goes first just now since nothing of it has begun for long; only a part of it does.
-    beginning: bool = False
+    starved: bool = False
     # Whether it fitted its team's guarantee, with the team's earlier jobs, when it was first lined up.
     guaranteed: bool | None = None
     _reckoned: Progress | None = None
     _unstarted: bool = True
     # What its place in the line goes by besides age (see ready).
-    rank: tuple[float, ...] = ()
+    queue_rank: tuple[float, ...] = ()
 
     @cached_property
-    def everything(self) -> int:
+    def all_tasks(self) -> int:
         return taskset.full(self.spec.tasks)
 
     @property
-    def cancelled(self) -> bool:
-        return self.condemned or self.status == CANCELLED
+    def is_cancelled(self) -> bool:
+        return self.prerequisite_cancelled or self.status == CANCELLED
 
     @property
-    def runnable(self) -> bool:
+    def is_runnable(self) -> bool:
         """Whether its tasks may start. One that is condemned waits for ever."""
-        return self.status == LIVE and not self.waits and (self.handoff is None or self.handoff.startable)
+        return (
+            self.status == LIVE
+            and not self.unfinished_prerequisites
+            and (self.handoff is None or self.handoff.startable)
+        )
 
     @property
-    def unstarted(self) -> bool:
+    def has_unclaimed_tasks(self) -> bool:
         """Whether a task is neither done nor claimed. Reckoned once for each progress that is stored."""
         if self._reckoned is not self.progress:
             self._reckoned = self.progress
-            self._unstarted = self.everything != self.progress.done | self.progress.claimed()
+            self._unstarted = self.all_tasks != self.progress.done | self.progress.claimed_tasks()
         return self._unstarted
 
     @property
-    def left(self) -> int:
+    def remaining_tasks(self) -> int:
         return self.spec.tasks - self.progress.done.bit_count()
 
 
@@ -350,8 +354,8 @@
 
 @dataclass
 class MemberRow:
-    boot: int
-    settled: int
+    incarnation: int
+    recovered_view: int
     layout: int
 
 
@@ -368,46 +372,46 @@
     def __init__(self, cancellations: CancellationLog | None = None) -> None:
         # What is told to siblings, and what they told that is not read yet; both outlast a reading of everything.
         self.cancellations = cancellations or CancellationLog(1, 0)
-        self.told: dict[str, int] = {}
+        self.peer_cancellations: dict[str, int] = {}
         self.clear()
 
     def clear(self) -> None:
-        self.stamps: dict[str, int] = {}
+        self.mod_revisions: dict[str, int] = {}
         self.members: dict[str, MemberRow] = {}
         self.coordinator: tuple[str, int] | None = None
         self.view = NO_VIEW
-        self.types: dict[str, MachineType] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self._catalog: dict[str, MachineType] = {}
         self._single_types: dict[str, MachineType] = {}
         self.jobs: dict[str, Job] = {}
-        self.over: dict[str, FinishedJob] = {}
+        self.finished_jobs: dict[str, FinishedJob] = {}
         # Those of them whose row may still change.
-        self.open_over: set[str] = set()
-        self.graph = Graph(self.jobs, self.over)
+        self.unsettled_jobs: set[str] = set()
+        self.graph = Graph(self.jobs, self.finished_jobs)
         # Who has run with this layout, and whether all have (the mark).
-        self.seen: tuple[str, ...] = ()
-        self.upgraded = False
+        self.layout_members: tuple[str, ...] = ()
+        self.layout_complete = False
         self.features: dict[str, FeatureStatus] = {}
         # Cuts of admission by the path of their row; replaced as a whole, so that a reader can tell a change.
-        self.admission: dict[str, AdmissionRow] = {}
+        self.admission_rows: dict[str, AdmissionRow] = {}
         # For each other cell: its handoffs up to this number that are not on record are refused for ever.
-        self.floors: dict[str, int] = {}
+        self.handoff_floors: dict[str, int] = {}
         self.machines: dict[str, MachineRow] = {}
-        self.groups: dict[str, set[str]] = {}
-        self.deleted: set[str] = set()
-        self.allowances: dict[str, dict[str, tuple[float, float]]] = {}
+        self.machine_groups: dict[str, set[str]] = {}
+        self.deleted_machines: set[str] = set()
+        self.quota_allocations: dict[str, dict[str, tuple[float, float]]] = {}
         # Jobs that are over and whose progress is still stored.
-        self.leftover: set[str] = set()
+        self.leftover_progress: set[str] = set()
         # Stored parts of specs: job -> try -> number -> text.
-        self.parts: dict[str, dict[str, dict[int, str]]] = {}
+        self.spec_chunks: dict[str, dict[str, dict[int, str]]] = {}
         # Stored adoptions: job -> [(stamp, tag, tasks)], the earliest first; and their keys.
         self.adoptions: dict[str, list[tuple[int, str, int]]] = {}
         self.adoption_keys: dict[str, str] = {}
         self._early: dict[str, tuple[Progress, int]] = {}
         self._partial: dict[str, tuple[dict[str, Any], int]] = {}
 
-    def stamp(self, key: str) -> int:
-        return self.stamps.get(key, 0)
+    def mod_revision(self, key: str) -> int:
+        return self.mod_revisions.get(key, 0)
 
     def apply(self, key: str, value: Any, stamp: int) -> None:
         """One change; `value` None means the key is gone. Older than what is known: ignored."""
@@ -415,14 +419,14 @@
             return
         name = key[len(KEY_PREFIX) :]
         kind, _, rest = name.partition("/")
-        if kind == "j" and rest in self.over and self.over[rest].settled:
+        if kind == "j" and rest in self.finished_jobs and self.finished_jobs[rest].is_final:
             return  # final; an overlapping read may still bring what was before
-        if stamp <= self.stamps.get(key, 0):
+        if stamp <= self.mod_revisions.get(key, 0):
             return
         if value is None:
-            self.stamps.pop(key, None)
+            self.mod_revisions.pop(key, None)
         else:
-            self.stamps[key] = stamp
+            self.mod_revisions[key] = stamp
         try:
             self._apply(kind, rest, value, stamp)
         except (KeyError, TypeError, ValueError, AttributeError, msgspec.MsgspecError) as error:
@@ -441,14 +445,14 @@
         elif kind == "h":
             if value is None:
                 self.machines.pop(rest, None)
-                self.deleted.add(rest)
+                self.deleted_machines.add(rest)
             else:
                 self.machines[rest] = MachineRow(value["a"], value["t"], value["z"], value["s"], machine_key(rest))
-                self.deleted.discard(rest)
+                self.deleted_machines.discard(rest)
         elif kind == "g":
             self._apply_group(rest, {} if value is None else value["m"])
         elif kind == "q":
-            self.allowances[rest] = {tag: (cores, gpus) for tag, (cores, gpus) in (value or {}).items()}
+            self.quota_allocations[rest] = {tag: (cores, gpus) for tag, (cores, gpus) in (value or {}).items()}
         elif kind == "m":
             if value is None:
                 self.members.pop(rest, None)
@@ -459,109 +463,115 @@
         elif kind == "coord":
             self.coordinator = None if value is None else (value["member"], value["boot"])
         elif kind == "f":
-            self.floors[rest] = 0 if value is None else value["n"]
+            self.handoff_floors[rest] = 0 if value is None else value["n"]
         elif kind == "admission":
             self._apply_admission(rest.removeprefix("r"), value)
         elif kind == "feature" and value is not None:
             self.features[rest] = FeatureStatus(tuple(value["seen"]), bool(value["complete"]))
         elif kind == "layout" and value is not None:
-            self.seen = tuple(value["seen"])
-            self.upgraded = bool(value["complete"])
+            self.layout_members = tuple(value["seen"])
+            self.layout_complete = bool(value["complete"])
         elif kind == "catalog":
             kinds = [] if value is None else msgspec.convert(value, MachineTypeCatalog).types
             self._catalog = {item.name: item for item in kinds}
-            self.types = self._catalog | self._single_types
+            self.machine_types = self._catalog | self._single_types
         elif kind == "c":
             if value is None:
                 self._single_types.pop(rest, None)
             else:
                 self._single_types[rest] = msgspec.convert(value, MachineType)
-            self.types = self._catalog | self._single_types
+            self.machine_types = self._catalog | self._single_types
 
     def _apply_admission(self, path: str, value: Any) -> None:
-        rows = dict(self.admission)
+        rows = dict(self.admission_rows)
         if value is None:
             rows.pop(path, None)
         else:
             rows[path] = AdmissionRow.from_stored(value)
-        self.admission = rows
+        self.admission_rows = rows
 
     def _apply_group(self, group: str, rows: dict[str, list[Any]]) -> None:
-        gone = self.groups.pop(group, set()) - rows.keys()
+        gone = self.machine_groups.pop(group, set()) - rows.keys()
         if rows:
-            self.groups[group] = set(rows)
+            self.machine_groups[group] = set(rows)
         # A group too large for a value is parted, and a write repeated after no answer makes another group, so
         # that a machine may be in several. The last of them by name holds it, whatever order they were read in:
         # left out of the others by different controllers, it is still in that one.
         for name in gone:
-            other = max((other for other, members in self.groups.items() if name in members), default=None)
+            other = max((other for other, members in self.machine_groups.items() if name in members), default=None)
             if other is not None:
                 self.machines[name].key = group_key(other)
             else:
                 self.machines.pop(name, None)
-                self.deleted.add(name)
+                self.deleted_machines.add(name)
         for name, (address, kind, zone, spot) in rows.items():
             known = self.machines.get(name)
             key = group_key(group)
-            if known is not None and known.key > key and name in self.groups.get(group_of(known.key), ()):
+            if known is not None and known.key > key and name in self.machine_groups.get(group_of(known.key), ()):
                 key = known.key
             self.machines[name] = MachineRow(address, kind, zone, spot, key)
-            self.deleted.discard(name)
+            self.deleted_machines.discard(name)
 
     def apply_peer_cancellation(self, told: Cancellation) -> None:
         """A sibling knows this cancellation to be stored. It is acted on and answered before the row is read; the
         stamp stays that of the row as read, so that no write relies on more."""
         name = told.job
         job = self.jobs.get(name)
-        if name in self.over or name in self.told or (job is not None and job.status == CANCELLED):
+        if (
+            name in self.finished_jobs
+            or name in self.peer_cancellations
+            or (job is not None and job.status == CANCELLED)
+        ):
             return
-        self.told[name] = told.stamp
-        self.cancellations.add(name, told.stamp)
+        self.peer_cancellations[name] = told.revision
+        self.cancellations.add(name, told.revision)
         if job is not None:
             job.status = CANCELLED
-        self.graph.cancelled(name)
+        self.graph.cancel(name)
 
     def _apply_job(self, name: str, value: Any, stamp: int) -> None:
         if value is None:
             self.jobs.pop(name, None)
-            self.over.pop(name, None)
-            self.open_over.discard(name)
+            self.finished_jobs.pop(name, None)
+            self.unsettled_jobs.discard(name)
             return
         handoff = handoff_from_stored(name, value.get("h"))
         delegated = DelegationOrigin(*value["o"]) if "o" in value else None
-        if value["s"] == CANCELLED and name not in self.over:
+        if value["s"] == CANCELLED and name not in self.finished_jobs:
             known = self.jobs.get(name)
             if known is None or known.status != CANCELLED:
                 self.cancellations.add(name, stamp)
-            self.told.pop(name, None)
+            self.peer_cancellations.pop(name, None)
         if "spec" not in value and "parts" not in value:
             self.jobs.pop(name, None)
             self._early.pop(name, None)
             self._partial.pop(name, None)
-            if self.stamp(progress_key(name)):
-                self.leftover.add(name)
-            ended = self.over[name] = FinishedJob(value["s"], value["n"], value.get("t", 0), stamp, handoff, delegated)
-            (self.open_over.discard if ended.settled else self.open_over.add)(name)
-            if ended.settled:
-                self.stamps.pop(job_key(name), None)
-            if ended.done:
-                self.graph.done(name, ended)
+            if self.mod_revision(progress_key(name)):
+                self.leftover_progress.add(name)
+            ended = self.finished_jobs[name] = FinishedJob(
+                value["s"], value["n"], value.get("t", 0), stamp, handoff, delegated
+            )
+            (self.unsettled_jobs.discard if ended.is_final else self.unsettled_jobs.add)(name)
+            if ended.is_final:
+                self.mod_revisions.pop(job_key(name), None)
+            if ended.is_done:
+                self.graph.finish(name, ended)
             else:
-                self.graph.cancelled(name)
+                self.graph.cancel(name)
             return
         known = self.jobs.get(name)
         if known is not None:
-            known.status = CANCELLED if name in self.told else value["s"]
-            known.stamp = stamp
+            known.status = CANCELLED if name in self.peer_cancellations else value["s"]
+            known.mod_revision = stamp
             known.cancelled_ms = value.get("x", 0)
             known.handoff, known.returned_ms = handoff, value.get("h", {}).get("t", 0)
-            if known.cancelled:
-                self.graph.cancelled(name)
+            if known.is_cancelled:
+                self.graph.cancel(name)
             return
         parts = None
         if "parts" in value:
             attempt, count = parts = value["parts"][0], value["parts"][1]
-            texts = self.parts.get(name, {}).get(attempt, {})
+            texts = self.spec_chunks.get(name, {}).get(attempt, {})
             if len(texts) < count:
                 self._partial[name] = (value, stamp)  # the first reading is by key, not by age
                 return
@@ -569,24 +579,24 @@
         else:
             spec = msgspec.convert(value["spec"], JobSpec)
         # Guards against a reading that was under way when a sibling told of the cancellation.
-        status = CANCELLED if name in self.told else value["s"]
-        job = Job(spec, status, stamp, stamp, value["t"], parts=parts, ready_ms=value["t"])
+        status = CANCELLED if name in self.peer_cancellations else value["s"]
+        job = Job(spec, status, stamp, stamp, value["t"], spec_chunks=parts, ready_ms=value["t"])
         job.cancelled_ms = value.get("x", 0)
         job.handoff, job.returned_ms, job.delegated = handoff, value.get("h", {}).get("t", 0), delegated
         if name in self._early:
-            job.progress, job.progress_stamp = self._early.pop(name)
+            job.progress, job.progress_revision = self._early.pop(name)
         self.jobs[name] = job
-        self.graph.joined(job)
+        self.graph.add_job(job)
 
     def _apply_part(self, rest: str, value: Any) -> None:
         name, attempt, number = rest.split("/")
-        texts = self.parts.setdefault(name, {}).setdefault(attempt, {})
+        texts = self.spec_chunks.setdefault(name, {}).setdefault(attempt, {})
         if value is None:
             texts.pop(int(number), None)
             if not texts:
-                del self.parts[name][attempt]
-            if not self.parts[name]:
-                del self.parts[name]
+                del self.spec_chunks[name][attempt]
+            if not self.spec_chunks[name]:
+                del self.spec_chunks[name]
             return
         texts[int(number)] = value
         if name in self._partial:
@@ -610,63 +620,67 @@
             found.append((stamp, tag, tasks))
             found.sort()
             job = self.jobs.get(name)
-            if job is not None and stamp > job.progress.epoch:
+            if job is not None and stamp > job.progress.adoption_revision:
                 job.progress = job.progress.copy()
                 job.progress.adopt(tag, tasks)
 
     def _apply_progress(self, name: str, value: Any, stamp: int) -> None:
         if value is None:
-            self.leftover.discard(name)
-        if name in self.over:
+            self.leftover_progress.discard(name)
+        if name in self.finished_jobs:
             if value is not None:
-                self.leftover.add(name)
+                self.leftover_progress.add(name)
             return
         progress = Progress() if value is None else Progress.from_stored(value)
         for since, tag, tasks in self.adoptions.get(name, ()):
-            if since > progress.epoch:
+            if since > progress.adoption_revision:
                 progress.adopt(tag, tasks)
         job = self.jobs.get(name)
         if job is not None:
             job.progress = progress
-            job.progress_stamp = 0 if value is None else stamp
+            job.progress_revision = 0 if value is None else stamp
         elif value is not None:
             self._early[name] = (progress, stamp)
 
-    def all_settled(self) -> bool:
+    def recovery_complete(self) -> bool:
         """Whether every machine has been heard, or surely lost its tasks, under the present view.
         From then on a task claimed by a controller outside the view, and adopted by nobody, is nowhere."""
         return bool(self.view.members) and all(
-            (row := self.members.get(member)) is not None and row.boot == boot and row.settled == self.view.number
+            (row := self.members.get(member)) is not None
+            and row.incarnation == boot
+            and row.recovered_view == self.view.number
             for member, boot in self.view.members
         )
 
-    def abandoned(self, job: Job) -> list[str]:
+    def void_claim_holders(self, job: Job) -> list[str]:
         """Tags whose claims on the job are void. Only valid while all_settled()."""
-        tags = self.view.tags
+        tags = self.view.incarnation_ids
         return [tag for tag in job.progress.claims if tag not in tags]
 
-    def open_tasks(self, job: Job, settled: bool) -> int:
+    def unclaimed_tasks(self, job: Job, settled: bool) -> int:
         """Tasks nobody has claimed. A claim of a departed controller stands until all is settled,
         since the task may still run on one of its machines."""
         progress = job.progress
         taken = progress.done
-        tags = self.view.tags if settled else None
+        tags = self.view.incarnation_ids if settled else None
         for tag, mask in progress.claims.items():
             if tags is None or tag in tags:
                 taken |= mask
-        return job.everything & ~taken
+        return job.all_tasks & ~taken
 
-    def allowance(self, team: str, tag: str) -> tuple[float, float]:
+    def quota_allocation(self, team: str, tag: str) -> tuple[float, float]:
         """What tasks of the team on this controller's machines may use together."""
-        return self.allowances.get(team, {}).get(tag, (0.0, 0.0))
+        return self.quota_allocations.get(team, {}).get(tag, (0.0, 0.0))
 
-    def unallotted(self, team: Team) -> tuple[float, float]:
+    def unallocated_quota(self, team: Team) -> tuple[float, float]:
         """What is left of the team's limit for any controller to take. Once all is settled, nothing that
         a departed controller's allowance covered exists. Found on the bench: counted on, such allowances
         used up a limit, nobody asked for more, and the team stood still."""
-        settled = self.all_settled()
-        tags = self.view.tags
-        held = [amounts for tag, amounts in self.allowances.get(team.name, {}).items() if tag in tags or not settled]
+        settled = self.recovery_complete()
+        tags = self.view.incarnation_ids
+        held = [
+            amounts for tag, amounts in self.quota_allocations.get(team.name, {}).items() if tag in tags or not settled
+        ]
         return (
             team.cpus_max - sum(cores for cores, _ in held),
             team.gpus_max - sum(gpus for _, gpus in held),
--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -117,7 +117,7 @@
         moving=_switch(read, table, "moving", where),
         most_under_way=read.whole(table, "most_under_way", where),
         peers=peers,
-        policies=_policies(read, table, {objective.klass for objective in settings.objectives}),
+        policies=_policies(read, table, {objective.job_class for objective in settings.objectives}),
     )
 
 
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -72,34 +72,36 @@
 class PeerStatus:
     """What a controller tells of itself."""
 
-    view: int
-    state_ok: bool
+    view_number: int
+    state_reachable: bool
     # Up to where it has read everything; 0 before the first reading.
-    epoch: int
+    read_revision: int
     # Whether it has read the tables since it started. Before that it may have told its users of cancellations, as a
     # former process, that it does not know.
-    whole: bool
+    fully_read: bool
     # Whether every configured controller has run with a layout whose frames are these.
-    upgraded: bool
+    layout_complete: bool
 
 
 @dataclass(frozen=True)
 class StatusFrame:
     """An INFORM."""
 
-    view: int
-    state_ok: bool
-    whole: bool
-    log: int
-    extract: CancellationDelta
+    view_number: int
+    state_reachable: bool
+    fully_read: bool
+    log_id: int
+    delta: CancellationDelta
 
     def pack(self) -> bytes:
-        flags = FLAG_STATE_REACHABLE * self.state_ok | FLAG_COMPLETE * self.whole | FLAG_MORE * self.extract.more
-        entries = self.extract.cancellations
-        body = INFORM.pack(self.view, flags, self.log, self.extract.upto, len(entries))
+        flags = (
+            FLAG_STATE_REACHABLE * self.state_reachable | FLAG_COMPLETE * self.fully_read | FLAG_MORE * self.delta.more
+        )
+        entries = self.delta.cancellations
+        body = INFORM.pack(self.view_number, flags, self.log_id, self.delta.position, len(entries))
         for entry in entries:
             name = entry.job.encode()
-            body += ENTRY.pack(entry.stamp, len(name)) + name
+            body += ENTRY.pack(entry.revision, len(name)) + name
         return HEADER.pack(MAGIC, VERSION, TYPE_INFORM, len(body)) + body
 
     @staticmethod
@@ -159,13 +161,13 @@
     """What a sibling last told. `asked_at` is when the question was sent."""
 
     asked_at: float = float("-inf")
-    view: int = 0
-    state_ok: bool = False
+    view_number: int = 0
+    state_reachable: bool = False
     # Whether all the cancellations that it may have told its users are known here by now.
-    whole: bool = False
+    cancellations_complete: bool = False
     # Its log of cancellations, and up to where we have it.
-    log: int = 0
-    place: int = 0
+    log_id: int = 0
+    log_position: int = 0
 
 
 class Mesh:
@@ -183,9 +185,9 @@
         self.siblings = siblings
         self.pause_s = pause_s
         self.now = now
-        self.known = known
+        self.status = known
         self.cancellations = cancellations
-        self.learn = learn
+        self.apply_cancellations = learn
         self.peers = {sibling.member: Peer() for sibling in siblings}
         # Features that are on, by the types of frames that they answer.
         self.handlers: dict[int, FrameHandler] = {}
@@ -206,10 +208,10 @@
                     elif kind == TYPE_ASK:
                         check_header(header, TYPE_ASK, ASK.size)
                         await reader.exactly(ASK.size)
-                        reply = pack_tell(NO_CONFIRMATION, self.known().state_ok)
+                        reply = pack_tell(NO_CONFIRMATION, self.status().state_reachable)
                     else:
                         check_header(header, TYPE_INQUIRE, INQUIRE.size)
-                        reply = self.answer(await reader.exactly(INQUIRE.size)).pack()
+                        reply = self.status_for(await reader.exactly(INQUIRE.size)).pack()
                     await stream.send(reply)
         except FrameError as error:
             log.error("%s", error)
@@ -218,21 +220,23 @@
         finally:
             await anyio.aclose_forcefully(stream)
 
-    def answer(self, question: bytes) -> StatusFrame:
+    def status_for(self, question: bytes) -> StatusFrame:
         _view, epoch, name, place = INQUIRE.unpack(question)
-        known = self.known()
+        known = self.status()
         extract = self.cancellations.since(epoch, name, place, MOST_ENTRIES)
-        return StatusFrame(known.view, known.state_ok, known.whole, self.cancellations.name, extract)
+        return StatusFrame(
+            known.view_number, known.state_reachable, known.fully_read, self.cancellations.log_id, extract
+        )
 
-    def heard(self, peer: Peer, asked: float, answer: StatusFrame) -> None:
+    def apply_status(self, peer: Peer, asked: float, answer: StatusFrame) -> None:
         """A sibling's answer. What it tells is known here before the answer counts for anything."""
-        if answer.extract.cancellations:
-            self.learn(answer.extract.cancellations)
-        peer.log, peer.place = answer.log, answer.extract.upto
-        peer.asked_at, peer.view, peer.state_ok = asked, answer.view, answer.state_ok
-        peer.whole = answer.whole and not answer.extract.more
+        if answer.delta.cancellations:
+            self.apply_cancellations(answer.delta.cancellations)
+        peer.log_id, peer.log_position = answer.log_id, answer.delta.position
+        peer.asked_at, peer.view_number, peer.state_reachable = asked, answer.view_number, answer.state_reachable
+        peer.cancellations_complete = answer.fully_read and not answer.delta.more
 
-    async def ask_forever(self, sibling: Sibling) -> None:
+    async def poll_forever(self, sibling: Sibling) -> None:
         peer = self.peers[sibling.member]
         # Whether it closed the connection on an INQUIRE, as an earlier version does.
         earlier = False
@@ -243,8 +247,8 @@
                 with anyio.fail_after(2 * self.pause_s):
                     stream = await anyio.connect_tcp(sibling.address.host, sibling.address.port)
                 reader = FrameReader(stream)
-                earlier = earlier or not self.known().upgraded
-                while not (earlier and answered and self.known().upgraded):
+                earlier = earlier or not self.status().layout_complete
+                while not (earlier and answered and self.status().layout_complete):
                     with anyio.fail_after(2 * self.pause_s):
                         again = await (self._ask if earlier else self._inquire)(peer, stream, reader)
                     answered = True
@@ -265,17 +269,22 @@
     async def _inquire(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         """Whether there is more to be asked for at once."""
         asked = self.now()
-        known = self.known()
-        await stream.send(pack_inquire(known.view, known.epoch, peer.log, peer.place))
+        known = self.status()
+        await stream.send(pack_inquire(known.view_number, known.read_revision, peer.log_id, peer.log_position))
         length = check_header(await reader.exactly(HEADER.size), TYPE_INFORM)
         answer = StatusFrame.unpack(await reader.exactly(length))
-        self.heard(peer, asked, answer)
-        return answer.extract.more and bool(answer.extract.cancellations)
+        self.apply_status(peer, asked, answer)
+        return answer.delta.more and bool(answer.delta.cancellations)
 
     async def _ask(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         asked = self.now()
-        await stream.send(pack_ask(self.known().view))
+        await stream.send(pack_ask(self.status().view_number))
         check_header(await reader.exactly(HEADER.size), TYPE_TELL, TELL.size)
         view, state_ok = TELL.unpack(await reader.exactly(TELL.size))
-        peer.asked_at, peer.view, peer.state_ok, peer.whole = asked, view, bool(state_ok), False
+        peer.asked_at, peer.view_number, peer.state_reachable, peer.cancellations_complete = (
+            asked,
+            view,
+            bool(state_ok),
+            False,
+        )
         return False
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -41,7 +41,7 @@
 @dataclass(frozen=True)
 class Objective:
     kind: str
-    klass: str
+    job_class: str
     within_s: float | None
     share: float
     times: float
@@ -79,7 +79,7 @@
     fd_limit: int
 
     # Steady clocks drift apart by at most 0.05% (protocol); twice that covers a pair of them.
-    drift: float = 0.001
+    clock_drift: float = 0.001
 
     @property
     def members(self) -> tuple[str, ...]:
@@ -105,12 +105,12 @@
     @property
     def worker_gone_s(self) -> float:
         """After this long without an answer a worker has certainly dropped its tasks."""
-        return self.lease_s * (1 + 2 * self.drift) + 0.1
+        return self.lease_s * (1 + 2 * self.clock_drift) + 0.1
 
     @property
     def takeover_gone_s(self) -> float:
         """The same for a worker whose former owner may have answered until its permission ended."""
-        return self.controller_lease_s * (1 + 2 * self.drift) + self.worker_gone_s
+        return self.controller_lease_s * (1 + 2 * self.clock_drift) + self.worker_gone_s
 
 
 class Reader:
--- a/sloeswitch/state.py
+++ b/sloeswitch/state.py
@@ -43,26 +43,26 @@
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
-        self.level = rate
-        self.at = now
+        self.tokens = rate
+        self.refilled_at = now
 
-    def wait_s(self, cost: float, urgency: RequestPriority, now: float) -> float:
+    def acquire(self, cost: float, urgency: RequestPriority, now: float) -> float:
         """0 after taking the cost; else how long until it can be taken."""
-        self.level = min(self.rate, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.tokens = min(self.rate, self.tokens + (now - self.refilled_at) * self.rate)
+        self.refilled_at = now
         # A full bucket always serves, or a cost near its size would wait for ever.
         need = min(self.rate, cost + RESERVED_SHARE[urgency] * self.rate)
-        if urgency is RequestPriority.LEASE or self.level >= need - 1e-9:
-            self.level -= cost
+        if urgency is RequestPriority.LEASE or self.tokens >= need - 1e-9:
+            self.tokens -= cost
             return 0.0
-        return (need - self.level) / self.rate
+        return (need - self.tokens) / self.rate
 
 
 class TransactionOutcome(enum.Enum):
-    DONE = "done"
+    COMMITTED = "done"
     CONFLICT = "conflict"
     NO_LEASE = "no lease"
-    REFUSED = "refused"  # certainly not carried out
+    REJECTED = "refused"  # certainly not carried out
     UNKNOWN = "unknown"  # may have been, or may yet be
 
 
@@ -74,56 +74,56 @@
         self.http = Client(settings.state, most_idle=4)
         self.watch_http = Client(settings.state, most_idle=1)
         self.now = now
-        self.share = share
+        self.controllers = share
         # Most answers take under 10 ms, some a few hundred; a lease must outlive two of these waits.
         self.timeout_s = settings.controller_lease_s / 4
-        self.requests = TokenBucket(settings.state_rps, now())
-        self.writes = TokenBucket(settings.state_write_rps, now())
+        self.request_tokens = TokenBucket(settings.state_rps, now())
+        self.write_tokens = TokenBucket(settings.state_write_rps, now())
         # What the state service takes; lowered should it take less than the settings tell.
         self.txn_ops = settings.txn_ops
         self.value_bytes = settings.value_bytes
         self.last_ok = float("-inf")
         self.failing_since: float | None = None
 
-    def _share_out(self) -> None:
-        parts = max(1, self.share())
-        self.requests.rate = 0.9 * self.settings.state_rps / parts
-        self.writes.rate = 0.9 * self.settings.state_write_rps / parts
+    def _update_rates(self) -> None:
+        parts = max(1, self.controllers())
+        self.request_tokens.rate = 0.9 * self.settings.state_rps / parts
+        self.write_tokens.rate = 0.9 * self.settings.state_write_rps / parts
 
-    async def _admit(self, bucket: TokenBucket, cost: float, urgency: RequestPriority) -> None:
-        self._share_out()
-        while (wait := bucket.wait_s(cost, urgency, self.now())) > 0:
+    async def _acquire(self, bucket: TokenBucket, cost: float, urgency: RequestPriority) -> None:
+        self._update_rates()
+        while (wait := bucket.acquire(cost, urgency, self.now())) > 0:
             await anyio.sleep(wait)
 
-    def most_changes(self, urgency: RequestPriority) -> int:
+    def available_changes(self, urgency: RequestPriority) -> int:
         """How many changes may go into one transaction. More than the bucket holds above what is kept for
         the more urgent would leave a debt, and users' submissions waited a second or two for it (found on
         the bench). A job that ends takes two, and a team's allowance may go with it."""
-        self._share_out()
-        return min(self.txn_ops, max(3, int(self.writes.rate * (1 - RESERVED_SHARE[urgency]))))
+        self._update_rates()
+        return min(self.txn_ops, max(3, int(self.write_tokens.rate * (1 - RESERVED_SHARE[urgency]))))
 
-    async def pay(self, changes: int, urgency: RequestPriority) -> None:
+    async def acquire_changes(self, changes: int, urgency: RequestPriority) -> None:
         """Waits for the right to make so many changes, for a commit whose content follows."""
-        await self._admit(self.writes, changes, urgency)
+        await self._acquire(self.write_tokens, changes, urgency)
 
-    def pay_back(self, changes: int) -> None:
+    def refund_changes(self, changes: int) -> None:
         """What was paid for came to nothing."""
-        self.writes.level += changes
+        self.write_tokens.tokens += changes
 
     async def call(
         self, method: str, path: str, body: bytes | None, urgency: RequestPriority, hold_s: float = 0.0
     ) -> Reply:
         """One request; NoAnswerError when its result is unknown."""
-        await self._admit(self.requests, 1, urgency)
+        await self._acquire(self.request_tokens, 1, urgency)
         client = self.watch_http if hold_s else self.http
         try:
             reply = await client.request(method, path, body, self.timeout_s + hold_s)
         except NoAnswerError:
-            self._failed()
+            self._record_failure()
             raise
         if reply.status in (429, 503):
             if reply.status == 503:
-                self._failed()
+                self._record_failure()
         else:
             self.last_ok = self.now()
             if self.failing_since is not None:
@@ -131,16 +131,16 @@
                 self.failing_since = None
         return reply
 
-    def _failed(self) -> None:
+    def _record_failure(self) -> None:
         if self.failing_since is None:
             self.failing_since = self.now()
             log.info("state service does not answer")
 
     @property
-    def reachable(self) -> bool:
+    def is_reachable(self) -> bool:
         return self.failing_since is None or self.now() - self.failing_since < self.timeout_s
 
-    async def commit(
+    async def compare_and_swap(
         self,
         conditions: dict[str, int],
         writes: dict[str, Any],
@@ -152,9 +152,9 @@
         """One transaction, and the epoch it was answered at. `paid`: see pay()."""
         body = wire.commit_body(conditions, writes, drops, lease or {})
         if paid:
-            self.pay_back(paid - len(writes) - len(drops))
+            self.refund_changes(paid - len(writes) - len(drops))
         else:
-            await self.pay(len(writes) + len(drops), urgency)
+            await self.acquire_changes(len(writes) + len(drops), urgency)
         try:
             reply = await self.call("POST", "/multi", body, urgency)
         except NoAnswerError as error:
@@ -162,9 +162,9 @@
             return TransactionOutcome.UNKNOWN, 0
         try:
             if reply.status == 200:
-                return TransactionOutcome.DONE, wire.decode(reply.body, wire.RevisionReply).epoch
+                return TransactionOutcome.COMMITTED, wire.decode(reply.body, wire.RevisionReply).revision
             if reply.status == 409:
-                return TransactionOutcome.CONFLICT, wire.decode(reply.body, wire.RevisionReply).epoch
+                return TransactionOutcome.CONFLICT, wire.decode(reply.body, wire.RevisionReply).revision
         except wire.MalformedError as error:
             log.error("transaction answered with %s", error)
             return TransactionOutcome.UNKNOWN, 0
@@ -172,14 +172,14 @@
             if b"no such lease" in reply.body:
                 return TransactionOutcome.NO_LEASE, 0
             log.error("transaction refused: %s", reply.body[:200])
-            self._refused(writes, len(writes) + len(drops))
+            self._lower_limits(writes, len(writes) + len(drops))
         elif reply.status == 429:
             # A rate that fell, or another controller's burst: wait for what this one took to come back.
             log.info("transaction of %d changes is over the rate", len(writes) + len(drops))
-            self.writes.level = min(self.writes.level, 0.0)
-        return TransactionOutcome.REFUSED, 0
+            self.write_tokens.tokens = min(self.write_tokens.tokens, 0.0)
+        return TransactionOutcome.REJECTED, 0
 
-    def _refused(self, writes: dict[str, Any], changes: int) -> None:
+    def _lower_limits(self, writes: dict[str, Any], changes: int) -> None:
         """Guards against limits that fell further than announced: the same would be refused for ever."""
         if changes > 2:
             # Two are needed at least: an adoption and its part of the team's limit.
@@ -208,12 +208,12 @@
         self.client = client
         self.tables = tables
         self.now = now
-        self.applied = 0
+        self.applied_revision = 0
         self.loaded = False
         # Whether everything has been read since this process started.
-        self.whole = False
+        self.fully_read = False
         # The tables hold everything the state service held at this time.
-        self.fresh_at = float("-inf")
+        self.linearizable_at = float("-inf")
         # Fresh reads by number: the last one that was sent, and the last that was answered.
         self._sent = 0
         self._read = 0
@@ -222,7 +222,7 @@
         self._next: anyio.Event | None = None
         self._wanted = anyio.Event()
         # What this controller stored and has not read yet: key -> epoch.
-        self._ahead: dict[str, int] = {}
+        self._own_writes: dict[str, int] = {}
         # Watching again at once after each change would use up the request rate.
         self.gap_s = 8.0 / client.settings.state_rps * client.settings.count / 2
 
@@ -230,7 +230,7 @@
         group.start_soon(self._watch)
         group.start_soon(self._serve_reads)
 
-    async def fresh(self, timeout_s: float) -> None:
+    async def read_linearizable(self, timeout_s: float) -> None:
         """Returns once the tables hold all that was stored when this was called; StaleError otherwise. Guards against a
         clock that goes in steps: only a read that is sent after the call serves it, by its number."""
         needed = self._sent + 1
@@ -242,42 +242,42 @@
                     waiter = self._next
                     self._wanted.set()
                     await waiter.wait()
-                    if self._read < needed and not self.client.reachable:
+                    if self._read < needed and not self.client.is_reachable:
                         raise StaleReplicaError
         except TimeoutError:
             raise StaleReplicaError from None
 
-    def hint(self) -> None:
+    def request_read(self) -> None:
         """Something was stored: read it soon."""
         self._wanted.set()
 
-    def stored(self, epoch: int, writes: dict[str, Any]) -> None:
+    def apply_own_write(self, epoch: int, writes: dict[str, Any]) -> None:
         """This controller's own transaction was carried out: known before it is read. A job accepted or claimed,
         or the end of one that others wait for, need not wait for a read to be acted on. Each row is as it was
         stored, whatever else changed before; what a controller may do is decided by conditions and fresh reads."""
         if not self.loaded:
             return
         for key, value in writes.items():
-            if epoch > self.applied:
-                self._ahead[key] = epoch
+            if epoch > self.applied_revision:
+                self._own_writes[key] = epoch
                 self.tables.apply(key, value, epoch)
-        self.hint()
+        self.request_read()
         self._notify()
 
-    def _caught_up(self, events: list[wire.ChangeEvent]) -> None:
+    def _check_own_writes(self, events: list[wire.ChangeEvent]) -> None:
         """Guards against an epoch told with an answer that is not the stamp of what was stored: conditions on it
         would fail for ever."""
-        seen = {(event.write or event.drop, event.stamp) for event in events}
-        for key, epoch in list(self._ahead.items()):
+        seen = {(event.write or event.drop, event.mod_revision) for event in events}
+        for key, epoch in list(self._own_writes.items()):
             if (key, epoch) in seen:
-                del self._ahead[key]
-            elif epoch <= self.applied:
+                del self._own_writes[key]
+            elif epoch <= self.applied_revision:
                 log.error("%s is not stored at epoch %d as told: reading all again", key, epoch)
-                self._ahead.clear()
+                self._own_writes.clear()
                 self.loaded = False
                 return
 
-    def told(self) -> None:
+    def notify_peer_update(self) -> None:
         """Something was learnt from a sibling."""
         self._notify()
 
@@ -285,7 +285,7 @@
         with anyio.move_on_after(timeout_s):
             await self.changed.wait()
 
-    def on_change(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         self._listeners.append(listener)
 
     def _notify(self) -> None:
@@ -298,7 +298,7 @@
     def read_gap_s(self) -> float:
         """Fresh reads take at most half of the requests: with hundreds of jobs asked about there is always
         one wanted, and the claims' own requests waited for seconds behind them (found on the bench)."""
-        return 2.0 / self.client.requests.rate
+        return 2.0 / self.client.request_tokens.rate
 
     async def _serve_reads(self) -> None:
         while True:
@@ -311,7 +311,7 @@
                     self._sent += 1
                     await self._read_changes(0.0)
                     self._read = self._sent
-                    self.fresh_at = max(self.fresh_at, sent)
+                    self.linearizable_at = max(self.linearizable_at, sent)
             except NoAnswerError:
                 await anyio.sleep(self.gap_s / 4)
             finally:
@@ -326,19 +326,19 @@
                     await self._load()
                 await self._read_changes(self.client.settings.lease_s)
                 await anyio.sleep(self.gap_s)
-                while (wait := self.fresh_at + self.gap_s - self.now()) > 0:
+                while (wait := self.linearizable_at + self.gap_s - self.now()) > 0:
                     await anyio.sleep(wait)  # fresh reads bring the same
             except NoAnswerError as error:
                 log.debug("watch: %s", error)
                 await anyio.sleep(self.gap_s)
 
     async def _read_changes(self, hold_s: float) -> None:
-        path = f"/changes?starts={KEY_PREFIX}&after={self.applied}&holdMs={int(hold_s * 1000)}"
+        path = f"/changes?starts={KEY_PREFIX}&after={self.applied_revision}&holdMs={int(hold_s * 1000)}"
         reply = await self.client.call(
             "GET", path, None, RequestPriority.CLAIM if hold_s else RequestPriority.USER, hold_s
         )
         if reply.status == 410:
-            log.info("changes since %d are no longer kept: reading all again", self.applied)
+            log.info("changes since %d are no longer kept: reading all again", self.applied_revision)
             self.loaded = False
             raise NoAnswerError("too old")
         if reply.status != 200:
@@ -350,16 +350,16 @@
             raise NoAnswerError("malformed") from None
         if not self.loaded:
             return
-        for event in sorted(changes.events, key=lambda event: event.stamp):
-            if event.stamp <= self.applied:
+        for event in sorted(changes.events, key=lambda event: event.mod_revision):
+            if event.mod_revision <= self.applied_revision:
                 continue
             if event.write is not None:
-                self.tables.apply(event.write, event.value, event.stamp)
+                self.tables.apply(event.write, event.value, event.mod_revision)
             elif event.drop is not None:
-                self.tables.apply(event.drop, None, event.stamp)
-        self.applied = max(self.applied, changes.epoch)
-        if self._ahead:
-            self._caught_up(changes.events)
+                self.tables.apply(event.drop, None, event.mod_revision)
+        self.applied_revision = max(self.applied_revision, changes.revision)
+        if self._own_writes:
+            self._check_own_writes(changes.events)
         if changes.events:
             self._notify()
 
@@ -379,16 +379,16 @@
                 log.error("rows are malformed: %s", error)
                 raise NoAnswerError("malformed") from None
             if first_epoch is None:
-                first_epoch = page.epoch
+                first_epoch = page.revision
             rows += page.rows
             if not page.more or not page.rows:
                 break
             after = page.rows[-1].key
-        self._ahead.clear()
+        self._own_writes.clear()
         self.tables.clear()
         for row in rows:
-            self.tables.apply(row.key, row.value, row.stamp)
-        self.applied = first_epoch
-        self.loaded = self.whole = True
+            self.tables.apply(row.key, row.value, row.mod_revision)
+        self.applied_revision = first_epoch
+        self.loaded = self.fully_read = True
         log.info("read %d stored values at epoch %d", len(rows), first_epoch)
         self._notify()
--- a/sloeswitch/wire.py
+++ b/sloeswitch/wire.py
@@ -32,7 +32,8 @@
     frozen=True,
     omit_defaults=True,
     rename={
-        "klass": "roster",
+        "job_class": "roster",
+        "prerequisites": "awaits",
         "team": "crew",
         "priority": "urgency",
         "tasks": "visits",
@@ -51,7 +52,7 @@
     },
 ):
     id: str
-    klass: str
+    job_class: str
     team: str
     shape: str
     priority: str
@@ -71,14 +72,14 @@
     zone: str | None = None
     deadline_s: float | None = None
     # Jobs that have to be done before any task of this one starts.
-    awaits: tuple[str, ...] = ()
+    prerequisites: tuple[str, ...] = ()
 
     @property
     def gang(self) -> bool:
         return self.shape == GANG
 
     @property
-    def bound(self) -> bool:
+    def zone_bound(self) -> bool:
         """Whether the zones of its tasks depend on each other."""
         return self.one_zone or self.spread
 
@@ -98,10 +99,10 @@
         "type": "build",
         "zone": "district",
         "spot": "loaners",
-        "session": "shift",
-        "serial": "tally",
-        "token": "baton",
-        "notice_s": "warningS",
+        "agent_epoch": "shift",
+        "sequence": "tally",
+        "fencing_token": "baton",
+        "preemption_notice_s": "warningS",
         "tasks": "visits",
     },
 ):
@@ -110,11 +111,11 @@
     type: str
     zone: str
     spot: bool
-    session: int
-    serial: int
-    token: int
+    agent_epoch: int
+    sequence: int
+    fencing_token: int
     tasks: list[ReportedTask]
-    notice_s: float | None = None
+    preemption_notice_s: float | None = None
 
 
 class WorkerCommand(Struct, omit_defaults=True, rename={"task": "visit", "attempt": "try", "grace_s": "windDownS"}):
@@ -124,10 +125,12 @@
     grace_s: float | None = None
 
 
-class WorkerCommands(Struct, omit_defaults=True, rename={"token": "baton", "session": "shift"}):
-    token: int
-    orders: list[WorkerCommand]
-    session: int | None = None
+class WorkerCommands(
+    Struct, omit_defaults=True, rename={"fencing_token": "baton", "commands": "orders", "agent_epoch": "shift"}
+):
+    fencing_token: int
+    commands: list[WorkerCommand]
+    agent_epoch: int | None = None
 
 
 class MachineType(
@@ -167,8 +170,8 @@
     count: int
 
 
-class InstancesCreated(Struct, rename={"machines": "hosts"}):
-    machines: list[str]
+class InstancesCreated(Struct, rename={"instances": "hosts"}):
+    instances: list[str]
 
 
 class Instance(
@@ -183,41 +186,41 @@
     age_s: float
 
 
-class InstancePage(Struct, rename={"machines": "hosts", "more": "hasNext"}):
-    machines: list[Instance]
+class InstancePage(Struct, rename={"instances": "hosts", "more": "hasNext"}):
+    instances: list[Instance]
     more: bool
 
 
-class StoredRow(Struct, rename={"key": "k", "value": "v"}):
+class StoredRow(Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
     key: str
     value: Any
-    stamp: int
+    mod_revision: int
 
 
-class StoredRowPage(Struct, rename={"more": "hasNext"}):
+class StoredRowPage(Struct, rename={"revision": "epoch", "more": "hasNext"}):
     rows: list[StoredRow]
-    epoch: int
+    revision: int
     more: bool
 
 
-class ChangeEvent(Struct, rename={"value": "v"}):
-    stamp: int
+class ChangeEvent(Struct, rename={"mod_revision": "stamp", "value": "v"}):
+    mod_revision: int
     write: str | None = None
     drop: str | None = None
     value: Any = None
 
 
-class ChangeFeed(Struct):
-    epoch: int
+class ChangeFeed(Struct, rename={"revision": "epoch"}):
+    revision: int
     events: list[ChangeEvent]
 
 
-class RevisionReply(Struct):
-    epoch: int
+class RevisionReply(Struct, rename={"revision": "epoch"}):
+    revision: int
 
 
-class LeaseGrant(Struct):
-    permit: int
+class LeaseGrant(Struct, rename={"lease_id": "permit"}):
+    lease_id: int
 
 
 _decoders: dict[Any, msgspec.json.Decoder[Any]] = {}
@@ -261,10 +264,10 @@
             raise MalformedError(f"{name}: negative or not finite")
     if spec.deadline_s is not None and not (math.isfinite(spec.deadline_s) and spec.deadline_s >= 0):
         raise MalformedError("dueS: negative or not finite")
-    if not all(ID_FORM.fullmatch(name) for name in spec.awaits):
+    if not all(ID_FORM.fullmatch(name) for name in spec.prerequisites):
         raise MalformedError("awaits: not all are job ids")
-    if len(set(spec.awaits)) < len(spec.awaits):
-        spec = msgspec.structs.replace(spec, awaits=tuple(dict.fromkeys(spec.awaits)))
+    if len(set(spec.prerequisites)) < len(spec.prerequisites):
+        spec = msgspec.structs.replace(spec, prerequisites=tuple(dict.fromkeys(spec.prerequisites)))
     return spec
 
 
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -109,8 +109,10 @@
             world.clock,
         )
         lines = world.logs.setdefault(f"{name}.{len(world.logs)}", [])
-        self.machines.gate = AdmissionGate(self.tables, RecordingLog(lines), lambda: self.admission.switched_on)
-        self.machines.on_rooms_left = lambda rooms, at: self.idle.observe(rooms, self.tables.types, at)
+        self.machines.admission = AdmissionGate(self.tables, RecordingLog(lines), lambda: self.admission.switched_on)
+        self.machines.on_remaining_capacities = lambda rooms, at: self.idle.observe(
+            rooms, self.tables.machine_types, at
+        )
         self.look_at = 0.0
 
     def look(self) -> None:
@@ -120,7 +122,7 @@
         self.look_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
 
         async def loops() -> None:
-            await self.admission.feature.mark()
+            await self.admission.feature.record_member()
             for member in self.admission.links:
                 try:
                     await self.admission.ask(member)
@@ -130,7 +132,7 @@
                 await self.admission.epoch()
             except StaleReplicaError:
                 return
-            if self.admission.switched_on and self.leadership.coordinating and self.reaches:
+            if self.admission.switched_on and self.leadership.is_coordinator and self.reaches:
                 self.world.looked()
 
         anyio.run(loops)
@@ -221,7 +223,7 @@
     @property
     def past_lead(self) -> bool:
         """Whether the common cut is behind the clock, so that what comes now may be deferred."""
-        root = self.store.tables.admission.get(ROOT)
+        root = self.store.tables.admission_rows.get(ROOT)
         return root is not None and root.common.cut.submitted_ms < 1000 * self.clock.time
 
     def submit_some(self, most: int) -> None:
@@ -263,15 +265,15 @@
 
     def check_cuts(self) -> None:
         """No stored cut falls, and no controller holds one above it."""
-        rows = self.store.tables.admission
+        rows = self.store.tables.admission_rows
         for lane in {lane_of(job.spec) for job in self.store.tables.jobs.values()} | self.highest.keys():
             path = row_of(rows, lane)
             stored = rows[path].of(lane).cut if path is not None else Ticket(0, "")
             assert stored >= self.highest.get(lane, stored), f"a cut falls: {lane}"
             self.highest[lane] = stored
             for node in self.nodes.values():
-                held = row_of(node.tables.admission, lane)
-                cut: LaneCut | None = None if held is None else node.tables.admission[held].of(lane)
+                held = row_of(node.tables.admission_rows, lane)
+                cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].of(lane)
                 assert cut is None or cut.cut <= stored, f"{node.settings.member} is ahead: {lane}"
 
     def check_bound(self) -> None:
@@ -280,7 +282,7 @@
         heads: dict[Lane, Any] = {}
         for name, decision in decide(tables).items():
             job = tables.jobs[name]
-            if not decision.admitted and job.status == t.LIVE and not job.cancelled:
+            if not decision.admitted and job.status == t.LIVE and not job.is_cancelled:
                 lane = lane_of(job.spec)
                 if lane not in heads or ticket_of(job) < ticket_of(heads[lane]):
                     heads[lane] = job
@@ -291,7 +293,7 @@
             waited = self.undisturbed_s - since
             self.longest_as_head_s = max(self.longest_as_head_s, waited)
             # Lost and late changes cost a look each; a few of them may follow one another.
-            allowed = self.limits.head_bound_s(len(tables.admission)) + 6 * self.limits.epoch_s
+            allowed = self.limits.head_bound_s(len(tables.admission_rows)) + 6 * self.limits.epoch_s
             assert waited <= allowed, f"a lane stands still: {name}"
 
     def check_idle_room(self) -> None:
@@ -313,7 +315,7 @@
     def _could_start(self, name: str, tasks: list[str]) -> bool:
         """Whether a task of the job is open and within the limit of its team."""
         job = self.store.tables.jobs.get(name)
-        if job is None or not job.runnable or not self.store.tables.open_tasks(job, True):
+        if job is None or not job.is_runnable or not self.store.tables.unclaimed_tasks(job, True):
             return False
         limit = self.nodes[self.members[0]].settings.teams[job.spec.team].cpus_max
         return bool(self.used(job.spec.team, tasks) + job.spec.cores <= limit)
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -40,11 +40,11 @@
         if world.rng.random() < 0.05:
             raise CloudError("no answer")
 
-    async def catalog(self) -> wire.MachineTypeCatalog:
+    async def read_catalog(self) -> wire.MachineTypeCatalog:
         self._sent("catalog", b"")
         return wire.MachineTypeCatalog([MACHINE_TYPE, LARGE_TYPE])
 
-    async def machines(self) -> list[wire.Instance]:
+    async def list_instances(self) -> list[wire.Instance]:
         self._sent("list", b"")
         world = self.node.world
         return [
@@ -60,11 +60,11 @@
             for each in world.instances.values()
         ]
 
-    async def rent(self, booking: wire.InstanceRequest) -> list[str] | None:
+    async def create_instances(self, booking: wire.InstanceRequest) -> list[str] | None:
         self._sent("rent", wire.encode(booking))
         return self.node.world.create(booking)
 
-    async def delete(self, machines: list[str]) -> None:
+    async def delete_instances(self, machines: list[str]) -> None:
         self._sent("delete", wire.delete_body(machines))
         for name in machines:
             self.node.world.destroy(name)
@@ -77,22 +77,22 @@
 
     def __init__(self, world: AutoscalingWorld, name: str) -> None:
         super().__init__(world, name)
-        cloud = RecordingCloud(self.settings, lambda: self.leadership.coordinating, world.clock)
+        cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock)
         cloud.node = self
         self.fleet = Autoscaler(self.settings, self.client, cloud, self.replica, self.leadership, world.clock)
-        self.machines.fleet, self.fleet.machines = self.fleet, self.machines
+        self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
 
     def scale(self) -> None:
         """What the loops of the fleet actor do in about a report's time."""
         anyio.run(self._scale)
 
     async def _scale(self) -> None:
-        if self.leadership.coordinating and self.replica.loaded:
+        if self.leadership.is_coordinator and self.replica.loaded:
             await self._scale_out()
-        self.fleet.watch_idle()
-        if self.fleet.returning:
+        self.fleet.scale_in_idle()
+        if self.fleet.terminating:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.fleet.return_forever)
+                group.start_soon(self.fleet.terminate_forever)
                 for _ in range(TURNS):
                     await anyio.lowlevel.checkpoint()
                 group.cancel_scope.cancel()
@@ -102,8 +102,8 @@
     async def _scale_out(self) -> None:
         try:
             await self.fleet._read_catalog()
-            await self.fleet._list()
-            while await self.fleet._rent():
+            await self.fleet._list_instances()
+            while await self.fleet._scale_out():
                 pass
         except CloudError:
             return
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -62,7 +62,7 @@
 
     cell: Cell
 
-    async def commit(
+    async def compare_and_swap(
         self,
         conditions: dict[str, int],
         writes: dict[str, Any],
@@ -74,7 +74,7 @@
         world, cell = self.cell.world, self.cell
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
         if cell.outage:
-            return TransactionOutcome.REFUSED, 0
+            return TransactionOutcome.REJECTED, 0
         luck = world.rng.random() if world.troubled else 1.0
         if luck < 0.03:
             world.late.append((world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops)))
@@ -88,10 +88,10 @@
 
     cell: Cell
 
-    async def fresh(self, timeout_s: float) -> None:
+    async def read_linearizable(self, timeout_s: float) -> None:
         if self.cell.outage:
             raise StaleReplicaError
-        self.fresh_at = self.cell.world.clock.time
+        self.linearizable_at = self.cell.world.clock.time
 
 
 class ScriptedLink:
@@ -142,9 +142,9 @@
         client.store, client.late, client.cell = cell.store, [], cell
         self.replica = CellReplica(client, cell.store.tables, world.clock)
         self.replica.cell = cell
-        self.replica.loaded = self.replica.whole = True
+        self.replica.loaded = self.replica.fully_read = True
         self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock)
-        self.leadership.boot = boot
+        self.leadership.incarnation = boot
         self.jobs = Jobs(settings, client, self.replica, self.leadership, world.clock)
         self.jobs.batch_s = 0.0
         peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
@@ -199,7 +199,7 @@
         """Leases are renewed while the state service answers."""
         for controller in self.controllers.values():
             if not self.outage:
-                controller.leadership.renewed_at = controller.replica.fresh_at = self.world.clock.time
+                controller.leadership.lease_renewed_at = controller.replica.linearizable_at = self.world.clock.time
             failing = controller.target.client
             failing.failing_since = self.world.clock.time - 100 if self.outage else None
 
@@ -212,7 +212,7 @@
         tables, now = self.store.tables, self.world.clock.time
         for key in list(self.running):
             job = tables.jobs.get(key[0])
-            if job is None or job.cancelled:
+            if job is None or job.is_cancelled:
                 del self.running[key]
                 if job is not None:
                     await self._learn(key, done=False)
@@ -228,7 +228,7 @@
                 await self._learn(key, done=True)
         await self._withdrawn()
         if not self.outage:
-            await self.controllers[OWNER].jobs._round()
+            await self.controllers[OWNER].jobs._commit_round()
             await self._claim()
 
     async def _learn(self, key: tuple[str, int, str], done: bool) -> None:
@@ -237,18 +237,18 @@
         controller = self.controllers[tag.partition(".")[0]]
         sets = {job: 1 << index}
         await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
-        await controller.jobs._round()
+        await controller.jobs._commit_round()
 
     async def _withdrawn(self) -> None:
         """Claims on cancelled jobs that run nowhere are released."""
         for job in list(self.store.tables.jobs.values()):
-            if not job.cancelled:
+            if not job.is_cancelled:
                 continue
             for tag, mask in job.progress.claims.items():
                 if not any(key[0] == job.spec.id and key[2] == tag for key in self.running):
                     controller = self.controllers[tag.partition(".")[0]]
                     await controller.jobs.handle(TaskUpdates(released={job.spec.id: mask}))
-                    await controller.jobs._round()
+                    await controller.jobs._commit_round()
 
     async def _claim(self) -> None:
         for job in self.line():
@@ -257,21 +257,23 @@
             if count <= 0:
                 return
             controller = self.controllers[OWNER]
-            held = self.store.tables.allowance("red", controller.leadership.tag)[0]
-            used = sum(self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.tag)
+            held = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
+            used = sum(
+                self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
+            )
             want = (max(held, used + count * job.spec.cores), 0.0)
-            await controller.jobs.handle(ClaimRequest(wants={job.spec.id: count}, grow={"red": want}))
-            await controller.jobs._round()
+            await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
+            await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
 
     def _start(self, name: str, controller: Controller) -> None:
         """Starts what this controller has claimed, within its allowance."""
         job = self.store.tables.jobs.get(name)
-        tag = controller.leadership.tag
-        if job is None or not job.runnable:
+        tag = controller.leadership.incarnation_id
+        if job is None or not job.is_runnable:
             return
         mask = job.progress.claims.get(tag, 0) & ~job.progress.done
-        allowed = self.store.tables.allowance("red", tag)[0]
+        allowed = self.store.tables.quota_allocation("red", tag)[0]
         for index in range(job.spec.tasks):
             key = (name, index, tag)
             if not mask >> index & 1 or key in self.running or key in self.ended:
@@ -328,7 +330,7 @@
             raise RuleError(f"{job} starts in {cell} after its cancellation was confirmed")
         where = self.starts.setdefault(job, Counter())
         where[cell] += 1
-        policy = CLASSES[self.specs[job].klass]
+        policy = CLASSES[self.specs[job].job_class]
         if policy is not MovePolicy.REPEATABLE and len(where) > 1:
             raise RuleError(f"{job} may begin in one cell and began in {', '.join(where)}")
         if policy is MovePolicy.NEVER and cell != self.home[job]:
@@ -473,7 +475,7 @@
     def left_over(self) -> Iterator[str]:
         """What should be forgotten once everything has ended."""
         for cell in self.cells.values():
-            for name in sorted(cell.store.tables.open_over):
+            for name in sorted(cell.store.tables.unsettled_jobs):
                 yield f"{name} in {cell.name}"
             for name, job in cell.store.tables.jobs.items():
                 yield f"{name} in {cell.name}: {job.status}"
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -63,10 +63,10 @@
     most_changes_now: int | None = None
     most_bytes_now: int | None = None
 
-    async def pay(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, urgency: Any) -> None:
         return None
 
-    async def commit(
+    async def compare_and_swap(
         self,
         conditions: dict[str, int],
         writes: dict[str, Any],
@@ -83,8 +83,8 @@
         if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
-            self._refused(writes, len(writes) + len(drops))
-            return TransactionOutcome.REFUSED, 0
+            self._lower_limits(writes, len(writes) + len(drops))
+            return TransactionOutcome.REJECTED, 0
         return self.apply(conditions, writes, drops)
 
     def apply(
@@ -96,24 +96,24 @@
         assert len(conditions) <= 4 * self.settings.txn_ops
         assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
-        if any(tables.stamp(key) != stamp for key, stamp in conditions.items()):
+        if any(tables.mod_revision(key) != stamp for key, stamp in conditions.items()):
             return TransactionOutcome.CONFLICT, self.store.epoch
         for key, value in writes.items():
             self.store.put(key, value)
         for key in drops:
             self.store.put(key, None)
-        return TransactionOutcome.DONE, self.store.epoch
+        return TransactionOutcome.COMMITTED, self.store.epoch
 
 
 class ScriptedReplica(Replica):
     """Knows all that is stored at once."""
 
     @property
-    def applied(self) -> int:
+    def applied_revision(self) -> int:
         return self.client.store.epoch  # type: ignore[attr-defined, no-any-return]
 
-    @applied.setter
-    def applied(self, epoch: int) -> None:
+    @applied_revision.setter
+    def applied_revision(self, epoch: int) -> None:
         pass
 
 
@@ -181,9 +181,9 @@
             if self.clock.time > at + span:
                 del self.leases[name, boot]
                 row = self.store.tables.members.get(name)
-                if row is not None and row.boot == boot:
+                if row is not None and row.incarnation == boot:
                     self.store.put(t.member_key(name), None)
-        members = tuple(sorted((name, row.boot) for name, row in self.store.tables.members.items()))
+        members = tuple(sorted((name, row.incarnation) for name, row in self.store.tables.members.items()))
         if members and members != self.store.tables.view.members:
             self.store.view(self.store.tables.view.number + 1, *members)
 
@@ -305,11 +305,11 @@
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
         peer = node.mesh.peers[other.settings.member]
-        question = pack_inquire(1, node.replica.applied, peer.log, peer.place)[HEADER.size :]
-        frame = other.mesh.answer(question).pack()
+        question = pack_inquire(1, node.replica.applied_revision, peer.log_id, peer.log_position)[HEADER.size :]
+        frame = other.mesh.status_for(question).pack()
         self.recorder.record("frames", node.settings.member, question, other.settings.member, frame)
         answer = StatusFrame.unpack(frame[HEADER.size :])
-        node.mesh.heard(peer, self.clock.time, answer)
+        node.mesh.apply_status(peer, self.clock.time, answer)
 
     def step(self, calm: bool = False) -> None:
         """About a sixth of a second; in calm times only siblings ask."""
@@ -347,13 +347,13 @@
     node: Node
 
     @property
-    def reachable(self) -> bool:
+    def is_reachable(self) -> bool:
         return self.node.reaches
 
-    async def pay(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, urgency: Any) -> None:
         return None
 
-    async def commit(
+    async def compare_and_swap(
         self,
         conditions: dict[str, int],
         writes: dict[str, Any],
@@ -365,18 +365,18 @@
         world = self.node.world
         world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
         if not self.node.reaches:
-            return TransactionOutcome.REFUSED, 0
+            return TransactionOutcome.REJECTED, 0
 
         def carry_out() -> tuple[TransactionOutcome, int]:
             stored = world.store.tables
-            if any(stored.stamp(key) != stamp for key, stamp in conditions.items()):
+            if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
                 return TransactionOutcome.CONFLICT, world.store.epoch
             # One transaction, one revision.
             world.store.epoch += 1
             for key, value in [*writes.items(), *((key, None) for key in drops)]:
                 world.store.epoch -= 1
                 world.store.put(key, value)
-            return TransactionOutcome.DONE, world.store.epoch
+            return TransactionOutcome.COMMITTED, world.store.epoch
 
         luck = world.rng.random()
         if luck < 0.04:
@@ -391,7 +391,7 @@
 
     node: Node
 
-    async def fresh(self, timeout_s: float) -> None:
+    async def read_linearizable(self, timeout_s: float) -> None:
         self.node.read()
 
 
@@ -422,11 +422,11 @@
         node, world = self.node, self.node.world
         worker = world.worker(machine.name)
         commands = node.machines.commands
-        commands.begun(machine)
-        if worker is None or not node.leadership.may_answer:
+        commands.record_begun(machine)
+        if worker is None or not node.leadership.may_answer_workers:
             return
-        orders = node.machines.registry.orders(machine, node.tables, None) if machine.heard else []
-        message = wire.WorkerCommands(node.leadership.view.number, orders, machine.session or 1)
+        orders = node.machines.registry.commands(machine, node.tables, None) if machine.reconciled else []
+        message = wire.WorkerCommands(node.leadership.view.number, orders, machine.agent_epoch or 1)
         world.recorder.record("command", node.settings.member, machine.name, wire.encode(message))
         # As at the end of a real one, which waits for an answer no longer than this.
         wait_s = min(2.0, node.settings.lease_s / 6)
@@ -440,7 +440,7 @@
             if luck < 0.8:
                 node.inbox.append(CommandReply(worker.report()))
                 return
-        commands.failed(machine)
+        commands.record_failure(machine)
 
 
 class ScriptedCloud:
@@ -450,7 +450,7 @@
         self.node = node
         self.returning: set[str] = set()
 
-    def give_back(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
+    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
         self.node.world.recorder.record("return", self.node.settings.member, machine, listed, pressing)
         if machine in self.returning:
             return False
@@ -460,8 +460,10 @@
             self.returning.discard(machine)
             node = self.node
             leadership = node.leadership
-            ours = leadership.owner(machine) == node.settings.member
-            if (ours and leadership.may_act) or (pressing and (leadership.may_answer or leadership.unattended)):
+            ours = leadership.owner_of(machine) == node.settings.member
+            if (ours and leadership.is_leader) or (
+                pressing and (leadership.may_answer_workers or leadership.is_leaderless)
+            ):
                 node.world.delete(machine)
                 node.inbox.append(InstancesDeleted([machine]))
 
@@ -485,7 +487,12 @@
         self.replica.node = self
         self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
         self.mesh = Mesh(
-            self.settings.siblings, 1.0, clock, self.leadership.known, self.tables.cancellations, self.leadership.learn
+            self.settings.siblings,
+            1.0,
+            clock,
+            self.leadership.peer_status,
+            self.tables.cancellations,
+            self.leadership.apply_peer_cancellations,
         )
         self.leadership.mesh = self.mesh
         self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
@@ -497,7 +504,7 @@
         self.machines.pace_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
-            self.machines.fleet = ScriptedCloud(self)
+            self.machines.autoscaler = ScriptedCloud(self)
         self.group = Group(self)
         self.machines.group = self.group  # type: ignore[assignment]
         self.asked: list[ClaimRequest] = []
@@ -505,7 +512,7 @@
         async def ask_for(request: ClaimRequest) -> None:
             raise AssertionError("taken from the group")
 
-        self.machines._ask_for = ask_for  # type: ignore[method-assign]
+        self.machines._await_claims = ask_for  # type: ignore[method-assign]
 
     @property
     def reaches(self) -> bool:
@@ -519,21 +526,21 @@
             key, value, stamp = self.world.log[self.place]
             self.tables.apply(key, value, stamp)
             self.place += 1
-        self.replica.applied = self.world.store.epoch
-        self.replica.loaded = self.replica.whole = True
-        self.replica.fresh_at = self.world.clock.time
+        self.replica.applied_revision = self.world.store.epoch
+        self.replica.loaded = self.replica.fully_read = True
+        self.replica.linearizable_at = self.world.clock.time
 
     def renew(self) -> None:
         if not self.reaches:
             return
         name, now = self.settings.member, self.world.clock.time
-        if not self.leadership.boot or (name, self.leadership.boot) not in self.world.leases:
+        if not self.leadership.incarnation or (name, self.leadership.incarnation) not in self.world.leases:
             self.world.boots += 1
-            self.leadership.boot = self.world.boots
-            self.membership.settled = 0
-            self.world.store.member(name, self.leadership.boot)
-        self.world.leases[name, self.leadership.boot] = now
-        self.leadership.renewed_at = now
+            self.leadership.incarnation = self.world.boots
+            self.membership.recovered_view = 0
+            self.world.store.member(name, self.leadership.incarnation)
+        self.world.leases[name, self.leadership.incarnation] = now
+        self.leadership.lease_renewed_at = now
         self.read()
         anyio.run(self.membership._write_member)
 
@@ -547,7 +554,7 @@
         asked: list[ClaimRequest] = []
 
         def take(call: Any, *args: Any) -> None:
-            if call is self.machines._ask_for:
+            if call is self.machines._await_claims:
                 asked.append(args[0])
             else:
                 start_soon(call, *args)
@@ -570,15 +577,15 @@
                 await self.jobs.handle(message)
             for request in asked:
                 await self.jobs.handle(request)
-                await self.jobs._round()
-                for name, tasks in request.gained.items():
-                    if name in self.machines.releasing:
-                        self.machines.releasing[name] &= ~tasks
+                await self.jobs._commit_round()
+                for name, tasks in request.granted.items():
+                    if name in self.machines.unstored_releases:
+                        self.machines.unstored_releases[name] &= ~tasks
             if not asked:
-                await self.jobs._round()
+                await self.jobs._commit_round()
 
         anyio.run(follow)
-        self.machines.requesting = False
+        self.machines.claim_in_flight = False
 
 
 class Worker:
@@ -617,11 +624,11 @@
 
     def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
         """A direct command: carried out if token and session still match."""
-        if self.hung or message.token < self.token or message.session != self.session:
+        if self.hung or message.fencing_token < self.token or message.agent_epoch != self.session:
             return
-        self.token = message.token
+        self.token = message.fencing_token
         self.world.happened["late command" if late else "command"] += 1
-        for order in message.orders:
+        for order in message.commands:
             self.carry_out(order)
 
     @property
@@ -655,12 +662,12 @@
             self.copies.append(report)
         if self.copies and rng.random() < 0.1:
             copy = self.copies.pop(rng.randrange(len(self.copies)))
-            message = HeartbeatRequest(report=copy, received=False)
+            message = HeartbeatRequest(report=copy, last_answer_received=False)
             anyio.run(world.nodes[rng.choice(world.members)].machines.handle, message)
             world.recorder.record("heartbeat copy", self.name, message.answer.status, message.answer.body)
         if rng.random() < 0.05:
             return  # never arrives
-        message = HeartbeatRequest(report=report, received=self.heard_answer)
+        message = HeartbeatRequest(report=report, last_answer_received=self.heard_answer)
         anyio.run(world.nodes[self.target].machines.handle, message)
         answer, self.heard_answer = message.answer, False
         world.answered[str(answer.status)] += 1
@@ -679,12 +686,12 @@
         for at, sent, session, body in [item for item in self.flight if item[0] <= now]:
             self.flight.remove((at, sent, session, body))
             orders = wire.decode(body, wire.WorkerCommands)
-            if now - sent > 4.0 or session != self.session or orders.token < self.token:
+            if now - sent > 4.0 or session != self.session or orders.fencing_token < self.token:
                 continue
-            self.token = orders.token
+            self.token = orders.fencing_token
             self.renewed_at = max(self.renewed_at, sent)
             self.heard_answer = True
-            for order in orders.orders:
+            for order in orders.commands:
                 self.carry_out(order)
 
     def carry_out(self, order: wire.WorkerCommand) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -61,7 +61,7 @@
         self.serials = dict.fromkeys(rows, 0)
 
     def _watch_commits(self) -> None:
-        commit = self.client.commit
+        commit = self.client.compare_and_swap
 
         async def watched(
             conditions: Any, writes: Any, drops: Any, urgency: Any, **more: Any
@@ -69,7 +69,7 @@
             self.transactions.append((len(writes) + len(drops), len(wire.commit_body(conditions, writes, drops, {}))))
             return await commit(conditions, writes, drops, urgency, **more)
 
-        self.client.commit = watched  # type: ignore[method-assign, assignment]
+        self.client.compare_and_swap = watched  # type: ignore[method-assign, assignment]
 
     def tasks_of(self, number: int) -> list[str]:
         job, place = divmod(number, MACHINES_OF_A_JOB)
@@ -78,7 +78,7 @@
 
     def renew(self) -> None:
         """The lease is renewed and the tables are read afresh."""
-        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
+        self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
 
     async def report(self, number: int, token: int) -> int:
         """A machine reports its tasks as running; the status of the answer."""
@@ -87,7 +87,7 @@
         items = [wire.ReportedTask(task, 7, "running") for task in self.tasks_of(number)]
         message = HeartbeatRequest(
             report=wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, 1, self.serials[name], token, items),
-            received=True,
+            last_answer_received=True,
         )
         await self.machines.handle(message)
         return int(message.answer.status)
@@ -101,8 +101,8 @@
         return anyio.run(report_each)
 
     def tick(self) -> None:
-        self.machines.watch_at = 0.0
-        self.machines.requesting = True  # no claims: only what is there already counts
+        self.machines.next_check_at = 0.0
+        self.machines.claim_in_flight = True  # no claims: only what is there already counts
         self.machines._tick()
 
     def store_all(self) -> int:
@@ -112,7 +112,7 @@
             before = len(self.transactions)
             while self.machines.jobs._inbox:
                 anyio.run(self.machines.jobs.handle, self.machines.jobs._inbox.popleft())
-            anyio.run(self.jobs._round)
+            anyio.run(self.jobs._commit_round)
             if len(self.transactions) == before:
                 return rounds
             rounds += 1
@@ -141,7 +141,7 @@
 
         async def unregister() -> None:
             while transaction := registration._removals():
-                await self.client.commit(
+                await self.client.compare_and_swap(
                     transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
                 )
 
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -55,7 +55,7 @@
             conditions: dict[str, int], writes: dict[str, Any], drops: list[str]
         ) -> tuple[TransactionOutcome, int]:
             outcome = apply(conditions, writes, drops)
-            assert outcome[0] is TransactionOutcome.DONE, (outcome, conditions)
+            assert outcome[0] is TransactionOutcome.COMMITTED, (outcome, conditions)
             self.lines += [line_of(key, value) for key, value in writes.items()]
             self.lines += sorted(drops)  # one transaction: their order means nothing
             return outcome
@@ -75,7 +75,7 @@
     def later(self, seconds: float) -> None:
         """Time passes, and the lease is renewed."""
         self.clock.time += seconds
-        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
+        self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
 
 
 # -- tables as plain values; the only place with Python names of what is read
@@ -84,27 +84,27 @@
 def dump(tables: t.Tables) -> str:
     """All that was read, as JSON that does not depend on Python names; what is empty is left out."""
     found = {
-        "members": {name: [row.boot, row.settled, row.layout] for name, row in tables.members.items()},
+        "members": {name: [row.incarnation, row.recovered_view, row.layout] for name, row in tables.members.items()},
         "coordinator": tables.coordinator,
         "view": [tables.view.number, tables.view.members] if tables.view.number else None,
-        "types": {name: dump_type(kind) for name, kind in tables.types.items()},
+        "types": {name: dump_type(kind) for name, kind in tables.machine_types.items()},
         "jobs": {name: dump_job(job) for name, job in tables.jobs.items()},
-        "over": {name: dump_over(over) for name, over in tables.over.items()},
-        "over and open": sorted(tables.open_over),
-        "layout seen": tables.seen,
-        "layout complete": tables.upgraded,
+        "over": {name: dump_over(over) for name, over in tables.finished_jobs.items()},
+        "over and open": sorted(tables.unsettled_jobs),
+        "layout seen": tables.layout_members,
+        "layout complete": tables.layout_complete,
         "features": {name: [each.seen, each.complete] for name, each in tables.features.items()},
-        "admission": {path: dump_admission(row) for path, row in tables.admission.items()},
-        "floors": tables.floors,
+        "admission": {path: dump_admission(row) for path, row in tables.admission_rows.items()},
+        "floors": tables.handoff_floors,
         "machines": {
             name: [row.address, row.type, row.zone, row.spot, row.key] for name, row in tables.machines.items()
         },
-        "deleted": sorted(tables.deleted),
-        "limits": tables.allowances,
-        "leftover progress": sorted(tables.leftover),
+        "deleted": sorted(tables.deleted_machines),
+        "limits": tables.quota_allocations,
+        "leftover progress": sorted(tables.leftover_progress),
         "parts": {
             f"{job} {attempt} {number}": text
-            for job, attempts in tables.parts.items()
+            for job, attempts in tables.spec_chunks.items()
             for attempt, texts in attempts.items()
             for number, text in texts.items()
         },
@@ -135,12 +135,12 @@
 def dump_spec(spec: wire.JobSpec) -> dict[str, Any]:
     """What a user asked for."""
     return {
-        "names": [spec.id, spec.klass, spec.team, spec.shape, spec.priority, spec.image, spec.zone],
+        "names": [spec.id, spec.job_class, spec.team, spec.shape, spec.priority, spec.image, spec.zone],
         "amounts": [spec.tasks, spec.cores, spec.gpus, spec.memory, spec.image_gb],
         "flags": [spec.one_zone, spec.spread, spec.spot],
         "times": [spec.estimate_s, spec.checkpoint_s, spec.save_s, spec.deadline_s],
         "types": spec.types,
-        "awaits": spec.awaits,
+        "awaits": spec.prerequisites,
     }
 
 
@@ -150,14 +150,14 @@
     return {
         "spec": dump_spec(job.spec),
         "status": job.status,
-        "stamps": [job.stamp, job.born, job.progress_stamp],
+        "stamps": [job.mod_revision, job.ready_revision, job.progress_revision],
         "times": [job.submitted_ms, job.ready_ms, job.cancelled_ms, job.returned_ms],
-        "parts": job.parts,
-        "waits": job.waits,
-        "flags": [job.cancelled, job.condemned, job.runnable],
+        "parts": job.spec_chunks,
+        "waits": job.unfinished_prerequisites,
+        "flags": [job.is_cancelled, job.prerequisite_cancelled, job.is_runnable],
         "done": hex(progress.done),
         "claims": {tag: hex(tasks) for tag, tasks in progress.claims.items()},
-        "progress": [progress.zone, progress.attempt, progress.epoch],
+        "progress": [progress.zone, progress.attempt, progress.adoption_revision],
         "handoff": dump_handoff(job.handoff),
         "delegated": job.delegated and [job.delegated.origin, job.delegated.number],
     }
@@ -166,7 +166,7 @@
 def dump_over(over: t.FinishedJob) -> dict[str, Any]:
     """A job that is over."""
     return {
-        "end": [over.status, over.tasks, over.at_ms, over.stamp, over.done, over.settled],
+        "end": [over.status, over.tasks, over.finished_ms, over.mod_revision, over.is_done, over.is_final],
         "handoff": dump_handoff(over.handoff),
         "delegated": over.delegated and [over.delegated.origin, over.delegated.number],
     }
@@ -184,7 +184,7 @@
 def dump_admission(row: AdmissionRow) -> dict[str, Any]:
     """Cuts of admission."""
     cuts = {
-        f"{lane.team} {lane.klass} {lane.priority}": [cut.cut.submitted_ms, cut.cut.job, cut.risen_ms]
+        f"{lane.team} {lane.job_class} {lane.priority}": [cut.cut.submitted_ms, cut.cut.job, cut.risen_ms]
         for lane, cut in row.lanes.items()
     }
     common = [row.common.cut.submitted_ms, row.common.cut.job, row.common.risen_ms]
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -97,7 +97,7 @@
             submit_one(world, number, plan[number][1], *shapes[number])
         world.step()
         for name in world.sizes.keys() - ended_at.keys():
-            if world.store.tables.over.get(name) is not None:
+            if world.store.tables.finished_jobs.get(name) is not None:
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
             break
@@ -107,7 +107,7 @@
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
         waits.append(int(1000 * (at - world.submitted_at[name])))
     outcome.in_time = sum(at - world.submitted_at[name] <= DUE_S for name, at in ended_at.items()) / len(plan)
-    root = world.store.tables.admission.get(ROOT)
+    root = world.store.tables.admission_rows.get(ROOT)
     outcome.epochs = root.number if root is not None else 0
     return outcome
 
@@ -209,7 +209,7 @@
     row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
     world.store.put(t.admission_key(ROOT), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
-    world.machines.gate = gate
+    world.machines.admission = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
     timed("tick with admission", world.tick)
     limits = AdmissionLimits.of(world.settings)
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -32,11 +32,11 @@
         self.client.store = store
         self.client.late = []
         self.replica = ScriptedReplica(self.client, store.tables, self.clock)
-        self.replica.loaded = self.replica.whole = True
-        self.replica.fresh = self.read  # type: ignore[method-assign]
+        self.replica.loaded = self.replica.fully_read = True
+        self.replica.read_linearizable = self.read  # type: ignore[method-assign]
         self.leadership = Leadership(self.settings, store.tables, self.replica, self.clock)
-        self.leadership.boot = 1
-        self.leadership.renewed_at = self.replica.fresh_at = self.clock.time
+        self.leadership.incarnation = 1
+        self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
         self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
         self.jobs = Jobs(self.settings, self.client, self.replica, self.leadership, self.clock)
         self.machines = Machines(
@@ -50,7 +50,7 @@
 
     def heartbeat(self, heard: wire.WorkerReport) -> wire.WorkerCommands:
         """What the machine is answered, which is seen to have received the answer before."""
-        message = HeartbeatRequest(report=heard, received=True)
+        message = HeartbeatRequest(report=heard, last_answer_received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
         return wire.decode(message.answer.body, wire.WorkerCommands)
@@ -62,11 +62,11 @@
         async def once() -> None:
             if request is not None:
                 await self.jobs.handle(request)
-            await self.jobs._round()
+            await self.jobs._commit_round()
 
         anyio.run(once)
-        self.machines._line_up()
-        self.machines._place_waiting()
+        self.machines._rebuild_queue()
+        self.machines._place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
         """What the machines actor asks the jobs actor for."""
@@ -74,9 +74,9 @@
 
         async def ask(request: ClaimRequest) -> None:
             asked.append(request)
-            self.machines.requesting = False
+            self.machines.claim_in_flight = False
 
-        self.machines._ask_for = ask  # type: ignore[method-assign]
+        self.machines._await_claims = ask  # type: ignore[method-assign]
 
         async def once() -> None:
             async with anyio.create_task_group() as group:
@@ -93,9 +93,9 @@
         world.settings.siblings,
         1.0,
         world.clock,
-        world.leadership.known,
+        world.leadership.peer_status,
         world.store.tables.cancellations,
-        world.leadership.learn,
+        world.leadership.apply_peer_cancellations,
     )
     return world.leadership.mesh
 
@@ -114,33 +114,33 @@
 def test_claim_and_allowance_are_stored_before_any_start(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
-    assert world.heartbeat(report(3, 3)).orders == []
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
+    assert world.heartbeat(report(3, 3)).commands == []
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1111}
-    assert world.store.tables.allowances["red"] == {"c0.1": (8.0, 0.0)}
-    assert [order.verb for order in world.heartbeat(report(4, 3)).orders] == ["start"] * 4
+    assert world.store.tables.quota_allocations["red"] == {"c0.1": (8.0, 0.0)}
+    assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
 
 
 def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (5.0, 0.0)}))
-    assert len(world.heartbeat(report(3, 3)).orders) == 2
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (5.0, 0.0)}))
+    assert len(world.heartbeat(report(3, 3)).commands) == 2
 
 
 def test_an_old_view_claims_nothing(world: World) -> None:
     world.store.job(spec())
-    standing_view = world.leadership.claim_conditions()
+    standing_view = world.leadership.view_conditions()
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.leadership.claim_conditions = lambda: standing_view  # type: ignore[method-assign]
-    world.round(ClaimRequest(wants={JOB: 4}))
+    world.leadership.view_conditions = lambda: standing_view  # type: ignore[method-assign]
+    world.round(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
 def test_nothing_is_claimed_outside_the_lease(world: World) -> None:
     world.store.job(spec())
     world.clock.time += world.settings.controller_lease_s
-    world.round(ClaimRequest(wants={JOB: 4}))
+    world.round(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
@@ -151,9 +151,13 @@
     refused = HeartbeatRequest(report=report(3, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
-    mesh.peers["c1"].asked_at, mesh.peers["c1"].view, mesh.peers["c1"].whole = world.clock.time, 3, True
+    mesh.peers["c1"].asked_at, mesh.peers["c1"].view_number, mesh.peers["c1"].cancellations_complete = (
+        world.clock.time,
+        3,
+        True,
+    )
     world.heartbeat(report(4, 3))
-    mesh.peers["c1"].view = 4
+    mesh.peers["c1"].view_number = 4
     refused = HeartbeatRequest(report=report(5, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
@@ -163,27 +167,27 @@
     machine_up(world)
     world.store.job(spec())
     world.client.lose_answers = 1
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
-    assert world.heartbeat(report(3, 3)).orders == []
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    assert world.heartbeat(report(3, 3)).commands == []
     world.client.apply(*world.client.late[0])
-    world.machines._place_waiting()
-    assert len(world.heartbeat(report(4, 3)).orders) == 4
+    world.machines._place_unplaced()
+    assert len(world.heartbeat(report(4, 3)).commands) == 4
 
 
 def test_completion_between_telling_and_storing_is_not_started_again(world: World) -> None:
     """Failure found on the bench: a task that had ended looked like work handed back."""
     machine_up(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).orders[0]
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    start = world.heartbeat(report(3, 3)).commands[0]
     answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    assert answer.orders == []  # neither a start nor, before it is stored, a clear
+    assert answer.commands == []  # neither a start nor, before it is stored, a clear
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
-    assert world.store.tables.over[JOB][:2] == (t.DONE, 1)
+    assert world.store.tables.finished_jobs[JOB][:2] == (t.DONE, 1)
     cleared = world.heartbeat(report(5, 3, (start.task, start.attempt, "ended", "done")))
-    assert [order.verb for order in cleared.orders] == ["clear"]
+    assert [order.verb for order in cleared.commands] == ["clear"]
 
 
 def test_a_thousand_completions_are_one_message(world: World) -> None:
@@ -214,23 +218,23 @@
 def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).orders[0]
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
-    machine.heard = False  # no direct command in this test
-    world.machines._stop_cancelled()
-    machine.heard = True
-    orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).orders
+    machine.reconciled = False  # no direct command in this test
+    world.machines._kill_cancelled()
+    machine.reconciled = True
+    orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
     world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
-    world.machines._stop_cancelled()
-    world.tell_jobs(world.machines.learnt)
+    world.machines._kill_cancelled()
+    world.tell_jobs(world.machines.task_updates)
     world.clock.time += 1.0
     world.round()
-    assert world.store.tables.over[JOB][:2] == (t.CANCELLED, 1)
+    assert world.store.tables.finished_jobs[JOB][:2] == (t.CANCELLED, 1)
 
 
 def test_repeated_submission_finds_the_job(world: World) -> None:
@@ -251,10 +255,10 @@
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
     """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
     world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
-    world.machines.limits.shrinking["red"] = (world.store.tables.stamp(t.team_key("red")), 4.0, 0.0)
-    assert world.machines.limits.allowance("red") == (4.0, 0.0)
-    world.round(ClaimRequest(grow={"red": (12.0, 0.0)}, rewrite={"red"}))
-    assert world.machines.limits.allowance("red") == (20.0, 0.0)
+    world.machines.quota.pending_decreases["red"] = (world.store.tables.mod_revision(t.team_key("red")), 4.0, 0.0)
+    assert world.machines.quota.allocation("red") == (4.0, 0.0)
+    world.round(ClaimRequest(quota_increases={"red": (12.0, 0.0)}, forced_rewrites={"red"}))
+    assert world.machines.quota.allocation("red") == (20.0, 0.0)
 
 
 def test_malformed_report_is_refused(world: World) -> None:
@@ -267,25 +271,25 @@
 def test_last_tasks_that_save_move_off_a_machine_that_is_not_needed(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).orders[0]
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     spared = world.machines.registry.machines["vm-1"]
     (attempt,) = spared.attempts.values()
-    spared.spared = True
+    spared.surplus = True
     world.clock.time += 2.0
     world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
-    spared.heard = False  # no direct command in this test
-    world.machines._empty_spared(world.clock.time)
+    spared.reconciled = False  # no direct command in this test
+    world.machines._drain_surplus(world.clock.time)
     assert attempt.kill_grace_s is None  # there is no room elsewhere
     world.heartbeat(report(1, 0, name="vm-2"))
     world.store.put(t.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
-    spared.heard = False
-    world.machines._empty_spared(world.clock.time)
+    spared.reconciled = False
+    world.machines._drain_surplus(world.clock.time)
     assert attempt.kill_grace_s == 6.0
-    assert world.machines.registry.placed[JOB] == 0b1  # until it is reported gone
+    assert world.machines.registry.placed_tasks[JOB] == 0b1  # until it is reported gone
 
 
 def test_cancelled_jobs_end_within_the_limit_of_a_transaction(world: World) -> None:
@@ -301,7 +305,7 @@
     for _ in range(20):
         world.clock.time += 20.0
         world.round()
-    assert set(names) <= world.store.tables.over.keys()
+    assert set(names) <= world.store.tables.finished_jobs.keys()
 
 
 def test_scattered_progress_is_stored_within_the_size_of_a_transaction(world: World) -> None:
@@ -319,18 +323,18 @@
 def test_a_new_job_is_left_for_a_moment_to_the_controller_that_has_its_image(world: World) -> None:
     machine_up(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.machines._follow_view()
-    kits = {world.leadership.owner(f"image img-{number}"): f"img-{number}" for number in range(20)}
-    name = next(f"vm-{number}" for number in range(9) if world.leadership.owner(f"vm-{number}") == "c0")
+    world.machines._apply_view()
+    kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
+    name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(t.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(9, 3, name=name))
     world.heartbeat(report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
     world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
-    world.machines._line_up()
-    assert [set(request.wants) for request in world.claim_requests()] == [{"wk-000002"}]
+    world.machines._rebuild_queue()
+    assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000002"}]
     world.clock.time += 2 * world.machines.pace_s
-    assert [set(request.wants) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
+    assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
 def test_leases_are_reckoned_by_a_clock_that_runs_on_within_a_turn_of_the_loop() -> None:
@@ -345,20 +349,20 @@
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(t.team_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines._release(JOB, 0b11)
-    world.tell_jobs(world.machines.learnt)
-    world.machines.learnt = TaskUpdates()
+    world.tell_jobs(world.machines.task_updates)
+    world.machines.task_updates = TaskUpdates()
     world.clock.time += 2 * world.jobs.batch_s
 
     async def rounds() -> None:
-        await world.jobs._round()
+        await world.jobs._commit_round()
         assert not world.store.tables.jobs[JOB].progress.claims
         async with anyio.create_task_group() as group:
-            group.start_soon(world.machines._ask_for, ClaimRequest(wants={JOB: 2}))
+            group.start_soon(world.machines._await_claims, ClaimRequest(task_counts={JOB: 2}))
             await anyio.wait_all_tasks_blocked()
             await world.jobs.handle(world.jobs._inbox.popleft())
-            await world.jobs._round()
+            await world.jobs._commit_round()
 
     anyio.run(rounds)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b11}
-    world.machines._prune_told()
-    assert world.machines._idle_claims(world.store.tables.jobs[JOB]) == 0b11
+    world.machines._prune_stored_updates()
+    assert world.machines._unplaced_tasks(world.store.tables.jobs[JOB]) == 0b11
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -37,7 +37,7 @@
 
 
 def heartbeat(world: World, heard: wire.WorkerReport, received: bool = True) -> Any:
-    message = HeartbeatRequest(report=heard, received=received)
+    message = HeartbeatRequest(report=heard, last_answer_received=received)
     anyio.run(world.machines.handle, message)
     return message.answer
 
@@ -45,18 +45,18 @@
 def later(world: World, seconds: float) -> None:
     """Time passes and the controller keeps its lease."""
     world.clock.time += seconds
-    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
 def verbs(answer: Any) -> list[str]:
-    return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).orders]
+    return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).commands]
 
 
 def running(world: World) -> tuple[str, int]:
     """One task of a job runs on vm-1, as its report 4 tells."""
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).orders[0]
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     return start.task, start.attempt
 
@@ -101,12 +101,12 @@
 def test_only_a_part_of_a_job_goes_first_for_having_waited(world: World) -> None:
     world.store.job(spec(visits=16, cores=0.1, memoryGb=0.0))
     job, again = ready.order(world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000))
-    assert job is again and job.beginning
-    world.machines.line = [job]
-    assert world.claim_requests()[0].wants == {JOB: 2}
+    assert job is again and job.starved
+    world.machines.queue = [job]
+    assert world.claim_requests()[0].task_counts == {JOB: 2}
     # In its ordinary place it gets what room is left.
-    world.machines.line = [job, job]
-    assert world.claim_requests()[0].wants == {JOB: 16}
+    world.machines.queue = [job, job]
+    assert world.claim_requests()[0].task_counts == {JOB: 16}
 
 
 def test_a_job_claimed_and_placed_nowhere_has_not_begun(world: World) -> None:
@@ -122,7 +122,7 @@
 
 def test_no_start_is_told_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     assert verbs(heartbeat(world, report(3, 3), received=False)) == []
     assert verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
 
@@ -131,32 +131,32 @@
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
-    world.round(ClaimRequest(wants={"wk-000002": 2}, grow={"red": (8.0, 0.0)}))
-    assert world.machines.registry.placed["wk-000002"] == 0b11
+    world.round(ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": (8.0, 0.0)}))
+    assert world.machines.registry.placed_tasks["wk-000002"] == 0b11
     heartbeat(world, report(5, 3, (*task, "running")), received=False)
-    world.machines._watch_over(machine, world.clock.time)
-    assert "wk-000002" not in world.machines.registry.placed  # to be placed again
-    assert world.machines.registry.placed[JOB] == 0b1
+    world.machines._check_machine(machine, world.clock.time)
+    assert "wk-000002" not in world.machines.registry.placed_tasks  # to be placed again
+    assert world.machines.registry.placed_tasks[JOB] == 0b1
     # Its reports go on, so its lease may be alive: it counts until it is reported gone.
     later(world, 2.0)
     heartbeat(world, report(9, 3, (*task, "running")), received=False)
-    world.machines._watch_over(machine, world.clock.time)
-    assert world.machines.registry.placed[JOB] == 0b1
+    world.machines._check_machine(machine, world.clock.time)
+    assert world.machines.registry.placed_tasks[JOB] == 0b1
     heartbeat(world, report(10, 3, session=2), received=False)
-    assert JOB not in world.machines.registry.placed
+    assert JOB not in world.machines.registry.placed_tasks
 
 
 def test_a_machine_that_nothing_reaches_is_returned_after_two_leases(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     returned: list[str] = []
-    world.machines.return_machine = lambda machine, why, pressing=False: returned.append(why)  # type: ignore[method-assign]
+    world.machines.drain_and_scale_in = lambda machine, why, pressing=False: returned.append(why)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
         heartbeat(world, report(serial, 3), received=serial < 5)
         serial += 1
-        world.machines._watch_over(machine, world.clock.time)
-        assert bool(returned) == (world.clock.time - machine.reached_at > 2 * LEASE_S)
+        world.machines._check_machine(machine, world.clock.time)
+        assert bool(returned) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
     assert returned and set(returned) == {"unreached"}
 
 
@@ -165,7 +165,7 @@
     seen: list[bool] = []
 
     async def ask(message: HeartbeatRequest) -> Answer:
-        seen.append(message.received)
+        seen.append(message.last_answer_received)
         return Answer(200)
 
     world.machines.ask = ask  # type: ignore[assignment]
@@ -188,63 +188,63 @@
 def test_a_late_copy_renews_no_lease_and_is_answered_no_orders(world: World) -> None:
     running(world)
     machine = world.machines.registry.machines["vm-1"]
-    gone_at = machine.gone_at
+    gone_at = machine.lease_expires_at
     later(world, 5.0)
     assert heartbeat(world, report(3, 3)).status == 503
-    assert machine.gone_at == gone_at and machine.heard_at < world.clock.time
-    assert world.machines.registry.placed[JOB] == 0b1
+    assert machine.lease_expires_at == gone_at and machine.last_heard_at < world.clock.time
+    assert world.machines.registry.placed_tasks[JOB] == 0b1
 
 
 def test_a_report_held_up_beyond_its_lease_revives_nothing(world: World) -> None:
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
-    later(world, machine.gone_at + 0.1 - world.clock.time)
-    world.machines._watch_over(machine, world.clock.time)
-    assert JOB not in world.machines.registry.placed
+    later(world, machine.lease_expires_at + 0.1 - world.clock.time)
+    world.machines._check_machine(machine, world.clock.time)
+    assert JOB not in world.machines.registry.placed_tasks
     # A number never seen, of the session that is over: the task may run elsewhere by now.
     assert heartbeat(world, report(99, 3, (*task, "running"))).status == 503
-    assert JOB not in world.machines.registry.placed and not machine.heard
+    assert JOB not in world.machines.registry.placed_tasks and not machine.reconciled
     assert heartbeat(world, report(100, 3, session=2), received=False).status == 200
-    assert machine.heard and not machine.reached
+    assert machine.reconciled and not machine.reachable
 
 
 def test_a_copy_of_an_earlier_session_says_nothing(world: World) -> None:
     task = running(world)
     heartbeat(world, report(1, 3, session=2))
-    assert JOB not in world.machines.registry.placed
+    assert JOB not in world.machines.registry.placed_tasks
     assert heartbeat(world, report(50, 3, (*task, "running"))).status == 503
-    assert JOB not in world.machines.registry.placed
+    assert JOB not in world.machines.registry.placed_tasks
 
 
 def test_a_task_that_turns_up_after_its_machine_was_accounted_for_is_stopped_not_adopted(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c1_9=0b1)
     answer = heartbeat(world, report(3, 3, (f"{JOB}/0", 5, "running")))
-    assert verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed
+    assert verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed_tasks
     assert not world.machines.registry.adopting
 
 
 def test_a_copy_is_no_evidence_that_a_start_was_not_carried_out(world: World) -> None:
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
     assert verbs(heartbeat(world, report(3, 3))) == ["start"]
     heartbeat(world, report(2, 3))
     heartbeat(world, report(3, 3))
     (attempt,) = world.machines.registry.machines["vm-1"].attempts.values()
-    assert attempt.sent_serial == 3
+    assert attempt.sent_sequence == 3
 
 
 def test_a_copy_from_a_deleted_machine_is_refused_also_after_a_restart(world: World) -> None:
     world.store.put(t.machine_key("vm-1"), None)
     assert heartbeat(world, report(9, 3)).status == 503
     # A restarted controller does not remember it; the copy bears an earlier token and counts for nothing.
-    world.store.tables.deleted.clear()
+    world.store.tables.deleted_machines.clear()
     world.machines.registry.reset()
     world.store.view(4, ("c0", 1))
-    world.machines.seen_view = 0
+    world.machines.followed_view = 0
     assert heartbeat(world, report(10, 3)).status == 200
     machine = world.machines.registry.machines["vm-1"]
-    assert not machine.heard and not world.machines.registry.usable(machine)
+    assert not machine.reconciled and not world.machines.registry.is_schedulable(machine)
 
 
 # -- a controller without state service and siblings
@@ -275,9 +275,9 @@
     users = cut_off(world)
     mesh = world.leadership.mesh
     assert mesh is not None
-    mesh.peers["c1"].asked_at, mesh.peers["c1"].state_ok = world.clock.time, False
+    mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
     assert users._healthz().status == 200
-    mesh.peers["c1"].state_ok = True
+    mesh.peers["c1"].state_reachable = True
     assert users._healthz().status == 503
 
 
@@ -285,28 +285,28 @@
 
 
 def test_the_former_runs_late_write_does_not_take_the_member_row(world: World) -> None:
-    world.membership.settled = 4
+    world.membership.recovered_view = 4
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)  # on its way when the former run is killed
-    world.leadership.boot = 7
-    world.membership.settled = 0
+    world.leadership.incarnation = 7
+    world.membership.recovered_view = 0
     assert anyio.run(world.membership._write_member)
     for write in world.client.late:
         assert world.client.apply(*write)[0] is TransactionOutcome.CONFLICT
-    assert world.store.tables.members["c0"].boot == 7
+    assert world.store.tables.members["c0"].incarnation == 7
 
 
 def test_a_member_row_lost_to_the_former_run_is_written_again(world: World) -> None:
-    world.leadership.boot = 7
+    world.leadership.incarnation = 7
     world.store.member("c0", 1, settled=3)
-    assert not world.membership._row_stands(7)
+    assert not world.membership._row_is_current(7)
     assert anyio.run(world.membership._write_member)
-    assert world.membership._row_stands(7)
+    assert world.membership._row_is_current(7)
 
 
 def test_a_new_run_takes_the_coordinators_key_and_the_view_from_its_former_one(world: World) -> None:
     world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
-    world.leadership.boot = 7
+    world.leadership.incarnation = 7
     assert anyio.run(world.membership._write_member)
     anyio.run(world.membership._coordinate)
     assert world.store.tables.coordinator == ("c0", 7)
@@ -320,9 +320,9 @@
     job = world.store.tables.jobs[JOB]
     world.store.view(4, ("c0", 7))
     world.store.member("c0", 7, settled=0)
-    assert world.store.tables.open_tasks(job, world.store.tables.all_settled()) == 0
+    assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0
     world.store.member("c0", 7, settled=4)
-    assert world.store.tables.open_tasks(job, world.store.tables.all_settled()) == 0b1111
+    assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0b1111
 
 
 # -- nothing forgotten
@@ -331,19 +331,19 @@
 def test_a_settled_view_whose_telling_was_lost_is_told_again(world: World) -> None:
     """An unsettled view would leave the claims of a departed controller standing for ever."""
     world.store.member("c0", 1, settled=0)
-    world.membership.settled = 3
+    world.membership.recovered_view = 3
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)
-    assert not world.membership._row_stands(1)  # so that the next renewal writes it
+    assert not world.membership._row_is_current(1)  # so that the next renewal writes it
     assert anyio.run(world.membership._write_member)
-    assert world.store.tables.members["c0"].settled == 3
+    assert world.store.tables.members["c0"].recovered_view == 3
 
 
 def test_a_wave_of_machines_is_one_change(world: World) -> None:
     fresh = [report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
     for heard in fresh:
         heartbeat(world, heard, received=False)
-        heard.serial, heard.token = 2, 3
+        heard.sequence, heard.fencing_token = 2, 3
         heartbeat(world, heard)
     before = world.store.epoch
 
@@ -363,11 +363,11 @@
     assert {"vm-7", "vm-8", "vm-9"} <= world.store.tables.machines.keys()
 
     async def unregister(*names: str) -> None:
-        world.machines.registration.leaving |= set(names)
+        world.machines.registration.pending_removals |= set(names)
         with anyio.CancelScope() as scope:
 
             async def pause(seconds: float) -> None:
-                if not world.machines.registration.leaving & world.store.tables.machines.keys():
+                if not world.machines.registration.pending_removals & world.store.tables.machines.keys():
                     scope.cancel()
                 await anyio.lowlevel.checkpoint()
 
@@ -375,9 +375,9 @@
             await world.machines.registration.unregister_forever()
 
     anyio.run(unregister, "vm-7", "vm-8")
-    assert "vm-9" in world.store.tables.machines and {"vm-7", "vm-8"} <= world.store.tables.deleted
+    assert "vm-9" in world.store.tables.machines and {"vm-7", "vm-8"} <= world.store.tables.deleted_machines
     anyio.run(unregister, "vm-9")
-    assert world.store.tables.stamp(t.group_key("c0.1.1")) == 0
+    assert world.store.tables.mod_revision(t.group_key("c0.1.1")) == 0
     # One machine of each of many full groups: more than one transaction takes.
     for group in range(12):
         rows = {
@@ -387,7 +387,7 @@
         world.store.put(t.group_key(f"c0.1.{group + 2}"), {"m": rows})
     lost = {f"vm-{group}-000000000000" for group in range(12)}
     anyio.run(unregister, *lost)
-    assert lost <= world.store.tables.deleted and len(world.store.tables.machines) == 12 * 80 + 1
+    assert lost <= world.store.tables.deleted_machines and len(world.store.tables.machines) == 12 * 80 + 1
 
 
 def test_machines_are_stored_one_by_one_while_a_controller_knows_no_groups(world: World) -> None:
@@ -413,7 +413,7 @@
     def __init__(self) -> None:
         self.deleted: list[str] = []
 
-    async def delete(self, machines: list[str]) -> None:
+    async def delete_instances(self, machines: list[str]) -> None:
         self.deleted += machines
 
 
@@ -421,7 +421,7 @@
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(fleet.return_forever)
+                group.start_soon(fleet.terminate_forever)
                 await anyio.wait_all_tasks_blocked()
                 scope.cancel()
 
@@ -436,15 +436,15 @@
     fleet.machines = world.machines
     both = (("c0", 1), ("c1", 2))
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
-    fleet.give_back(name)
+    fleet.scale_in(name)
     world.clock.time += 2 * world.settings.controller_lease_s
     assert deletions(world, fleet) == []  # its lease is over
     # Awake again, it learns that the machine has another owner.
     world.store.view(4, *both)
     later(world, 0.0)
-    assert deletions(world, fleet) == [] and not fleet.returning
+    assert deletions(world, fleet) == [] and not fleet.terminating
     world.store.view(5, ("c0", 1))
-    fleet.give_back(name)
+    fleet.scale_in(name)
     assert deletions(world, fleet) == [name]
 
 
@@ -452,9 +452,9 @@
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
     assert heartbeat(world, report(3, 3)).status == 503
-    assert not world.leadership.may_act and not world.leadership.coordinating
+    assert not world.leadership.is_leader and not world.leadership.is_coordinator
     epoch = world.store.epoch
-    world.round(ClaimRequest(wants={JOB: 1}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
     assert world.store.epoch == epoch
 
 
@@ -488,11 +488,11 @@
             under_way -= 1
             asked.append(machine.name)
 
-        world.machines.commands._send_orders = send  # type: ignore[method-assign]
+        world.machines.commands._send_commands = send  # type: ignore[method-assign]
         async with anyio.create_task_group() as group:
             world.machines.group = group
             for number in range(400):
-                machine = world.machines.registry.take(
+                machine = world.machines.registry.add_machine(
                     f"vm-{number + 100}", "127.0.0.1:9000", "small", "a", True, 3, 9e9
                 )
                 world.machines.commands.probe(machine, world.clock.time)
@@ -511,7 +511,7 @@
     for _ in range(300):
         world.machines.commands.send(machine)
     assert len(waiting) == 1
-    world.machines.commands.begun(machine)
+    world.machines.commands.record_begun(machine)
     world.machines.commands.send(machine)
     assert len(waiting) == 2
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -210,7 +210,7 @@
 
 def later(world: World, seconds: float) -> None:
     world.clock.time += seconds
-    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
 def test_an_epoch_that_is_carried_out_late_after_a_newer_one_changes_nothing(
@@ -219,13 +219,13 @@
     world, each = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
     anyio.run(each.epoch)
-    before = store.tables.admission
+    before = store.tables.admission_rows
     later(world, each.limits.patience_s)
     anyio.run(each.epoch)
-    newer = store.tables.admission
+    newer = store.tables.admission_rows
     assert newer != before and len(world.client.late) == 1
     outcome, _ = world.client.apply(*world.client.late[0])
-    assert outcome.value == "conflict" and store.tables.admission == newer
+    assert outcome.value == "conflict" and store.tables.admission_rows == newer
 
 
 def test_of_two_that_believe_that_they_coordinate_one_succeeds(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -237,7 +237,7 @@
     conditions = {key: stamp for key, stamp in conditions.items() if key != t.COORDINATOR_KEY}
     store.put(t.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.epoch)  # deposed, so that it reckons no more
-    assert store.tables.admission[cuts.ROOT].number == 1
+    assert store.tables.admission_rows[cuts.ROOT].number == 1
     row = AdmissionRow.from_stored(writes[t.admission_key(cuts.ROOT)])
     store.put(t.admission_key(cuts.ROOT), row.raised(row.common, {}, {"red": 1.0}).stored())
     assert world.client.apply(conditions, writes, drops)[0].value == "conflict"
@@ -315,12 +315,12 @@
     cluster.later(cluster.limits.patience_s)
     cluster.epoch()
     cluster.submit("wk-990000", roster="fresh")
-    row = cluster.store.tables.admission[cuts.ROOT]
+    row = cluster.store.tables.admission_rows[cuts.ROOT]
     fresh = lane_of(cluster.store.tables.jobs["wk-990000"].spec)
     assert fresh not in row.lanes and "wk-990000" not in cluster.admitted()
     cluster.later(cluster.limits.patience_s)
     cluster.epoch()
-    assert fresh in cluster.store.tables.admission[cuts.ROOT].lanes and "wk-990000" in cluster.admitted()
+    assert fresh in cluster.store.tables.admission_rows[cuts.ROOT].lanes and "wk-990000" in cluster.admitted()
 
 
 def test_a_backlog_of_which_nine_tenths_are_cancelled_holds_up_no_cut() -> None:
@@ -486,12 +486,12 @@
                 cluster.store.put(t.admission_key(path), row.stored())
         for team, klass in lanes:
             lane = Lane(team, klass, "standard")
-            leaf = row_of(cluster.store.tables.admission, lane)
+            leaf = row_of(cluster.store.tables.admission_rows, lane)
             assert leaf is not None
-            cut = cluster.store.tables.admission[leaf].of(lane).cut
+            cut = cluster.store.tables.admission_rows[leaf].of(lane).cut
             assert cut >= highest.get(lane, cut)
             highest[lane] = cut
-    rows = cuts.leaves(cluster.store.tables.admission)
+    rows = cuts.leaves(cluster.store.tables.admission_rows)
     assert len(rows) > 16 and rounds < 2 * len(rows)
 
 
@@ -514,7 +514,7 @@
     gate = gated(cluster, lines, switch)
     gate.apply()
     assert line_of(cluster) == ["wk-000000"]
-    row = cluster.store.tables.admission
+    row = cluster.store.tables.admission_rows
     switch[0] = False
     gate.apply()
     assert line_of(cluster) == ["wk-000000", *names]
@@ -522,7 +522,7 @@
     switch[0] = True
     gate.apply()
     # What began meanwhile goes on; the cuts are those that were stored.
-    assert line_of(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission is row
+    assert line_of(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
     cluster.later(cluster.limits.patience_s)
     cluster.epoch()
     gate.apply()
@@ -755,7 +755,7 @@
     anyio.run(each.epoch)
     assert not each.switched_on and link.asked == 0 and store.epoch == before
     store.upgraded()
-    anyio.run(each.feature.mark)
+    anyio.run(each.feature.record_member)
     assert not each.switched_on, "c1 has not run with it"
 
 
@@ -764,13 +764,13 @@
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002"))
     store.tables.jobs["wk-000001"].deferred = True
-    world.machines._line_up()
+    world.machines._rebuild_queue()
 
     def names(jobs: list[t.Job]) -> list[str]:
         # Having waited for long, it stands in the line twice.
         return list(dict.fromkeys(job.spec.id for job in jobs))
 
-    assert names(world.machines.line) == ["wk-000002"]
+    assert names(world.machines.queue) == ["wk-000002"]
     assert names(world.machines.waiting_jobs()) == ["wk-000002"], "no gate, no deferred jobs"
-    world.machines.gate = AdmissionGate(store.tables, RecordingLog([]), lambda: True)
+    world.machines.admission = AdmissionGate(store.tables, RecordingLog([]), lambda: True)
     assert names(world.machines.waiting_jobs()) == ["wk-000002", "wk-000001"]
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -69,4 +69,4 @@
     for _ in range(150):
         world.submit_some(JOBS)
         world.step()
-    assert world.store.tables.admission == {} and world.sizes and not any(world.logs.values())
+    assert world.store.tables.admission_rows == {} and world.sizes and not any(world.logs.values())
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -37,7 +37,7 @@
 
 
 def adopt(world: World, rounds: int = 1) -> None:
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view=3))
+    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view_number=3))
     for _ in range(rounds):
         world.round()
 
@@ -51,9 +51,9 @@
         for name in NAMES:
             claims = tables.jobs[name].progress.claims
             assert claims == {"c0.1": HALF, "c1.9": taskset.full(12) & ~0b1 & ~HALF}
-    held = world.store.tables.allowances["red"]
+    held = world.store.tables.quota_allocations["red"]
     assert held["c0.1"][0] == pytest.approx(0.01 * 5 * 60) and held["c1.9"][0] == pytest.approx(6.6 - 3.0)
-    assert not world.jobs.unstored
+    assert not world.jobs.uncommitted
 
 
 def test_what_is_given_up_after_an_adoption_stays_given_up(world: World) -> None:
@@ -64,7 +64,7 @@
     for tables in (world.store.tables, world.store.read_again()):
         progress = tables.jobs[JOB].progress
         assert progress.claims["c0.1"] == HALF & ~0b10100 and progress.done == 0b10001
-        assert not progress.claimed() & 0b100  # open to others
+        assert not progress.claimed_tasks() & 0b100  # open to others
 
 
 def test_a_write_that_did_not_know_of_an_adoption_does_not_undo_it(world: World) -> None:
@@ -97,15 +97,15 @@
     )
     store.upgraded()
     world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
-    world.client.share = lambda: 3
+    world.client.controllers = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
         store.progress(name, c1_9=0b1)
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view=3))
+    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
     for _ in range(8):
         grow = {f"t{number}": (3.0, 0.0) for number in (2, 3)}
-        world.round(ClaimRequest(wants={names[2]: 2, names[3]: 2}, grow=grow))
+        world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=grow))
     claims = [store.tables.jobs[name].progress.claims for name in names]
     assert all(held.keys() == {"c0.1"} and held["c0.1"] & 1 for held in claims)
     assert all(held["c0.1"].bit_count() > 1 for held in claims[2:4])  # claims are made beside
@@ -115,16 +115,16 @@
     world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     adopt(world, 3)
     keys = set(world.store.tables.adoption_keys)
-    anyio.run(world.jobs._clear_away)
+    anyio.run(world.jobs._collect_garbage)
     assert keys and set(world.store.tables.adoption_keys) == keys
     world.store.view(4, ("c0", 7))
-    world.leadership.boot = 7
+    world.leadership.incarnation = 7
     world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 7})
-    anyio.run(world.jobs._clear_away)
+    anyio.run(world.jobs._collect_garbage)
     assert set(world.store.tables.adoption_keys) == keys  # not settled: still counted
     world.store.member("c0", 7, settled=4)
     for _ in range(4):
-        anyio.run(world.jobs._clear_away)
+        anyio.run(world.jobs._collect_garbage)
     assert not world.store.tables.adoption_keys and not world.store.tables.adoptions
 
 
@@ -181,13 +181,13 @@
         own = progress.claims.get(writer.tag, 0)
         release = sum(1 << task for task in taskset.members(own) if shuffle.random() < 0.3)
         ended = sum(1 << task for task in taskset.members(own & ~release) if shuffle.random() < 0.1)
-        free = job.everything & ~progress.done & ~progress.claimed()
+        free = job.all_tasks & ~progress.done & ~progress.claimed_tasks()
         claim = taskset.lowest(free, shuffle.randrange(4))
-        if job.progress_stamp != store.rows[t.progress_key(JOB)][1]:
+        if job.progress_revision != store.rows[t.progress_key(JOB)][1]:
             continue  # its condition fails
         progress.done |= ended
         progress.claims[writer.tag] = (own & ~release & ~ended) | claim
-        value = progress.stored(dense=True) | {"e": max(writer.applied, job.progress.epoch)}
+        value = progress.stored(dense=True) | {"e": max(writer.applied, job.progress.adoption_revision)}
         put(t.progress_key(JOB), value)
         for task in taskset.members(release):
             truth.pop(task)
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -16,14 +16,14 @@
 
 def test_while_much_of_a_limit_is_free_an_equal_part_is_taken(settings: Settings) -> None:
     part = allowance(settings, held=0.0, use=1.0, free=20.0)
-    assert part.short and part.any_free and not part.scarce
-    assert part.larger == (10.0, 0.0)
+    assert part.is_short and part.has_unallocated and not part.is_scarce
+    assert part.increased == (10.0, 0.0)
 
 
 def test_of_a_scarce_limit_no_more_than_needed_is_taken(settings: Settings) -> None:
     """Failure found on the bench: an idle margin of one controller made another one's checks late."""
     part = allowance(settings, held=4.0, use=5.0, free=1.0)
-    assert part.scarce and part.short and part.larger == (5.0, 0.0)
+    assert part.is_scarce and part.is_short and part.increased == (5.0, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -34,5 +34,5 @@
     settings: Settings, held: float, use: float, free: float, surplus: bool
 ) -> None:
     part = allowance(settings, held, use, free)
-    assert part.in_surplus == surplus and not part.short
-    assert part.smaller[0] <= held
+    assert part.has_surplus == surplus and not part.is_short
+    assert part.decreased[0] <= held
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -15,34 +15,34 @@
 def test_the_largest_round_of_claims_leaves_no_debt_for_a_submission(store: Store) -> None:
     """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
     client = World(store).client
-    client.share = lambda: 3
+    client.controllers = lambda: 3
     for urgency in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
-        most = client.most_changes(urgency)
-        bucket = TokenBucket(client.writes.rate, 0.0)
-        assert bucket.wait_s(most, urgency, 0.0) == 0.0
-        assert bucket.wait_s(1, RequestPriority.USER, 0.0) == 0.0
+        most = client.available_changes(urgency)
+        bucket = TokenBucket(client.write_tokens.rate, 0.0)
+        assert bucket.acquire(most, urgency, 0.0) == 0.0
+        assert bucket.acquire(1, RequestPriority.USER, 0.0) == 0.0
 
 
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
     """Failure found on the bench: after a round of claims the last of them waited for half a second."""
     client = World(store, NARROW).client
-    client.share = lambda: 3
-    bucket = TokenBucket(client.writes.rate, 0.0)
-    while bucket.wait_s(client.most_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
+    client.controllers = lambda: 3
+    bucket = TokenBucket(client.write_tokens.rate, 0.0)
+    while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
         pass
-    assert [bucket.wait_s(1, RequestPriority.USER, 0.02 * number) for number in range(3)] == [0.0] * 3
+    assert [bucket.acquire(1, RequestPriority.USER, 0.02 * number) for number in range(3)] == [0.0] * 3
     # Borrowing is bounded, and claims wait until it is returned.
-    assert any(bucket.wait_s(1, RequestPriority.USER, 0.06) > 0 for _ in range(20))
-    assert bucket.wait_s(1, RequestPriority.CLAIM, 0.06) > 0.5
+    assert any(bucket.acquire(1, RequestPriority.USER, 0.06) > 0 for _ in range(20))
+    assert bucket.acquire(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
 def test_fresh_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
     """Failure found on the bench: polls for hundreds of jobs starved the claims for seconds."""
     world = World(store)
     for members in (1, 3):
-        world.client.share = lambda members=members: members  # type: ignore[misc]
-        world.client.most_changes(RequestPriority.CLAIM)  # reckons the rates anew
-        assert 1.0 / world.replica.read_gap_s <= world.client.requests.rate / 2
+        world.client.controllers = lambda members=members: members  # type: ignore[misc]
+        world.client.available_changes(RequestPriority.CLAIM)  # reckons the rates anew
+        assert 1.0 / world.replica.read_gap_s <= world.client.request_tokens.rate / 2
 
 
 def test_adoptions_and_claims_take_turns(store: Store) -> None:
@@ -51,8 +51,8 @@
     for number in range(1, 9):
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
-    world.tell_jobs(TaskUpdates(adopted=adopted, view=3))
-    due = world.jobs._due(ClaimRequest(wants={"wk-000007": 4, "wk-000008": 4}))
+    world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
+    due = world.jobs._due(ClaimRequest(task_counts={"wk-000007": 4, "wk-000008": 4}))
     assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
 
 
@@ -62,8 +62,8 @@
     for number in range(1, 4):
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
-    world.client.share = lambda: 3
-    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view=3))
+    world.client.controllers = lambda: 3
+    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
     world.round()
     moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
     assert len(moved) >= 2
@@ -75,7 +75,7 @@
     asked = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
     asked += world.claim_requests()
-    return {team: cores for request in asked for team, (_, cores, _) in request.shrink.items()}
+    return {team: cores for request in asked for team, (_, cores, _) in request.quota_decreases.items()}
 
 
 def test_a_limit_that_is_used_up_is_held_without_a_margin(store: Store) -> None:
@@ -83,8 +83,8 @@
     world = World(store)
     machine_up(world)
     store.job(spec())
-    world.round(ClaimRequest(wants={"wk-000001": 4}, grow={"red": (8.0, 0.0)}))
-    assert world.machines.limits.use("red").cores == 8.0
+    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": (8.0, 0.0)}))
+    assert world.machines.quota.usage("red").cores == 8.0
     assert surplus_given_up(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
 
 
@@ -93,7 +93,7 @@
     world = World(store)
     machine_up(world)
     store.job(spec())
-    world.round(ClaimRequest(wants={"wk-000001": 4}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": (8.0, 0.0)}))
     assert surplus_given_up(world, {"c0.1": [12.0, 0.0]}) == {}
 
 
@@ -105,15 +105,15 @@
         store.job(spec(f"wk-{number:06d}"))
     store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
     looked: list[str] = []
-    open_tasks = store.tables.open_tasks
+    open_tasks = store.tables.unclaimed_tasks
 
     def look(job: t.Job, settled: bool) -> int:
         looked.append(job.spec.id)
         return open_tasks(job, settled)
 
-    monkeypatch.setattr(store.tables, "open_tasks", look)
-    world.machines._line_up()
-    assert world.claim_requests()[0].wants and len(looked) < 20
+    monkeypatch.setattr(store.tables, "unclaimed_tasks", look)
+    world.machines._rebuild_queue()
+    assert world.claim_requests()[0].task_counts and len(looked) < 20
 
 
 def test_a_round_that_comes_to_nothing_is_not_paid_for(store: Store) -> None:
@@ -121,15 +121,15 @@
     world = World(store)
     store.job(spec())
     store.progress("wk-000001", c1_2=0b1111)
-    world.leadership.renewed_at = float("-inf")  # claims nothing
-    before = world.client.writes.level
+    world.leadership.lease_renewed_at = float("-inf")  # claims nothing
+    before = world.client.write_tokens.tokens
     world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
     async def pay(changes: int, urgency: RequestPriority) -> None:
-        world.client.writes.level -= changes
+        world.client.write_tokens.tokens -= changes
 
-    world.client.pay = pay  # type: ignore[method-assign]
+    world.client.acquire_changes = pay  # type: ignore[method-assign]
     epoch = store.epoch
     world.round()
-    assert store.epoch == epoch and world.client.writes.level == before
+    assert store.epoch == epoch and world.client.write_tokens.tokens == before
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -79,11 +79,11 @@
     names = ["vm-1", "vm-2", "vm-3"]
     assert guard.due(names, NOW) == names
     assert guard.due(names, NOW) == [], "asked once at a time"
-    guard.answered(report(1, 4, (f"{JOB}/0", 7, "running"), name="vm-1"), store.tables, NOW)
-    guard.answered(report(1, 4, (f"{JOB}/0", 7, "ended", "halted"), name="vm-2"), store.tables, NOW)
+    guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "running"), name="vm-1"), store.tables, NOW)
+    guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "ended", "halted"), name="vm-2"), store.tables, NOW)
     for _ in range(MOST_FAILURES):
         assert "vm-3" not in guard.deletable()
-        guard.failed("vm-3", NOW)
+        guard.record_no_answer("vm-3", NOW)
     assert guard.deletable() == ["vm-1", "vm-3"]
     assert guard.due(["vm-2", "vm-3"], NOW + settings.lease_s) == ["vm-2"], "asked again later"
     assert guard.deletable() == ["vm-3"], "vm-1 is suspected no more"
@@ -102,7 +102,7 @@
             world.settings.siblings,
             1.0,
             world.clock,
-            world.leadership.known,
+            world.leadership.peer_status,
             store.tables.cancellations,
             lambda _: None,
         )
@@ -110,31 +110,31 @@
         self.started: list[str] = []
         self.given_back: list[str] = []
         world.machines.group = self  # type: ignore[assignment]
-        world.machines.fleet = self  # type: ignore[assignment]
+        world.machines.autoscaler = self  # type: ignore[assignment]
         world.client.failing_since = world.clock.time
         world.clock.time += 2 * world.settings.controller_lease_s
         self.sibling_tells(view=0, state_ok=False)
 
     def sibling_tells(self, view: int, state_ok: bool) -> None:
-        self.peer.asked_at, self.peer.view, self.peer.state_ok = self.world.clock.time, view, state_ok
+        self.peer.asked_at, self.peer.view_number, self.peer.state_reachable = self.world.clock.time, view, state_ok
 
     def start_soon(self, call: Any, *args: Any) -> None:
         assert call.__name__ == "_inspect"
         self.started.append(args[0])
 
-    def give_back(self, machine: str, pressing: bool) -> bool:
+    def scale_in(self, machine: str, pressing: bool) -> bool:
         self.given_back.append(machine)
         return pressing
 
     def inspect(self, silent: set[str]) -> None:
         """One round of questions, which all machines answer but the silent ones."""
-        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_clock_ms())
+        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, machines_module.wall_clock_ms())
         for name in self.started:
             answer = None if name in silent else report(1, 5, name=name)
             anyio.run(self.world.machines.handle, InspectionReply(name, answer))
         self.started.clear()
         self.world.clock.time += self.world.settings.report_s
-        self.world.machines.cancellations.look(self.world.clock.time, machines_module.wall_clock_ms())
+        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, machines_module.wall_clock_ms())
 
 
 def test_only_the_silent_machines_of_a_sibling_that_restarted_are_deleted(
@@ -169,8 +169,8 @@
     fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
     fleet.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
-    fleet.give_back(pressing, pressing=True)
-    fleet.give_back(other)
+    fleet.scale_in(pressing, pressing=True)
+    fleet.scale_in(other)
     outage.sibling_tells(5, True)
     assert deletions(world, fleet) == []
     outage.sibling_tells(0, False)
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -137,7 +137,7 @@
     cell = Cell(store, settings, 1)
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002", visits=50, awaits=["wk-000001"]))
-    assert store.tables.jobs["wk-000002"].waits == 1
+    assert store.tables.jobs["wk-000002"].unfinished_prerequisites == 1
     assert not cell.summary().saturated
 
 
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -124,7 +124,7 @@
 
 def test_a_job_that_moved_is_not_claimed_at_home_and_its_end_is_the_origins_result() -> None:
     moved = Moved("once")
-    assert not moved.at_origin.runnable and moved.south.store.tables.jobs[JOB].delegated is not None
+    assert not moved.at_origin.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
     moved.work("north")
     assert JOB not in moved.world.starts
     moved.run_there()
@@ -132,7 +132,7 @@
     moved.talk()
     assert moved.status() == wire.DONE and moved.world.starts[JOB].keys() == {"south"}
     tables = moved.south.store.tables
-    assert JOB not in tables.over and tables.floors["north"] > 0, "acknowledged, and fenced"
+    assert JOB not in tables.finished_jobs and tables.handoff_floors["north"] > 0, "acknowledged, and fenced"
 
 
 def test_users_of_the_target_know_nothing_of_a_job_that_was_handed_over() -> None:
@@ -200,7 +200,7 @@
     moved.work("south")
     moved.renew(TAKE_BACK_LEASES * settings_cache().lease_s - 1.0)
     moved.talk()
-    assert not moved.at_origin.runnable, "not yet"
+    assert not moved.at_origin.is_runnable, "not yet"
     moved.renew(2.0)
     moved.talk()
     moved.work("north")
@@ -214,7 +214,7 @@
     for _ in range(3):
         moved.talk()
     assert moved.status() == wire.DONE
-    assert JOB not in moved.north.store.tables.open_over and JOB not in moved.south.store.tables.over
+    assert JOB not in moved.north.store.tables.unsettled_jobs and JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_cancellation_stops_the_job_where_it_runs_and_is_then_confirmed() -> None:
@@ -244,7 +244,7 @@
     moved = Moved("once", accepted=False)
     moved.cut(("south", "north"))
     moved.talk()
-    assert JOB in moved.south.store.tables.jobs and not moved.at_origin.runnable
+    assert JOB in moved.south.store.tables.jobs and not moved.at_origin.is_runnable
     moved.cut()
     moved.run_there()
     moved.talk()
@@ -256,7 +256,7 @@
     moved.south.store.job(spec("wk-000009", visits=50))  # saturated
     moved.talk()
     job = moved.at_origin
-    assert job.runnable and job.returned_ms and not job.handoff.placements  # type: ignore[union-attr]
+    assert job.is_runnable and job.returned_ms and not job.handoff.placements  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._movable(job, job.returned_ms + 1)
     assert origin._movable(job, job.returned_ms + 1 + int(1000 * STAY_LEASES * settings_cache().lease_s))
@@ -267,13 +267,13 @@
     moved.talk()
     moved.renew(STAY_LEASES * settings_cache().lease_s + 1)
     moved.talk()
-    assert moved.at_origin.runnable and JOB not in moved.south.store.tables.jobs
+    assert moved.at_origin.is_runnable and JOB not in moved.south.store.tables.jobs
     begun = Moved("once")
     begun.work("south")
     begun.talk()
     begun.renew(STAY_LEASES * settings_cache().lease_s + 1)
     begun.talk()
-    assert not begun.at_origin.runnable and JOB in begun.south.store.tables.jobs
+    assert not begun.at_origin.is_runnable and JOB in begun.south.store.tables.jobs
 
 
 def test_a_lost_acknowledgement_is_sent_again() -> None:
@@ -290,17 +290,17 @@
 
     link.request = lossy  # type: ignore[method-assign]
     moved.talk()
-    assert moved.status() == wire.DONE and JOB in moved.south.store.tables.over
+    assert moved.status() == wire.DONE and JOB in moved.south.store.tables.finished_jobs
     link.request = send  # type: ignore[method-assign]
     moved.talk()
-    assert JOB not in moved.south.store.tables.over
+    assert JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_target_without_its_state_service_answers_nothing() -> None:
     moved = Moved("once", accepted=False)
     moved.south.outage = True
     moved.talk()
-    assert JOB not in moved.south.store.tables.jobs and not moved.at_origin.runnable
+    assert JOB not in moved.south.store.tables.jobs and not moved.at_origin.is_runnable
 
 
 def test_an_origin_without_its_state_service_forgets_no_end() -> None:
@@ -308,10 +308,10 @@
     moved.run_there()
     moved.north.outage = True
     moved.talk()
-    assert moved.status() == wire.QUEUED and JOB in moved.south.store.tables.over, "not acknowledged"
+    assert moved.status() == wire.QUEUED and JOB in moved.south.store.tables.finished_jobs, "not acknowledged"
     moved.north.outage = False
     moved.talk()
-    assert moved.status() == wire.DONE and JOB not in moved.south.store.tables.over
+    assert moved.status() == wire.DONE and JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_cell_restored_from_a_copy_is_not_listened_to() -> None:
@@ -352,7 +352,7 @@
     moved.south.store.job(spec(JOB, visits=1))
     moved.talk()
     assert moved.south.store.tables.jobs[JOB].delegated is None
-    assert moved.at_origin.runnable
+    assert moved.at_origin.is_runnable
 
 
 def test_a_link_talks_to_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -49,7 +49,7 @@
     store.job(spec(together=True, visits=8, dueS=None))
     store.put(t.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
     wanted = fleet.needs(store.tables, settings, 0, 1.0)
-    assert [need.home for need in wanted] == ["b"]
+    assert [need.bound_zone for need in wanted] == ["b"]
     in_b = ("small", "b", True)
     assert fleet.surplus(wanted, {SPOT: 3, in_b: 1}, TYPES) == {SPOT: 2}
     plan = fleet.rent(wanted, {SPOT: 3}, TYPES, set(), 50)
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -75,7 +75,7 @@
 
     async def ask(self, message: HeartbeatRequest) -> Any:
         """The machines' actor, in this turn; each report shows that the answer before it was received."""
-        message.received = True
+        message.last_answer_received = True
         await self.world.machines.handle(message)
         return message.answer
 
@@ -89,8 +89,8 @@
 
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
-    "claim": lambda world: world.round(ClaimRequest(wants={"wk-000412": 2}, grow={"red": (4.0, 0.0)})),
-    "stop what is cancelled": lambda world: world.machines._stop_cancelled(),
+    "claim": lambda world: world.round(ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": (4.0, 0.0)})),
+    "stop what is cancelled": lambda world: world.machines._kill_cancelled(),
     "another controller": lambda world: world.store.view(4, ("c0", 1), ("c1", 2)),
     "nothing read": lambda world: setattr(world.replica, "loaded", False),
 }
@@ -130,13 +130,13 @@
         self.tables = Tables(CancellationLog(9, 7))
         self.client = StateClient(settings, lambda: 1, self.now)
         self.replica = Replica(self.client, self.tables, self.now)
-        self.replica.fresh = self.fresh  # type: ignore[method-assign]
+        self.replica.read_linearizable = self.fresh  # type: ignore[method-assign]
         self.leadership = Leadership(settings, self.tables, self.replica, self.now)
         self.membership = Membership(settings, self.client, self.replica, self.leadership)
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
-        self.machine = registry.take("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
+        self.machine = registry.add_machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
         self.commands = CommandSender(
             settings, self.leadership, registry, self.tables, lambda *_: None, self.told.append, self.now
         )
@@ -166,7 +166,7 @@
     def act(self) -> None:
         """This controller may act and answer, under view 3 and lease 7."""
         self.store(("s1/m/c0", {"boot": 7, "settled": 3, "layout": 3}), ("s1/view", {"n": 3, "members": [["c0", 7]]}))
-        self.leadership.boot, self.leadership.renewed_at, self.replica.fresh_at = 7, 1000.0, 1000.0
+        self.leadership.incarnation, self.leadership.lease_renewed_at, self.replica.linearizable_at = 7, 1000.0, 1000.0
 
 
 async def inspect(asking: Asking) -> Any:
@@ -176,22 +176,22 @@
 
 async def command(asking: Asking) -> Any:
     asking.act()
-    asking.machine.heard, asking.machine.session = True, 2
-    asking.machine.unwanted["wk-000377/1", 4] = None
-    await asking.commands._send_orders(asking.machine)
+    asking.machine.reconciled, asking.machine.agent_epoch = True, 2
+    asking.machine.foreign_attempts["wk-000377/1", 4] = None
+    await asking.commands._send_commands(asking.machine)
     return [reply.report for reply in asking.told]
 
 
 async def renew(asking: Asking) -> Any:
-    asking.leadership.boot = 7
+    asking.leadership.incarnation = 7
     await asking.membership._renew()
-    return [asking.leadership.boot, asking.leadership.renewed_at]
+    return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
 
 
 async def join(asking: Asking) -> Any:
     asking.replica.loaded = True
     await asking.membership._renew()
-    return [asking.leadership.boot, asking.leadership.renewed_at]
+    return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
 
 
 async def coordinate(asking: Asking) -> Any:
@@ -207,11 +207,11 @@
 
 async def mark(asking: Asking) -> Any:
     asking.act()
-    await asking.membership._mark()
+    await asking.membership._record_layout()
 
 
 async def commit(asking: Asking) -> Any:
-    outcome, epoch = await asking.client.commit(
+    outcome, epoch = await asking.client.compare_and_swap(
         {"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"], RequestPriority.USER, {"a/b": 7}
     )
     return [outcome.value, epoch]
@@ -219,27 +219,27 @@
 
 async def load(asking: Asking) -> Any:
     await asking.replica._load()
-    return [asking.replica.applied, asking.tables.view.number]
+    return [asking.replica.applied_revision, asking.tables.view.number]
 
 
 async def watch(asking: Asking) -> Any:
-    asking.replica.loaded, asking.replica.applied = True, 431
+    asking.replica.loaded, asking.replica.applied_revision = True, 431
     await asking.replica._read_changes(10.0)
-    return [asking.replica.applied, asking.tables.view.number]
+    return [asking.replica.applied_revision, asking.tables.view.number]
 
 
 async def read_fresh(asking: Asking) -> Any:
-    asking.replica.loaded, asking.replica.applied = True, 431
+    asking.replica.loaded, asking.replica.applied_revision = True, 431
     await asking.replica._read_changes(0.0)
-    return [asking.replica.applied, asking.tables.view.number]
+    return [asking.replica.applied_revision, asking.tables.view.number]
 
 
 # By what is asked for; what follows a colon tells the answers apart.
 CALLS: dict[str, Callable[[Asking], Awaitable[Any]]] = {
-    "catalog": lambda asking: asking.cloud.catalog(),
-    "rent": lambda asking: asking.cloud.rent(wire.InstanceRequest("r-17", "g8", "a", True, 12)),
-    "delete": lambda asking: asking.cloud.delete(["vm-000231", "vm-000232"]),
-    "machines": lambda asking: asking.cloud.machines(),
+    "catalog": lambda asking: asking.cloud.read_catalog(),
+    "rent": lambda asking: asking.cloud.create_instances(wire.InstanceRequest("r-17", "g8", "a", True, 12)),
+    "delete": lambda asking: asking.cloud.delete_instances(["vm-000231", "vm-000232"]),
+    "machines": lambda asking: asking.cloud.list_instances(),
     "commit": commit,
     "read all": load,
     "watch": watch,
@@ -274,10 +274,12 @@
 def heard(state: str, cause: str | None) -> list[int]:
     """How many tasks a report of this state and cause shows to be done, and failed."""
     registry, tables = MachineRegistry(), Tables(CancellationLog(9, 7))
-    machine = registry.take("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
+    machine = registry.add_machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
     task = {"visit": "wk-000412/3", "try": 2, "status": state, "cause": cause}
     report = json.loads(FROZEN["report"]) | {"visits": [task]}
-    found = registry.hear(machine, wire.decode(json.dumps(report).encode(), wire.WorkerReport), True, 1.0, 3, tables)
+    found = registry.reconcile(
+        machine, wire.decode(json.dumps(report).encode(), wire.WorkerReport), True, 1.0, 3, tables
+    )
     return [len(found.done), len(found.failed)]
 
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -70,7 +70,7 @@
 
 
 def member(world: Recorder) -> None:
-    world.membership.settled = 4
+    world.membership.recovered_view = 4
     assert world.run(world.membership._write_member)
 
 
@@ -84,18 +84,18 @@
 
 
 def layout_mark(world: Recorder) -> None:
-    world.run(world.membership._mark)
+    world.run(world.membership._record_layout)
     world.given("member")
     world.store.put(t.LAYOUT_KEY, {"seen": ["c1"], "complete": False})
-    world.run(world.membership._mark)
+    world.run(world.membership._record_layout)
 
 
 def feature_mark(world: Recorder) -> None:
     world.given("layout mark, complete")
     for name in ("cells", "admission"):
-        world.run(FeatureRollout(name, world.settings, world.client, world.replica, world.leadership).mark)
+        world.run(FeatureRollout(name, world.settings, world.client, world.replica, world.leadership).record_member)
     world.given("feature mark, begun")
-    world.run(FeatureRollout("cells", world.settings, world.client, world.replica, world.leadership).mark)
+    world.run(FeatureRollout("cells", world.settings, world.client, world.replica, world.leadership).record_member)
 
 
 # -- machines
@@ -183,7 +183,7 @@
 
 def job_done(world: Recorder) -> None:
     world.given("job")
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
@@ -202,7 +202,7 @@
 
 def job_in_parts_cancelled_with_tasks(world: Recorder) -> None:
     world.given("layout mark, complete", "job in parts")
-    world.round(ClaimRequest(wants={"wk-000004": 3}))
+    world.round(ClaimRequest(task_counts={"wk-000004": 3}))
     cancel_and_release(world, "wk-000004", 0b111)
 
 
@@ -235,9 +235,9 @@
 def cleared_away(world: Recorder) -> None:
     world.given("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
     world.given("adoptions that the progress holds")
-    world.run(world.jobs._clear_away)
+    world.run(world.jobs._collect_garbage)
     world.later(100.0)
-    world.run(world.jobs._clear_away)
+    world.run(world.jobs._collect_garbage)
 
 
 # -- progress
@@ -268,7 +268,7 @@
     for name in (JOB, THIRD):
         world.store.put(*parse_line(f's1/j/{name} {{"s":"done","n":1}}'))
     picks, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
-    world.round(ClaimRequest(wants={COMPLEX: 2}, picks=picks, zones=zones))
+    world.round(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=picks, zones=zones))
 
 
 def progress_beside_adoptions(world: Recorder) -> None:
@@ -280,22 +280,22 @@
 
 def adoptions_before_the_mark(world: Recorder) -> None:
     world.given("progress", "team limits")
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b11000}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={JOB: 0b11000}, view_number=3))
     world.round()
 
 
 def adoptions_after_the_mark(world: Recorder) -> None:
     world.given("layout mark, complete", "progress", "team limits")
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b101001000}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={JOB: 0b101001000}, view_number=3))
     world.round()
 
 
 def team_limit(world: Recorder) -> None:
-    world.round(ClaimRequest(grow={"red": (8.5, 0.0)}))
-    stamp = world.store.tables.stamp(t.team_key("red"))
-    world.round(ClaimRequest(shrink={"red": (stamp, 2.25, 0.0)}))
-    stamp = world.store.tables.stamp(t.team_key("red"))
-    world.round(ClaimRequest(shrink={"red": (stamp, 0.0, 0.0)}))
+    world.round(ClaimRequest(quota_increases={"red": (8.5, 0.0)}))
+    stamp = world.store.tables.mod_revision(t.team_key("red"))
+    world.round(ClaimRequest(quota_decreases={"red": (stamp, 2.25, 0.0)}))
+    stamp = world.store.tables.mod_revision(t.team_key("red"))
+    world.round(ClaimRequest(quota_decreases={"red": (stamp, 0.0, 0.0)}))
 
 
 # -- admission
@@ -326,7 +326,7 @@
 
 def admission_read_and_written(world: Recorder) -> None:
     world.given("admission rows with every field")
-    for path, row in sorted(world.store.tables.admission.items()):
+    for path, row in sorted(world.store.tables.admission_rows.items()):
         higher = row.raised(LaneCut(Ticket(1200, COMPLEX), 9000), {}, row.deficits)
         world.lines += [line_of(t.admission_key(path), each.stored()) for each in (row, higher)]
 
@@ -423,7 +423,7 @@
 def handoffs_beside_the_end(world: Recorder) -> None:
     """A job that runs at home while an earlier handoff is not stopped yet."""
     world.store.put(t.job_key(JOB), recalled_job())
-    world.round(ClaimRequest(wants={JOB: 4}))
+    world.round(ClaimRequest(task_counts={JOB: 4}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
@@ -464,7 +464,7 @@
 def accepted_and_done(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
     each = target(world, monkeypatch)
     assert asked(world, each, Request.OFFER) is Answer.ACCEPTED
-    world.round(ClaimRequest(wants={JOB: 1}))
+    world.round(ClaimRequest(task_counts={JOB: 1}))
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.later(20.0)
     world.round()
@@ -480,7 +480,7 @@
 def accepted_and_stopped(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
     each = target(world, monkeypatch)
     world.given("job handed over by a cell")
-    world.round(ClaimRequest(wants={JOB: 1}))
+    world.round(ClaimRequest(task_counts={JOB: 1}))
     assert asked(world, each, Request.STOP) is Answer.STOPPING
     world.tell_jobs(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -54,7 +54,7 @@
         "deployment.teams.gpus": lambda s: s.teams["red"].gpus,
         "deployment.teams.gpus_max": lambda s: s.teams["red"].gpus_max,
         "deployment.objectives.kind": lambda s: s.objectives[0].kind,
-        "deployment.objectives.class": lambda s: s.objectives[0].klass,
+        "deployment.objectives.class": lambda s: s.objectives[0].job_class,
         "deployment.objectives.within_s": lambda s: s.objectives[0].within_s,
         "deployment.objectives.share": lambda s: s.objectives[0].share,
         "deployment.objectives.times": lambda s: s.objectives[0].times,
