--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -38,13 +38,13 @@
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
     sibling = Mesh((), 1.0, world.clock, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = mesh.pack_inquire(3, world.replica.applied, peer.log, peer.place)
-    frame = sibling.answer(question[mesh.HEADER.size :]).pack()
+    question = mesh.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(question[mesh.HEADER.size :]).pack()
     length = mesh.check_header(frame[: mesh.HEADER.size], mesh.TYPE_INFORM)
     answer = StatusFrame.unpack(frame[mesh.HEADER.size :])
     assert length == len(frame) - mesh.HEADER.size
     assert world.leadership.mesh is not None
-    world.leadership.mesh.heard(peer, world.clock.time, answer)
+    world.leadership.mesh.apply_status(peer, world.clock.time, answer)
     return answer
 
 
@@ -63,57 +63,57 @@
 def test_a_cancellation_told_elsewhere_reaches_who_cannot_read_it(world: World) -> None:
     task = running(world)
     log = CancellationLog(100, 9)
-    log.add(JOB, world.replica.applied + 1)  # c1 stored it and told its user
+    log.add(JOB, world.replica.applied_revision + 1)  # c1 stored it and told its user
     outage(world)
     told(log, world)
-    assert world.leadership.may_answer and not world.leadership.may_act
-    orders = world.heartbeat(report(5, 3, (*task, "running"))).orders
+    assert world.leadership.may_answer_workers and not world.leadership.is_leader
+    orders = world.heartbeat(report(5, 3, (*task, "running"))).commands
     assert orders == []  # known, and marked at the next tick, which the news wakes
-    world.machines.registry.machines["vm-1"].heard = False  # no direct command in this test
-    world.machines._stop_cancelled()
-    world.machines.registry.machines["vm-1"].heard = True
-    orders = world.heartbeat(report(6, 3, (*task, "running"))).orders
+    world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
+    world.machines._kill_cancelled()
+    world.machines.registry.machines["vm-1"].reconciled = True
+    orders = world.heartbeat(report(6, 3, (*task, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert poll(world) == wire.CANCELLED
 
 
 def test_nothing_claimed_of_it_is_started_any_more(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
-    world.machines.registry.withdraw_unsent(world.machines.registry.machines["vm-1"])
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.machines.registry.remove_unsent(world.machines.registry.machines["vm-1"])
     log = CancellationLog(100, 9)
-    log.add(JOB, world.replica.applied + 1)
+    log.add(JOB, world.replica.applied_revision + 1)
     outage(world)
     told(log, world)
-    world.machines._line_up()
-    world.machines._place_waiting()
-    assert world.heartbeat(report(3, 3)).orders == []
+    world.machines._rebuild_queue()
+    world.machines._place_unplaced()
+    assert world.heartbeat(report(3, 3)).commands == []
 
 
 def test_a_sibling_that_has_read_nothing_since_it_started_confirms_nothing(world: World) -> None:
     running(world)
     outage(world)
     told(CancellationLog(100, 9), world, whole=False)
-    assert not world.leadership.may_answer
+    assert not world.leadership.may_answer_workers
     told(CancellationLog(100, 9), world)
-    assert world.leadership.may_answer
+    assert world.leadership.may_answer_workers
     told(CancellationLog(100, 9), world, view=4)
-    assert not world.leadership.may_answer
+    assert not world.leadership.may_answer_workers
 
 
 def test_a_confirmation_counts_only_with_all_that_comes_with_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mesh, "MOST_ENTRIES", 2)
     log = CancellationLog(100, 9)
     for number in range(5):
-        log.add(f"wk-{number}", world.replica.applied + 1)
+        log.add(f"wk-{number}", world.replica.applied_revision + 1)
     outage(world)
     seen = []
     for _ in range(3):
         answer = told(log, world)
-        seen += [entry.job for entry in answer.extract.cancellations]
-        assert world.leadership.may_answer == (len(seen) == 5)
+        seen += [entry.job for entry in answer.delta.cancellations]
+        assert world.leadership.may_answer_workers == (len(seen) == 5)
     assert seen == [f"wk-{number}" for number in range(5)]
-    assert told(log, world).extract.cancellations == []
+    assert told(log, world).delta.cancellations == []
 
 
 def test_what_was_learnt_later_is_told_later_whatever_its_stamp() -> None:
@@ -123,10 +123,10 @@
     first = log.since(40, 0, 0, 10)
     assert [entry.job for entry in first.cancellations] == ["wk-2"]
     log.add("wk-1", 45)
-    assert log.since(40, 9, first.upto, 10).cancellations == [("wk-1", 45)]
-    assert log.since(47, 9, first.upto, 10).cancellations == []
+    assert log.since(40, 9, first.position, 10).cancellations == [("wk-1", 45)]
+    assert log.since(47, 9, first.position, 10).cancellations == []
     # The place in another process's log says nothing.
-    assert len(log.since(40, 8, first.upto, 10).cancellations) == 2
+    assert len(log.since(40, 8, first.position, 10).cancellations) == 2
 
 
 def test_who_may_lack_what_was_dropped_is_not_confirmed() -> None:
@@ -135,8 +135,8 @@
         log.add(f"wk-{stamp}", stamp)
     assert log.since(5, 0, 0, 10).more
     assert not log.since(5, 0, 0, 10).cancellations
-    assert [entry.stamp for entry in log.since(10, 0, 0, 10).cancellations] == [20, 30]
-    assert [entry.stamp for entry in log.since(5, 9, 1, 10).cancellations] == [20, 30]
+    assert [entry.revision for entry in log.since(10, 0, 0, 10).cancellations] == [20, 30]
+    assert [entry.revision for entry in log.since(5, 9, 1, 10).cancellations] == [20, 30]
 
 
 def test_what_a_sibling_told_agrees_with_the_rows(store: Store) -> None:
@@ -145,16 +145,16 @@
     tables = store.tables
     tables.apply_peer_cancellation(Cancellation("wk-000001", 90))
     tables.apply_peer_cancellation(Cancellation("wk-000003", 91))
-    assert tables.jobs["wk-000001"].cancelled and tables.jobs["wk-000002"].condemned
+    assert tables.jobs["wk-000001"].is_cancelled and tables.jobs["wk-000002"].prerequisite_cancelled
     # A reading that was under way brings what was before.
     store.job(spec("wk-000003"))
-    assert tables.jobs["wk-000003"].cancelled
+    assert tables.jobs["wk-000003"].is_cancelled
     tables.clear()
     store.epoch = 100
     store.job(spec("wk-000001"))
-    assert tables.jobs["wk-000001"].cancelled
+    assert tables.jobs["wk-000001"].is_cancelled
     store.job(spec("wk-000001"), t.CANCELLED)
-    assert tables.jobs["wk-000001"].cancelled and "wk-000001" not in tables.told
+    assert tables.jobs["wk-000001"].is_cancelled and "wk-000001" not in tables.peer_cancellations
 
 
 def test_every_cancellation_that_may_be_told_is_in_the_log(store: Store) -> None:
@@ -197,7 +197,7 @@
     outage(world)
     anyio.run(play)
     assert answers[0] == mesh.pack_tell(mesh.NO_CONFIRMATION, False)
-    assert own.peers["c1"].view == 3 and not leadership.may_answer
+    assert own.peers["c1"].view_number == 3 and not leadership.may_answer_workers
 
 
 @pytest.mark.parametrize("upgraded", [False, True])
@@ -236,7 +236,7 @@
     own.pause_s = 0.01
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
-        anyio.run(own.ask_forever, world.settings.siblings[0])
+        anyio.run(own.poll_forever, world.settings.siblings[0])
     inquire, ask = mesh.TYPE_INQUIRE, mesh.TYPE_ASK
     assert asked == ([inquire, ask, inquire, ask, inquire] if upgraded else [ask] * 5)
 
@@ -269,27 +269,34 @@
         self.tables = t.Tables(log)
         self.replica = Replica(StateClient(self.settings, lambda: 3, clock), self.tables, clock)
         self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
-        self.mesh = Mesh(self.settings.siblings, 1.0, clock, self.leadership.known, log, self.leadership.learn)
+        self.mesh = Mesh(
+            self.settings.siblings,
+            1.0,
+            clock,
+            self.leadership.peer_status,
+            log,
+            self.leadership.apply_peer_cancellations,
+        )
         self.leadership.mesh = self.mesh
         self.knows: set[str] = set()
 
     def join(self) -> None:
         """All three are members of one view, which stays: what is at stake here is cancellations alone."""
-        self.leadership.boot = 1
+        self.leadership.incarnation = 1
         members = [["c0", 1], ["c1", 1], ["c2", 1]]
         self.tables.apply(t.VIEW_KEY, {"n": 3, "members": members}, 1)
 
     def read(self, service: Service) -> None:
         """A fresh read, sent now and answered at once."""
         for row in service.rows:
-            if row.stamp > self.replica.applied:
-                self.tables.apply(t.job_key(row.job), {"s": t.CANCELLED, "n": 1, "t": 5}, row.stamp)
-        self.replica.applied = service.epoch
-        self.replica.loaded = self.replica.whole = True
-        self.replica.fresh_at = self.leadership.renewed_at = self.clock.time
+            if row.revision > self.replica.applied_revision:
+                self.tables.apply(t.job_key(row.job), {"s": t.CANCELLED, "n": 1, "t": 5}, row.revision)
+        self.replica.applied_revision = service.epoch
+        self.replica.loaded = self.replica.fully_read = True
+        self.replica.linearizable_at = self.leadership.lease_renewed_at = self.clock.time
 
     def knows_of(self, job: str) -> bool:
-        return job in self.tables.over or job in self.tables.told
+        return job in self.tables.finished_jobs or job in self.tables.peer_cancellations
 
 
 def test_whoever_may_answer_knows_all_that_was_told_a_lease_ago(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -308,7 +315,7 @@
     for member in members.values():
         member.read(service)
         member.join()
-    span = members["c0"].leadership.span_s
+    span = members["c0"].leadership.lease_span_s
     reaches = dict.fromkeys(members, True)
     confirmed: dict[str, float] = {}
     frames: list[tuple[Member, str, float, StatusFrame]] = []
@@ -322,7 +329,7 @@
             reaches[name] = not reaches[name]
         elif action < 0.08:
             reaches = dict.fromkeys(members, False)
-        elif action < 0.2 and reaches[name] and member.replica.whole:
+        elif action < 0.2 and reaches[name] and member.replica.fully_read:
             # Stored; sometimes the answer is lost, and the user is told by whoever reads it.
             service.epoch += 1
             job = f"wk-{step}"
@@ -344,16 +351,20 @@
         else:
             other = rng.choice([other for other in members if other != name])
             peer = member.mesh.peers[other]
-            question = mesh.pack_inquire(3, member.replica.applied, peer.log, peer.place)[mesh.HEADER.size :]
-            frames.append((member, other, clock.time, members[other].mesh.answer(question)))
+            question = mesh.pack_inquire(3, member.replica.applied_revision, peer.log_id, peer.log_position)[
+                mesh.HEADER.size :
+            ]
+            frames.append((member, other, clock.time, members[other].mesh.status_for(question)))
         # One question at a time between two of them; its answer takes a while.
         while frames and (rng.random() < 0.6 or any(frame[:2] == frames[-1][:2] for frame in frames[:-1])):
             asker, other, asked, answer = frames.pop(0)
-            asker.mesh.heard(asker.mesh.peers[other], asked, StatusFrame.unpack(answer.pack()[mesh.HEADER.size :]))
+            asker.mesh.apply_status(
+                asker.mesh.peers[other], asked, StatusFrame.unpack(answer.pack()[mesh.HEADER.size :])
+            )
         for member in members.values():
-            if not member.leadership.may_answer:
+            if not member.leadership.may_answer_workers:
                 continue
-            answering_unread += member.replica.applied < service.epoch
+            answering_unread += member.replica.applied_revision < service.epoch
             for job, at in confirmed.items():
                 assert member.knows_of(job) or clock.time <= at + span, (step, job)
     return answering_unread
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,27 +7,27 @@
 
 def test_a_machine_that_fails_different_jobs_is_faulty() -> None:
     health = Health(1.0, 100.0)
-    health.failure("wk-1", "vm-1", 0.0)
-    assert not health.machine_faulty("vm-1") and health.avoid("wk-1", "vm-1")
-    health.failure("wk-2", "vm-1", 0.0)
-    assert health.machine_faulty("vm-1")
-    assert not health.job_faulty("wk-1") and not health.job_faulty("wk-2")
+    health.record_failure("wk-1", "vm-1", 0.0)
+    assert not health.is_machine_quarantined("vm-1") and health.has_failed_on("wk-1", "vm-1")
+    health.record_failure("wk-2", "vm-1", 0.0)
+    assert health.is_machine_quarantined("vm-1")
+    assert not health.is_job_faulty("wk-1") and not health.is_job_faulty("wk-2")
 
 
 def test_a_job_that_fails_everywhere_spoils_no_machine_and_waits_longer_each_time() -> None:
     health = Health(1.0, 100.0)
     for name in ("vm-1", "vm-2", "vm-3"):
-        health.failure("wk-1", name, 0.0)
-    assert health.job_faulty("wk-1")
-    assert not any(health.machine_faulty(name) for name in ("vm-1", "vm-2", "vm-3"))
-    assert health.paused("wk-1", 0.5) and not health.paused("wk-1", 1.0)
-    health.failure("wk-1", "vm-1", 1.0)
-    assert health.paused("wk-1", 2.9)
+        health.record_failure("wk-1", name, 0.0)
+    assert health.is_job_faulty("wk-1")
+    assert not any(health.is_machine_quarantined(name) for name in ("vm-1", "vm-2", "vm-3"))
+    assert health.is_job_paused("wk-1", 0.5) and not health.is_job_paused("wk-1", 1.0)
+    health.record_failure("wk-1", "vm-1", 1.0)
+    assert health.is_job_paused("wk-1", 2.9)
 
 
 def test_one_success_clears_the_job() -> None:
     health = Health(1.0, 100.0)
     for name in ("vm-1", "vm-2", "vm-3"):
-        health.failure("wk-1", name, 0.0)
-    health.success("wk-1", "vm-4")
-    assert not health.job_faulty("wk-1") and not health.paused("wk-1", 0.0)
+        health.record_failure("wk-1", name, 0.0)
+    health.record_success("wk-1", "vm-4")
+    assert not health.is_job_faulty("wk-1") and not health.is_job_paused("wk-1", 0.0)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -34,8 +34,10 @@
     monkeypatch.setattr(machines, "wall_clock_ms", lambda: int(world.clock.time * 1000))
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
-    world.machines.fleet.machines = world.machines
+    world.machines.autoscaler = Autoscaler(
+        world.settings, world.client, cloud, world.replica, world.leadership, world.clock
+    )
+    world.machines.autoscaler.machines = world.machines
     yield world
 
 
@@ -52,18 +54,18 @@
 def look(world: World) -> None:
     """A tick's look after cancelled tasks and silent machines; direct commands do not arrive."""
     vm = machine(world)
-    heard, vm.heard = vm.heard, False
-    world.machines._stop_cancelled()
-    vm.heard = heard
-    world.machines.cancellation_overdue = world.machines.cancellations.overdue(machines.wall_clock_ms())
+    heard, vm.reconciled = vm.reconciled, False
+    world.machines._kill_cancelled()
+    vm.reconciled = heard
+    world.machines.cancellation_overdue = world.machines.cancellations.has_overdue(machines.wall_clock_ms())
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
-    world.machines._watch_over(vm, world.clock.time)
+    world.machines._check_machine(vm, world.clock.time)
 
 
 def deleted(world: World) -> list[str]:
-    assert isinstance(world.machines.fleet, Autoscaler)
-    world.machines.fleet.wake = anyio.Event()  # of this event loop
-    return deletions(world, world.machines.fleet)
+    assert isinstance(world.machines.autoscaler, Autoscaler)
+    world.machines.autoscaler.wake = anyio.Event()  # of this event loop
+    return deletions(world, world.machines.autoscaler)
 
 
 @pytest.mark.parametrize("outage", [False, True])
@@ -82,8 +84,8 @@
         else:
             later(world, 1.0)
         look(world)
-    assert world.leadership.may_answer and world.leadership.may_act != outage
-    assert JOB not in world.machines.registry.placed  # its lease is over in our books
+    assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
+    assert JOB not in world.machines.registry.placed_tasks  # its lease is over in our books
     assert deleted(world) == []
     world.clock.time += 2.0
     if outage:
@@ -128,14 +130,14 @@
     owner, and the state service was down: nobody deleted it."""
     running(world)
     machine(world).cancelled_since = None
-    world.machines.registry.unhear(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
+    world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
     cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
     log = CancellationLog(10, 9)
     for _ in range(5):
         world.clock.time += 1.0
         told(log, world)
         look(world)
-    assert world.leadership.may_answer
+    assert world.leadership.may_answer_workers
     assert deleted(world) == (["vm-1"] if overdue else [])
 
 
@@ -188,15 +190,15 @@
     async def play() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(replica._serve_reads)
-            group.start_soon(replica.fresh, 1.0)
+            group.start_soon(replica.read_linearizable, 1.0)
             while not client.reads:
                 await anyio.sleep(0)
             if answered:
-                await replica.fresh(1.0)
+                await replica.read_linearizable(1.0)
             # Another node stores and tells a cancellation now.
             row = dict(store.rows[t.job_key(JOB)][0], s=t.CANCELLED)
             answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=t.job_key(JOB), value=row)]))
-            await replica.fresh(1.0)
+            await replica.read_linearizable(1.0)
             seen.append(store.tables.jobs[JOB].status)
             group.cancel_scope.cancel()
 
@@ -211,8 +213,8 @@
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
-    world.round(ClaimRequest(wants={JOB: 4}, grow={"red": (8.0, 0.0)}))
-    assert JOB in world.machines.registry.placed
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    assert JOB in world.machines.registry.placed_tasks
     serial = 10
     begun = world.clock.time
     while not deleted(world):
@@ -223,7 +225,7 @@
         world.machines._command_reply(report(serial, 3, session=session))
         world.machines._tick()
         # It looks well by its answers; what was placed before is free for others.
-        assert (JOB in world.machines.registry.placed) == (world.clock.time - begun < 3.0)
+        assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - begun < 3.0)
         assert world.clock.time - begun < 3 * world.settings.lease_s
     assert world.clock.time - begun > 2 * world.settings.lease_s
 
@@ -246,11 +248,11 @@
     world.store.put(t.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
     later(world, 100.0)
     world.machines._tick()
-    assert not world.machines.registry.machines["vm-8"].known
+    assert not world.machines.registry.machines["vm-8"].is_recovered
     for _ in range(4):
         later(world, 10.0)
         world.machines.commands.failures["vm-8"] = 2
-        world.machines.watch_at = 0.0
+        world.machines.next_check_at = 0.0
         world.machines._tick()
     assert "vm-8" in deleted(world)
 
@@ -262,7 +264,11 @@
 def test_a_job_is_bound_to_a_zone_only_while_one_of_its_tasks_is_somewhere(world: World, bound: Any) -> None:
     """Jobs bound to a zone, arrays too, lose all machines there."""
     world.store.job(spec(**bound))
-    world.round(ClaimRequest(wants={JOB: 4}, zones={JOB: "b"}, picks={JOB: 0b1111}, grow={"red": (8.0, 0.0)}))
+    world.round(
+        ClaimRequest(
+            task_counts={JOB: 4}, zones={JOB: "b"}, zone_bound_tasks={JOB: 0b1111}, quota_increases={"red": (8.0, 0.0)}
+        )
+    )
     job = world.store.tables.jobs[JOB]
     assert job.progress.zone == "b" and job.progress.claims
     world.tell_jobs(TaskUpdates(released={JOB: 0b0111}))
@@ -273,7 +279,7 @@
     later(world, 20.0)
     world.round()
     assert job.progress.zone is None and not job.progress.claims
-    world.round(ClaimRequest(wants={JOB: 4}, zones={JOB: "a"}, picks={JOB: 0b1111}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1111}))
     assert job.progress.zone == "a"
 
 
@@ -302,7 +308,7 @@
 def test_what_can_never_run_or_lacks_a_field_is_never_accepted(world: World, changes: Any, status: int) -> None:
     assert submit(world, JOB, **changes) == status
     # Before the machine types are known it is not decided; what is malformed is so at any time.
-    world.store.tables.types.clear()
+    world.store.tables.machine_types.clear()
     undecided = 400 if status == 400 else 503
     assert submit(world, "wk-000002", **changes) == undecided
 
@@ -322,18 +328,18 @@
     world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
-    world.machines._line_up()
-    assert all(not asked.wants for asked in world.claim_requests())
-    world.round(ClaimRequest(wants={JOB: 4}))
+    world.machines._rebuild_queue()
+    assert all(not asked.task_counts for asked in world.claim_requests())
+    world.round(ClaimRequest(task_counts={JOB: 4}))
     assert not world.store.tables.jobs[JOB].progress.claims
     machine(world).draining = False
     (asked,) = world.claim_requests()
     # All that the rules allow here, and nothing that would have no room.
     allowed = 0b0011 if "spread" in bound else 0b1111
-    assert asked.zones == {JOB: "a"} and asked.picks == {JOB: allowed}
+    assert asked.zones == {JOB: "a"} and asked.zone_bound_tasks == {JOB: allowed}
     world.round(asked)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": allowed}
-    assert world.machines.registry.placed[JOB] == allowed
+    assert world.machines.registry.placed_tasks[JOB] == allowed
 
 
 def test_tasks_for_other_zones_are_claimed_where_there_is_room_for_them(world: World) -> None:
@@ -341,18 +347,22 @@
     world.store.job(spec(spread=True))
     world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(t.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines._line_up()
+    world.machines._rebuild_queue()
     (asked,) = world.claim_requests()
-    assert asked.picks == {JOB: 0b1100}
+    assert asked.zone_bound_tasks == {JOB: 0b1100}
     world.round(asked)
-    assert world.machines.registry.placed[JOB] == 0b1100
+    assert world.machines.registry.placed_tasks[JOB] == 0b1100
 
 
 def test_no_zone_is_chosen_while_tasks_without_one_are_somewhere(world: World) -> None:
     """As an earlier version may have left them."""
     world.store.job(spec(together=True))
     world.store.put(t.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
-    world.round(ClaimRequest(wants={JOB: 3}, zones={JOB: "a"}, picks={JOB: 0b1110}, grow={"red": (8.0, 0.0)}))
+    world.round(
+        ClaimRequest(
+            task_counts={JOB: 3}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1110}, quota_increases={"red": (8.0, 0.0)}
+        )
+    )
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
 
 
@@ -360,10 +370,10 @@
     world.store.job(spec(spread=True))
     world.store.put(t.team_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(t.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines.limits.spare = lambda team, use: (2.0, 0.0)  # type: ignore[method-assign]
-    world.machines._line_up()
+    world.machines.quota.available = lambda team, use: (2.0, 0.0)  # type: ignore[method-assign]
+    world.machines._rebuild_queue()
     (asked,) = world.claim_requests()
-    assert asked.picks == {JOB: 0b0100}
+    assert asked.zone_bound_tasks == {JOB: 0b0100}
 
 
 def test_bound_tasks_take_no_more_room_than_asked_and_none_without_a_zone(world: World) -> None:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -62,15 +62,15 @@
     world.store.job(spec(A, visits=1))
     world.store.job(spec(B, visits=1, awaits=[A]))
     assert line(world.store) == [A]
-    world.round(ClaimRequest(wants={A: 1, B: 1}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": (8.0, 0.0)}))
     assert not world.store.tables.jobs[B].progress.claims
-    start = world.heartbeat(report(3, 3)).orders[0]
+    start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    world.tell_jobs(world.machines.learnt if world.machines.learnt else TaskUpdates(done={A: 1}))
+    world.tell_jobs(world.machines.task_updates if world.machines.task_updates else TaskUpdates(done={A: 1}))
     assert line(world.store) == [A]  # told, not stored
     world.round()  # at once: nothing that others wait for is kept for company
     assert line(world.store) == [B]
-    world.round(ClaimRequest(wants={B: 1}))
+    world.round(ClaimRequest(task_counts={B: 1}))
     assert world.store.tables.jobs[B].progress.claims == {"c0.1": 1}
 
 
@@ -84,8 +84,8 @@
         return [need.spec.id for need in fleet.needs(world.store.tables, settings, 0, 0.5)]
 
     assert needed() == [A, C]
-    world.machines._line_up()
-    assert {name for request in world.claim_requests() for name in request.wants} == {A, C}
+    world.machines._rebuild_queue()
+    assert {name for request in world.claim_requests() for name in request.task_counts} == {A, C}
     # The team's 8 cores hold A and C, which came after B.
     assert world.store.tables.jobs[C].guaranteed and world.store.tables.jobs[B].guaranteed is None
     # For what may not use spot machines one is looked for once all that it still waits for has begun.
@@ -105,19 +105,19 @@
     done(store, A)
     assert line(store) == [C, B]
     jobs = store.tables.jobs
-    assert jobs[C].guaranteed and not jobs[B].guaranteed and jobs[B].born > jobs[C].born
+    assert jobs[C].guaranteed and not jobs[B].guaranteed and jobs[B].ready_revision > jobs[C].ready_revision
 
 
 def test_prerequisites_that_end_at_two_controllers_release_once_both_are_stored(store: Store) -> None:
     for name in (A, B):
         store.job(spec(name))
     store.job(spec(C, awaits=[A, B, A]))
-    assert store.tables.jobs[C].spec.awaits == (A, B)
+    assert store.tables.jobs[C].spec.prerequisites == (A, B)
     done(store, B)
     done(store, B)  # seen again
     assert C not in line(store)
     done(store, A)
-    assert line(store) == [C] and store.tables.jobs[C].waits == 0
+    assert line(store) == [C] and store.tables.jobs[C].unfinished_prerequisites == 0
 
 
 def test_a_diamond_across_teams_is_released_stage_by_stage(store: Store) -> None:
@@ -150,8 +150,8 @@
         store.put(key, rows[key])
     jobs = store.tables.jobs
     assert line(store) == [A] and jobs[A].ready_ms == 5000
-    assert {name: job.waits for name, job in jobs.items()} == {A: 0, B: 1, C: 2, D: 1}
-    assert [name for name in sorted(jobs) if jobs[name].cancelled] == [C, D]
+    assert {name: job.unfinished_prerequisites for name, job in jobs.items()} == {A: 0, B: 1, C: 2, D: 1}
+    assert [name for name in sorted(jobs) if jobs[name].is_cancelled] == [C, D]
 
 
 def test_a_thousand_in_a_chain_and_a_thousand_side_by_side_neither_recurse_nor_cost_a_look_each(store: Store) -> None:
@@ -163,7 +163,7 @@
     assert line(store) == [names[0]]
     assert store.tables.jobs[names[0]].inherited_rank == 0
     store.put(t.job_key(names[0]), {"s": t.CANCELLED, "n": 4})
-    assert all(job.cancelled for job in store.tables.jobs.values()) and line(store) == []
+    assert all(job.is_cancelled for job in store.tables.jobs.values()) and line(store) == []
 
 
 # -- cancellation
@@ -183,13 +183,13 @@
     async def stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
-    world.replica.fresh = stale  # type: ignore[method-assign]
+    world.replica.read_linearizable = stale  # type: ignore[method-assign]
     for again in (ask(world, "POST", f"/submissions/{C}/cancel"), ask(world, "POST", "/submissions", submission(C))):
         assert again.status == 200 and b'"withdrawn"' in again.body
-    world.replica.fresh = world.read  # type: ignore[method-assign]
+    world.replica.read_linearizable = world.read  # type: ignore[method-assign]
     world.clock.time += 0.1
     world.round()
-    over = world.store.tables.over
+    over = world.store.tables.finished_jobs
     assert over[B].status == over[C].status == t.CANCELLED and D in world.store.tables.jobs
     assert status(world, C) == wire.CANCELLED
 
@@ -271,9 +271,9 @@
         if A not in world.store.tables.jobs:
             world.store.job(spec(A))
 
-    world.replica.fresh = stale  # type: ignore[method-assign]
+    world.replica.read_linearizable = stale  # type: ignore[method-assign]
     assert submit(world, B, A) == 503
-    world.replica.fresh = just_accepted_elsewhere  # type: ignore[method-assign]
+    world.replica.read_linearizable = just_accepted_elsewhere  # type: ignore[method-assign]
     assert submit(world, B, A) == 201
 
 
@@ -283,7 +283,7 @@
     assert submit(world, B, A) == 503
     world.client.apply(*world.client.late[0])
     assert submit(world, B, A) == 200
-    assert world.store.tables.jobs[B].waits == 1
+    assert world.store.tables.jobs[B].unfinished_prerequisites == 1
 
 
 NARROW = SETTINGS.replace(
@@ -300,24 +300,28 @@
     store.job(spec("wk-100000"))
     assert submit(world, "wk-100001", *names, "wk-100000") == 201
     job = store.tables.jobs["wk-100001"]
-    assert job.waits == 1 and len(job.spec.awaits) == 1001
+    assert job.unfinished_prerequisites == 1 and len(job.spec.prerequisites) == 1001
     # Read by key, a job's row comes before its parts.
     again = Store()
-    again.put(t.job_key("wk-100001"), {"s": t.LIVE, "n": 4, "t": 0, "parts": list(job.parts or ())})
+    again.put(t.job_key("wk-100001"), {"s": t.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())})
     assert not again.tables.jobs
-    for number, text in store.tables.parts["wk-100001"][job.parts[0] if job.parts else ""].items():
-        again.put(t.chunk_key("wk-100001", job.parts[0] if job.parts else "", number), text)
+    for number, text in store.tables.spec_chunks["wk-100001"][job.spec_chunks[0] if job.spec_chunks else ""].items():
+        again.put(t.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
     assert again.tables.jobs["wk-100001"].spec == job.spec
     # With claims its cancelled row names the parts too; over, they are dropped.
     store.progress("wk-100001", c0_1=1)
     assert anyio.run(world.jobs.cancel, "wk-100001") == wire.CANCELLED
-    assert store.tables.jobs["wk-100001"].cancelled
+    assert store.tables.jobs["wk-100001"].is_cancelled
     store.progress("wk-100001")
     world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.round()
     for _ in range(20):
-        anyio.run(world.jobs._clear_away)
-    assert "wk-100001" in store.tables.over and not store.tables.parts and not store.tables.leftover
+        anyio.run(world.jobs._collect_garbage)
+    assert (
+        "wk-100001" in store.tables.finished_jobs
+        and not store.tables.spec_chunks
+        and not store.tables.leftover_progress
+    )
 
 
 def test_parts_without_a_job_are_no_job_and_are_cleared_away_before_a_late_row_can_need_them(store: Store) -> None:
@@ -328,24 +332,24 @@
         done(store, name)
 
     # The row's own answer is lost, four parts before it are stored.
-    commit = world.client.commit
+    commit = world.client.compare_and_swap
 
     async def lose_the_row(conditions: dict[str, int], writes: dict[str, Any], *rest: Any, **more: Any) -> Any:
         world.client.lose_answers = int(t.job_key("wk-100001") in writes)
         return await commit(conditions, writes, *rest, **more)
 
-    world.client.commit = lose_the_row  # type: ignore[method-assign]
+    world.client.compare_and_swap = lose_the_row  # type: ignore[method-assign]
     assert submit(world, "wk-100001", *names) == 503
-    assert len(world.client.late) == 1 and store.tables.parts
+    assert len(world.client.late) == 1 and store.tables.spec_chunks
     assert status_code(world, "wk-100001") == 404
-    anyio.run(world.jobs._clear_away)
+    anyio.run(world.jobs._collect_garbage)
     world.clock.time += 5 * world.settings.lease_s
-    anyio.run(world.jobs._clear_away)
+    anyio.run(world.jobs._collect_garbage)
     world.client.apply(*world.client.late[0])  # the row, carried out after its first part was dropped
     assert status_code(world, "wk-100001") == 404
     for _ in range(20):
-        anyio.run(world.jobs._clear_away)
-    assert not store.tables.parts
+        anyio.run(world.jobs._collect_garbage)
+    assert not store.tables.spec_chunks
 
 
 def status_code(world: World, name: str) -> int:
@@ -403,7 +407,7 @@
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
     """Failure found by reasoning: claims alone would fill each round of three changes."""
     world = World(store, NARROW)
-    world.client.share = lambda: 3
+    world.client.controllers = lambda: 3
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
         store.progress(f"wk-00000{number}", c0_1=1)
@@ -412,10 +416,10 @@
     store.job(spec("wk-000009"))
     world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
-    due = world.jobs._due(ClaimRequest(wants={"wk-000008": 4, "wk-000009": 4}))
+    due = world.jobs._due(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
     assert due[0] == "wk-000006" and set(due[1:6]) == {f"wk-00000{number}" for number in range(1, 6)}
-    world.round(ClaimRequest(wants={"wk-000008": 4, "wk-000009": 4}))
-    assert "wk-000006" in store.tables.over
+    world.round(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
+    assert "wk-000006" in store.tables.finished_jobs
 
 
 # -- own writes are known at once
@@ -427,7 +431,7 @@
     def __init__(self, world: World, *answers: dict[str, Any]) -> None:
         self.replica = Replica(world.client, t.Tables(), world.clock)
         self.replica.loaded = True
-        self.replica.applied = 10
+        self.replica.applied_revision = 10
         left = list(answers)
 
         async def call(*_: Any, **__: Any) -> Reply:
@@ -449,17 +453,17 @@
     )
     answers.read()
     tables = answers.replica.tables
-    assert tables.jobs[B].waits == 1
-    answers.replica.stored(13, {t.job_key(A): ended})
-    assert tables.jobs[B].waits == 0 and answers.replica.applied == 11
+    assert tables.jobs[B].unfinished_prerequisites == 1
+    answers.replica.apply_own_write(13, {t.job_key(A): ended})
+    assert tables.jobs[B].unfinished_prerequisites == 0 and answers.replica.applied_revision == 11
     answers.read()
-    assert answers.replica.loaded and tables.jobs[B].waits == 0
+    assert answers.replica.loaded and tables.jobs[B].unfinished_prerequisites == 0
 
 
 def test_a_stamp_that_is_not_the_one_told_has_all_read_again(world: World) -> None:
     row = {"s": t.LIVE, "n": 4, "t": 0, "spec": submission(B)}
     answers = Answers(world, {"epoch": 14, "events": [{"write": t.job_key(B), "v": row, "stamp": 12}]})
-    answers.replica.stored(13, {t.job_key(B): row})
+    answers.replica.apply_own_write(13, {t.job_key(B): row})
     answers.read()
     assert not answers.replica.loaded
 
@@ -473,19 +477,19 @@
     machine = world.machines.registry.machines["vm-1"]
     machine.images["img-2"] = None
     jobs = world.store.tables.jobs
-    world.machines.idle_line = [jobs[A], jobs[B], jobs[C]]
-    world.machines._fill(machine)
-    assert set(world.machines.registry.placed) == {C}
+    world.machines.unplaced_jobs = [jobs[A], jobs[B], jobs[C]]
+    world.machines._fill_machine(machine)
+    assert set(world.machines.registry.placed_tasks) == {C}
     # Among usual ones the image still decides, whatever their priority.
     for attempt in list(machine.attempts.values()):
-        world.machines.registry.drop(machine, attempt)
+        world.machines.registry.remove_attempt(machine, attempt)
     machine.images.clear()
     machine.images["img-1"] = None
     world.store.job(spec(D, urgency="best_effort", kit="img-1"))
     world.store.progress(D, c0_1=0b1111)
-    world.machines.idle_line = [jobs[B], jobs[D]]
-    world.machines._fill(machine)
-    assert set(world.machines.registry.placed) == {D}
+    world.machines.unplaced_jobs = [jobs[B], jobs[D]]
+    world.machines._fill_machine(machine)
+    assert set(world.machines.registry.placed_tasks) == {D}
 
 
 def test_an_urgent_stage_that_is_late_keeps_its_place(store: Store) -> None:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -21,7 +21,7 @@
 def running(count: int, **changes: Any) -> list[Attempt]:
     """Tasks of one core each, started one after the other."""
     job = spec(FILL, **{"visits": count, "cores": 1.0, "memoryGb": 0.1, "urgency": "best_effort", **changes})
-    return [Attempt(FILL, index, 1, job, "running", seen=True, placed_at=float(index)) for index in range(count)]
+    return [Attempt(FILL, index, 1, job, "running", reported=True, placed_at=float(index)) for index in range(count)]
 
 
 def choose(
@@ -68,9 +68,9 @@
     store.job(spec(FILL, visits=8))
     store.job(spec(SOLVE, **GANG))
     old, new = store.tables.jobs[FILL], store.tables.jobs[SOLVE]
-    old.rank, new.rank = (1, False, False, 0, 0), (2, False, True, 2, 1)
+    old.queue_rank, new.queue_rank = (1, False, False, 0, 0), (2, False, True, 2, 1)
     order = preemption.QueueOrder.of([old, new], {FILL: 0b11111})
-    assert order.lendable == {FILL: 2} and order.behind(FILL, SOLVE) and not order.behind(SOLVE, FILL)
+    assert order.preemptible_counts == {FILL: 2} and order.is_behind(FILL, SOLVE) and not order.is_behind(SOLVE, FILL)
 
 
 def test_at_the_limit_only_the_teams_own_tasks_make_room_in_it(store: Store) -> None:
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -35,8 +35,8 @@
     world.heartbeat(large(2, 3))
     store.put(t.team_key("red"), {"c0.1": [100.0, 0.0]})
     store.job(spec(FILL, visits=32, cores=1.0, memoryGb=0.1, urgency="best_effort"))
-    world.round(ClaimRequest(wants={FILL: 32}))
-    starts = world.heartbeat(large(3, 3)).orders
+    world.round(ClaimRequest(task_counts={FILL: 32}))
+    starts = world.heartbeat(large(3, 3)).commands
     world.heartbeat(large(4, 3, *((order.task, order.attempt, "running") for order in starts)))
     yield world
 
@@ -52,14 +52,14 @@
 def tick(world: World, seconds: float) -> int:
     """How many tasks on the machine are to stop after a tick; direct commands are not sent here."""
     later(world, seconds)
-    world.machines._line_up()
-    world.machines.met = {
-        job.spec.id: world.machines.met.get(job.spec.id, world.clock.time) for job in world.machines.line
+    world.machines._rebuild_queue()
+    world.machines.queued_since = {
+        job.spec.id: world.machines.queued_since.get(job.spec.id, world.clock.time) for job in world.machines.queue
     }
-    machine(world).heard = True
-    kill = world.machines.registry.kill
+    machine(world).reconciled = True
+    kill = world.machines.registry.mark_for_kill
     world.machines.gang_preemption.kill = kill  # type: ignore[assignment]
-    world.machines.gang_preemption.make_room(world.clock.time)
+    world.machines.gang_preemption.preempt_for_gangs(world.clock.time)
     return sum(attempt.kill_grace_s is not None for attempt in machine(world).attempts.values())
 
 
@@ -83,27 +83,27 @@
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     running = ((attempt.name, attempt.number, "running") for attempt in left)
     world.heartbeat(large(5, 3, *running))
-    assert machine(world).use.cores == 2.0
+    assert machine(world).usage.cores == 2.0
     # What comes back does not take the room again.
-    world.machines._place_waiting()
-    world.machines._fill(machine(world))
-    assert machine(world).use.cores == 2.0
-    world.round(ClaimRequest(wants={SOLVE: 1}, zones={SOLVE: "a"}, picks={SOLVE: 0b1}))
-    assert machine(world).use.cores == 32.0 and world.machines.registry.placed[SOLVE] == 0b1
+    world.machines._place_unplaced()
+    world.machines._fill_machine(machine(world))
+    assert machine(world).usage.cores == 2.0
+    world.round(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
+    assert machine(world).usage.cores == 32.0 and world.machines.registry.placed_tasks[SOLVE] == 0b1
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_the_room_is_held_no_longer_than_needed_or_a_worker_lease(world: World, cancelled: bool) -> None:
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
-    assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_preemption.held
+    assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_preemption.reservations
     if cancelled:
         world.store.job(spec(SOLVE, **GANG), t.CANCELLED)
     tick(world, 0.1)
-    assert bool(world.machines.gang_preemption.held) != cancelled
+    assert bool(world.machines.gang_preemption.reservations) != cancelled
     # The tasks do not stop, and no others may.
     tick(world, world.settings.lease_s)
-    assert not world.machines.gang_preemption.held
+    assert not world.machines.gang_preemption.reservations
 
 
 @pytest.mark.parametrize("urgency", ["standard", "critical"])
@@ -119,14 +119,14 @@
     """A job that waited too long goes by age: nothing starves for being stopped again and again."""
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
-    order = world.machines._line_up
+    order = world.machines._rebuild_queue
 
     def aged() -> None:
         order()
-        world.machines.line.sort(key=lambda job: job.spec.id != FILL)
+        world.machines.queue.sort(key=lambda job: job.spec.id != FILL)
 
-    world.machines._line_up = aged  # type: ignore[method-assign]
-    assert FILL in [job.spec.id for job in world.machines.line]
+    world.machines._rebuild_queue = aged  # type: ignore[method-assign]
+    assert FILL in [job.spec.id for job in world.machines.queue]
     assert tick(world, 5.0) == 0
 
 
@@ -135,30 +135,30 @@
     world.store.put(t.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
-    world.machines.limits.spare = lambda team, use: (50.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, use: (50.0, 0.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     assert tick(world, 2.5) == 12
-    assert world.machines.gang_preemption.held.keys() == {"vm-2"}
+    assert world.machines.gang_preemption.reservations.keys() == {"vm-2"}
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     world.store.put(t.team_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
     # Small tasks of the team do not take what was freed, not even one by one.
-    world.machines._place_waiting()
-    assert world.machines.limits.use("red").cores == 20.0
-    assert all(FILL not in asked.wants for asked in world.claim_requests())
+    world.machines._place_unplaced()
+    assert world.machines.quota.usage("red").cores == 20.0
+    assert all(FILL not in asked.task_counts for asked in world.claim_requests())
     world.heartbeat(msgspec.structs.replace(large(3, 3), machine="vm-2"))
-    world.round(ClaimRequest(wants={SOLVE: 1}, zones={SOLVE: "a"}, picks={SOLVE: 0b1}))
-    assert world.machines.registry.placed[SOLVE] == 0b1 and world.machines.limits.use("red").cores == 50.0
+    world.round(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
+    assert world.machines.registry.placed_tasks[SOLVE] == 0b1 and world.machines.quota.usage("red").cores == 50.0
 
 
 def test_without_enough_of_its_own_work_the_limit_stays_and_nothing_stops(world: World) -> None:
-    world.machines.limits.spare = lambda team, use: (29.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, use: (29.0, 0.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     for attempt in machine(world).attempts.values():
         attempt.spec = msgspec.structs.replace(attempt.spec, team="blue")
     tick(world, 0.1)
-    assert tick(world, 5.0) == 0 and not world.machines.gang_preemption.held
+    assert tick(world, 5.0) == 0 and not world.machines.gang_preemption.reservations
 
 
 def test_room_is_made_for_a_gang_that_only_a_run_that_is_gone_has_claimed(world: World) -> None:
@@ -169,7 +169,7 @@
     assert not world.machines._has_begun(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
     # It is kept at the next look too.
-    assert tick(world, 0.1) == 30 and world.machines.gang_preemption.held
+    assert tick(world, 0.1) == 30 and world.machines.gang_preemption.reservations
 
 
 def test_a_gang_that_a_present_controller_has_claimed_gets_no_room_here(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -40,8 +40,8 @@
     fleet.tick()
     claims = [job.progress.claims for job in fleet.store.tables.jobs.values()]
     assert all(set(held) == {"c0.1"} for held in claims) and len(claims) == fleet.jobs_count
-    assert fleet.machines.registry.settled(fleet.store.tables, "c0.1")
-    assert fleet.store.tables.allowances["red"]["c0.1"] == (2.0 * MACHINES, 0.0)
+    assert fleet.machines.registry.is_recovered(fleet.store.tables, "c0.1")
+    assert fleet.store.tables.quota_allocations["red"]["c0.1"] == (2.0 * MACHINES, 0.0)
 
 
 def test_a_wave_of_cancellations_makes_one_command_for_each_machine(fleet: FleetWorld) -> None:
@@ -54,17 +54,17 @@
 
 
 def test_all_machines_are_taken_out_of_what_is_stored_in_few_transactions(fleet: FleetWorld) -> None:
-    groups = len(fleet.store.tables.groups)
+    groups = len(fleet.store.tables.machine_groups)
     transactions = fleet.delete_all()
     assert transactions <= -(-groups // 4) + 1
-    assert not fleet.store.tables.machines and not fleet.store.tables.groups
+    assert not fleet.store.tables.machines and not fleet.store.tables.machine_groups
     assert all(size < wire.MAX_BODY for _, size in fleet.transactions)
 
 
 def claim_planner(fleet: FleetWorld) -> ClaimPlanner:
     machines = fleet.machines
     limits = PlanLimits.of(fleet.settings, fleet.client.txn_ops, machines.pace_s)
-    return ClaimPlanner(machines.picture(fleet.clock.time), limits, fleet.store.tables)
+    return ClaimPlanner(machines.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
 
 
 def test_a_look_for_claims_is_bounded_and_gives_no_allowance_back(fleet: FleetWorld) -> None:
@@ -75,16 +75,16 @@
         fleet.store.job(spec(f"wk-{900000 + number}", visits=100, cores=1.0))
     fleet.tick()
     machines = fleet.machines
-    machines.met = {job.spec.id: fleet.clock.time - 100 for job in machines.line}
+    machines.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue}
     planner = claim_planner(fleet)
-    claims = planner.plan(machines.line, 1, 0)
-    assert len(claims.wants) == planner.limits.max_jobs
-    assert planner.rooms_seen <= planner.limits.max_rooms_seen + planner.limits.max_jobs * MACHINES
+    claims = planner.plan(machines.queue, 1, 0)
+    assert len(claims.task_counts) == planner.limits.max_jobs
+    assert planner.capacities_scanned <= planner.limits.max_capacities_scanned + planner.limits.max_jobs * MACHINES
     request = ClaimRequest()
     # What the jobs further back could use is not reckoned, and yet no surplus as far as there is room for it.
     for later_s in (0.0, 3 * fleet.settings.report_s):
-        machines.limits.request_allowances(request, claims.useful, 1, fleet.clock.time + later_s)
-    _, cores, _ = request.shrink["red"]
+        machines.quota.request_allocations(request, claims.usable_quota, 1, fleet.clock.time + later_s)
+    _, cores, _ = request.quota_decreases["red"]
     assert 0.95 * 8.0 * MACHINES < cores < 1.05 * 8.0 * MACHINES
 
 
@@ -95,7 +95,7 @@
     fleet.store.job(spec("wk-800000", visits=3, cores=1.0))
     fleet.tick()
     machines = fleet.machines
-    machines.met = {job.spec.id: fleet.clock.time - 100 for job in machines.line}
+    machines.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue}
     looks = 0
     place = placement.place
 
@@ -106,9 +106,9 @@
 
     monkeypatch.setattr(placement, "place", counted)
     planner = claim_planner(fleet)
-    planner.plan(machines.line, 1, 0)
+    planner.plan(machines.queue, 1, 0)
     # The one that fits stands in the line twice, having waited for long.
-    assert looks == 3 and planner.taken["wk-800000"]
+    assert looks == 3 and planner.planned_tasks["wk-800000"]
 
 
 class PacedCloud:
@@ -141,7 +141,7 @@
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
-    monkeypatch.setattr(cloud.bucket, "wait_s", lambda *_: 0.0)
+    monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
     renting = Autoscaler(fleet.settings, fleet.client, cloud, fleet.replica, fleet.leadership, fleet.clock)
     renting.types = {"small": MACHINE_TYPE}
     fleet.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
@@ -153,8 +153,8 @@
     async def rent() -> None:
         while fleet.clock.time < until:
             fleet.renew()
-            await renting._list()
-            while await renting._rent():
+            await renting._list_instances()
+            while await renting._scale_out():
                 fleet.renew()
             fleet.clock.time += fleet.settings.list_lag_s / 10
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -36,7 +36,7 @@
     store.job(spec())
     store.put(t.job_key(JOB), {"s": t.DONE, "n": 4})
     store.job(spec())  # an overlapping read brings what was before
-    assert store.tables.over[JOB][:2] == (t.DONE, 4)
+    assert store.tables.finished_jobs[JOB][:2] == (t.DONE, 4)
     assert JOB not in store.tables.jobs
 
 
@@ -52,18 +52,18 @@
     store.view(2, ("c0", 1))
     store.member("c0", 1, settled=1)
     job = store.tables.jobs[JOB]
-    assert not store.tables.all_settled()
-    assert store.tables.open_tasks(job, store.tables.all_settled()) == 0b1100
+    assert not store.tables.recovery_complete()
+    assert store.tables.unclaimed_tasks(job, store.tables.recovery_complete()) == 0b1100
     store.member("c0", 1, settled=2)
-    assert store.tables.all_settled()
-    assert store.tables.open_tasks(job, True) == 0b1110
-    assert store.tables.abandoned(job) == ["c1.2"]
+    assert store.tables.recovery_complete()
+    assert store.tables.unclaimed_tasks(job, True) == 0b1110
+    assert store.tables.void_claim_holders(job) == ["c1.2"]
 
 
 def test_settled_by_an_earlier_run_of_a_member_does_not_count(store: Store) -> None:
     store.view(2, ("c0", 5))
     store.member("c0", 1, settled=2)
-    assert not store.tables.all_settled()
+    assert not store.tables.recovery_complete()
 
 
 def test_order_is_guarantee_then_priority_then_age(store: Store) -> None:
@@ -137,7 +137,7 @@
 def test_impossible_jobs_are_told_why(store: Store) -> None:
 
     teams = parse(SETTINGS).teams
-    types = store.tables.types
+    types = store.tables.machine_types
     assert quota.impossible(spec(), teams, types) is None
     assert quota.impossible(spec(crew="blue"), teams, types) == "unknown team"
     assert quota.impossible(spec(cores=9.0), teams, types) == "fits no machine type"
@@ -172,6 +172,6 @@
     store.put(t.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
     store.member("c0", 3, settled=1)
-    assert store.tables.unallotted(red)[0] == 0.0
+    assert store.tables.unallocated_quota(red)[0] == 0.0
     store.member("c0", 3, settled=2)
-    assert store.tables.unallotted(red)[0] == 20.0
+    assert store.tables.unallocated_quota(red)[0] == 20.0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -117,12 +117,18 @@
         store.put(key, value)
     tables = store.tables
     job = tables.jobs["wk-000001"]
-    assert (job.status, job.submitted_ms, job.ready_ms, job.spec.tasks, job.spec.awaits) == (t.LIVE, 1000, 1000, 4, ())
-    assert job.progress == t.Progress(0b11, {"c1.5": 0b100}, "a", 3) and job.runnable
-    assert tables.jobs["wk-000002"].cancelled and tables.over["wk-000003"][:3] == (t.DONE, 7, 0)
+    assert (job.status, job.submitted_ms, job.ready_ms, job.spec.tasks, job.spec.prerequisites) == (
+        t.LIVE,
+        1000,
+        1000,
+        4,
+        (),
+    )
+    assert job.progress == t.Progress(0b11, {"c1.5": 0b100}, "a", 3) and job.is_runnable
+    assert tables.jobs["wk-000002"].is_cancelled and tables.finished_jobs["wk-000003"][:3] == (t.DONE, 7, 0)
     assert tables.machines["vm-1"].key == "s1/g/c1.5.1" and not tables.machines["vm-2"].spot
     assert tables.members["c1"] == t.MemberRow(5, 3, 2) and tables.coordinator == ("c1", 5)
-    assert tables.allowances["red"] == {"c1.5": (8.0, 0.0)} and not tables.upgraded
+    assert tables.quota_allocations["red"] == {"c1.5": (8.0, 0.0)} and not tables.layout_complete
 
 
 def test_frames_between_the_versions_are_those_of_production() -> None:
@@ -137,14 +143,14 @@
     heartbeat_and_register(world, 40)
     assert anyio.run(world.membership._write_member)
     world.leadership.mesh = None
-    anyio.run(world.membership._mark)
+    anyio.run(world.membership._record_layout)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
-    world.round(ClaimRequest(wants={JOB: 400, "wk-000002": 4}, grow={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": (8.0, 0.0)}))
     scattered = sum(1 << index for index in range(0, 120, 3))
     world.tell_jobs(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
-    world.leadership.renewed_at = world.replica.fresh_at = world.clock.time
+    world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
     world.round()
     assert store.tables.jobs[JOB].progress.done == scattered
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.CANCELLED
@@ -191,13 +197,13 @@
 
 
 def mark(world: World) -> bool:
-    anyio.run(world.membership._mark)
-    return world.store.tables.upgraded
+    anyio.run(world.membership._record_layout)
+    return world.store.tables.layout_complete
 
 
 def test_the_mark_waits_for_a_controller_that_is_down_and_for_one_that_comes_back_old(store: Store) -> None:
     world = World(store)  # c0, and a sibling c1 that is down
-    assert not mark(world) and store.tables.seen == ("c0",)
+    assert not mark(world) and store.tables.layout_members == ("c0",)
     store.put(t.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
     assert not mark(world)
     # Its turn comes; its former run's row is still there when it is first seen.
@@ -208,28 +214,28 @@
     # No later restart takes it back.
     store.put(t.member_key("c1"), None)
     store.member("c0", 9)
-    assert store.tables.upgraded
+    assert store.tables.layout_complete
 
 
 def test_the_mark_is_written_by_members_of_the_view_only(store: Store) -> None:
     world = World(store)
-    conditions = world.leadership.claim_conditions()
+    conditions = world.leadership.view_conditions()
     store.view(4, ("c1", 2))
-    world.leadership.claim_conditions = lambda: conditions  # type: ignore[method-assign]
-    assert not mark(world) and store.tables.seen == ()
+    world.leadership.view_conditions = lambda: conditions  # type: ignore[method-assign]
+    assert not mark(world) and store.tables.layout_members == ()
 
 
 def test_a_late_write_of_an_old_controller_does_not_undo_what_was_decided_since(store: Store) -> None:
     world = World(store)
     store.put("s1/j/wk-000001", OLD_ROWS["s1/j/wk-000001"])
-    stamp = store.tables.jobs[JOB].stamp
+    stamp = store.tables.jobs[JOB].mod_revision
     store.upgraded()
     assert submit(world, "wk-000002", JOB) == 201
     old = {"s1/j/wk-000001": stamp, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
     world.client.apply(old, claim, [])
-    assert JOB in store.tables.over and store.tables.jobs["wk-000002"].cancelled
+    assert JOB in store.tables.finished_jobs and store.tables.jobs["wk-000002"].is_cancelled
 
 
 # -- the lesser limits
@@ -289,12 +295,12 @@
     world.clock.time += 20.0
     for _ in range(4):
         world.round()
-    assert set(names) == store.tables.over.keys()
+    assert set(names) == store.tables.finished_jobs.keys()
 
 
 def unregister(world: World, *names: str) -> None:
     async def run() -> None:
-        world.machines.registration.leaving |= set(names)
+        world.machines.registration.pending_removals |= set(names)
         turns = 0
         with anyio.CancelScope() as scope:
 
@@ -339,8 +345,8 @@
     world.client.apply = crash_after  # type: ignore[method-assign, assignment]
     unregister(world, "vm-000007")
     assert not missing
-    assert set(store.tables.machines) == everything - {"vm-000007"} and "vm-000007" in store.tables.deleted
-    assert len(store.tables.groups) > 4
+    assert set(store.tables.machines) == everything - {"vm-000007"} and "vm-000007" in store.tables.deleted_machines
+    assert len(store.tables.machine_groups) > 4
 
 
 def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
@@ -351,12 +357,12 @@
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
     anyio.run(fleet._store_catalog, kinds)
-    assert store.tables.types.keys() == {"small"}  # an earlier layout would not find them
+    assert store.tables.machine_types.keys() == {"small"}  # an earlier layout would not find them
     store.upgraded()
     anyio.run(fleet._store_catalog, kinds)
-    assert store.tables.types == {kind.name: kind for kind in kinds}
+    assert store.tables.machine_types == {kind.name: kind for kind in kinds}
     anyio.run(fleet._store_catalog, kinds[:2])
-    assert store.tables.types == {kind.name: kind for kind in kinds[:2]}
+    assert store.tables.machine_types == {kind.name: kind for kind in kinds[:2]}
 
 
 def test_a_machine_in_two_groups_is_held_by_the_same_one_whatever_the_order_of_reading() -> None:
@@ -369,7 +375,7 @@
         store.put(t.group_key("a.1"), None)
         assert "vm-1" in store.tables.machines
         store.put(t.group_key("b.1"), None)
-        assert "vm-1" in store.tables.deleted
+        assert "vm-1" in store.tables.deleted_machines
 
 
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
@@ -382,7 +388,7 @@
         store.progress(f"wk-00000{number}", c1_9=1)
     world.client.most_changes_now, world.client.most_bytes_now = changes, size
     heartbeat_and_register(world, 12)
-    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view=3))
+    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view_number=3))
     for _ in range(12):
         world.round()
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
@@ -392,7 +398,7 @@
     world.clock.time += 1.0
     for _ in range(6):
         world.round()
-    assert len(store.tables.over) == 6
+    assert len(store.tables.finished_jobs) == 6
 
 
 def test_a_refusal_for_the_rate_is_told_from_one_for_size(store: Store) -> None:
@@ -410,10 +416,10 @@
     client.call = call  # type: ignore[method-assign]
 
     async def commit() -> None:
-        await client.commit({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}, [], t_urgency())
+        await client.compare_and_swap({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}, [], t_urgency())
 
     anyio.run(commit)
-    assert client.writes.level <= 0.0 and client.txn_ops == 4
+    assert client.write_tokens.tokens <= 0.0 and client.txn_ops == 4
     world.clock.time += 10.0
     anyio.run(commit)
     assert client.txn_ops == 2
@@ -436,7 +442,7 @@
     for number in range(5):
         store.job(spec(f"wk-00000{number}", crew=f"t{number}", visits=1, cores=1.0))
     for _ in range(8):
-        world.machines._line_up()
+        world.machines._rebuild_queue()
         for request in world.claim_requests():
             world.round(request)
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
