--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -12,7 +12,7 @@
     "sloeswitch.cells.link",
     "sloeswitch.admission.coordinator",
     "sloeswitch.admission.gate",
-    "sloeswitch.admission.idle_room",
+    "sloeswitch.admission.idle_capacity",
     "anyio._backends._asyncio",
     "uvloop",
 ):
--- a/sloeswitch/actors/fleet.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -17,9 +17,9 @@
 from sloeswitch.actors.machines import InstancesDeleted, Machines
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cloud import CloudClient, CloudError
-from sloeswitch.core import fleet as plan
+from sloeswitch.core import scaling as plan
 from sloeswitch.core import tables as t
-from sloeswitch.core.fleet import InstanceKind
+from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.state import Replica, RequestPriority, StateClient, TransactionOutcome
@@ -233,8 +233,8 @@
         for item in self.pending_instances.values():
             supply[item.kind] = supply.get(item.kind, 0) + 1
         refused = {kind for kind, until in self.refused_until.items() if now < until}
-        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_OUT_SPREAD)
-        choice = plan.rent(wanted, supply, self.types, refused, 50)
+        wanted = plan.current_demand(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_OUT_SPREAD)
+        choice = plan.plan_scale_out(wanted, supply, self.types, refused, 50)
         if choice is None:
             return False
         self.requests_made += 1
@@ -265,8 +265,8 @@
         """Lets machines run empty that are not needed, the dearest first. Every controller reckons from the
         same tables and picks by name, so that together they spare the right number."""
         assert self.machines is not None
-        wanted = plan.needs(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_IN_SPREAD)
-        spared = plan.surplus(wanted, self._registered_supply(), self.tables.machine_types)
+        wanted = plan.current_demand(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_IN_SPREAD)
+        spared = plan.plan_scale_in(wanted, self._registered_supply(), self.tables.machine_types)
         chosen: set[str] = set()
         for name in sorted(self.tables.machines):
             row = self.tables.machines[name]
--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -11,7 +11,7 @@
 from sloeswitch.actors.commands import CommandSender, InspectionReply
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
-from sloeswitch.core.registry import MachineRegistry
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -7,11 +7,11 @@
 from typing import Protocol
 
 from sloeswitch.actors.membership import Leadership
-from sloeswitch.actors.team_limits import QuotaLedger
+from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.core import placement, preemption, quota
 from sloeswitch.core.health import Health
+from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
 from sloeswitch.core.quota import fits_type
-from sloeswitch.core.registry import Attempt, Machine, MachineRegistry
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 
@@ -69,12 +69,13 @@
                 rooms = self._scarce_capacities()
             fitting = [
                 (room, self.registry.machines[room.machine].attempts.values())
-                for room in placement.usable(job.spec.id, list(rooms.values()), self.reservations, self.health)
-                if placement.allowed(job.spec, room) and fits_type(job.spec, self.tables.machine_types[room.type])
+                for room in placement.eligible(job.spec.id, list(rooms.values()), self.reservations, self.health)
+                if placement.satisfies_constraints(job.spec, room)
+                and fits_type(job.spec, self.tables.machine_types[room.type])
             ]
             short = self.limits.shortfall(job.spec)
             at_limit = short.cores > 0 or short.gpus > 0
-            chosen = preemption.choose(job, fitting, order, at_limit)
+            chosen = preemption.plan_preemption(job, fitting, order, at_limit)
             if chosen is None:
                 continue
             more = self._preempt_within_team(job, chosen, short, order) if at_limit else []
@@ -103,7 +104,7 @@
             for attempt in machine.attempts.values()
             if attempt.spec.team == spec.team
         ]
-        return preemption.within_limit(spec, short, preemption.preemptible(job, others, order))
+        return preemption.victims_within_limit(spec, short, preemption.preemptible(job, others, order))
 
     def _stop(self, attempts: list[Attempt]) -> None:
         keys = {attempt.key for attempt in attempts}
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -86,7 +86,7 @@
     if job.delegated is not None:
         links["o"] = list(job.delegated)
     if job.handoff is not None and (job.handoff.placements or not over):
-        links["h"] = t.stored_handoff(job.handoff, job.returned_ms)
+        links["h"] = t.encode_handoff(job.handoff, job.returned_ms)
     return links
 
 
@@ -351,7 +351,9 @@
         held = self._held(teams, job.spec.team, settled)
         for holder, mask in job.progress.claims.items():
             if holder != self.leadership.incarnation_id and mask & adopted:
-                held = quota.move(held, holder, self.leadership.incarnation_id, job.spec, (mask & adopted).bit_count())
+                held = quota.transfer(
+                    held, holder, self.leadership.incarnation_id, job.spec, (mask & adopted).bit_count()
+                )
         teams[job.spec.team] = held
 
     def _due(self, request: ClaimRequest | None) -> list[str]:
@@ -670,7 +672,7 @@
         """Stores that the user wants the cancellation; the cells that may have the job are asked to stop it."""
         if handoff.cancelling:
             return
-        wanted = t.stored_handoff(request_cancellation(handoff), job.returned_ms)
+        wanted = t.encode_handoff(request_cancellation(handoff), job.returned_ms)
         value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks) | {"h": wanted}
         key = t.job_key(job.spec.id)
         outcome, epoch = await self.client.compare_and_swap(
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -23,14 +23,14 @@
 from sloeswitch.actors.gang_preemption import GangPreemption
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates, add_tasks
 from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
+from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
-from sloeswitch.actors.team_limits import QuotaLedger
-from sloeswitch.core import placement, preemption, quota, ready, taskset
+from sloeswitch.core import job_queue, placement, preemption, quota, taskset
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.health import Health
+from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
 from sloeswitch.core.quota import fits_type
-from sloeswitch.core.registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
 from sloeswitch.core.tables import LIVE, Job, Tables
 from sloeswitch.http import Answer, refuse
 from sloeswitch.settings import Settings
@@ -460,7 +460,7 @@
         self.recovery_complete = self.tables.recovery_complete()
         if self.admission is not None:
             self.admission.apply()
-        self.queue = ready.order(self.tables, self.settings, wall_clock_ms(), self._has_begun)
+        self.queue = job_queue.queue_order(self.tables, self.settings, wall_clock_ms(), self._has_begun)
         self.scarce_types = placement.scarce_types((job.spec for job in self.queue), self.tables.machine_types)
         self.least_cores = min((job.spec.cores for job in self.queue), default=0.0)
 
@@ -530,7 +530,7 @@
             and machine.attempts
             and machine.type in self.tables.machine_types
             and machine.usage.cores <= DRAIN_UTILIZATION * self.tables.machine_types[machine.type].cores
-            and all(preemption.movable(attempt, now) for attempt in machine.attempts.values())
+            and all(preemption.is_movable(attempt, now) for attempt in machine.attempts.values())
         ]
         if not lean:
             return
@@ -702,7 +702,7 @@
             self.unplaced_jobs,
             key=lambda job: (
                 not job.starved,
-                min(ready.urgency(job), ready.STANDARD_RANK),
+                min(job_queue.effective_priority(job), job_queue.STANDARD_RANK),
                 job.spec.image not in room.images,
             ),
         ):
@@ -722,18 +722,20 @@
         team = job.spec.team
         tasks = taskset.lowest(
             tasks,
-            quota.room_for(job.spec, self.quota.allocation(team), self.gang_preemption.usage_with_reservations(job)),
+            quota.tasks_within_quota(
+                job.spec, self.quota.allocation(team), self.gang_preemption.usage_with_reservations(job)
+            ),
         )
         if self.health.is_job_faulty(name):
             tasks = taskset.lowest(tasks, 1)
-        usable = placement.usable(name, rooms, self.gang_preemption.reservations, self.health)
+        usable = placement.eligible(name, rooms, self.gang_preemption.reservations, self.health)
         if job.spec.gang:
             if tasks != job.all_tasks:
                 return False
             trial = [placement.FreeCapacity(**vars(room)) for room in usable]
-            if len(placement.place(job, tasks, trial)) < job.spec.tasks:
+            if len(placement.pack_tasks(job, tasks, trial)) < job.spec.tasks:
                 return False
-        placed = placement.place(job, tasks, usable)
+        placed = placement.pack_tasks(job, tasks, usable)
         if not placed:
             return False
         self.unplaced_since[name] = now
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -16,7 +16,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import Actor
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellation
+from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.http import NoAnswerError
 from sloeswitch.mesh import Mesh, PeerStatus
 from sloeswitch.settings import Settings
--- a/sloeswitch/actors/team_limits.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -11,8 +11,8 @@
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.core import quota
 from sloeswitch.core import tables as t
-from sloeswitch.core.allowances import QuotaAllocation
-from sloeswitch.core.registry import MachineRegistry
+from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, Team
 from sloeswitch.state import RequestPriority, StateClient
@@ -77,7 +77,9 @@
         uses = {team: self.usage(team) for team in self.settings.teams}
         spare = {team.name: self.available(team, uses[team.name]) for team in self.settings.teams.values()}
         return [
-            spec for spec in specs if spec.team in spare and quota.room_for(spec, spare[spec.team], uses[spec.team]) > 0
+            spec
+            for spec in specs
+            if spec.team in spare and quota.tasks_within_quota(spec, spare[spec.team], uses[spec.team]) > 0
         ]
 
     def shortfall(self, spec: JobSpec) -> quota.ResourceUsage:
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -11,7 +11,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.core import tables as t
-from sloeswitch.core.registry import Machine
+from sloeswitch.core.machine_registry import Machine
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.state import Replica, RequestPriority, StateClient
@@ -145,7 +145,7 @@
         """The machines that stay of those that a key holds, in groups that each fit a value."""
         names = sorted(
             name
-            for name in self.tables.machine_groups.get(t.group_of(key), ())
+            for name in self.tables.machine_groups.get(t.group_name(key), ())
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: self.tables.machines[name].stored() for name in names}
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -10,7 +10,7 @@
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machines import HeartbeatRequest, Machines
 from sloeswitch.actors.membership import Leadership
-from sloeswitch.core.quota import impossible
+from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.http import Answer, Request, refuse
 from sloeswitch.settings import Settings
 from sloeswitch.state import Replica, StaleReplicaError, StateClient
@@ -124,7 +124,7 @@
             return await self._answer_known_or(name, fault(400, str(error)))
         if not self.tables.machine_types:
             return refuse(self.retry_s)
-        why = impossible(spec, self.settings.teams, self.tables.machine_types)
+        why = unschedulable_reason(spec, self.settings.teams, self.tables.machine_types)
         if why is not None:
             return await self._answer_known_or(name, fault(422, why))
         if not self.client.is_reachable:
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -8,9 +8,9 @@
 from sloeswitch.admission.capacity import SPREAD_ADMITTED, Capacity
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decisions import Decision, ancestors, lane_of, ticket_of
-from sloeswitch.core import fleet
+from sloeswitch.core import scaling
+from sloeswitch.core.job_queue import PRIORITY_RANKS
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.ready import PRIORITY_RANKS
 from sloeswitch.core.tables import LIVE, Job, Tables
 from sloeswitch.settings import Settings
 
@@ -47,7 +47,7 @@
     def take(self, capacity: Capacity, settings: Settings, wall_clock_ms: int) -> None:
         """Takes what should run at once."""
         for job in self.released:
-            capacity.take(job.spec, fleet.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED))
+            capacity.take(job.spec, scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED))
 
 
 @dataclass
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from sloeswitch.core import fleet
-from sloeswitch.core.fleet import InstanceKind, InstanceOffer
-from sloeswitch.core.quota import ResourceUsage, room_for
+from sloeswitch.core import scaling
+from sloeswitch.core.quota import ResourceUsage, tasks_within_quota
+from sloeswitch.core.scaling import InstanceKind, InstanceOffer
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
@@ -41,8 +41,8 @@
         wall_clock_ms: int,
         surplus: float,
     ) -> None:
-        self.offers: list[InstanceOffer] = fleet.offers(tables.machine_types)
-        self.limits = fleet.team_limits_of(settings)
+        self.offers: list[InstanceOffer] = scaling.instance_offers(tables.machine_types)
+        self.limits = scaling.team_limits_of(settings)
         supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = (row.type, row.zone, row.spot)
@@ -53,10 +53,10 @@
             if kind[0] in tables.machine_types
         )
         released = (job for job in admitted if job.is_runnable)
-        needs = fleet.demand_within_limits(
-            released, settings, wall_clock_ms, SPREAD_ADMITTED, self.limits, fleet.parallel_or_gang_tasks
+        needs = scaling.demand_within_limits(
+            released, settings, wall_clock_ms, SPREAD_ADMITTED, self.limits, scaling.parallel_or_gang_tasks
         )
-        self.left, short = fleet.fill(needs, _with_surplus(supply, surplus), self.offers)
+        self.left, short = scaling.pack_demand(needs, _with_surplus(supply, surplus), self.offers)
         # Whether what should run at once finds no machine.
         self.overloaded = bool(short)
         told: dict[InstanceKind, float] = {}
@@ -74,7 +74,7 @@
     def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
         """How many of so many tasks find room now, by machines and by the team's limit."""
         limit = self.limits.get(spec.team, [0.0, 0.0])
-        most = min(most, room_for(spec, (limit[0], limit[1]), ResourceUsage()))
+        most = min(most, tasks_within_quota(spec, (limit[0], limit[1]), ResourceUsage()))
         found = 0.0
         for offer in self.offers:
             if found >= most:
@@ -84,7 +84,7 @@
         return min(most, int(found + LEAST_MACHINES))
 
     def _tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
-        part = fleet.machines_for(spec, 1, offer.type)
+        part = scaling.machines_needed(spec, 1, offer.type)
         # Less room than one task takes is none.
         return self.left[offer.kind] // part if part > LEAST_MACHINES else float(spec.tasks)
 
@@ -97,7 +97,7 @@
             if tasks <= 0:
                 return
             if self.left[offer.kind] > LEAST_MACHINES and offer.suits(spec):
-                part = fleet.machines_for(spec, 1, offer.type)
+                part = scaling.machines_needed(spec, 1, offer.type)
                 count = min(tasks, int(self._tasks_in(spec, offer) + LEAST_MACHINES))
                 self.left[offer.kind] -= count * part
                 tasks -= count
--- a/sloeswitch/admission/idle_room.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Mapping
 
 from sloeswitch.admission.capacity import LEAST_MACHINES, IdleCapacity
-from sloeswitch.core.fleet import InstanceKind
 from sloeswitch.core.placement import FreeCapacity
+from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.wire import MachineType
 
 
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from sloeswitch import wire
-from sloeswitch.actors.feature_mark import FeatureRollout
+from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.actors.jobs import stored_end, stored_job
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells import handoff as rules
@@ -316,7 +316,7 @@
         over = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
         if row.placements:
-            value["h"] = t.stored_handoff(row)
+            value["h"] = t.encode_handoff(row)
         key = t.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
@@ -327,14 +327,14 @@
         if row.result is Result.DONE:
             value = stored_end(t.DONE, job.spec)
             if row.placements:
-                value["h"] = t.stored_handoff(row)
+                value["h"] = t.encode_handoff(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
             came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
             returned_ms = int(time.time() * 1000) if came_back else job.returned_ms
             value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
-            value["h"] = t.stored_handoff(row, returned_ms)
+            value["h"] = t.encode_handoff(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 
 from sloeswitch.cells.summary import Resources, Summary, task_resources
-from sloeswitch.core.ready import next_target
+from sloeswitch.core.job_queue import next_target
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -16,7 +16,7 @@
 from sloeswitch.cells.selection import may_move_by_shape
 from sloeswitch.cells.summary import Summary, summarise, task_resources
 from sloeswitch.core import tables as t
-from sloeswitch.core.quota import impossible
+from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import CellFeatures
 from sloeswitch.settings import Settings
@@ -137,7 +137,7 @@
             return False
         if spec.prerequisites or not may_move_by_shape(spec):
             return False
-        if impossible(spec, self.settings.teams, tables.machine_types) is not None:
+        if unschedulable_reason(spec, self.settings.teams, tables.machine_types) is not None:
             return False
         if len(wire.encode(self._delegated_job(handoff, offer))) > self.client.value_bytes:
             return False
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -10,13 +10,13 @@
 import anyio
 from anyio.abc import SocketListener, TaskGroup
 
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
-from sloeswitch.core.cancellations import CancellationLog
+from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
@@ -123,7 +123,7 @@
     from sloeswitch.admission.decision_log import DecisionLog
     from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room
     from sloeswitch.admission.gate import AdmissionGate
-    from sloeswitch.admission.idle_room import IdleCapacityTracker
+    from sloeswitch.admission.idle_capacity import IdleCapacityTracker
     from sloeswitch.frame_link import FrameLink
 
     idle = IdleCapacityTracker()
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from sloeswitch.core import placement, quota, ready, taskset
+from sloeswitch.core import job_queue, placement, quota, taskset
 from sloeswitch.core.health import Health
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
@@ -114,7 +114,7 @@
 
     def plan(self, line: list[Job], controllers: int, turn: int) -> ClaimPlan:
         """The claims to ask for. `turn`: this controller's place among them, so that not all claim the same job."""
-        for job in ready.dealt(line, controllers, turn, self.picture.has_image_affinity):
+        for job in job_queue.deal(line, controllers, turn, self.picture.has_image_affinity):
             if not self.capacities and self.ahead_cores < self.picture.least_cores:
                 self.claims.remaining_capacities = []
                 break  # nobody further back can get anything: with a backlog the line is long, and looked at often
@@ -165,7 +165,7 @@
         count = self._max_tasks(job, open_tasks.bit_count() + idle.bit_count(), first_place=had is None)
         if count == 0 or (spec.gang and count < spec.tasks):
             return
-        usable = placement.usable(spec.id, self.capacities, self.picture.reservations, self.picture.health)
+        usable = placement.eligible(spec.id, self.capacities, self.picture.reservations, self.picture.health)
         if spec.zone_bound and not self._choose_zone(job, usable):
             return  # nothing is claimed before its zone can be chosen
         placed = self._place(job, open_tasks, idle, count, usable)
@@ -180,19 +180,19 @@
         if self.picture.health.is_job_faulty(spec.id):
             count = min(count, 1)
         elif job.starved and not spec.gang and first_place:
-            count = min(count, math.ceil(ready.STARVED_SHARE * spec.tasks))
+            count = min(count, math.ceil(job_queue.STARVED_SHARE * spec.tasks))
         use = self.claims.usable_quota[spec.team]
         for holder, (team, reserved) in self.picture.reserved_usage.items():
             if team == spec.team and holder != spec.id and not self.planned_tasks.get(holder):
                 use = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
-        return min(count, quota.room_for(spec, self.picture.available_quota[spec.team], use))
+        return min(count, quota.tasks_within_quota(spec, self.picture.available_quota[spec.team], use))
 
     def _choose_zone(self, job: Job, usable: list[placement.FreeCapacity]) -> bool:
         """Chooses the zone of a job whose tasks are bound to one, if it has none yet; False when there is no room."""
         spec = job.spec
         if job.progress.zone is not None or spec.id in self.claims.zones:
             return True
-        fitting = [room for room in usable if placement.allowed(spec, room) and room.max_tasks(spec)]
+        fitting = [room for room in usable if placement.satisfies_constraints(spec, room) and room.max_tasks(spec)]
         if not fitting:
             return False
         self.claims.zones[spec.id] = max(fitting, key=lambda room: room.max_tasks(spec)).zone
@@ -210,7 +210,7 @@
         # Where tasks are bound to zones it matters which ones: the oldest may have no room where others have.
         tasks = open_tasks if spec.zone_bound else taskset.lowest(open_tasks, max(0, count - idle.bit_count()))
         zone = self.claims.zones.get(spec.id)
-        found = placement.place(job, tasks | taskset.lowest(idle, count), trial, zone, count)
+        found = placement.pack_tasks(job, tasks | taskset.lowest(idle, count), trial, zone, count)
         placed = sum(1 << index for index, _ in found)
         if not found and len(trial) == len(self.capacities) and not spec.zone_bound:
             self.unplaceable_shapes.add(shape)
--- a/sloeswitch/core/graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -16,7 +16,7 @@
     from sloeswitch.core.tables import FinishedJob, Job
 
 
-class Graph:
+class DependencyGraph:
     """Owned by the tables, whose jobs it marks."""
 
     def __init__(self, jobs: dict[str, Job], over: dict[str, FinishedJob]) -> None:
--- a/sloeswitch/core/ready.py
+++ b/sloeswitch/core/job_queue.py
@@ -28,7 +28,7 @@
     return {each * spec.deadline_s for each in times}
 
 
-def targets(job: Job, objectives: tuple[Objective, ...]) -> list[float]:
+def slo_targets(job: Job, objectives: tuple[Objective, ...]) -> list[float]:
     """Seconds from submission by which the job should be done, the earliest first; reckoned once. Deadlines
     count from the submission, the other times from when the last job that it needs was done."""
     if job.targets is not None:
@@ -51,7 +51,7 @@
     return job.targets
 
 
-def inherit(tables: Tables, settings: Settings) -> None:
+def propagate_priorities(tables: Tables, settings: Settings) -> None:
     """Passes priorities and deadlines upstream: a job gets the highest priority of all that need it, and must
     be done by their deadlines less the path between, the usual backward pass over a critical path. A step of
     the path is an estimate, the image's way to a machine and a report."""
@@ -77,7 +77,7 @@
         name = walk.popleft()
         job = jobs[name]
         spec = job.spec
-        rank = urgency(job)
+        rank = effective_priority(job)
         due = deadlines(spec, settings.objectives)
         if spec.deadline_s is not None and not due:
             due.add(spec.deadline_s)
@@ -104,7 +104,7 @@
             jobs[name].guaranteed = None
 
 
-def urgency(job: Job) -> int:
+def effective_priority(job: Job) -> int:
     """A job has the priority of any job that needs it, if that is higher."""
     own = PRIORITY_RANKS[job.spec.priority]
     return own if job.inherited_rank is None else min(own, job.inherited_rank)
@@ -118,7 +118,7 @@
 STARVED_SHARE = 0.125
 
 
-def begun(job: Job) -> bool:
+def is_begun(job: Job) -> bool:
     return bool(job.progress.done or job.progress.claims)
 
 
@@ -139,7 +139,7 @@
 def next_target(job: Job, objectives: tuple[Objective, ...], age_s: float) -> tuple[int, float | None]:
     """How many targets of the job are missed for certain, and the age at which its last tasks must have
     started to meet the next one; None when there is no such target."""
-    found = targets(job, objectives)
+    found = slo_targets(job, objectives)
     needed = job.spec.estimate_s if job.has_unclaimed_tasks else 0.0
     for missed, target in enumerate(found):
         if target >= age_s + needed:
@@ -147,8 +147,8 @@
     return len(found), None
 
 
-def order(
-    tables: Tables, settings: Settings, wall_clock_ms: int, has_begun: Callable[[Job], bool] = begun
+def queue_order(
+    tables: Tables, settings: Settings, wall_clock_ms: int, has_begun: Callable[[Job], bool] = is_begun
 ) -> list[Job]:
     """Jobs that wait for no other and have tasks left, in the order in which they get room.
 
@@ -166,14 +166,14 @@
     twice, in front for a part of its tasks (`beginning`) and in its ordinary place for the rest.
     """
     if tables.graph.priorities_stale:
-        inherit(tables, settings)
+        propagate_priorities(tables, settings)
     live = sorted((job for job in tables.jobs.values() if job.is_runnable), key=lambda job: job.ready_revision)
     wanted: dict[tuple[str, bool], tuple[float, float]] = {}
     keyed: list[tuple[tuple[int, bool, bool, int, int, float], Job]] = []
     for job in live:
         spec = job.spec
         # What another cell handed over is promised nothing here, and takes nothing of what its team is promised.
-        kinds = (False, True) if urgency(job) < STANDARD_RANK else (False,)
+        kinds = (False, True) if effective_priority(job) < STANDARD_RANK else (False,)
         for like in kinds if job.delegated is None else ():
             cores, gpus = wanted.get((spec.team, like), (0.0, 0.0))
             cores, gpus = cores + spec.tasks * spec.cores, gpus + spec.tasks * spec.gpus
@@ -193,39 +193,39 @@
             keyed.append(((0, False, False, -1, 0, float(job.ready_revision)), job))
             back = 2
         start_by = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
-        if job.guaranteed and urgency(job) < STANDARD_RANK:
+        if job.guaranteed and effective_priority(job) < STANDARD_RANK:
             # Also before what goes by age alone: on a day with more work than room that is most of the line, and
             # small urgent stages waited behind it for two minutes (found on a recorded day). The guarantees bound it.
-            key = (0, False, False, urgency(job), missed, start_by)
+            key = (0, False, False, effective_priority(job), missed, start_by)
         elif back < 2:
             key = (back, False, False, 0, 0, float(job.ready_revision))
-        elif missed and start_by_s is None and urgency(job) >= STANDARD_RANK:
+        elif missed and start_by_s is None and effective_priority(job) >= STANDARD_RANK:
             # Only the end of all work is at stake: the longest tasks first, so that none is left over.
             key = (back, True, False, 0, 0, -spec.estimate_s)
         else:
-            key = (back, False, not job.guaranteed, urgency(job), missed, start_by)
+            key = (back, False, not job.guaranteed, effective_priority(job), missed, start_by)
         job.queue_rank = key[:-1]
         keyed.append((key, job))
     keyed.sort(key=lambda pair: pair[0])
     return [job for _, job in keyed]
 
 
-def rotated(jobs: list[Job], parts: int, turn: int) -> list[Job]:
+def rotate(jobs: list[Job], parts: int, turn: int) -> list[Job]:
     """The order in which one of `parts` controllers claims: the oldest jobs are dealt out, so that the
     controllers do not all write the same one. Nobody's turn at a job moves by more than `parts` places."""
-    dealt: list[Job] = []
+    rotated: list[Job] = []
     for start in range(0, len(jobs), parts):
         chunk = jobs[start : start + parts]
         shift = turn % len(chunk)
-        dealt += chunk[shift:] + chunk[:shift]
-    return dealt
+        rotated += chunk[shift:] + chunk[:shift]
+    return rotated
 
 
 # Controllers take the jobs whose images are theirs first, among so many times as many as there are controllers.
 DEAL_WINDOW = 4
 
 
-def dealt(jobs: list[Job], parts: int, turn: int, home: Callable[[Job], bool]) -> Iterator[Job]:
+def deal(jobs: list[Job], parts: int, turn: int, home: Callable[[Job], bool]) -> Iterator[Job]:
     """The order in which one of `parts` controllers claims. Among jobs next to each other that differ by age
     alone, a few at a time, those whose image is at home with it come first: each controller's machines then
     fetch a part of the images only, and a job is mostly one controller's. The others are dealt out."""
@@ -240,4 +240,4 @@
         start += len(window)
         at_home = [home(job) for job in window]
         yield from compress(window, at_home)
-        yield from rotated([job for job, here in zip(window, at_home, strict=True) if not here], parts, turn)
+        yield from rotate([job for job, here in zip(window, at_home, strict=True) if not here], parts, turn)
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -46,7 +46,7 @@
         self.images.add(spec.image)
 
 
-def allowed(spec: JobSpec, room: FreeCapacity) -> bool:
+def satisfies_constraints(spec: JobSpec, room: FreeCapacity) -> bool:
     return (
         (spec.types is None or room.type in spec.types)
         and (spec.zone is None or spec.zone == room.zone)
@@ -54,7 +54,7 @@
     )
 
 
-def usable(
+def eligible(
     job: str, rooms: list[FreeCapacity], held: Mapping[str, tuple[str, float]], health: Health
 ) -> list[FreeCapacity]:
     """The machines that a job may use: not those on which room is kept for another one (`held`: machine -> job, and
@@ -80,7 +80,7 @@
     return home is not None and (zone == home) == (index < (spec.tasks + 1) // 2)
 
 
-def fitting(spec: JobSpec, rooms: list[FreeCapacity]) -> list[FreeCapacity]:
+def rank_capacities(spec: JobSpec, rooms: list[FreeCapacity]) -> list[FreeCapacity]:
     """Machines with room for the job, best first: those that no other job needs more, those that have its image,
     so that it is not fetched again, then spot machines and the fullest ones, so that the dear and the empty can be
     returned."""
@@ -91,7 +91,10 @@
     found = [
         room
         for room in rooms
-        if room.cores >= least_cores and room.memory >= least_memory and room.gpus >= least_gpus and allowed(spec, room)
+        if room.cores >= least_cores
+        and room.memory >= least_memory
+        and room.gpus >= least_gpus
+        and satisfies_constraints(spec, room)
     ]
     found.sort(key=lambda room: (room.scarce, spec.image not in room.images, not room.spot, room.cores))
     return found
@@ -108,7 +111,7 @@
     return found
 
 
-def place(
+def pack_tasks(
     job: Job, tasks: int, rooms: list[FreeCapacity], zone: str | None = None, most: int = MAX_TASKS
 ) -> list[tuple[int, FreeCapacity]]:
     """Puts tasks (a set) of the job on machines, taking their room. What does not fit stays out. `zone`: what would
@@ -116,7 +119,7 @@
     spec = job.spec
     home = job.progress.zone or zone
     placed: list[tuple[int, FreeCapacity]] = []
-    for room in fitting(spec, rooms):
+    for room in rank_capacities(spec, rooms):
         if not tasks:
             break
         count = room.max_tasks(spec)
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from sloeswitch.core import ready
+from sloeswitch.core import job_queue
+from sloeswitch.core.job_queue import PRIORITY_RANKS, effective_priority
+from sloeswitch.core.machine_registry import RUNNING, Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.ready import PRIORITY_RANKS, urgency
-from sloeswitch.core.registry import RUNNING, Attempt
 from sloeswitch.core.tables import Job
 from sloeswitch.wire import JobSpec
 
@@ -48,7 +48,7 @@
         for position, job in enumerate(line):
             name = job.spec.id
             positions.setdefault(name, position)
-            if ready.is_ordered_by_age(job):
+            if job_queue.is_ordered_by_age(job):
                 lendable[name] = int(PREEMPTIBLE_SHARE * placed.get(name, 0).bit_count())
         return QueueOrder(positions, lendable)
 
@@ -66,7 +66,7 @@
     for attempt in sorted(attempts, key=lambda attempt: -attempt.placed_at):
         if attempt.spec.gang or attempt.kill_grace_s is not None:
             continue
-        if PRIORITY_RANKS[attempt.spec.priority] <= urgency(job):
+        if PRIORITY_RANKS[attempt.spec.priority] <= effective_priority(job):
             continue
         if not order.is_behind(job.spec.id, attempt.job):
             if lent[attempt.job] >= order.preemptible_counts.get(attempt.job, 0):
@@ -76,7 +76,7 @@
     return found
 
 
-def movable(attempt: Attempt, now: float) -> bool:
+def is_movable(attempt: Attempt, now: float) -> bool:
     """Whether an attempt can be stopped and go on elsewhere for little: it saves, and is not new."""
     spec = attempt.spec
     return (
@@ -89,7 +89,7 @@
     )
 
 
-def victims(spec: JobSpec, room: FreeCapacity, attempts: list[Attempt]) -> list[Attempt]:
+def choose_victims(spec: JobSpec, room: FreeCapacity, attempts: list[Attempt]) -> list[Attempt]:
     """Which of the attempts have to stop, in their order, so that one task of the job fits the machine; none if it
     does not fit then either."""
     trial = FreeCapacity(**vars(room))
@@ -102,7 +102,7 @@
     return chosen if trial.max_tasks(spec) else []
 
 
-def within_limit(spec: JobSpec, short: ResourceUsage, attempts: Iterable[Attempt]) -> list[Attempt] | None:
+def victims_within_limit(spec: JobSpec, short: ResourceUsage, attempts: Iterable[Attempt]) -> list[Attempt] | None:
     """Which of the attempts have to stop so that the team's limit has so much more room: tasks of its own. None when
     they do not suffice.
 
@@ -119,7 +119,7 @@
     return chosen if freed.cores >= short.cores and freed.gpus >= short.gpus else None
 
 
-def choose(
+def plan_preemption(
     job: Job, rooms: Iterable[tuple[FreeCapacity, Iterable[Attempt]]], order: QueueOrder, at_limit: bool = False
 ) -> Preemption | None:
     """The machine on which the fewest attempts have to stop for a task of the job. `at_limit`: the team's limit keeps
@@ -128,7 +128,7 @@
     for room, attempts in rooms:
         if at_limit and room.max_tasks(job.spec):
             return Preemption(room.machine, [])
-        stopped = victims(job.spec, room, preemptible(job, attempts, order))
+        stopped = choose_victims(job.spec, room, preemptible(job, attempts, order))
         if stopped and (best is None or len(stopped) < len(best.attempts)):
             best = Preemption(room.machine, stopped)
     return best
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -28,13 +28,13 @@
     )
 
 
-def impossible(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
+def unschedulable_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
     """Why the job can never run, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
     together = spec.tasks if spec.gang else 1
-    if room_for(spec, (team.cpus_max, team.gpus_max), ResourceUsage()) < together:
+    if tasks_within_quota(spec, (team.cpus_max, team.gpus_max), ResourceUsage()) < together:
         return "over the team's limit"
     fitting = [kind for kind in types.values() if fits_type(spec, kind)]
     if not fitting:
@@ -57,7 +57,7 @@
         self.gpus += count * spec.gpus
 
 
-def room_for(spec: JobSpec, allowance: tuple[float, float], use: ResourceUsage) -> int:
+def tasks_within_quota(spec: JobSpec, allowance: tuple[float, float], use: ResourceUsage) -> int:
     """How many more tasks of the job the allowance covers."""
     most = spec.tasks
     if spec.cores > 0:
@@ -80,7 +80,7 @@
     return after
 
 
-def move(
+def transfer(
     held: dict[str, tuple[float, float]], giver: str, taker: str, spec: JobSpec, count: int
 ) -> dict[str, tuple[float, float]]:
     """The allowances after tasks of one controller were found on a machine of another."""
--- a/sloeswitch/core/fleet.py
+++ b/sloeswitch/core/scaling.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from sloeswitch.core.quota import ResourceUsage, fits_type, room_for
-from sloeswitch.core.ready import begun, targets
+from sloeswitch.core.job_queue import is_begun, slo_targets
+from sloeswitch.core.quota import ResourceUsage, fits_type, tasks_within_quota
 from sloeswitch.core.tables import Job, Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
@@ -71,7 +71,7 @@
     spec = job.spec
     estimate = max(spec.estimate_s, 1e-3)
     age = (wall_clock_ms - job.submitted_ms) / 1000
-    ahead = [target - age for target in targets(job, settings.objectives) if target - age > estimate]
+    ahead = [target - age for target in slo_targets(job, settings.objectives) if target - age > estimate]
     span = spread * ahead[0] if ahead else NO_TARGET_SPREAD * estimate
     return min(job.remaining_tasks, math.ceil(job.remaining_tasks * estimate / max(span, estimate)))
 
@@ -87,7 +87,7 @@
     more than it gained (found on the bench)."""
     if job.spec.spot or not job.unfinished_prerequisites or job.prerequisite_cancelled:
         return False
-    return all(begun(tables.jobs[name]) for name in job.spec.prerequisites if name in tables.jobs)
+    return all(is_begun(tables.jobs[name]) for name in job.spec.prerequisites if name in tables.jobs)
 
 
 def demand_within_limits(
@@ -106,7 +106,9 @@
         if limit is None:
             continue
         spec = job.spec
-        tasks = min(count(job, settings, wall_clock_ms, spread), room_for(spec, (limit[0], limit[1]), ResourceUsage()))
+        tasks = min(
+            count(job, settings, wall_clock_ms, spread), tasks_within_quota(spec, (limit[0], limit[1]), ResourceUsage())
+        )
         if tasks > 0:
             limit[0] -= tasks * spec.cores
             limit[1] -= tasks * spec.gpus
@@ -119,13 +121,13 @@
     return {name: [team.cpus_max, team.gpus_max] for name, team in settings.teams.items()}
 
 
-def needs(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
+def current_demand(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
     """What the jobs need that are released, or soon will be, within the teams' limits, oldest first."""
     jobs = (job for job in tables.jobs.values() if job.is_runnable or is_released_soon(job, tables))
     return demand_within_limits(jobs, settings, wall_clock_ms, spread, team_limits_of(settings))
 
 
-def machines_for(spec: JobSpec, tasks: int, kind: MachineType) -> float:
+def machines_needed(spec: JobSpec, tasks: int, kind: MachineType) -> float:
     """How many machines of the type the tasks would fill, as a fraction."""
     shares = [spec.cores / kind.cores if kind.cores else 0.0]
     shares.append(spec.memory / kind.memory if kind.memory else 0.0)
@@ -133,7 +135,7 @@
     return tasks * max(shares)
 
 
-def offers(types: dict[str, MachineType]) -> list[InstanceOffer]:
+def instance_offers(types: dict[str, MachineType]) -> list[InstanceOffer]:
     """All kinds, the cheapest by the core first."""
     found = [
         InstanceOffer((kind.name, zone, spot), kind)
@@ -145,7 +147,7 @@
     return found
 
 
-def fill(
+def pack_demand(
     wanted: list[Demand], supply: Mapping[InstanceKind, float], found: list[InstanceOffer]
 ) -> tuple[dict[InstanceKind, float], list[Demand]]:
     """Puts the needs on the machines at hand, the cheapest first: machines left over of each kind, and
@@ -158,7 +160,7 @@
             if tasks <= 0:
                 break
             if left[offer.kind] > 0 and need.suits(offer):
-                part = machines_for(need.spec, 1, offer.type)
+                part = machines_needed(need.spec, 1, offer.type)
                 taken = min(tasks, left[offer.kind] / part) if part > 0 else tasks
                 left[offer.kind] -= taken * part
                 tasks -= taken
@@ -177,7 +179,7 @@
 MIN_FILL_TO_SCALE_OUT = 0.5
 
 
-def rent(
+def plan_scale_out(
     wanted: list[Demand],
     supply: dict[InstanceKind, int],
     types: dict[str, MachineType],
@@ -185,8 +187,8 @@
     most: int,
 ) -> ScaleOutPlan | None:
     """The next booking, or None when the machines at hand, up or on their way, have room for all."""
-    found = offers(types)
-    _left, short = fill(wanted, supply, found)
+    found = instance_offers(types)
+    _left, short = pack_demand(wanted, supply, found)
     # Guards against a small job for which there is no machine at all: worth none by its size, it was never
     # started (found on the bench: three tasks that may not use spot machines, when the last other was returned).
     lone = [need for need in short if not any(supply.get(offer.kind, 0) > 0 and need.suits(offer) for offer in found)]
@@ -194,7 +196,7 @@
     for offer in found:
         if offer.kind in refused:
             continue
-        machines = sum(machines_for(need.spec, 1, offer.type) * need.tasks for need in short if need.suits(offer))
+        machines = sum(machines_needed(need.spec, 1, offer.type) * need.tasks for need in short if need.suits(offer))
         if machines < MIN_FILL_TO_SCALE_OUT and not any(need.suits(offer) for need in lone):
             continue
         price = offer.price / max(offer.type.cores, 1e-3)
@@ -204,13 +206,13 @@
     return ScaleOutPlan(best[2], best[3]) if best is not None else None
 
 
-def surplus(
+def plan_scale_in(
     wanted: list[Demand], supply: dict[InstanceKind, int], types: dict[str, MachineType]
 ) -> dict[InstanceKind, int]:
     """Machines, by kind, that the needs leave over, but for a margin of one, the cheapest: the dearest
     are let run empty first."""
-    found = offers(types)
-    left, short = fill(wanted, supply, found)
+    found = instance_offers(types)
+    left, short = pack_demand(wanted, supply, found)
     if short:
         return {}
     spared = {offer.kind: math.floor(left[offer.kind] + 1e-6) for offer in found}
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -39,8 +39,8 @@
 from sloeswitch.cells.handoff import OriginRow, Placement
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.core import taskset
-from sloeswitch.core.cancellations import Cancellation, CancellationLog
-from sloeswitch.core.graph import Graph
+from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
+from sloeswitch.core.dependency_graph import DependencyGraph
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType, MachineTypeCatalog
@@ -109,7 +109,7 @@
     return f"{KEY_PREFIX}g/{group}"
 
 
-def group_of(key: str) -> str:
+def group_name(key: str) -> str:
     """The group that a key names, or what is no group's name."""
     return key.removeprefix(group_key(""))
 
@@ -223,7 +223,7 @@
     number: int
 
 
-def stored_handoff(row: OriginRow, returned_ms: int = 0) -> dict[str, Any]:
+def encode_handoff(row: OriginRow, returned_ms: int = 0) -> dict[str, Any]:
     """What a job's row keeps of its handoffs to other cells."""
     value: dict[str, Any] = {"p": row.policy.value}
     if row.away is not None:
@@ -237,7 +237,7 @@
     return value
 
 
-def handoff_from_stored(job: str, value: dict[str, Any] | None) -> OriginRow | None:
+def decode_handoff(job: str, value: dict[str, Any] | None) -> OriginRow | None:
     """The handoffs that a job's row tells of. The cell's own name is not stored."""
     if value is None:
         return None
@@ -387,7 +387,7 @@
         self.finished_jobs: dict[str, FinishedJob] = {}
         # Those of them whose row may still change.
         self.unsettled_jobs: set[str] = set()
-        self.graph = Graph(self.jobs, self.finished_jobs)
+        self.graph = DependencyGraph(self.jobs, self.finished_jobs)
         # Who has run with this layout, and whether all have (the mark).
         self.layout_members: tuple[str, ...] = ()
         self.layout_complete = False
@@ -507,7 +507,7 @@
         for name, (address, kind, zone, spot) in rows.items():
             known = self.machines.get(name)
             key = group_key(group)
-            if known is not None and known.key > key and name in self.machine_groups.get(group_of(known.key), ()):
+            if known is not None and known.key > key and name in self.machine_groups.get(group_name(known.key), ()):
                 key = known.key
             self.machines[name] = MachineRow(address, kind, zone, spot, key)
             self.deleted_machines.discard(name)
@@ -535,7 +535,7 @@
             self.finished_jobs.pop(name, None)
             self.unsettled_jobs.discard(name)
             return
-        handoff = handoff_from_stored(name, value.get("h"))
+        handoff = decode_handoff(name, value.get("h"))
         delegated = DelegationOrigin(*value["o"]) if "o" in value else None
         if value["s"] == CANCELLED and name not in self.finished_jobs:
             known = self.jobs.get(name)
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -21,7 +21,7 @@
 import anyio
 from anyio.abc import SocketStream
 
-from sloeswitch.core.cancellations import Cancellation, CancellationDelta, CancellationLog
+from sloeswitch.core.cancellation_log import Cancellation, CancellationDelta, CancellationLog
 from sloeswitch.settings import Sibling
 
 log = logging.getLogger("mesh")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import CancellationLog
+from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.settings import Settings, parse
 
 SETTINGS = """
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -20,7 +20,7 @@
 from sloeswitch.admission.decisions import Decision, decide, lane_of, ticket_of
 from sloeswitch.admission.frames import pack_idle_room
 from sloeswitch.admission.gate import AdmissionGate
-from sloeswitch.admission.idle_room import IdleCapacityTracker
+from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
 from sloeswitch.core import tables as t
 from sloeswitch.features import AdmissionFeatures
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -7,7 +7,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import tables as t
 from tests.conftest import MACHINE_TYPE, spec
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -26,7 +26,7 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.summary import Summary
 from sloeswitch.cells.target import CellTarget
-from sloeswitch.core import ready
+from sloeswitch.core import job_queue
 from sloeswitch.core import tables as t
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
@@ -193,7 +193,7 @@
 
     def line(self) -> list[t.Job]:
         """The jobs in the order in which they get room."""
-        return ready.order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
+        return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
 
     def renew(self) -> None:
         """Leases are renewed while the state service answers."""
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -20,8 +20,8 @@
 from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
 from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import CancellationLog
-from sloeswitch.core.registry import Machine
+from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.machine_registry import Machine
 from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
 from sloeswitch.settings import parse
 from sloeswitch.state import Replica, StateClient, TransactionOutcome
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -11,14 +11,14 @@
 import pytest
 
 from sloeswitch import wire
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, InboxFullError
-from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.machines import HeartbeatRequest
 from sloeswitch.actors.users import Users
-from sloeswitch.core import ready
+from sloeswitch.core import job_queue
 from sloeswitch.core import tables as t
-from sloeswitch.core.ready import STARVATION_LEASES
+from sloeswitch.core.job_queue import STARVATION_LEASES
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http import Answer, Request
 from sloeswitch.settings import parse
@@ -65,7 +65,7 @@
 
 
 def names(store: Store, wall_s: float) -> list[str]:
-    return [job.spec.id for job in ready.order(store.tables, parse(SETTINGS), int(wall_s * 1000))]
+    return [job.spec.id for job in job_queue.queue_order(store.tables, parse(SETTINGS), int(wall_s * 1000))]
 
 
 def test_a_job_with_nothing_begun_goes_first_after_a_bounded_wait(store: Store) -> None:
@@ -100,7 +100,9 @@
 
 def test_only_a_part_of_a_job_goes_first_for_having_waited(world: World) -> None:
     world.store.job(spec(visits=16, cores=0.1, memoryGb=0.0))
-    job, again = ready.order(world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000))
+    job, again = job_queue.queue_order(
+        world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000)
+    )
     assert job is again and job.starved
     world.machines.queue = [job]
     assert world.claim_requests()[0].task_counts == {JOB: 2}
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -18,12 +18,12 @@
 from sloeswitch.admission.decisions import Ground, decide, lane_of
 from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room, unpack_idle_room
 from sloeswitch.admission.gate import AdmissionGate
-from sloeswitch.admission.idle_room import IdleCapacityTracker
+from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
 from sloeswitch.cli import main
-from sloeswitch.core import ready
+from sloeswitch.core import job_queue
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import CancellationLog
+from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import FrameLink, NoAnswerError
@@ -503,7 +503,9 @@
 
 
 def line_of(cluster: Cluster) -> list[str]:
-    return sorted({job.spec.id for job in ready.order(cluster.store.tables, cluster.settings, cluster.now_ms)})
+    return sorted(
+        {job.spec.id for job in job_queue.queue_order(cluster.store.tables, cluster.settings, cluster.now_ms)}
+    )
 
 
 def test_deferred_jobs_stay_out_of_the_line_and_off_and_on_again_lose_none() -> None:
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from sloeswitch.core.allowances import QuotaAllocation
 from sloeswitch.core.quota import ResourceUsage
+from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.settings import Settings
 
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -8,11 +8,11 @@
 import pytest
 
 from sloeswitch.actors import machines as machines_module
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
-from sloeswitch.actors.fleet import Autoscaler
 from sloeswitch.core import tables as t
 from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
-from sloeswitch.core.cancellations import Cancellation
+from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -7,7 +7,7 @@
 from sloeswitch.actors.jobs import stored_job
 from sloeswitch.cells.selection import Candidate, Move, MoveLimits, candidates, choose, limits_of
 from sloeswitch.cells.summary import MachinePool, Resources, Summary, SummaryBook, summarise
-from sloeswitch.core import ready
+from sloeswitch.core import job_queue
 from sloeswitch.core import tables as t
 from sloeswitch.settings import Settings, parse
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec
@@ -83,7 +83,7 @@
         return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
 
     def line(self) -> list[t.Job]:
-        return ready.order(self.store.tables, self.settings, 0)
+        return job_queue.queue_order(self.store.tables, self.settings, 0)
 
 
 def test_a_summary_counts_what_runs_and_what_waits_as_taken(settings: Settings, store: Store) -> None:
@@ -148,8 +148,8 @@
     store.job(spec("wk-000002"))
     store.job(spec("wk-000003"))
     # Eight cores are guaranteed, and each job takes that much: only the first of the cell's own is within it.
-    names = [job.spec.id for job in ready.order(store.tables, settings, 0)]
+    names = [job.spec.id for job in job_queue.queue_order(store.tables, settings, 0)]
     assert names == ["wk-000002", "wk-000001", "wk-000003"]
     late_ms = int(1000 * 9 * settings.lease_s)
-    late = [job.spec.id for job in ready.order(store.tables, settings, late_ms)]
+    late = [job.spec.id for job in job_queue.queue_order(store.tables, settings, late_ms)]
     assert late.index("wk-000003") < late.index("wk-000001"), "only the cell's own go first for having waited long"
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -17,7 +17,7 @@
 from sloeswitch.cells.origin import STAY_LEASES, TAKE_BACK_LEASES
 from sloeswitch.cells.summary import Summary
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import CancellationLog
+from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -21,8 +21,8 @@
 from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
-from sloeswitch.core.cancellations import CancellationLog
-from sloeswitch.core.registry import MachineRegistry
+from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Server
 from sloeswitch.settings import parse
--- a/tests/test_frozen_keys.py
+++ b/tests/test_frozen_keys.py
@@ -39,7 +39,7 @@
     "single machine": t.machine_key("vm-1"),
     "single type": t.type_key("small"),
     "group": t.group_key("c0.1.3"),
-    "group named by a key": t.group_of("s1/g/c0.1.3"),
+    "group named by a key": t.group_name("s1/g/c0.1.3"),
     "tag of a run": t.incarnation_id_of("c0", 1),
     "status live": t.LIVE,
     "status done": t.DONE,
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -19,7 +19,7 @@
 from sloeswitch.cells import frames as cell_frames
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
 from sloeswitch.cells.summary import MachinePool, Resources, Summary
-from sloeswitch.core.cancellations import Cancellation, CancellationDelta, CancellationLog
+from sloeswitch.core.cancellation_log import Cancellation, CancellationDelta, CancellationLog
 from sloeswitch.settings import Address
 from sloeswitch.wire import JobSpec
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -16,8 +16,8 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.feature_mark import FeatureRollout
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
+from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.admission.coordinator import AdmissionCoordinator
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -16,7 +16,7 @@
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import tables as t
-from sloeswitch.core.cancellations import Cancellation, CancellationLog
+from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
 from sloeswitch.http import Request
 from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
 from sloeswitch.settings import parse
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,13 +10,13 @@
 
 from sloeswitch import wire
 from sloeswitch.actors import machines
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import placement
 from sloeswitch.core import tables as t
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
-from sloeswitch.core.cancellations import CancellationLog
-from sloeswitch.core.registry import Machine
+from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.machine_registry import Machine
 from sloeswitch.http import Reply
 from sloeswitch.settings import parse
 from sloeswitch.state import Replica, StateClient
@@ -380,9 +380,9 @@
     world.store.job(spec(together=True))
     job = world.store.tables.jobs[JOB]
     rooms = [placement.FreeCapacity("vm-1", "small", "a", True, 8.0, 0.0, 16.0)]
-    assert placement.place(job, 0b1111, rooms) == []
-    assert [index for index, _ in placement.place(job, 0b1111, rooms, "a", 1)] == [0]
+    assert placement.pack_tasks(job, 0b1111, rooms) == []
+    assert [index for index, _ in placement.pack_tasks(job, 0b1111, rooms, "a", 1)] == [0]
     assert rooms[0].cores == 6.0
-    assert placement.place(job, 0b1110, rooms, "b") == []
+    assert placement.pack_tasks(job, 0b1110, rooms, "b") == []
     world.store.job(spec("wk-000002", spread=True))
-    assert placement.place(world.store.tables.jobs["wk-000002"], 0b1111, rooms) == []
+    assert placement.pack_tasks(world.store.tables.jobs["wk-000002"], 0b1111, rooms) == []
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,7 +10,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.users import Users
-from sloeswitch.core import fleet, ready
+from sloeswitch.core import job_queue, scaling
 from sloeswitch.core import tables as t
 from sloeswitch.http import Answer, Reply, Request
 from sloeswitch.settings import parse
@@ -30,7 +30,7 @@
 
 
 def line(store: Store, wall_clock_ms: int = 0, text: str = SETTINGS) -> list[str]:
-    return [job.spec.id for job in ready.order(store.tables, parse(text), wall_clock_ms)]
+    return [job.spec.id for job in job_queue.queue_order(store.tables, parse(text), wall_clock_ms)]
 
 
 def done(store: Store, name: str, at_ms: int = 0) -> None:
@@ -81,7 +81,7 @@
     settings = world.settings
 
     def needed() -> list[str]:
-        return [need.spec.id for need in fleet.needs(world.store.tables, settings, 0, 0.5)]
+        return [need.spec.id for need in scaling.current_demand(world.store.tables, settings, 0, 0.5)]
 
     assert needed() == [A, C]
     world.machines._rebuild_queue()
@@ -374,8 +374,8 @@
     store.job(spec(C, roster="publish", awaits=[A], dueS=200.0))
     done(store, A, at_ms=100_000)
     aims = parse(AIMS).objectives
-    assert ready.targets(store.tables.jobs[B], aims) == [160.0]
-    assert ready.targets(store.tables.jobs[C], aims) == [200.0, 300.0]
+    assert job_queue.slo_targets(store.tables.jobs[B], aims) == [160.0]
+    assert job_queue.slo_targets(store.tables.jobs[C], aims) == [200.0, 300.0]
     # Its patience too: it has not waited in the line yet, and is not first for having nothing begun.
     store.job(spec(D, urgency="critical"))
     assert line(store, 130_000, AIMS)[0] != B
@@ -397,8 +397,8 @@
     jobs = store.tables.jobs
     # 200 s less 10 s, a report and 1 GB at 0.5 GB/s; less 30 s, a report and 2 GB.
     assert jobs[B].inherited_ms == (187_000, 287_000)
-    assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == ready.PRIORITY_RANKS["urgent"]
-    assert ready.targets(jobs[A], settings.objectives) == [152.0, 252.0]
+    assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_queue.PRIORITY_RANKS["urgent"]
+    assert job_queue.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # With the last job cancelled nothing needs the others any more.
     store.put(t.job_key(C), {"s": t.CANCELLED, "n": 4})
     assert line(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_ms is None
@@ -519,7 +519,7 @@
     store.job(spec(A, urgency="best_effort", visits=50))
     store.progress(A, done=0b1)
     store.job(spec(B, urgency="best_effort", visits=50))
-    late_s = 2 * ready.STARVATION_LEASES * 10.0 + 1
+    late_s = 2 * job_queue.STARVATION_LEASES * 10.0 + 1
     row = {"s": t.LIVE, "n": 2, "t": int(late_s * 1000), "spec": submission(C, urgency="urgent", visits=2)}
     store.put(t.job_key(C), row)
     # What waits for its beginning is first still, with a part of its tasks, then the urgent, then the old.
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from sloeswitch.core import preemption
+from sloeswitch.core.machine_registry import Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.registry import Attempt
 from tests.conftest import Store, spec
 
 SOLVE, FILL = "wk-000001", "wk-000002"
@@ -30,7 +30,7 @@
     store.job(spec(SOLVE, **GANG))
     positions = {SOLVE: 0, FILL: 1} if behind else {FILL: 0, SOLVE: 1}
     order = preemption.QueueOrder(positions, {FILL: lendable})
-    return preemption.choose(store.tables.jobs[SOLVE], machines, order)
+    return preemption.plan_preemption(store.tables.jobs[SOLVE], machines, order)
 
 
 def test_the_machine_with_the_fewest_tasks_to_stop_is_chosen_and_the_youngest_stop(store: Store) -> None:
@@ -76,6 +76,6 @@
 def test_at_the_limit_only_the_teams_own_tasks_make_room_in_it(store: Store) -> None:
     job = spec(SOLVE, **GANG)
     mixed = [*running(4, crew="blue"), *running(4)]
-    chosen = preemption.within_limit(job, ResourceUsage(3.0), mixed)
+    chosen = preemption.victims_within_limit(job, ResourceUsage(3.0), mixed)
     assert chosen is not None and {attempt.spec.team for attempt in chosen} == {"red"} and len(chosen) == 3
-    assert preemption.within_limit(job, ResourceUsage(5.0), mixed) is None
+    assert preemption.victims_within_limit(job, ResourceUsage(5.0), mixed) is None
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sloeswitch.core.registry import Machine, MachineRegistry
+from sloeswitch.core.machine_registry import Machine, MachineRegistry
 from tests.conftest import Store, report, spec
 
 JOB = "wk-000001"
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -13,7 +13,7 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.core import placement
 from sloeswitch.core import tables as t
-from sloeswitch.core.registry import Machine
+from sloeswitch.core.machine_registry import Machine
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
 from tests.test_actors import World
@@ -71,8 +71,8 @@
         placement.FreeCapacity("vm-1", "large", "a", True, 32.0, 0.0, 64.0, {"img-1"}, scarce=True),
         placement.FreeCapacity("vm-2", "small", "a", False, 8.0, 0.0, 16.0),
     ]
-    assert [room.machine for room in placement.fitting(spec(), rooms)] == ["vm-2", "vm-1"]
-    assert [room.machine for room in placement.fitting(spec(SOLVE, **GANG), rooms)] == ["vm-1"]
+    assert [room.machine for room in placement.rank_capacities(spec(), rooms)] == ["vm-2", "vm-1"]
+    assert [room.machine for room in placement.rank_capacities(spec(SOLVE, **GANG), rooms)] == ["vm-1"]
 
 
 def test_lower_priority_stops_for_a_gang_of_one_and_its_room_is_held(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,7 +10,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors import machines as machines_module
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core import placement
@@ -97,14 +97,14 @@
     machines = fleet.machines
     machines.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue}
     looks = 0
-    place = placement.place
+    place = placement.pack_tasks
 
     def counted(*args: Any) -> Any:
         nonlocal looks
         looks += 1
         return place(*args)
 
-    monkeypatch.setattr(placement, "place", counted)
+    monkeypatch.setattr(placement, "pack_tasks", counted)
     planner = claim_planner(fleet)
     planner.plan(machines.queue, 1, 0)
     # The one that fits stands in the line twice, having waited for long.
@@ -147,7 +147,7 @@
     fleet.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=1000, cores=1.0))
-    monkeypatch.setattr("sloeswitch.actors.fleet.time.time", lambda: fleet.clock.time)
+    monkeypatch.setattr("sloeswitch.actors.autoscaler.time.time", lambda: fleet.clock.time)
     until = fleet.clock.time + 200 / paced.rate
 
     async def rent() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sloeswitch import mesh, wire
-from sloeswitch.actors.fleet import Autoscaler
+from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.machines import Machines
 from sloeswitch.core import tables as t
