--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -6,8 +6,6 @@
 from __future__ import annotations
 
 import logging
-import time
-from collections.abc import Callable
 from dataclasses import dataclass
 
 import anyio
@@ -16,6 +14,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.machines import InstancesDeleted, Machines
 from sloeswitch.actors.membership import Leadership
+from sloeswitch.clock import Clock
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import scaling as plan
 from sloeswitch.core import tables as t
@@ -49,7 +48,7 @@
         cloud: CloudClient,
         replica: Replica,
         leadership: Leadership,
-        now: Callable[[], float],
+        clock: Clock,
     ) -> None:
         self.settings = settings
         self.client = client
@@ -57,7 +56,8 @@
         self.replica = replica
         self.tables: Tables = replica.tables
         self.leadership = leadership
-        self.now = now
+        self.clock = clock
+        self.now = clock.now
         self.machines: Machines | None = None
         self.types: dict[str, wire.MachineType] = {}
         self.pending_instances: dict[str, PendingInstance] = {}
@@ -233,7 +233,7 @@
         for item in self.pending_instances.values():
             supply[item.kind] = supply.get(item.kind, 0) + 1
         refused = {kind for kind, until in self.refused_until.items() if now < until}
-        wanted = plan.current_demand(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_OUT_SPREAD)
+        wanted = plan.current_demand(self.tables, self.settings, self.clock.wall_clock_ms(), plan.SCALE_OUT_SPREAD)
         choice = plan.plan_scale_out(wanted, supply, self.types, refused, 50)
         if choice is None:
             return False
@@ -265,7 +265,7 @@
         """Lets machines run empty that are not needed, the dearest first. Every controller reckons from the
         same tables and picks by name, so that together they spare the right number."""
         assert self.machines is not None
-        wanted = plan.current_demand(self.tables, self.settings, int(time.time() * 1000), plan.SCALE_IN_SPREAD)
+        wanted = plan.current_demand(self.tables, self.settings, self.clock.wall_clock_ms(), plan.SCALE_IN_SPREAD)
         spared = plan.plan_scale_in(wanted, self._registered_supply(), self.tables.machine_types)
         chosen: set[str] = set()
         for name in sorted(self.tables.machines):
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -10,8 +10,6 @@
 import contextlib
 import itertools
 import logging
-import time
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
 
@@ -22,6 +20,7 @@
 from sloeswitch.actors.base import Actor, ActorRequest
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
+from sloeswitch.clock import Clock
 from sloeswitch.core import quota, taskset
 from sloeswitch.core import tables as t
 from sloeswitch.core.tables import CANCELLED, DONE, LIVE, Job, Progress, Tables
@@ -90,9 +89,9 @@
     return links
 
 
-def stored_end(status: str, spec: wire.JobSpec) -> dict[str, Any]:
+def stored_end(status: str, spec: wire.JobSpec, ended_ms: int) -> dict[str, Any]:
     """A job that is over. The time is that from which the times of jobs that await it count."""
-    return {"s": status, "n": spec.tasks, "t": int(time.time() * 1000)}
+    return {"s": status, "n": spec.tasks, "t": ended_ms}
 
 
 @dataclass
@@ -115,7 +114,7 @@
         client: StateClient,
         replica: Replica,
         leadership: Leadership,
-        now: Callable[[], float],
+        clock: Clock,
     ) -> None:
         super().__init__(settings.fd_limit)
         self.settings = settings
@@ -123,7 +122,8 @@
         self.replica = replica
         self.tables: Tables = replica.tables
         self.leadership = leadership
-        self.now = now
+        self.clock = clock
+        self.now = clock.now
         self.uncommitted: dict[str, UncommittedUpdates] = {}
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
@@ -477,9 +477,9 @@
         job_key, progress_key = t.job_key(name), t.progress_key(name)
         known = {job_key: job.mod_revision, progress_key: job.progress_revision}
         if job.status == LIVE and progress.done == job.all_tasks:
-            writes[job_key] = stored_end(DONE, job.spec) | stored_links(job, over=True)
+            writes[job_key] = stored_end(DONE, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
         elif job.is_cancelled and not progress.claims:
-            writes[job_key] = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
+            writes[job_key] = stored_end(CANCELLED, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
         else:
             dense = self.tables.layout_complete
             value = progress.stored(dense)
@@ -520,7 +520,7 @@
     async def submit(self, spec: wire.JobSpec) -> tuple[str, bool] | None:
         """Accepts a job. Its status and whether it is new, or None when it cannot be stored now."""
         key = t.job_key(spec.id)
-        now_ms = int(time.time() * 1000)
+        now_ms = self.clock.wall_clock_ms()
         value = stored_job(LIVE, spec, now_ms)
         conditions = {key: 0}
         if len(wire.encode(value)) > self.client.value_bytes:
@@ -651,10 +651,10 @@
             if job.progress_revision:
                 value = stored_job(CANCELLED, job.spec, job.submitted_ms, job.spec_chunks) | stored_links(job)
                 # Whoever has its tasks then is to be done with them in time, over changes of owner too.
-                value["x"] = int(time.time() * 1000)
+                value["x"] = self.clock.wall_clock_ms()
             else:
                 # Never claimed, so nowhere: it is over with the same change.
-                value = stored_end(CANCELLED, job.spec) | stored_links(job, over=True)
+                value = stored_end(CANCELLED, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
                 conditions[t.progress_key(name)] = 0
             outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
             if outcome is TransactionOutcome.COMMITTED:
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -8,7 +8,6 @@
 
 import contextlib
 import logging
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any, Protocol
@@ -25,6 +24,7 @@
 from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
+from sloeswitch.clock import Clock
 from sloeswitch.core import job_queue, placement, preemption, quota, taskset
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
@@ -73,11 +73,6 @@
     """Look after what no report brings up."""
 
 
-def wall_clock_ms() -> int:
-    """The time of day, which jobs' ages are reckoned by; right within the settings' clock error."""
-    return int(time.time() * 1000)
-
-
 # Machines that are not needed are emptied once no more than this part of them is in use.
 DRAIN_UTILIZATION = 0.5
 
@@ -93,7 +88,7 @@
         leadership: Leadership,
         jobs: Jobs,
         membership: Membership,
-        now: Callable[[], float],
+        clock: Clock,
     ) -> None:
         super().__init__(settings.fd_limit)
         self.settings = settings
@@ -103,7 +98,8 @@
         self.leadership = leadership
         self.jobs = jobs
         self.membership = membership
-        self.now = now
+        self.clock = clock
+        self.now = clock.now
         self.group: TaskGroup | None = None
         self.autoscaler: InstanceTerminator | None = None
         # Where admission is on: what marks deferred jobs, and what is told of the room that is left over.
@@ -117,7 +113,9 @@
         self.claim_in_flight = False
         self.unknown_types: set[str] = set()
         self.malformed_reporters: set[str] = set()
-        self.commands = CommandSender(settings, leadership, self.registry, self.tables, self._spawn, self.tell, now)
+        self.commands = CommandSender(
+            settings, leadership, self.registry, self.tables, self._spawn, self.tell, clock.now
+        )
         self.unplaced_since: dict[str, float] = {}
         # When the jobs in the line were first seen there.
         self.queued_since: dict[str, float] = {}
@@ -376,7 +374,7 @@
         if not leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
             self.answering_since = now
         self.ticked_at = now
-        self.cancellations.inspect_suspects(now, wall_clock_ms())
+        self.cancellations.inspect_suspects(now, self.clock.wall_clock_ms())
         if not leadership.is_member:
             if leadership.incarnation != self.incarnation:
                 self._apply_view()
@@ -388,7 +386,7 @@
             self._add_unowned_machines()
         if now >= self.next_check_at:
             self.next_check_at = now + self.settings.report_s / 4
-            self.cancellation_overdue = self.cancellations.has_overdue(wall_clock_ms())
+            self.cancellation_overdue = self.cancellations.has_overdue(self.clock.wall_clock_ms())
             for machine in list(self.registry.machines.values()):
                 self._check_machine(machine, now)
             if leadership.is_leader:
@@ -460,7 +458,7 @@
         self.recovery_complete = self.tables.recovery_complete()
         if self.admission is not None:
             self.admission.apply()
-        self.queue = job_queue.queue_order(self.tables, self.settings, wall_clock_ms(), self._has_begun)
+        self.queue = job_queue.queue_order(self.tables, self.settings, self.clock.wall_clock_ms(), self._has_begun)
         self.scarce_types = placement.scarce_types((job.spec for job in self.queue), self.tables.machine_types)
         self.least_cores = min((job.spec.cores for job in self.queue), default=0.0)
 
@@ -619,7 +617,7 @@
         attempt.killed_at = attempt.killed_at or now
         since = attempt.killed_at
         if job is not None and job.cancelled_ms:
-            since = min(since, now - max(0, wall_clock_ms() - job.cancelled_ms) / 1000)
+            since = min(since, now - max(0, self.clock.wall_clock_ms() - job.cancelled_ms) / 1000)
         machine.cancelled_since = min(since, now if machine.cancelled_since is None else machine.cancelled_since)
 
     def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
@@ -745,7 +743,9 @@
         if log.isEnabledFor(logging.DEBUG):
             log.debug("%s: %d tasks on %s", name, len(placed), {room.machine for _, room in placed})
             if job.spec.prerequisites and not job.progress.done:
-                log.debug("%s: %.2f s since the last that it needs", name, (wall_clock_ms() - job.ready_ms) / 1000)
+                log.debug(
+                    "%s: %.2f s since the last that it needs", name, (self.clock.wall_clock_ms() - job.ready_ms) / 1000
+                )
         return True
 
     def _next_attempt_number(self) -> int:
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-import time
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass, replace
 
@@ -15,6 +14,7 @@
 from sloeswitch.admission.epoch import chosen_changes, next_rows
 from sloeswitch.admission.frames import IdleCapacityLink
 from sloeswitch.admission.limits import AdmissionLimits
+from sloeswitch.clock import Clock
 from sloeswitch.core import tables as t
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
@@ -35,11 +35,6 @@
     rooms: list[IdleCapacity]
 
 
-def wall_clock_ms() -> int:
-    """The time of day, by which tickets are stamped; right within the settings' clock error."""
-    return int(time.time() * 1000)
-
-
 class AdmissionCoordinator:
     """Owns what siblings told, and when each row was last written. All else is in the tables, so that whoever
     coordinates next goes on from there."""
@@ -53,7 +48,7 @@
         leadership: Leadership,
         own_idle_room: Callable[[], list[IdleCapacity]],
         links: Mapping[str, IdleCapacityLink],
-        now: Callable[[], float],
+        clock: Clock,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
         self.settings = settings
@@ -63,7 +58,8 @@
         self.leadership = leadership
         self.own_idle_room = own_idle_room
         self.links = links
-        self.now = now
+        self.clock = clock
+        self.now = clock.now
         self.sleep = sleep
         self.limits = AdmissionLimits.of(settings)
         self.feature = FeatureRollout("admission", settings, client, replica, leadership)
@@ -118,7 +114,7 @@
         await self.replica.read_linearizable(self.client.timeout_s)
         tables = self.replica.tables
         changes = next_rows(
-            tables, self.settings, self.limits, self._idle_rooms(), wall_clock_ms(), self.client.value_bytes
+            tables, self.settings, self.limits, self._idle_rooms(), self.clock.wall_clock_ms(), self.client.value_bytes
         )
         chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
         if not chosen:
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import logging
-import time
 from collections.abc import Awaitable, Callable, Iterator
 from dataclasses import dataclass, replace
 from typing import Any, Protocol
@@ -26,6 +25,7 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.selection import candidates, choose, limits_of
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
+from sloeswitch.clock import Clock
 from sloeswitch.core import tables as t
 from sloeswitch.core.tables import FinishedJob, Job, Tables
 from sloeswitch.features import CellFeatures
@@ -74,7 +74,7 @@
         leadership: Leadership,
         line: Callable[[], list[Job]],
         links: dict[str, Link],
-        now: Callable[[], float],
+        clock: Clock,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
         self.settings = settings
@@ -85,7 +85,8 @@
         self.leadership = leadership
         self.line = line
         self.links = links
-        self.now = now
+        self.clock = clock
+        self.now = clock.now
         self.sleep = sleep
         self.feature = FeatureRollout("cells", settings, client, replica, leadership)
         self.book = SummaryBook(SUMMARY_LEASES * settings.controller_lease_s)
@@ -132,7 +133,7 @@
         """Stores the moves that are to be made now; the offers follow when the peer is talked to."""
         if not (self.features.moving and self.switched_on and self.leadership.is_leader):
             return
-        wall_clock_ms = int(time.time() * 1000)
+        wall_clock_ms = self.clock.wall_clock_ms()
         movable = {job.spec.id for job in self.line() if self._movable(job, wall_clock_ms)}
         if not movable:
             return
@@ -325,27 +326,26 @@
         key = t.job_key(job.spec.id)
         conditions = {**conditions, key: job.mod_revision}
         if row.result is Result.DONE:
-            value = stored_end(t.DONE, job.spec)
+            value = stored_end(t.DONE, job.spec, self.clock.wall_clock_ms())
             if row.placements:
                 value["h"] = t.encode_handoff(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
             came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
-            returned_ms = int(time.time() * 1000) if came_back else job.returned_ms
+            returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
             value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
             value["h"] = t.encode_handoff(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
 
-    @staticmethod
-    def _cancelled(job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
+    def _cancelled(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
         if not job.progress_revision:
             conditions[t.progress_key(job.spec.id)] = 0
-            return stored_end(t.CANCELLED, job.spec)
+            return stored_end(t.CANCELLED, job.spec, self.clock.wall_clock_ms())
         value = stored_job(t.CANCELLED, job.spec, job.submitted_ms, job.spec_chunks)
-        return {**value, "x": int(time.time() * 1000)}
+        return {**value, "x": self.clock.wall_clock_ms()}
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -4,7 +4,6 @@
 
 import logging
 import secrets
-import time
 from functools import partial
 
 import anyio
@@ -15,6 +14,7 @@
 from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Leadership, Membership
 from sloeswitch.actors.users import Users
+from sloeswitch.clock import SystemClock
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.tables import Tables
@@ -26,9 +26,7 @@
 
 log = logging.getLogger("controller")
 
-# Never the event loop's time: uvloop's stands still while a turn of the loop lasts. A controller that is frozen
-# within a turn would go on by what it knew before, its lease long over.
-now = time.monotonic
+CLOCK = SystemClock()
 
 
 async def serve(settings: Settings, features: Features) -> None:
@@ -36,22 +34,27 @@
     # More than the state service takes in the longest spell that machines outlive.
     cancellations = CancellationLog(int(16 * settings.lease_s * settings.state_write_rps), 1 + secrets.randbits(63))
     tables = Tables(cancellations)
-    client = StateClient(settings, lambda: len(tables.view.members) or settings.count, now)
-    replica = Replica(client, tables, now)
-    leadership = Leadership(settings, tables, replica, now)
+    client = StateClient(settings, lambda: len(tables.view.members) or settings.count, CLOCK.now)
+    replica = Replica(client, tables, CLOCK.now)
+    leadership = Leadership(settings, tables, replica, CLOCK.now)
     leadership.mesh = mesh = Mesh(
         settings.siblings,
         settings.controller_lease_s / 4,
-        now,
+        CLOCK.now,
         leadership.peer_status,
         cancellations,
         leadership.apply_peer_cancellations,
     )
     membership = Membership(settings, client, replica, leadership)
-    jobs = Jobs(settings, client, replica, leadership, now)
-    machines = Machines(settings, client, replica, leadership, jobs, membership, now)
+    jobs = Jobs(settings, client, replica, leadership, CLOCK)
+    machines = Machines(settings, client, replica, leadership, jobs, membership, CLOCK)
     fleet = Autoscaler(
-        settings, client, CloudClient(settings, lambda: leadership.is_coordinator, now), replica, leadership, now
+        settings,
+        client,
+        CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now),
+        replica,
+        leadership,
+        CLOCK,
     )
     machines.autoscaler, fleet.machines = fleet, machines
     users = Users(settings, client, replica, leadership, jobs, machines)
@@ -61,7 +64,7 @@
         idle_s=6 * settings.lease_s,
         request_s=settings.lease_s / 2,
         most_connections=int(0.7 * settings.fd_limit),
-        now=now,
+        now=CLOCK.now,
     )
     listener = await SocketListener.from_socket(listener_socket(settings.bind, settings.fd_limit))
     mesh_listener = await SocketListener.from_socket(listener_socket(settings.mesh, 4 * settings.count))
@@ -109,7 +112,7 @@
     links: dict[str, Link] = {
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
-    origin = CellOrigin(settings, features, client, replica, leadership, machines.waiting_jobs, links, now)
+    origin = CellOrigin(settings, features, client, replica, leadership, machines.waiting_jobs, links, CLOCK)
     group.start_soon(origin.select_forever)
     for peer in features.peers:
         group.start_soon(origin.talk_forever, peer.name)
@@ -129,7 +132,7 @@
     idle = IdleCapacityTracker()
 
     async def answer(_kind: int, _body: bytes) -> bytes | None:
-        return pack_idle_room(idle.report(now()))
+        return pack_idle_room(idle.report(CLOCK.now()))
 
     coordinator = AdmissionCoordinator(
         settings,
@@ -137,14 +140,14 @@
         machines.client,
         machines.replica,
         machines.leadership,
-        lambda: idle.report(now()),
+        lambda: idle.report(CLOCK.now()),
         {
             sibling.member: MeshIdleCapacityLink(
                 FrameLink(sibling.member, (sibling.address,), settings.controller_lease_s)
             )
             for sibling in settings.siblings
         },
-        now,
+        CLOCK,
     )
     machines.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -77,7 +77,7 @@
 
     def __init__(self, world: AutoscalingWorld, name: str) -> None:
         super().__init__(world, name)
-        cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock)
+        cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock.now)
         cloud.node = self
         self.fleet = Autoscaler(self.settings, self.client, cloud, self.replica, self.leadership, world.clock)
         self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -138,12 +138,12 @@
     def __init__(self, cell: Cell, member: str, boot: int) -> None:
         world = cell.world
         settings = settings_of(member)
-        client = CellState(settings, lambda: len(MEMBERS), world.clock)
+        client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
         client.store, client.late, client.cell = cell.store, [], cell
-        self.replica = CellReplica(client, cell.store.tables, world.clock)
+        self.replica = CellReplica(client, cell.store.tables, world.clock.now)
         self.replica.cell = cell
         self.replica.loaded = self.replica.fully_read = True
-        self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock)
+        self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock.now)
         self.leadership.incarnation = boot
         self.jobs = Jobs(settings, client, self.replica, self.leadership, world.clock)
         self.jobs.batch_s = 0.0
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -49,9 +49,13 @@
     def __init__(self) -> None:
         self.time = 1000.0
 
-    def __call__(self) -> float:
+    def now(self) -> float:
         return self.time
 
+    def wall_clock_ms(self) -> int:
+        """The time of day: the same time, which began at the epoch."""
+        return int(self.time * 1000)
+
 
 class ScriptedState(StateClient):
     """A state service of a dictionary: commits are checked and applied, or lost as the test says."""
@@ -481,15 +485,15 @@
         self.refused = False
         self.place = 0
         self.tables = t.Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
-        self.client = Client(self.settings, lambda: len(world.members), clock)
+        self.client = Client(self.settings, lambda: len(world.members), clock.now)
         self.client.node = self
-        self.replica = Reading(self.client, self.tables, clock)
+        self.replica = Reading(self.client, self.tables, clock.now)
         self.replica.node = self
-        self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
+        self.leadership = Leadership(self.settings, self.tables, self.replica, clock.now)
         self.mesh = Mesh(
             self.settings.siblings,
             1.0,
-            clock,
+            clock.now,
             self.leadership.peer_status,
             self.tables.cancellations,
             self.leadership.apply_peer_cancellations,
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -19,7 +19,6 @@
 from typing import Any
 
 import msgspec
-import pytest
 
 from sloeswitch.admission import epoch as epochs
 from sloeswitch.admission.cuts import ROOT, AdmissionRow, LaneCut, Ticket
@@ -31,7 +30,6 @@
 from tests.support.admission import TEAMS, AdmissionWorld, cluster_text
 from tests.support.cluster import Worker
 from tests.support.fleet import FleetWorld, job_name
-from tests.support.seeds import follow_newest_world
 
 # A flood of one team, and one urgent job of a small team at a time.
 FLOOD_JOBS = 100
@@ -51,7 +49,7 @@
 
 
 @dataclass
-class TransactionOutcome:
+class LoadResult:
     """One run: waits from submission to the first start, in milliseconds, by kind of job."""
 
     flood_ms: list[int] = field(default_factory=list)
@@ -76,7 +74,7 @@
         self.started_at.setdefault(task.partition("/")[0], self.clock.time)
 
 
-def load(seed: int, deferring: bool) -> TransactionOutcome:
+def load(seed: int, deferring: bool) -> LoadResult:
     """A flood of the red team's jobs in a minute, and green's urgent ones beside it, until all are done."""
     world = LoadWorld(seed, deferring)
     arrivals = random.Random(seed)
@@ -101,7 +99,7 @@
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
             break
-    outcome = TransactionOutcome(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
+    outcome = LoadResult(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
     outcome.unfinished = len(plan) - len(ended_at)
     for name, at in world.started_at.items():
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
@@ -135,7 +133,7 @@
     return found
 
 
-def report(found: dict[str, list[TransactionOutcome]], path: str) -> None:
+def report(found: dict[str, list[LoadResult]], path: str) -> None:
     """A page with the waits of both loads, with and without."""
     import plotly.graph_objects as graph
 
@@ -152,17 +150,15 @@
     figure.write_html(path, include_plotlyjs=True)
 
 
-def play(seed: int, mode: str) -> TransactionOutcome:
+def play(seed: int, mode: str) -> LoadResult:
     """One run, in a process of its own."""
-    with pytest.MonkeyPatch.context() as monkeypatch:
-        follow_newest_world(monkeypatch)
-        return load(seed, mode != WITHOUT)
+    return load(seed, mode != WITHOUT)
 
 
 def main(first: int, last: int, path: str) -> None:
     """Prints each seed's two runs and the means with their spread, and writes the page."""
     runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT, WITH)]
-    found: dict[str, list[TransactionOutcome]] = {WITHOUT: [], WITH: []}
+    found: dict[str, list[LoadResult]] = {WITHOUT: [], WITH: []}
     with ProcessPoolExecutor(WORKERS) as pool:
         for (seed, mode), outcome in zip(runs, pool.map(play, *zip(*runs, strict=True)), strict=True):
             found[mode].append(outcome)
@@ -175,7 +171,7 @@
     report(found, path)
 
 
-def summary(outcomes: list[TransactionOutcome]) -> str:
+def summary(outcomes: list[LoadResult]) -> str:
     """Waits of several runs together."""
     texts: list[str] = []
     for title, waits_ms in (
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -11,18 +11,16 @@
 from dataclasses import dataclass
 
 import anyio
-import pytest
 
 from sloeswitch import wire
 from tests.support.cells import CELLS, CellWorld
-from tests.support.seeds import follow_newest_world
 
 DUE_S = 60.0
 JOBS = 60
 
 
 @dataclass(frozen=True)
-class TransactionOutcome:
+class SpillResult:
     """What users and state services saw of one run."""
 
     in_time: float
@@ -34,7 +32,7 @@
     unfinished: int
 
 
-async def load(seed: int, moving: bool) -> TransactionOutcome:
+async def load(seed: int, moving: bool) -> SpillResult:
     """Sixty jobs in half a minute or so, nine of ten in the north, until all are done."""
     world = CellWorld(seed, moving=moving, troubled=False)
     arrivals = random.Random(seed)
@@ -53,20 +51,18 @@
     moved = sum(set(where) != {world.home[job]} for job, where in world.starts.items())
     changes = sum(cell.store.epoch for cell in world.cells.values()) - before
     in_time = sum(each <= DUE_S for each in times) / len(world.home)
-    return TransactionOutcome(
+    return SpillResult(
         in_time, statistics.mean(times), max(times), moved, changes, world.messages, len(world.unfinished())
     )
 
 
 def main(first: int, last: int) -> None:
     """Prints each seed's two runs, and the means with their spread."""
-    found: dict[bool, list[TransactionOutcome]] = {False: [], True: []}
-    with pytest.MonkeyPatch.context() as monkeypatch:
-        follow_newest_world(monkeypatch)
-        for seed in range(first, last):
-            for moving, outcomes in found.items():
-                outcomes.append(anyio.run(load, seed, moving))
-                print(seed, "moving" if moving else "staying", outcomes[-1])
+    found: dict[bool, list[SpillResult]] = {False: [], True: []}
+    for seed in range(first, last):
+        for moving, outcomes in found.items():
+            outcomes.append(anyio.run(load, seed, moving))
+            print(seed, "moving" if moving else "staying", outcomes[-1])
     for moving, outcomes in found.items():
         print("moving" if moving else "staying")
         for name in ("in_time", "mean_s", "longest_s", "moved", "changes", "messages", "unfinished"):
--- a/tests/support/trace.py
+++ b/tests/support/trace.py
@@ -15,7 +15,6 @@
 from functools import partial
 
 import anyio
-import pytest
 
 from sloeswitch import wire
 from sloeswitch.actors.users import Users
@@ -24,7 +23,6 @@
 from tests.support import admission, cells, cluster
 from tests.support.autoscaling import AutoscalingWorld
 from tests.support.recorder import TraceRecorder
-from tests.support.seeds import follow_newest_world
 
 STEPS = 300
 AUTOSCALING_STEPS = 800
@@ -104,9 +102,7 @@
     """One line for each kind of world: its name, the seed, the digest and the number of messages."""
     lines = []
     for name, play in PLAYERS.items():
-        with pytest.MonkeyPatch.context() as monkeypatch:
-            follow_newest_world(monkeypatch)
-            recorder = play(seed)
+        recorder = play(seed)
         counts = " ".join(f"{kind.replace(' ', '_')}={count}" for kind, count in sorted(recorder.counts.items()))
         lines.append(f"{name} {seed} {recorder.digest} {counts}")
     return lines
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -28,13 +28,13 @@
         self.store = store
         self.clock = Clock()
         self.settings = parse(text)
-        self.client = ScriptedState(self.settings, lambda: 1, self.clock)
+        self.client = ScriptedState(self.settings, lambda: 1, self.clock.now)
         self.client.store = store
         self.client.late = []
-        self.replica = ScriptedReplica(self.client, store.tables, self.clock)
+        self.replica = ScriptedReplica(self.client, store.tables, self.clock.now)
         self.replica.loaded = self.replica.fully_read = True
         self.replica.read_linearizable = self.read  # type: ignore[method-assign]
-        self.leadership = Leadership(self.settings, store.tables, self.replica, self.clock)
+        self.leadership = Leadership(self.settings, store.tables, self.replica, self.clock.now)
         self.leadership.incarnation = 1
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
         self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
@@ -92,7 +92,7 @@
     world.leadership.mesh = Mesh(
         world.settings.siblings,
         1.0,
-        world.clock,
+        world.clock.now,
         world.leadership.peer_status,
         world.store.tables.cancellations,
         world.leadership.apply_peer_cancellations,
@@ -337,9 +337,12 @@
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
-def test_leases_are_reckoned_by_a_clock_that_runs_on_within_a_turn_of_the_loop() -> None:
+def test_leases_are_reckoned_by_a_clock_that_runs_on_within_a_turn_of_the_loop(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """uvloop's own time is that of the turn's beginning, which a freeze may put long ago."""
-    assert controller.now is time.monotonic
+    monkeypatch.setattr(time, "monotonic", lambda: 77.5)
+    assert controller.CLOCK.now() == 77.5
 
 
 def test_tasks_released_and_claimed_again_between_two_ticks_are_run(world: World) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -196,7 +196,6 @@
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
     """A controller that coordinates, with a lane of deferred jobs and no machine."""
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
-    monkeypatch.setattr("sloeswitch.admission.coordinator.wall_clock_ms", lambda: int(1000 * world.clock.time))
     each = coordinator(world)
     anyio.run(each.epoch)
     later(world, 2 * each.limits.lead_s + 1)
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -12,16 +12,10 @@
 from sloeswitch.admission.epoch import Epoch
 from sloeswitch.core.tables import Job
 from tests.support.admission import AdmissionWorld, play
-from tests.support.seeds import follow_newest_world
 
 STEPS, CALM_STEPS, JOBS = 350, 1500, 60
 
 
-@pytest.fixture(autouse=True)
-def wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    follow_newest_world(monkeypatch)
-
-
 @pytest.mark.parametrize("seed", [2, 3, 6])
 def test_all_decide_alike_and_everything_ends_once_the_troubles_are_over(seed: int) -> None:
     world = play(seed, STEPS, CALM_STEPS, JOBS)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -7,7 +7,6 @@
 import anyio
 import pytest
 
-from sloeswitch.actors import machines as machines_module
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
 from sloeswitch.core import tables as t
@@ -97,11 +96,11 @@
         cancelled_job(store, "c1.2")
         self.world = world = World(store)
         store.view(5, ("c0", 1), ("c1", 2))
-        monkeypatch.setattr(machines_module, "wall_clock_ms", lambda: overdue_ms(world.settings))
+        monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: overdue_ms(world.settings))
         world.leadership.mesh = Mesh(
             world.settings.siblings,
             1.0,
-            world.clock,
+            world.clock.now,
             world.leadership.peer_status,
             store.tables.cancellations,
             lambda _: None,
@@ -128,13 +127,13 @@
 
     def inspect(self, silent: set[str]) -> None:
         """One round of questions, which all machines answer but the silent ones."""
-        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, machines_module.wall_clock_ms())
+        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
         for name in self.started:
             answer = None if name in silent else report(1, 5, name=name)
             anyio.run(self.world.machines.handle, InspectionReply(name, answer))
         self.started.clear()
         self.world.clock.time += self.world.settings.report_s
-        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, machines_module.wall_clock_ms())
+        self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
 
 
 def test_only_the_silent_machines_of_a_sibling_that_restarted_are_deleted(
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from functools import partial
 from typing import Any
 
@@ -26,18 +25,11 @@
 from sloeswitch.state import StaleReplicaError
 from tests.conftest import spec, submission
 from tests.support.cells import Cell, CellWorld, RuleError, play, settings_cache
-from tests.support.seeds import follow_newest_world
 from tests.support.streams import connect_to
 
 JOB = "wk-000001"
 
 
-@pytest.fixture(autouse=True)
-def wall_clock(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    follow_newest_world(monkeypatch)
-    yield
-
-
 @pytest.mark.parametrize("seed", [4, 5, 6])
 def test_no_rule_breaks_among_three_cells_and_every_job_ends_once_the_troubles_are_over(seed: int) -> None:
     world = anyio.run(play, seed)
@@ -367,7 +359,7 @@
         for controller in south.controllers.values():
             await controller.origin.mark()
         mesh = Mesh(
-            (), 1.0, world.clock, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
+            (), 1.0, world.clock.now, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
         )
         async with anyio.create_task_group() as group:
 
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -5,7 +5,6 @@
 from __future__ import annotations
 
 import json
-import time
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from typing import Any
@@ -28,6 +27,7 @@
 from sloeswitch.settings import parse
 from sloeswitch.state import Replica, RequestPriority, StateClient
 from tests.conftest import Store
+from tests.support.cluster import Clock
 from tests.test_actors import World
 
 FOLDER = Path(__file__).parent / "frozen"
@@ -63,7 +63,7 @@
     """One controller behind its HTTP server, with a scripted state service."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        monkeypatch.setattr(time, "time", lambda: NOW)
+        monkeypatch.setattr(Clock, "wall_clock_ms", lambda _clock: int(NOW * 1000))
         store = Store()
         for key, value in FROZEN["stored before"].items():
             store.put(key, value)
@@ -71,7 +71,7 @@
         world = self.world
         world.machines.ask = self.ask  # type: ignore[method-assign, assignment]
         users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
-        self.server = Server(users.handle, idle_s=60, request_s=60, most_connections=4, now=world.clock)
+        self.server = Server(users.handle, idle_s=60, request_s=60, most_connections=4, now=world.clock.now)
 
     async def ask(self, message: HeartbeatRequest) -> Any:
         """The machines' actor, in this turn; each report shows that the answer before it was received."""
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import json
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -30,6 +29,7 @@
 from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from tests.conftest import MACHINE_TYPE, report, spec
+from tests.support.cluster import Clock
 from tests.support.frozen import FIRST_STAMP, Recorder, dump, frozen, line_of, parse_line
 from tests.test_upgrade import unregister
 
@@ -63,7 +63,7 @@
 @pytest.fixture(autouse=True)
 def time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time of day stands still."""
-    monkeypatch.setattr(time, "time", lambda: 1_700_000_000.25)
+    monkeypatch.setattr(Clock, "wall_clock_ms", lambda _clock: 1_700_000_000_250)
 
 
 # -- membership and marks
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -36,7 +36,7 @@
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
-    sibling = Mesh((), 1.0, world.clock, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
+    sibling = Mesh((), 1.0, world.clock.now, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
     question = mesh.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
     frame = sibling.status_for(question[mesh.HEADER.size :]).pack()
@@ -267,12 +267,12 @@
         self.clock = clock
         log = CancellationLog(6, number)
         self.tables = t.Tables(log)
-        self.replica = Replica(StateClient(self.settings, lambda: 3, clock), self.tables, clock)
-        self.leadership = Leadership(self.settings, self.tables, self.replica, clock)
+        self.replica = Replica(StateClient(self.settings, lambda: 3, clock.now), self.tables, clock.now)
+        self.leadership = Leadership(self.settings, self.tables, self.replica, clock.now)
         self.mesh = Mesh(
             self.settings.siblings,
             1.0,
-            clock,
+            clock.now,
             self.leadership.peer_status,
             log,
             self.leadership.apply_peer_cancellations,
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,7 +9,6 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors import machines
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import placement
@@ -31,7 +30,6 @@
 @pytest.fixture
 def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
     world = World(store)
-    monkeypatch.setattr(machines, "wall_clock_ms", lambda: int(world.clock.time * 1000))
     machine_up(world)
     cloud: Any = Cloud()
     world.machines.autoscaler = Autoscaler(
@@ -57,7 +55,7 @@
     heard, vm.reconciled = vm.reconciled, False
     world.machines._kill_cancelled()
     vm.reconciled = heard
-    world.machines.cancellation_overdue = world.machines.cancellations.has_overdue(machines.wall_clock_ms())
+    world.machines.cancellation_overdue = world.machines.cancellations.has_overdue(world.clock.wall_clock_ms())
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._check_machine(vm, world.clock.time)
 
@@ -181,8 +179,8 @@
             await anyio.sleep(0)
             return Reply(200, wire.encode(answer))
 
-    client = Slow(settings, lambda: 1, clock)
-    replica = Replica(client, store.tables, clock)
+    client = Slow(settings, lambda: 1, clock.now)
+    replica = Replica(client, store.tables, clock.now)
     replica.loaded = True
     store.job(spec())
     seen: list[str] = []
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -429,7 +429,7 @@
     """Scripted answers of the state service to a replica's reads."""
 
     def __init__(self, world: World, *answers: dict[str, Any]) -> None:
-        self.replica = Replica(world.client, t.Tables(), world.clock)
+        self.replica = Replica(world.client, t.Tables(), world.clock.now)
         self.replica.loaded = True
         self.replica.applied_revision = 10
         left = list(answers)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -9,7 +9,6 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors import machines
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.core import placement
 from sloeswitch.core import tables as t
@@ -28,7 +27,7 @@
 def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
     """vm-1 is large and full of tasks of a job of the least priority."""
     world = World(store, SETTINGS.replace("cpus_max = 20.0", "cpus_max = 100.0"))
-    monkeypatch.setattr(machines, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
+    monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
     store.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
     store.put(t.group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
     world.heartbeat(large(1, 0))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,7 +9,6 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors import machines as machines_module
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.cloud import CloudClient
@@ -29,7 +28,6 @@
 @pytest.fixture
 def fleet(monkeypatch: pytest.MonkeyPatch) -> Iterator[FleetWorld]:
     world = FleetWorld(MACHINES)
-    monkeypatch.setattr(machines_module, "wall_clock_ms", lambda: int(world.clock.time * 1000))
     world.take_over()
     yield world
 
@@ -138,7 +136,7 @@
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A full list takes as long as eight calls; a day's first thousands must not be rented one booking a list."""
-    cloud = CloudClient(fleet.settings, lambda: True, fleet.clock)
+    cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
     monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
@@ -147,7 +145,6 @@
     fleet.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=1000, cores=1.0))
-    monkeypatch.setattr("sloeswitch.actors.autoscaler.time.time", lambda: fleet.clock.time)
     until = fleet.clock.time + 200 / paced.rate
 
     async def rent() -> None:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -7,12 +7,6 @@
 from sloeswitch.actors import users
 from sloeswitch.http import Answer
 from tests.support import trace
-from tests.support.seeds import follow_newest_world
-
-
-@pytest.fixture(autouse=True)
-def wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    follow_newest_world(monkeypatch)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -403,7 +403,7 @@
 
 def test_a_refusal_for_the_rate_is_told_from_one_for_size(store: Store) -> None:
     world = World(store, NARROW)
-    client = StateClient(world.settings, lambda: 1, world.clock)
+    client = StateClient(world.settings, lambda: 1, world.clock.now)
     answers = [wire.encode({"error": "too many"}), wire.encode({"error": "too large"})]
 
     class Reply:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -7,15 +7,9 @@
 import pytest
 
 from tests.support.cluster import play
-from tests.support.seeds import follow_newest_world, play_seeds
+from tests.support.seeds import play_seeds
 
 
-@pytest.fixture
-def wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    follow_newest_world(monkeypatch)
-
-
-@pytest.mark.usefixtures("wall_clock")
 @pytest.mark.parametrize("seed", [1, 5, 6, 12])
 def test_no_rule_breaks_in_a_random_world(seed: int) -> None:
     world = play(seed, 400)
@@ -23,7 +17,6 @@
     assert world.starts > 20 and world.done and world.told and world.answered["421"] and world.answered["503"]
 
 
-@pytest.mark.usefixtures("wall_clock")
 @pytest.mark.parametrize("seed", [12, 15, 49, 95])
 def test_no_rule_breaks_in_a_troubled_world(seed: int) -> None:
     """In seed 95 a machine hangs with a cancelled task, changes owners, and then the state service is down."""
@@ -32,7 +25,6 @@
     assert world.starts > 20 and world.done and world.told and kinds <= world.happened.keys()
 
 
-@pytest.mark.usefixtures("wall_clock")
 @pytest.mark.parametrize("seed", [2, 15])
 def test_nothing_is_left_waiting_once_the_troubles_are_over(seed: int) -> None:
     """The team is at its limit all the time, while owners change, machines hang and jobs are cancelled: no allowance
@@ -42,7 +34,6 @@
     assert world.unfinished() == set()
 
 
-@pytest.mark.usefixtures("wall_clock")
 def test_a_cancelled_task_is_gone_in_time_though_its_owner_ends_in_an_outage() -> None:
     """A machine hangs with a cancelled task, its owner is a process that has not read the tables yet, and the state
     service is down for longer than `cancel_s`: the other controller deletes the machine, which it does not own."""
