--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -16,12 +16,14 @@
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.clock import Clock
 from sloeswitch.cloud import CloudClient, CloudError
+from sloeswitch.core import keys
 from sloeswitch.core import scaling as plan
-from sloeswitch.core import tables as t
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.core.tables import Tables
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("fleet")
 
@@ -167,13 +169,13 @@
 
     async def _store_catalog(self, kinds: list[wire.MachineType]) -> None:
         """All types in one value if they fit. If not, each has its own, which an earlier layout does not read."""
-        together = {t.CATALOG_KEY: msgspec.to_builtins(wire.MachineTypeCatalog(kinds))}
-        fits = len(wire.encode(together[t.CATALOG_KEY])) <= self.client.value_bytes
+        together = {keys.CATALOG_KEY: msgspec.to_builtins(wire.MachineTypeCatalog(kinds))}
+        fits = len(wire.encode(together[keys.CATALOG_KEY])) <= self.client.value_bytes
         if not fits and not self.tables.layout_complete:
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
-        writes = together if fits else {t.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
-        stored = {t.CATALOG_KEY, *(t.type_key(name) for name in self.tables.machine_types)}
+        writes = together if fits else {keys.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
+        stored = {keys.CATALOG_KEY, *(keys.type_key(name) for name in self.tables.machine_types)}
         drops = [key for key in stored if key not in writes and self.tables.mod_revision(key)]
         # Written before the others are dropped, so that no type is missing in between.
         changes = [*writes, *drops]
@@ -181,7 +183,7 @@
             batch = set(changes[: self.client.txn_ops])
             del changes[: self.client.txn_ops]
             outcome, _ = await self.client.compare_and_swap(
-                {t.COORDINATOR_KEY: self.tables.mod_revision(t.COORDINATOR_KEY)},
+                {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
                 {key: value for key, value in writes.items() if key in batch},
                 [key for key in drops if key in batch],
                 RequestPriority.CLAIM,
--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -5,9 +5,12 @@
 import logging
 
 from sloeswitch.actors.membership import Leadership
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
+from sloeswitch.core.records import FeatureStatus
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("features")
 
@@ -27,19 +30,19 @@
     @property
     def is_complete(self) -> bool:
         """Whether every configured controller has run with the feature."""
-        return self.replica.tables.features.get(self.feature, t.FeatureStatus()).complete
+        return self.replica.tables.features.get(self.feature, FeatureStatus()).complete
 
     async def record_member(self) -> None:
         """Notes that this controller runs with the feature; complete once every configured one does."""
         tables = self.replica.tables
-        known = tables.features.get(self.feature, t.FeatureStatus())
+        known = tables.features.get(self.feature, FeatureStatus())
         if known.complete or not (self.leadership.is_leader and tables.layout_complete):
             return
         seen = {*known.seen, self.settings.member}
         complete = seen >= set(self.settings.members)
         if seen == set(known.seen) and not complete:
             return
-        key = t.feature_key(self.feature)
+        key = keys.feature_key(self.feature)
         value = {"seen": sorted(seen), "complete": complete}
         conditions = {key: tables.mod_revision(key), **self.leadership.view_conditions()}
         outcome, _ = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.CLAIM)
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -12,7 +12,8 @@
 from sloeswitch.core.health import Health
 from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
 from sloeswitch.core.quota import fits_type
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
 log = logging.getLogger("machines")
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -14,18 +14,20 @@
 from typing import Any
 
 import anyio
-import msgspec
 
 from sloeswitch import wire
 from sloeswitch.actors.base import Actor, ActorRequest
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.clock import Clock
-from sloeswitch.core import quota, taskset
-from sloeswitch.core import tables as t
-from sloeswitch.core.tables import CANCELLED, DONE, LIVE, Job, Progress, Tables
+from sloeswitch.core import keys, quota, taskset
+from sloeswitch.core.records import Job, JobState, Progress
+from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links, split_spec
+from sloeswitch.core.tables import Tables
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("jobs")
 
@@ -69,31 +71,6 @@
     sets[job] = sets.get(job, 0) | tasks
 
 
-def stored_job(
-    status: str, spec: wire.JobSpec, submitted_ms: int, parts: tuple[str, int] | None = None
-) -> dict[str, Any]:
-    """A job that is not over, as it is stored."""
-    value: dict[str, Any] = {"s": status, "n": spec.tasks, "t": submitted_ms}
-    if parts is not None:
-        return {**value, "parts": list(parts)}
-    return {**value, "spec": msgspec.to_builtins(spec)}
-
-
-def stored_links(job: Job, over: bool = False) -> dict[str, Any]:
-    """What a job's row keeps of other cells, whatever else is written to it."""
-    links: dict[str, Any] = {}
-    if job.delegated is not None:
-        links["o"] = list(job.delegated)
-    if job.handoff is not None and (job.handoff.placements or not over):
-        links["h"] = t.encode_handoff(job.handoff, job.returned_ms)
-    return links
-
-
-def stored_end(status: str, spec: wire.JobSpec, ended_ms: int) -> dict[str, Any]:
-    """A job that is over. The time is that from which the times of jobs that await it count."""
-    return {"s": status, "n": spec.tasks, "t": ended_ms}
-
-
 @dataclass
 class UncommittedUpdates:
     """What is learnt of a job and not yet in the tables, as sets of tasks."""
@@ -224,7 +201,7 @@
         if self.tables.layout_complete and shrinking + 2 <= self.client.txn_ops:
             adopted = self._adopt_together(teams, settled, room)
         if adopted:
-            key = t.adoption_key(self.leadership.incarnation_id, self.adoptions_made)
+            key = keys.adoption_key(self.leadership.incarnation_id, self.adoptions_made)
             writes[key], conditions[key] = {"m": adopted}, 0
             claimed = True
         if request is not None and acting:
@@ -239,7 +216,7 @@
                 more = max(wanted[0], mine[0]), max(wanted[1], mine[1])
                 teams[team] = quota.reallocate(held, (limit.cpus_max, limit.gpus_max), tag, more)
             for team, (stamp, cores, gpus) in request.quota_decreases.items():
-                if stamp == self.tables.mod_revision(t.team_key(team)):
+                if stamp == self.tables.mod_revision(keys.team_key(team)):
                     held = self._held(teams, team, settled)
                     mine = held.get(tag, (0.0, 0.0))
                     held[tag] = min(mine[0], cores), min(mine[1], gpus)
@@ -281,8 +258,8 @@
             if held != self.tables.quota_allocations.get(team, {}) or (
                 request is not None and team in request.forced_rewrites
             ):
-                writes[t.team_key(team)] = value
-                conditions[t.team_key(team)] = self.tables.mod_revision(t.team_key(team))
+                writes[keys.team_key(team)] = value
+                conditions[keys.team_key(team)] = self.tables.mod_revision(keys.team_key(team))
                 claimed = True
         if not writes:
             self.client.refund_changes(paid)
@@ -340,7 +317,7 @@
                 stored[name] = packed
                 self._move_allowance(teams, job, tasks, settled)
         # A write without an answer is tried again under its own key, unless it was carried out.
-        if t.adoption_key(self.leadership.incarnation_id, self.adoptions_made) in self.tables.adoption_keys:
+        if keys.adoption_key(self.leadership.incarnation_id, self.adoptions_made) in self.tables.adoption_keys:
             self.adoptions_made += 1
         return stored
 
@@ -474,12 +451,12 @@
         """Adds what is to be stored of the job to a transaction, and tells about how many bytes that is. The
         progress of a job that is over is dropped later (see _clear_away): its end should be one change."""
         name = job.spec.id
-        job_key, progress_key = t.job_key(name), t.progress_key(name)
+        job_key, progress_key = keys.job_key(name), keys.progress_key(name)
         known = {job_key: job.mod_revision, progress_key: job.progress_revision}
-        if job.status == LIVE and progress.done == job.all_tasks:
-            writes[job_key] = stored_end(DONE, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
+        if job.status == JobState.LIVE and progress.done == job.all_tasks:
+            writes[job_key] = self._finished_row(job, JobState.DONE)
         elif job.is_cancelled and not progress.claims:
-            writes[job_key] = stored_end(CANCELLED, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
+            writes[job_key] = self._finished_row(job, JobState.CANCELLED)
         else:
             dense = self.tables.layout_complete
             value = progress.stored(dense)
@@ -498,6 +475,10 @@
         conditions.update(known)
         return 0
 
+    def _finished_row(self, job: Job, status: JobState) -> dict[str, Any]:
+        """The row of a job that ends now, with what it keeps of other cells."""
+        return encode_finished_job(status, job.spec, self.clock.wall_clock_ms()) | encode_job_links(job, over=True)
+
     def _prune_committed(self) -> None:
         """Forgets what the tables hold by now."""
         tag = self.leadership.incarnation_id
@@ -519,9 +500,9 @@
 
     async def submit(self, spec: wire.JobSpec) -> tuple[str, bool] | None:
         """Accepts a job. Its status and whether it is new, or None when it cannot be stored now."""
-        key = t.job_key(spec.id)
+        key = keys.job_key(spec.id)
         now_ms = self.clock.wall_clock_ms()
-        value = stored_job(LIVE, spec, now_ms)
+        value = encode_job(JobState.LIVE, spec, now_ms)
         conditions = {key: 0}
         if len(wire.encode(value)) > self.client.value_bytes:
             # An earlier layout reads no parts.
@@ -529,8 +510,8 @@
             if head is None:
                 return None
             attempt, count, stamp = head
-            value = stored_job(LIVE, spec, now_ms, (attempt, count))
-            conditions[t.chunk_key(spec.id, attempt, 0)] = stamp
+            value = encode_job(JobState.LIVE, spec, now_ms, (attempt, count))
+            conditions[keys.chunk_key(spec.id, attempt, 0)] = stamp
         outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, {key: value})
@@ -556,9 +537,9 @@
         accepted whose parts were taken for left over (see _clear_away)."""
         self.tries += 1
         attempt = f"{self.leadership.incarnation_id}.{self.tries}"
-        texts = t.split_spec(spec, self.client.value_bytes)
-        keys = [t.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
-        left = list(zip(keys, texts, strict=True))
+        texts = split_spec(spec, self.client.value_bytes)
+        chunk_keys = [keys.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
+        left = list(zip(chunk_keys, texts, strict=True))
         most = max(1, min(self.client.txn_ops, self.most_bytes // self.client.value_bytes))
         while left:
             batch = dict(left[-most:])
@@ -573,7 +554,7 @@
         except StaleReplicaError:
             return None
         stored = self.tables.spec_chunks.get(spec.id, {}).get(attempt, {})
-        return (attempt, len(texts), self.tables.mod_revision(keys[0])) if len(stored) == len(texts) else None
+        return (attempt, len(texts), self.tables.mod_revision(chunk_keys[0])) if len(stored) == len(texts) else None
 
     # -- what is left over
 
@@ -593,7 +574,7 @@
         job's row: either this fails or a submission under way does."""
         now = self.now()
         most = self.client.available_changes(RequestPriority.PROGRESS)
-        drops = [t.progress_key(name) for name in itertools.islice(self.tables.leftover_progress, most)]
+        drops = [keys.progress_key(name) for name in itertools.islice(self.tables.leftover_progress, most)]
         conditions: dict[str, int] = {}
         if self.tables.recovery_complete():
             former = [
@@ -614,10 +595,10 @@
                 if len(drops) >= most or not (over or now - since > 4 * self.settings.lease_s):
                     continue
                 if not over:
-                    first = t.chunk_key(name, attempt, 0)
+                    first = keys.chunk_key(name, attempt, 0)
                     conditions[first] = self.tables.mod_revision(first)
-                    conditions[t.job_key(name)] = 0 if job is None else job.mod_revision
-                drops += [t.chunk_key(name, attempt, number) for number in sorted(texts)][: most - len(drops)]
+                    conditions[keys.job_key(name)] = 0 if job is None else job.mod_revision
+                drops += [keys.chunk_key(name, attempt, number) for number in sorted(texts)][: most - len(drops)]
         self.lone_since = lone
         if drops:
             conditions.update({key: self.tables.mod_revision(key) for key in drops})
@@ -646,16 +627,18 @@
             if job.handoff is not None and job.handoff.placements:
                 await self._request_cancellation(job, job.handoff)
                 return None
-            key = t.job_key(name)
+            key = keys.job_key(name)
             conditions = {key: job.mod_revision}
             if job.progress_revision:
-                value = stored_job(CANCELLED, job.spec, job.submitted_ms, job.spec_chunks) | stored_links(job)
+                value = encode_job(JobState.CANCELLED, job.spec, job.submitted_ms, job.spec_chunks) | encode_job_links(
+                    job
+                )
                 # Whoever has its tasks then is to be done with them in time, over changes of owner too.
                 value["x"] = self.clock.wall_clock_ms()
             else:
                 # Never claimed, so nowhere: it is over with the same change.
-                value = stored_end(CANCELLED, job.spec, self.clock.wall_clock_ms()) | stored_links(job, over=True)
-                conditions[t.progress_key(name)] = 0
+                value = self._finished_row(job, JobState.CANCELLED)
+                conditions[keys.progress_key(name)] = 0
             outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
             if outcome is TransactionOutcome.COMMITTED:
                 self.replica.apply_own_write(epoch, {key: value})
@@ -672,9 +655,9 @@
         """Stores that the user wants the cancellation; the cells that may have the job are asked to stop it."""
         if handoff.cancelling:
             return
-        wanted = t.encode_handoff(request_cancellation(handoff), job.returned_ms)
-        value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks) | {"h": wanted}
-        key = t.job_key(job.spec.id)
+        wanted = encode_handoff(request_cancellation(handoff), job.returned_ms)
+        value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks) | {"h": wanted}
+        key = keys.job_key(job.spec.id)
         outcome, epoch = await self.client.compare_and_swap(
             {key: job.mod_revision}, {key: value}, [], RequestPriority.USER
         )
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -31,10 +31,12 @@
 from sloeswitch.core.health import Health
 from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
 from sloeswitch.core.quota import fits_type
-from sloeswitch.core.tables import LIVE, Job, Tables
+from sloeswitch.core.records import Job, JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.http import Answer, refuse
+from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, StateClient
+from sloeswitch.state_client import StateClient
 
 log = logging.getLogger("machines")
 
@@ -436,7 +438,7 @@
     def _log_summary(self) -> None:
         """What an operator wants to know at a glance, once in a while."""
         machines = [m for m in self.registry.machines.values() if m.reconciled and m.type in self.tables.machine_types]
-        live = [job for job in self.tables.jobs.values() if job.status == LIVE]
+        live = [job for job in self.tables.jobs.values() if job.status == JobState.LIVE]
         log.info(
             "%d machines up (%d not to be used), %.0f of %.0f cores in use, %d tasks placed, %d fetching;"
             " %d jobs live, %d of them wait for others, %d have work open",
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -15,12 +15,16 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import Actor
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import Cancellation
+from sloeswitch.core.records import MemberRow, View
+from sloeswitch.core.tables import Tables
 from sloeswitch.http import NoAnswerError
 from sloeswitch.mesh import Mesh, PeerStatus
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("membership")
 
@@ -42,7 +46,7 @@
     than its confirmation could matter (see registry).
     """
 
-    def __init__(self, settings: Settings, tables: t.Tables, replica: Replica, now: Callable[[], float]) -> None:
+    def __init__(self, settings: Settings, tables: Tables, replica: Replica, now: Callable[[], float]) -> None:
         self.settings = settings
         self.tables = tables
         self.replica = replica
@@ -54,10 +58,10 @@
 
     @property
     def incarnation_id(self) -> str:
-        return t.incarnation_id_of(self.settings.member, self.incarnation)
+        return keys.incarnation_id_of(self.settings.member, self.incarnation)
 
     @property
-    def view(self) -> t.View:
+    def view(self) -> View:
         return self.tables.view
 
     @property
@@ -125,7 +129,7 @@
 
     def view_conditions(self) -> dict[str, int]:
         """What a write that relies on the view is conditional on."""
-        return {t.VIEW_KEY: self.tables.mod_revision(t.VIEW_KEY)}
+        return {keys.VIEW_KEY: self.tables.mod_revision(keys.VIEW_KEY)}
 
 
 class Membership(Actor):
@@ -194,8 +198,8 @@
             log.info("joined as %s", leadership.incarnation_id)
 
     def _row_is_current(self, boot: int) -> bool:
-        return self.replica.tables.members.get(self.settings.member) == t.MemberRow(
-            boot, self.recovered_view, t.LAYOUT_VERSION
+        return self.replica.tables.members.get(self.settings.member) == MemberRow(
+            boot, self.recovered_view, keys.LAYOUT_VERSION
         )
 
     async def _write_member(self, boot: int | None = None) -> bool:
@@ -205,11 +209,11 @@
         boot = boot or self.leadership.incarnation
         if not boot:
             return False
-        key = t.member_key(self.settings.member)
+        key = keys.member_key(self.settings.member)
         for _ in range(3):
             if self._row_is_current(boot):
                 return True
-            value = {"boot": boot, "settled": self.recovered_view, "layout": t.LAYOUT_VERSION}
+            value = {"boot": boot, "settled": self.recovered_view, "layout": keys.LAYOUT_VERSION}
             conditions = {key: self.replica.tables.mod_revision(key)}
             outcome, _epoch = await self.client.compare_and_swap(
                 conditions, {key: value}, [], RequestPriority.LEASE, {key: boot}
@@ -228,20 +232,20 @@
         tables = self.replica.tables
         seen = {*tables.layout_members, self.settings.member}
         complete = seen >= set(self.settings.members) and all(
-            row.layout >= t.LAYOUT_VERSION for row in tables.members.values()
+            row.layout >= keys.LAYOUT_VERSION for row in tables.members.values()
         )
         if seen == set(tables.layout_members) and not complete:
             return
-        conditions = {t.LAYOUT_KEY: tables.mod_revision(t.LAYOUT_KEY), **self.leadership.view_conditions()}
+        conditions = {keys.LAYOUT_KEY: tables.mod_revision(keys.LAYOUT_KEY), **self.leadership.view_conditions()}
         value = {"seen": sorted(seen), "complete": complete}
         outcome, _epoch = await self.client.compare_and_swap(
-            conditions, {t.LAYOUT_KEY: value}, [], RequestPriority.LEASE
+            conditions, {keys.LAYOUT_KEY: value}, [], RequestPriority.LEASE
         )
         self.replica.request_read()
         if outcome is TransactionOutcome.COMMITTED:
             log.info(
                 "layout %d: run by %s%s",
-                t.LAYOUT_VERSION,
+                keys.LAYOUT_VERSION,
                 ", ".join(sorted(seen)),
                 "; all are upgraded" if complete else "",
             )
@@ -264,10 +268,10 @@
             return
         # A coordinator's key of an earlier run of this very member is free as well: that process is gone.
         if known is None or (known[0] == me and known[1] != boot):
-            conditions = {t.COORDINATOR_KEY: tables.mod_revision(t.COORDINATOR_KEY)}
+            conditions = {keys.COORDINATOR_KEY: tables.mod_revision(keys.COORDINATOR_KEY)}
             value = {"member": me, "boot": boot}
             outcome, _ = await self.client.compare_and_swap(
-                conditions, {t.COORDINATOR_KEY: value}, [], RequestPriority.LEASE, {t.COORDINATOR_KEY: boot}
+                conditions, {keys.COORDINATOR_KEY: value}, [], RequestPriority.LEASE, {keys.COORDINATOR_KEY: boot}
             )
             await self._refresh_replica()
             if outcome is TransactionOutcome.COMMITTED:
@@ -279,14 +283,14 @@
         if members == tables.view.members:
             return
         conditions = {
-            t.COORDINATOR_KEY: tables.mod_revision(t.COORDINATOR_KEY),
-            t.VIEW_KEY: tables.mod_revision(t.VIEW_KEY),
+            keys.COORDINATOR_KEY: tables.mod_revision(keys.COORDINATOR_KEY),
+            keys.VIEW_KEY: tables.mod_revision(keys.VIEW_KEY),
         }
         number = tables.view.number + 1
         value = {"n": number, "members": [list(pair) for pair in members]}
-        outcome, _ = await self.client.compare_and_swap(conditions, {t.VIEW_KEY: value}, [], RequestPriority.LEASE)
+        outcome, _ = await self.client.compare_and_swap(conditions, {keys.VIEW_KEY: value}, [], RequestPriority.LEASE)
         if outcome is TransactionOutcome.COMMITTED:
-            log.info("view %d: %s", number, ", ".join(t.incarnation_id_of(*pair) for pair in members))
+            log.info("view %d: %s", number, ", ".join(keys.incarnation_id_of(*pair) for pair in members))
         await self._refresh_replica()
 
     async def _refresh_replica(self) -> None:
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -9,13 +9,13 @@
 
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.membership import Leadership
-from sloeswitch.core import quota
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys, quota
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.core.tables import Tables
+from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.settings import Settings, Team
-from sloeswitch.state import RequestPriority, StateClient
+from sloeswitch.state_client import StateClient
 from sloeswitch.wire import JobSpec
 
 
@@ -61,7 +61,7 @@
         shrinking = self.pending_decreases.get(team)
         if shrinking is not None:
             # A write without an answer may be carried out until another one makes its condition false.
-            if shrinking[0] == self.tables.mod_revision(t.team_key(team)):
+            if shrinking[0] == self.tables.mod_revision(keys.team_key(team)):
                 return min(cores, shrinking[1]), min(gpus, shrinking[2])
             del self.pending_decreases[team]
         return cores, gpus
@@ -109,7 +109,7 @@
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
                 # Returned after a while: the next job of the team is likely to want it again.
-                request.quota_decreases[name] = (self.tables.mod_revision(t.team_key(name)), *part.decreased)
+                request.quota_decreases[name] = (self.tables.mod_revision(keys.team_key(name)), *part.decreased)
                 self.pending_decreases[name] = request.quota_decreases[name]
                 del self.surplus_since[name]
         # A smaller allowance may be under way and its answer lost, and until something else is written we
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -10,11 +10,14 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.membership import Leadership
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.row_codec import split_machine_groups
 from sloeswitch.core.tables import Tables
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StateClient
+from sloeswitch.state_client import StateClient
 
 # What values of a transaction may take together; the rest is for keys and conditions.
 VALUES_SHARE = 0.8
@@ -60,7 +63,7 @@
     def _new_group(self, parted: str = "") -> str:
         """A name never used before. What is parted from another group comes after it by name (see tables)."""
         self.groups_made += 1
-        return (f"{parted}." if parted else t.group_key("")) + f"{self.leadership.incarnation_id}.{self.groups_made}"
+        return (f"{parted}." if parted else keys.group_key("")) + f"{self.leadership.incarnation_id}.{self.groups_made}"
 
     def _transaction_bytes(self) -> int:
         """What values of a transaction may take together."""
@@ -77,13 +80,13 @@
             and machine.name not in self.tables.machines
             and machine.name not in self.pending_registrations
         ]
-        if not all(row.layout >= t.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
+        if not all(row.layout >= keys.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             fresh = fresh[: self.client.txn_ops]
-            writes = {t.machine_key(m.name): {"a": m.address, "t": m.type, "z": m.zone, "s": m.spot} for m in fresh}
+            writes = {keys.machine_key(m.name): {"a": m.address, "t": m.type, "z": m.zone, "s": m.spot} for m in fresh}
             return {machine.name for machine in fresh}, writes
         rows = {machine.name: [machine.address, machine.type, machine.zone, machine.spot] for machine in fresh}
         most = min(self.client.txn_ops, max(1, self._transaction_bytes() // self.client.value_bytes))
-        groups = t.split_machine_groups(rows, self.client.value_bytes)[:most]
+        groups = split_machine_groups(rows, self.client.value_bytes)[:most]
         return {name for group in groups for name in group}, {self._new_group(): {"m": group} for group in groups}
 
     async def store(self, names: set[str], writes: dict[str, Any], view_number: int) -> None:
@@ -145,11 +148,11 @@
         """The machines that stay of those that a key holds, in groups that each fit a value."""
         names = sorted(
             name
-            for name in self.tables.machine_groups.get(t.group_name(key), ())
+            for name in self.tables.machine_groups.get(keys.group_name(key), ())
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: self.tables.machines[name].stored() for name in names}
-        return t.split_machine_groups(rows, self.client.value_bytes)
+        return split_machine_groups(rows, self.client.value_bytes)
 
     def _split_group(self, key: str, groups: list[dict[str, list[Any]]]) -> Transaction:
         """For a group that is too large for one transaction: first all but the first part get groups of their own,
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -12,8 +12,9 @@
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.http import Answer, Request, refuse
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, StaleReplicaError, StateClient
+from sloeswitch.state_client import StateClient
 
 log = logging.getLogger("users")
 
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -11,7 +11,8 @@
 from sloeswitch.core import scaling
 from sloeswitch.core.job_queue import PRIORITY_RANKS
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.tables import LIVE, Job, Tables
+from sloeswitch.core.records import Job, JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
 
@@ -132,7 +133,9 @@
 
 def _may_enter(job: Job) -> bool:
     """Whether there is anything to be admitted: not cancelled, and not with another cell."""
-    return job.status == LIVE and not job.is_cancelled and bool(job.is_runnable or job.unfinished_prerequisites)
+    return (
+        job.status == JobState.LIVE and not job.is_cancelled and bool(job.is_runnable or job.unfinished_prerequisites)
+    )
 
 
 def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -7,8 +7,9 @@
 
 from sloeswitch.core import scaling
 from sloeswitch.core.quota import ResourceUsage, tasks_within_quota
+from sloeswitch.core.records import Job
 from sloeswitch.core.scaling import InstanceKind, InstanceOffer
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -15,11 +15,13 @@
 from sloeswitch.admission.frames import IdleCapacityLink
 from sloeswitch.admission.limits import AdmissionLimits
 from sloeswitch.clock import Clock
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("admission")
 
@@ -119,10 +121,10 @@
         chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
         if not chosen:
             return
-        writes = {t.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
+        writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
         # On the rows' own stamps rests that no cut falls (docs/admission.md); the coordinator's key only spares a
         # deposed one its changes.
-        conditions = {key: tables.mod_revision(key) for key in (t.COORDINATOR_KEY, *writes)}
+        conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
         outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
         now = self.now()
         self.written_at |= {change.path: now for change in chosen}
--- a/sloeswitch/admission/decisions.py
+++ b/sloeswitch/admission/decisions.py
@@ -7,7 +7,8 @@
 from typing import NamedTuple
 
 from sloeswitch.admission.cuts import FIRST_TICKET, AdmissionRow, Lane, Ticket, row_of
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.wire import JobSpec
 
 
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -22,7 +22,8 @@
 from sloeswitch.admission.limits import SURPLUS, AdmissionLimits
 from sloeswitch.core.claim_planner import shape_of
 from sloeswitch.core.quota import ResourceUsage, within_guarantee
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, Team
 
 # What a team without any guarantee counts in the round robin, as a part of an even share.
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -7,7 +7,8 @@
 from sloeswitch.admission.cuts import AdmissionRow, Lane
 from sloeswitch.admission.decision_log import DecisionLog
 from sloeswitch.admission.decisions import CutReader, Decision, Ground, decide, lane_of
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 
 
 class AdmissionGate:
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -16,7 +16,6 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.feature_rollout import FeatureRollout
-from sloeswitch.actors.jobs import stored_end, stored_job
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells import handoff as rules
 from sloeswitch.cells.frames import MOST_SPEC_BYTES, CellAnswer, CellRequest, Offer
@@ -26,12 +25,16 @@
 from sloeswitch.cells.selection import candidates, choose, limits_of
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
 from sloeswitch.clock import Clock
-from sloeswitch.core import tables as t
-from sloeswitch.core.tables import FinishedJob, Job, Tables
+from sloeswitch.core import keys
+from sloeswitch.core.records import FinishedJob, Job, JobState
+from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
+from sloeswitch.core.tables import Tables
 from sloeswitch.features import CellFeatures
 from sloeswitch.frame_link import NoAnswerError
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -173,7 +176,7 @@
         # Larger than any number that this job had: that was no larger than the epoch at which it was stored.
         number = 1 + max(self.replica.applied_revision, job.mod_revision)
         row = rules.move(self.row(job), cell, number)
-        conditions = {t.progress_key(job.spec.id): job.progress_revision, **self.leadership.view_conditions()}
+        conditions = {keys.progress_key(job.spec.id): job.progress_revision, **self.leadership.view_conditions()}
         if await self._store(job, row, conditions):
             log.info("%s is offered to %s", job.spec.id, cell)
 
@@ -317,34 +320,34 @@
         over = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
         if row.placements:
-            value["h"] = t.encode_handoff(row)
-        key = t.job_key(name)
+            value["h"] = encode_handoff(row)
+        key = keys.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
     async def _store(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> bool:
         """Writes a job's row with its handoffs, on condition of the row as it was read."""
-        key = t.job_key(job.spec.id)
+        key = keys.job_key(job.spec.id)
         conditions = {**conditions, key: job.mod_revision}
         if row.result is Result.DONE:
-            value = stored_end(t.DONE, job.spec, self.clock.wall_clock_ms())
+            value = encode_finished_job(JobState.DONE, job.spec, self.clock.wall_clock_ms())
             if row.placements:
-                value["h"] = t.encode_handoff(row)
+                value["h"] = encode_handoff(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
             came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
             returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
-            value = stored_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
-            value["h"] = t.encode_handoff(row, returned_ms)
+            value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
+            value["h"] = encode_handoff(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
 
     def _cancelled(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
         if not job.progress_revision:
-            conditions[t.progress_key(job.spec.id)] = 0
-            return stored_end(t.CANCELLED, job.spec, self.clock.wall_clock_ms())
-        value = stored_job(t.CANCELLED, job.spec, job.submitted_ms, job.spec_chunks)
+            conditions[keys.progress_key(job.spec.id)] = 0
+            return encode_finished_job(JobState.CANCELLED, job.spec, self.clock.wall_clock_ms())
+        value = encode_job(JobState.CANCELLED, job.spec, job.submitted_ms, job.spec_chunks)
         return {**value, "x": self.clock.wall_clock_ms()}
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -8,19 +8,23 @@
 from typing import Any
 
 from sloeswitch import wire
-from sloeswitch.actors.jobs import Jobs, stored_job
+from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.cells.delegation import Delegation, DelegationState, TargetDecision, TargetRecord, decide
 from sloeswitch.cells.frames import CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request
 from sloeswitch.cells.selection import may_move_by_shape
 from sloeswitch.cells.summary import Summary, summarise, task_resources
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.quota import unschedulable_reason
+from sloeswitch.core.records import DelegationOrigin, FeatureStatus, JobState
+from sloeswitch.core.row_codec import encode_job
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import CellFeatures
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, RequestPriority, StaleReplicaError, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -52,7 +56,7 @@
     @property
     def switched_on(self) -> bool:
         """Whether every configured controller of this cell runs with the feature."""
-        return self.tables.features.get("cells", t.FeatureStatus()).complete
+        return self.tables.features.get("cells", FeatureStatus()).complete
 
     def summary(self, origin: str = "") -> Summary | None:
         """This cell's summary for another one; None while it cannot know. Without room while it takes no jobs."""
@@ -133,7 +137,7 @@
         spec = offer.spec
         # A job of this cell's own users, or what is left of an earlier handoff, has the name.
         known = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
-        if known or tables.mod_revision(t.progress_key(handoff.job)) or spec.id != handoff.job:
+        if known or tables.mod_revision(keys.progress_key(handoff.job)) or spec.id != handoff.job:
             return False
         if spec.prerequisites or not may_move_by_shape(spec):
             return False
@@ -148,8 +152,8 @@
     @staticmethod
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
         """A handed over job, as it is stored."""
-        value = stored_job(t.LIVE, offer.spec, offer.submitted_ms)
-        return {**value, "o": list(t.DelegationOrigin(handoff.origin, handoff.number))}
+        value = encode_job(JobState.LIVE, offer.spec, offer.submitted_ms)
+        return {**value, "o": list(DelegationOrigin(handoff.origin, handoff.number))}
 
     async def _store(self, before: TargetRecord, decision: TargetDecision, request: CellRequest) -> bool:
         """Stores what was decided, on condition of what it was decided from; whether that is stored for certain."""
@@ -160,7 +164,7 @@
             unclaimed = request.message.request is Request.WITHDRAW
             return await self.jobs.cancel(name, only_unclaimed=unclaimed) is not None
         origin = request.message.handoff.origin
-        floor, job = t.floor_key(origin), t.job_key(name)
+        floor, job = keys.floor_key(origin), keys.job_key(name)
         conditions = {floor: self.tables.mod_revision(floor), **self.leadership.view_conditions()}
         writes: dict[str, Any] = {}
         drops: list[str] = []
@@ -171,7 +175,7 @@
             drops.append(job)
         elif after.delegation is not None:
             assert request.offer is not None
-            conditions[job] = conditions[t.progress_key(name)] = 0
+            conditions[job] = conditions[keys.progress_key(name)] = 0
             writes[job] = self._delegated_job(after.delegation.handoff, request.offer)
         outcome, epoch = await self.client.compare_and_swap(conditions, writes, drops, RequestPriority.CLAIM)
         if outcome is TransactionOutcome.COMMITTED and not drops:
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -9,8 +9,8 @@
 
 from sloeswitch import wire
 from sloeswitch.http import Client, NoAnswerError, Reply
+from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
-from sloeswitch.state import RequestPriority, TokenBucket
 
 log = logging.getLogger("cloud")
 
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -21,8 +21,9 @@
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
 from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_IDLE_ROOM_REQUEST, TYPE_SUMMARY_REQUEST, Mesh
+from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
-from sloeswitch.state import Replica, StateClient
+from sloeswitch.state_client import StateClient
 
 log = logging.getLogger("controller")
 
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -11,7 +11,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from sloeswitch.core.tables import Job, Tables, incarnation_id_of
+from sloeswitch.core import keys
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import MalformedError, WorkerReport, split_task
 
@@ -57,7 +59,7 @@
         tags = self._suspected_incarnations(tables, now, wall_clock_ms) - {tag}
         if not tags <= tables.view.incarnation_ids:
             return set(tables.machines)
-        members = {name for name, boot in tables.view.members if incarnation_id_of(name, boot) in tags}
+        members = {name for name, boot in tables.view.members if keys.incarnation_id_of(name, boot) in tags}
         return {name for name in tables.machines if tables.view.owner(name) in members} if members else set()
 
     def _suspected_incarnations(self, tables: Tables, now: float, wall_clock_ms: int) -> set[str]:
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -8,7 +8,8 @@
 
 from sloeswitch.core import job_queue, placement, quota, taskset
 from sloeswitch.core.health import Health
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -10,10 +10,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from sloeswitch.core.tables import FinishedJob, Job
+from sloeswitch.core.records import FinishedJob, Job
 
 
 class DependencyGraph:
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -11,7 +11,8 @@
 from itertools import compress, takewhile
 
 from sloeswitch.core.quota import within_guarantee
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Objective, Settings
 from sloeswitch.wire import PRIORITIES, JobSpec
 
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -17,7 +17,8 @@
 
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.tables import LIVE, Tables
+from sloeswitch.core.records import JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.wire import (
     JobSpec,
     MachineType,
@@ -434,7 +435,7 @@
     def _stored_done(tables: Tables, name: str) -> bool:
         job, index = split_task(name)
         record = tables.jobs.get(job)
-        return record is None or record.status != LIVE or bool(record.progress.done >> index & 1)
+        return record is None or record.status != JobState.LIVE or bool(record.progress.done >> index & 1)
 
     def mark_for_kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> bool:
         """Marks an attempt to be stopped. True when the machine must be told."""
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -9,7 +9,7 @@
 from sloeswitch.core import taskset
 from sloeswitch.core.health import Health
 from sloeswitch.core.quota import SLACK, fits_type
-from sloeswitch.core.tables import Job
+from sloeswitch.core.records import Job
 from sloeswitch.wire import MAX_TASKS, JobSpec, MachineType
 
 
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -11,7 +11,7 @@
 from sloeswitch.core.machine_registry import RUNNING, Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
-from sloeswitch.core.tables import Job
+from sloeswitch.core.records import Job
 from sloeswitch.wire import JobSpec
 
 # The part of its running tasks that a job which goes by age lends to jobs of higher priority.
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -8,7 +8,8 @@
 
 from sloeswitch.core.job_queue import is_begun, slo_targets
 from sloeswitch.core.quota import ResourceUsage, fits_type, tasks_within_quota
-from sloeswitch.core.tables import Job, Tables
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,10 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, parse
 
 SETTINGS = """
@@ -105,7 +107,7 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.tables = t.Tables(CancellationLog(100, 7))
+        self.tables = Tables(CancellationLog(100, 7))
         self.rows: dict[str, tuple[Any, int]] = {}
 
     def put(self, key: str, value: Any) -> int:
@@ -116,34 +118,34 @@
         self.tables.apply(key, value, self.epoch)
         return self.epoch
 
-    def read_again(self) -> t.Tables:
+    def read_again(self) -> Tables:
         """The tables of a controller that reads all rows, by key."""
-        tables = t.Tables()
+        tables = Tables()
         for key, (value, stamp) in sorted(self.rows.items()):
             tables.apply(key, value, stamp)
         return tables
 
-    def job(self, job: wire.JobSpec, status: str = t.LIVE) -> None:
+    def job(self, job: wire.JobSpec, status: str = JobState.LIVE) -> None:
         value = {"s": status, "n": job.tasks, "t": 0, "spec": msgspec.to_builtins(job)}
-        self.put(t.job_key(job.id), value)
+        self.put(keys.job_key(job.id), value)
 
     def progress(self, name: str, done: int = 0, **claims: int) -> None:
         """Claims are given as c0_1=mask for the tag "c0.1"."""
         held = {tag.replace("_", "."): mask for tag, mask in claims.items()}
-        self.put(t.progress_key(name), t.Progress(done, held).stored())
+        self.put(keys.progress_key(name), Progress(done, held).stored())
 
     def view(self, number: int, *members: tuple[str, int]) -> None:
-        self.put(t.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
+        self.put(keys.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
 
     def member(self, name: str, boot: int, settled: int = 0) -> None:
-        self.put(t.member_key(name), {"boot": boot, "settled": settled, "layout": t.LAYOUT_VERSION})
+        self.put(keys.member_key(name), {"boot": boot, "settled": settled, "layout": keys.LAYOUT_VERSION})
 
     def upgraded(self) -> None:
         """Every configured controller has run with this layout."""
-        self.put(t.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
+        self.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
 
     def types(self) -> None:
-        self.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE])))
+        self.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE])))
 
 
 @pytest.fixture
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -22,11 +22,12 @@
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
+from sloeswitch.core.records import JobState
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
+from sloeswitch.replica import StaleReplicaError
 from sloeswitch.settings import parse
-from sloeswitch.state import StaleReplicaError
 from tests.conftest import SETTINGS, spec
 from tests.support.cluster import CORES, Node, World, settings_text
 from tests.support.seeds import play_seeds
@@ -167,7 +168,7 @@
         self.limits = AdmissionLimits.of(parse(settings_text("c0", MEMBERS, text or cluster_text())))
         super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
         self.task_ends = 0.012
-        self.store.put(t.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
+        self.store.put(keys.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
 
     def new_node(self, name: str) -> Node:
         return AdmissionNode(self, name)
@@ -180,12 +181,12 @@
         if self.outage:
             return
         if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(t.COORDINATOR_KEY, None)
+            self.store.put(keys.COORDINATOR_KEY, None)
         if tables.coordinator is None and tables.view.members:
             present = [pair for pair in tables.view.members if pair in self.leases]
             if present:
                 member, boot = self.rng.choice(present)
-                self.store.put(t.COORDINATOR_KEY, {"member": member, "boot": boot})
+                self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
                 self.happened["coordinator"] += 1
 
     def looked(self) -> None:
@@ -282,7 +283,7 @@
         heads: dict[Lane, Any] = {}
         for name, decision in decide(tables).items():
             job = tables.jobs[name]
-            if not decision.admitted and job.status == t.LIVE and not job.is_cancelled:
+            if not decision.admitted and job.status == JobState.LIVE and not job.is_cancelled:
                 lane = lane_of(job.spec)
                 if lane not in heads or ticket_of(job) < ticket_of(heads[lane]):
                     heads[lane] = job
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -9,7 +9,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.cloud import CloudClient, CloudError
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from tests.conftest import MACHINE_TYPE, spec
 from tests.support.cluster import Node, Worker, World
 
@@ -128,11 +128,11 @@
         if self.outage:
             return
         if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(t.COORDINATOR_KEY, None)
+            self.store.put(keys.COORDINATOR_KEY, None)
         present = [pair for pair in tables.view.members if pair in self.leases]
         if tables.coordinator is None and present:
             member, boot = self.rng.choice(present)
-            self.store.put(t.COORDINATOR_KEY, {"member": member, "boot": boot})
+            self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
 
     def happen(self, luck: float, node: Node) -> None:
         """Users submit large and small jobs now and then, besides what else happens."""
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -26,12 +26,13 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.summary import Summary
 from sloeswitch.cells.target import CellTarget
-from sloeswitch.core import job_queue
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys
+from sloeswitch.core.records import Job
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
+from sloeswitch.replica import StaleReplicaError
 from sloeswitch.settings import Settings, parse
-from sloeswitch.state import StaleReplicaError, TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, spec
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState, settings_text
 from tests.support.recorder import TraceRecorder
@@ -178,8 +179,8 @@
         self.store.upgraded()
         self.store.view(3, *((member, 1) for member in MEMBERS))
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(MACHINES)}
-        self.store.put(t.group_key("c0.1.1"), {"m": rows})
-        self.store.put(t.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
+        self.store.put(keys.group_key("c0.1.1"), {"m": rows})
+        self.store.put(keys.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
         for member in MEMBERS:
             self.store.member(member, 1, settled=3)
         self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
@@ -191,7 +192,7 @@
         """The controller that happens to be asked."""
         return self.controllers[self.world.rng.choice(MEMBERS)]
 
-    def line(self) -> list[t.Job]:
+    def line(self) -> list[Job]:
         """The jobs in the order in which they get room."""
         return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -19,12 +19,14 @@
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
 from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.tables import Tables
 from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
+from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.recorder import TraceRecorder
 
@@ -186,7 +188,7 @@
                 del self.leases[name, boot]
                 row = self.store.tables.members.get(name)
                 if row is not None and row.incarnation == boot:
-                    self.store.put(t.member_key(name), None)
+                    self.store.put(keys.member_key(name), None)
         members = tuple(sorted((name, row.incarnation) for name, row in self.store.tables.members.items()))
         if members and members != self.store.tables.view.members:
             self.store.view(self.store.tables.view.number + 1, *members)
@@ -484,7 +486,7 @@
         clock = world.clock
         self.refused = False
         self.place = 0
-        self.tables = t.Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
+        self.tables = Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
         self.client = Client(self.settings, lambda: len(world.members), clock.now)
         self.client.node = self
         self.replica = Reading(self.client, self.tables, clock.now)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -16,8 +16,11 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted
-from sloeswitch.core import tables as t
-from sloeswitch.state import RequestPriority, TransactionOutcome
+from sloeswitch.core import keys
+from sloeswitch.core.records import JobState
+from sloeswitch.core.row_codec import split_machine_groups
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import SETTINGS, Store, spec
 from tests.test_actors import World
 
@@ -50,14 +53,14 @@
         self._watch_commits()
         self.machines.commands.spawn = lambda call, *args: self.commands.append((call, args))
         rows = {machine_name(n): ["127.0.0.1:9000", "small", "a", True] for n in range(machines)}
-        for number, group in enumerate(t.split_machine_groups(rows, self.settings.value_bytes)):
-            store.put(t.group_key(f"{FORMER_TAG}.{number}"), {"m": group})
+        for number, group in enumerate(split_machine_groups(rows, self.settings.value_bytes)):
+            store.put(keys.group_key(f"{FORMER_TAG}.{number}"), {"m": group})
         self.jobs_count = -(-machines // MACHINES_OF_A_JOB)
         size = MACHINES_OF_A_JOB * TASKS_OF_A_MACHINE
         for number in range(self.jobs_count):
             store.job(spec(job_name(number), visits=size, cores=1.0))
             store.progress(job_name(number), **{FORMER_TAG.replace(".", "_"): (1 << size) - 1})
-        store.put(t.team_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
+        store.put(keys.team_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
         self.serials = dict.fromkeys(rows, 0)
 
     def _watch_commits(self) -> None:
@@ -128,8 +131,8 @@
     def cancel_all(self) -> None:
         """Every job is cancelled at once, by rows that other controllers wrote."""
         for number in range(self.jobs_count):
-            key = t.job_key(job_name(number))
-            self.store.put(key, {**self.store.rows[key][0], "s": t.CANCELLED, "x": int(self.clock.time * 1000)})
+            key = keys.job_key(job_name(number))
+            self.store.put(key, {**self.store.rows[key][0], "s": JobState.CANCELLED, "x": int(self.clock.time * 1000)})
 
     def delete_all(self) -> int:
         """All machines are deleted; how many transactions take them out of what is stored."""
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -15,8 +15,9 @@
 from sloeswitch import wire
 from sloeswitch.admission.cuts import AdmissionRow
 from sloeswitch.cells.handoff import OriginRow
-from sloeswitch.core import tables as t
-from sloeswitch.state import TransactionOutcome
+from sloeswitch.core.records import FinishedJob, Job
+from sloeswitch.core.tables import Tables
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import SETTINGS, Store
 from tests.test_actors import World
 
@@ -81,7 +82,7 @@
 # -- tables as plain values; the only place with Python names of what is read
 
 
-def dump(tables: t.Tables) -> str:
+def dump(tables: Tables) -> str:
     """All that was read, as JSON that does not depend on Python names; what is empty is left out."""
     found = {
         "members": {name: [row.incarnation, row.recovered_view, row.layout] for name, row in tables.members.items()},
@@ -144,7 +145,7 @@
     }
 
 
-def dump_job(job: t.Job) -> dict[str, Any]:
+def dump_job(job: Job) -> dict[str, Any]:
     """A job that is not over."""
     progress = job.progress
     return {
@@ -163,7 +164,7 @@
     }
 
 
-def dump_over(over: t.FinishedJob) -> dict[str, Any]:
+def dump_over(over: FinishedJob) -> dict[str, Any]:
     """A job that is over."""
     return {
         "end": [over.status, over.tasks, over.finished_ms, over.mod_revision, over.is_done, over.is_final],
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -25,7 +25,8 @@
 from sloeswitch.admission.decision_log import DecisionLog
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.limits import AdmissionLimits
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
+from sloeswitch.core.records import JobState
 from tests.conftest import spec
 from tests.support.admission import TEAMS, AdmissionWorld, cluster_text
 from tests.support.cluster import Worker
@@ -199,11 +200,11 @@
     wall_clock_ms = int(1000 * world.clock.time)
     for number in range(DEFERRED_JOBS):
         job = spec(job_name(500_000 + number), roster=f"class-{number % 16}")
-        value = {"s": t.LIVE, "n": job.tasks, "t": wall_clock_ms + number, "spec": msgspec.to_builtins(job)}
-        world.store.put(t.job_key(job.id), value)
+        value = {"s": JobState.LIVE, "n": job.tasks, "t": wall_clock_ms + number, "spec": msgspec.to_builtins(job)}
+        world.store.put(keys.job_key(job.id), value)
     timed("tick without admission", world.tick)
     row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
-    world.store.put(t.admission_key(ROOT), row.stored())
+    world.store.put(keys.admission_key(ROOT), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
     world.machines.admission = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
@@ -218,7 +219,7 @@
     (change,) = reckon()
 
     def applied() -> None:
-        world.store.put(t.admission_key(change.path), change.rows[change.path].stored())
+        world.store.put(keys.admission_key(change.path), change.rows[change.path].stored())
         world.tick()
 
     print(f"tick that applies an epoch {1000 * _seconds(applied):29.1f} ms")
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -12,7 +12,8 @@
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.machines import HeartbeatRequest, Machines
 from sloeswitch.actors.membership import Leadership, Membership
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
+from sloeswitch.core.records import JobState
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec
@@ -106,7 +107,7 @@
 
 
 def machine_up(world: World) -> None:
-    world.store.put(t.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
+    world.store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(1, 0))
     world.heartbeat(report(2, 3))
 
@@ -185,7 +186,7 @@
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
-    assert world.store.tables.finished_jobs[JOB][:2] == (t.DONE, 1)
+    assert world.store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 1)
     cleared = world.heartbeat(report(5, 3, (start.task, start.attempt, "ended", "done")))
     assert [order.verb for order in cleared.commands] == ["clear"]
 
@@ -211,7 +212,7 @@
 
 def test_a_done_job_stays_done_when_cancelled(world: World) -> None:
     world.store.job(spec(visits=1))
-    world.store.put(t.job_key(JOB), {"s": t.DONE, "n": 1})
+    world.store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 1})
     assert anyio.run(world.jobs.cancel, JOB) == wire.DONE
 
 
@@ -234,7 +235,7 @@
     world.tell_jobs(world.machines.task_updates)
     world.clock.time += 1.0
     world.round()
-    assert world.store.tables.finished_jobs[JOB][:2] == (t.CANCELLED, 1)
+    assert world.store.tables.finished_jobs[JOB][:2] == (JobState.CANCELLED, 1)
 
 
 def test_repeated_submission_finds_the_job(world: World) -> None:
@@ -254,8 +255,8 @@
 
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
     """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
-    world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
-    world.machines.quota.pending_decreases["red"] = (world.store.tables.mod_revision(t.team_key("red")), 4.0, 0.0)
+    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.machines.quota.pending_decreases["red"] = (world.store.tables.mod_revision(keys.team_key("red")), 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
     world.round(ClaimRequest(quota_increases={"red": (12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
@@ -284,7 +285,7 @@
     world.machines._drain_surplus(world.clock.time)
     assert attempt.kill_grace_s is None  # there is no room elsewhere
     world.heartbeat(report(1, 0, name="vm-2"))
-    world.store.put(t.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
+    world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
     spared.reconciled = False
     world.machines._drain_surplus(world.clock.time)
@@ -296,7 +297,7 @@
     """Failure found on the bench: each was counted as one change and takes two."""
     names = [f"wk-{number:06d}" for number in range(20)]
     for name in names:
-        world.store.job(spec(name, visits=1), t.CANCELLED)
+        world.store.job(spec(name, visits=1), JobState.CANCELLED)
         world.store.progress(name, c0_1=0b1)
     world.store.job(spec("wk-000099"))
     world.tell_jobs(TaskUpdates(done={"wk-000099": 0b1}))
@@ -326,7 +327,7 @@
     world.machines._apply_view()
     kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
-    world.store.put(t.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
+    world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(9, 3, name=name))
     world.heartbeat(report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
@@ -350,7 +351,7 @@
     machine_up(world)
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
-    world.store.put(t.team_key("red"), {"c0.1": [8.0, 0.0]})
+    world.store.put(keys.team_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines._release(JOB, 0b11)
     world.tell_jobs(world.machines.task_updates)
     world.machines.task_updates = TaskUpdates()
--- a/tests/test_added_rules.py
+++ b/tests/test_added_rules.py
@@ -16,13 +16,13 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.machines import HeartbeatRequest
 from sloeswitch.actors.users import Users
-from sloeswitch.core import job_queue
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys
 from sloeswitch.core.job_queue import STARVATION_LEASES
+from sloeswitch.core.records import View
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http import Answer, Request
 from sloeswitch.settings import parse
-from sloeswitch.state import TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.test_actors import JOB, World, machine_up, meshed
 
@@ -237,7 +237,7 @@
 
 
 def test_a_copy_from_a_deleted_machine_is_refused_also_after_a_restart(world: World) -> None:
-    world.store.put(t.machine_key("vm-1"), None)
+    world.store.put(keys.machine_key("vm-1"), None)
     assert heartbeat(world, report(9, 3)).status == 503
     # A restarted controller does not remember it; the copy bears an earlier token and counts for nothing.
     world.store.tables.deleted_machines.clear()
@@ -307,13 +307,13 @@
 
 
 def test_a_new_run_takes_the_coordinators_key_and_the_view_from_its_former_one(world: World) -> None:
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.leadership.incarnation = 7
     assert anyio.run(world.membership._write_member)
     anyio.run(world.membership._coordinate)
     assert world.store.tables.coordinator == ("c0", 7)
     anyio.run(world.membership._coordinate)
-    assert world.store.tables.view == t.View(4, (("c0", 7),))
+    assert world.store.tables.view == View(4, (("c0", 7),))
 
 
 def test_the_former_runs_claims_are_nobodys_only_once_all_is_settled(world: World) -> None:
@@ -361,7 +361,7 @@
 
 def test_deleted_machines_leave_their_group_and_the_last_one_ends_it(world: World) -> None:
     rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in (7, 8, 9)}
-    world.store.put(t.group_key("c0.1.1"), {"m": rows})
+    world.store.put(keys.group_key("c0.1.1"), {"m": rows})
     assert {"vm-7", "vm-8", "vm-9"} <= world.store.tables.machines.keys()
 
     async def unregister(*names: str) -> None:
@@ -379,21 +379,21 @@
     anyio.run(unregister, "vm-7", "vm-8")
     assert "vm-9" in world.store.tables.machines and {"vm-7", "vm-8"} <= world.store.tables.deleted_machines
     anyio.run(unregister, "vm-9")
-    assert world.store.tables.mod_revision(t.group_key("c0.1.1")) == 0
+    assert world.store.tables.mod_revision(keys.group_key("c0.1.1")) == 0
     # One machine of each of many full groups: more than one transaction takes.
     for group in range(12):
         rows = {
             f"vm-{group}-{number:012d}": ["10.111.222.133:9000", "guayaba-grande", "san-jose-oeste", True]
             for number in range(81)
         }
-        world.store.put(t.group_key(f"c0.1.{group + 2}"), {"m": rows})
+        world.store.put(keys.group_key(f"c0.1.{group + 2}"), {"m": rows})
     lost = {f"vm-{group}-000000000000" for group in range(12)}
     anyio.run(unregister, *lost)
     assert lost <= world.store.tables.deleted_machines and len(world.store.tables.machines) == 12 * 80 + 1
 
 
 def test_machines_are_stored_one_by_one_while_a_controller_knows_no_groups(world: World) -> None:
-    world.store.put(t.member_key("c1"), {"boot": 5, "settled": 0})
+    world.store.put(keys.member_key("c1"), {"boot": 5, "settled": 0})
     heartbeat(world, report(1, 0, name="vm-9"), received=False)
     heartbeat(world, report(2, 3, name="vm-9"))
 
@@ -403,7 +403,7 @@
             world.machines._register()
 
     anyio.run(register)
-    assert world.store.tables.machines["vm-9"].key == t.machine_key("vm-9")
+    assert world.store.tables.machines["vm-9"].key == keys.machine_key("vm-9")
 
 
 # -- a controller that stood still
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -21,10 +21,11 @@
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
 from sloeswitch.cli import main
-from sloeswitch.core import job_queue
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.placement import FreeCapacity
+from sloeswitch.core.records import Job, JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import FrameLink, NoAnswerError
 from sloeswitch.mesh import TYPE_IDLE_ROOM_REQUEST, FrameError, Mesh, PeerStatus
@@ -44,7 +45,7 @@
 
     def __init__(self, teams: dict[str, tuple[float, float]] | None = None, machines: int = 2) -> None:
         self.store = Store()
-        self.store.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
+        self.store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
         self.settings: Settings = parse(cluster_text(teams or {"red": (0.0, 4000.0), "blue": (0.0, 4000.0)}))
         self.limits = AdmissionLimits.of(self.settings)
         self.now_ms = START_MS
@@ -53,7 +54,7 @@
 
     def machines(self, kind: str, count: int) -> None:
         rows = {f"vm-{kind}-{n}": ["127.0.0.1:9000", kind, "a", True] for n in range(count)}
-        self.store.put(t.group_key(kind), {"m": rows})
+        self.store.put(keys.group_key(kind), {"m": rows})
 
     def later(self, seconds: float) -> None:
         self.now_ms += int(1000 * seconds)
@@ -65,11 +66,11 @@
     def submit(self, name: str, at_ms: int | None = None, **changes: Any) -> None:
         changes = {"visits": 100, "cores": 1.0, "expectedS": 40.0, "dueS": None, **changes}
         job = spec(name, **changes)
-        value = {"s": t.LIVE, "n": job.tasks, "t": at_ms or self.now_ms, "spec": msgspec.to_builtins(job)}
-        self.store.put(t.job_key(name), value)
+        value = {"s": JobState.LIVE, "n": job.tasks, "t": at_ms or self.now_ms, "spec": msgspec.to_builtins(job)}
+        self.store.put(keys.job_key(name), value)
 
     def cancel(self, name: str) -> None:
-        self.store.put(t.job_key(name), {**self.store.rows[t.job_key(name)][0], "s": t.CANCELLED})
+        self.store.put(keys.job_key(name), {**self.store.rows[keys.job_key(name)][0], "s": JobState.CANCELLED})
 
     def changes(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
         return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
@@ -79,7 +80,7 @@
         count = 0
         for change in self.changes(idle, value_bytes):
             for path, row in change.rows.items():
-                self.store.put(t.admission_key(path), row.stored())
+                self.store.put(keys.admission_key(path), row.stored())
                 count += 1
         return count
 
@@ -106,13 +107,13 @@
     other = Store()
     for key, (value, stamp) in cluster.store.rows.items():
         # The other has read every second job only.
-        if not key.startswith(t.job_key("")) or int(key[-1]) % 2:
+        if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
             other.tables.apply(key, value, stamp)
     cluster.later(cluster.limits.patience_s)
     for _ in range(3):
         cluster.epoch()
         cluster.later(cluster.limits.patience_s)
-    key = t.admission_key(cuts.ROOT)
+    key = keys.admission_key(cuts.ROOT)
     other.tables.apply(key, *cluster.store.rows[key])
     mine, theirs = decide(cluster.store.tables), decide(other.tables)
     assert {mine[name].admitted for name in names} == {True, False}
@@ -159,7 +160,7 @@
 
 def test_a_row_that_is_not_read_yet_admits_nothing_but_what_began() -> None:
     cluster = Cluster()
-    cluster.store.put(t.admission_key(cuts.ROOT), None)
+    cluster.store.put(keys.admission_key(cuts.ROOT), None)
     cluster.submit("wk-000001")
     cluster.submit("wk-000002")
     cluster.store.progress("wk-000002", c0_1=1)
@@ -186,8 +187,8 @@
 
 
 def coordinator(world: World) -> AdmissionCoordinator:
-    world.store.put(t.feature_key("admission"), {"seen": ["c0", "c1"], "complete": True})
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.store.put(keys.feature_key("admission"), {"seen": ["c0", "c1"], "complete": True})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     return AdmissionCoordinator(
         world.settings, AdmissionFeatures(True), world.client, world.replica, world.leadership, list, {}, world.clock
     )
@@ -201,8 +202,13 @@
     later(world, 2 * each.limits.lead_s + 1)
     for number in range(5):
         job = spec(f"wk-{number:06d}")
-        value = {"s": t.LIVE, "n": 4, "t": int(1000 * world.clock.time) + number, "spec": msgspec.to_builtins(job)}
-        store.put(t.job_key(job.id), value)
+        value = {
+            "s": JobState.LIVE,
+            "n": 4,
+            "t": int(1000 * world.clock.time) + number,
+            "spec": msgspec.to_builtins(job),
+        }
+        store.put(keys.job_key(job.id), value)
     later(world, each.limits.patience_s + 1)
     return world, each
 
@@ -233,12 +239,12 @@
     world.client.lose_answers = 1
     anyio.run(each.epoch)
     conditions, writes, drops = world.client.late[0]
-    conditions = {key: stamp for key, stamp in conditions.items() if key != t.COORDINATOR_KEY}
-    store.put(t.COORDINATOR_KEY, {"member": "c1", "boot": 9})
+    conditions = {key: stamp for key, stamp in conditions.items() if key != keys.COORDINATOR_KEY}
+    store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.epoch)  # deposed, so that it reckons no more
     assert store.tables.admission_rows[cuts.ROOT].number == 1
-    row = AdmissionRow.from_stored(writes[t.admission_key(cuts.ROOT)])
-    store.put(t.admission_key(cuts.ROOT), row.raised(row.common, {}, {"red": 1.0}).stored())
+    row = AdmissionRow.from_stored(writes[keys.admission_key(cuts.ROOT)])
+    store.put(keys.admission_key(cuts.ROOT), row.raised(row.common, {}, {"red": 1.0}).stored())
     assert world.client.apply(conditions, writes, drops)[0].value == "conflict"
 
 
@@ -252,7 +258,7 @@
         cluster.later(cluster.limits.epoch_s)
         cluster.submit(f"wk-{number:06d}", visits=1)
         assert f"wk-{number:06d}" in cluster.admitted()
-        cluster.store.put(t.job_key(f"wk-{number:06d}"), {"s": t.DONE, "n": 1, "t": cluster.now_ms})
+        cluster.store.put(keys.job_key(f"wk-{number:06d}"), {"s": JobState.DONE, "n": 1, "t": cluster.now_ms})
         written += cluster.epoch()
     assert written <= 200 * cluster.limits.epoch_s / cluster.limits.lead_s + 1
 
@@ -443,10 +449,10 @@
     cluster = Cluster({"red": (0.0, 400.0), "blue": (300.0, 400.0)})
     cluster.overload(5)
     cluster.submit("wk-990000", crew="blue")
-    key = t.job_key("wk-990000")
+    key = keys.job_key("wk-990000")
     cluster.store.put(key, None)
     job = spec("wk-990000", crew="blue")
-    value = {"s": t.LIVE, "n": 4, "t": cluster.now_ms, "spec": msgspec.to_builtins(job), "o": ["south", 7]}
+    value = {"s": JobState.LIVE, "n": 4, "t": cluster.now_ms, "spec": msgspec.to_builtins(job), "o": ["south", 7]}
     cluster.store.put(key, value)
     cluster.epoch()
     assert "wk-990000" not in cluster.admitted()
@@ -482,7 +488,7 @@
             written_at[change.path] = cluster.now_ms
             for path, row in change.rows.items():
                 assert row.size_bytes <= value_bytes
-                cluster.store.put(t.admission_key(path), row.stored())
+                cluster.store.put(keys.admission_key(path), row.stored())
         for team, klass in lanes:
             lane = Lane(team, klass, "standard")
             leaf = row_of(cluster.store.tables.admission_rows, lane)
@@ -574,7 +580,7 @@
     gate.apply()
     assert sum(map(len, gate._deferred.values())) == 50
     for name in names[:40]:
-        cluster.store.put(t.job_key(name), {"s": t.CANCELLED, "n": 1, "t": cluster.now_ms})
+        cluster.store.put(keys.job_key(name), {"s": JobState.CANCELLED, "n": 1, "t": cluster.now_ms})
     gate.apply()
     assert len(gate._decided) == len(cluster.store.tables.jobs) == 11
     assert sum(map(len, gate._deferred.values())) == 10
@@ -617,7 +623,7 @@
 
 def logged(cluster: Cluster, until: int) -> list[str]:
     """The log of a controller that read everything up to an epoch of the state service, change by change."""
-    tables = t.Tables()
+    tables = Tables()
     lines: list[str] = ["I machines: 3 machines up\n"]
     gate = AdmissionGate(tables, RecordingLog(lines), lambda: True)
     for key, (value, stamp) in sorted(cluster.store.rows.items(), key=lambda item: item[1][1]):
@@ -739,7 +745,7 @@
         anyio.run(each.ask, "c1")
     later(world, 3 * each.limits.epoch_s)
     assert each._idle_rooms() == []
-    store.put(t.COORDINATOR_KEY, {"member": "c1", "boot": 9})
+    store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.ask, "c1")
     assert link.asked == 2
 
@@ -748,7 +754,7 @@
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     _world, each = overloaded_world(store, monkeypatch)
-    store.put(t.feature_key("admission"), {"seen": ["c0"], "complete": False})
+    store.put(keys.feature_key("admission"), {"seen": ["c0"], "complete": False})
     link = ScriptedLink()
     each.links = {"c1": link}
     before = store.epoch
@@ -767,7 +773,7 @@
     store.tables.jobs["wk-000001"].deferred = True
     world.machines._rebuild_queue()
 
-    def names(jobs: list[t.Job]) -> list[str]:
+    def names(jobs: list[Job]) -> list[str]:
         # Having waited for long, it stands in the line twice.
         return list(dict.fromkeys(job.spec.id for job in jobs))
 
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -10,7 +10,7 @@
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut
 from sloeswitch.admission.decisions import CutReader, Decision, Ground
 from sloeswitch.admission.epoch import Epoch
-from sloeswitch.core.tables import Job
+from sloeswitch.core.records import Job
 from tests.support.admission import AdmissionWorld, play
 
 STEPS, CALM_STEPS, JOBS = 350, 1500, 60
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -9,9 +9,10 @@
 import pytest
 
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.core import tables as t
-from sloeswitch.core import taskset
-from sloeswitch.state import TransactionOutcome
+from sloeswitch.core import keys, taskset
+from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.tables import Tables
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, spec
 from tests.test_actors import World
 from tests.test_upgrade import NARROW
@@ -29,7 +30,7 @@
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
     store.member("c0", 1, settled=2)  # not settled: what the departed one had may still exist
-    store.put(t.team_key("red"), {"c1.9": [6.6, 0.0]})
+    store.put(keys.team_key("red"), {"c1.9": [6.6, 0.0]})
     return world
 
 
@@ -70,8 +71,8 @@
 def test_a_write_that_did_not_know_of_an_adoption_does_not_undo_it(world: World) -> None:
     adopt(world, 3)
     # c2.4, composed before it read the adoption and carried out after: without the epoch of it.
-    row = t.Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
-    world.store.put(t.progress_key(JOB), row.stored(dense=True))
+    row = Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
+    world.store.put(keys.progress_key(JOB), row.stored(dense=True))
     for tables in (world.store.tables, world.store.read_again()):
         assert tables.jobs[JOB].progress.claims["c0.1"] == HALF
         assert tables.jobs[JOB].progress.done == 0b11
@@ -81,7 +82,7 @@
     world.client.lose_answers = 1
     adopt(world, 4)
     conditions, writes, _drops = world.client.late[0]
-    assert [conditions[key] for key in writes if key.startswith(t.adoption_key("c0.1", 0)[:-1])] == [0]
+    assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == HALF for name in NAMES)
     assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
     # Late in the other order: it comes first, and what was tried again under its key fails.
@@ -112,16 +113,16 @@
 
 
 def test_adoptions_of_a_run_in_the_view_are_kept_and_those_of_former_ones_dropped(world: World) -> None:
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     adopt(world, 3)
-    keys = set(world.store.tables.adoption_keys)
+    stored_keys = set(world.store.tables.adoption_keys)
     anyio.run(world.jobs._collect_garbage)
-    assert keys and set(world.store.tables.adoption_keys) == keys
+    assert stored_keys and set(world.store.tables.adoption_keys) == stored_keys
     world.store.view(4, ("c0", 7))
     world.leadership.incarnation = 7
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 7})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 7})
     anyio.run(world.jobs._collect_garbage)
-    assert set(world.store.tables.adoption_keys) == keys  # not settled: still counted
+    assert set(world.store.tables.adoption_keys) == stored_keys  # not settled: still counted
     world.store.member("c0", 7, settled=4)
     for _ in range(4):
         anyio.run(world.jobs._collect_garbage)
@@ -133,7 +134,7 @@
 
     def __init__(self, tag: str) -> None:
         self.tag = tag
-        self.tables = t.Tables()
+        self.tables = Tables()
         self.applied = 0
 
 
@@ -148,8 +149,8 @@
     def put(key: str, value: object) -> None:
         log.append((key, value, store.put(key, value)))
 
-    put(t.job_key(JOB), {"s": t.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(spec(JOB, visits=30))})
-    put(t.progress_key(JOB), t.Progress(0, {"c1.9": taskset.full(10)}).stored())
+    put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(spec(JOB, visits=30))})
+    put(keys.progress_key(JOB), Progress(0, {"c1.9": taskset.full(10)}).stored())
     truth = dict.fromkeys(range(10), "c1.9")
     writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
     made = 0
@@ -175,7 +176,7 @@
             tasks = sum(1 << task for task in mine)
             if tasks:
                 made += 1
-                put(t.adoption_key(writer.tag, made), {"m": {JOB: taskset.pack_dense(tasks)}})
+                put(keys.adoption_key(writer.tag, made), {"m": {JOB: taskset.pack_dense(tasks)}})
                 truth.update(dict.fromkeys(mine, writer.tag))
             continue
         own = progress.claims.get(writer.tag, 0)
@@ -183,12 +184,12 @@
         ended = sum(1 << task for task in taskset.members(own & ~release) if shuffle.random() < 0.1)
         free = job.all_tasks & ~progress.done & ~progress.claimed_tasks()
         claim = taskset.lowest(free, shuffle.randrange(4))
-        if job.progress_revision != store.rows[t.progress_key(JOB)][1]:
+        if job.progress_revision != store.rows[keys.progress_key(JOB)][1]:
             continue  # its condition fails
         progress.done |= ended
         progress.claims[writer.tag] = (own & ~release & ~ended) | claim
         value = progress.stored(dense=True) | {"e": max(writer.applied, job.progress.adoption_revision)}
-        put(t.progress_key(JOB), value)
+        put(keys.progress_key(JOB), value)
         for task in taskset.members(release):
             truth.pop(task)
         truth.update(dict.fromkeys(taskset.members(claim), writer.tag))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -5,8 +5,9 @@
 import pytest
 
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.core import tables as t
-from sloeswitch.state import RequestPriority, TokenBucket
+from sloeswitch.core import keys
+from sloeswitch.core.records import Job
+from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from tests.conftest import Store, spec
 from tests.test_actors import World, machine_up
 from tests.test_upgrade import NARROW
@@ -71,7 +72,7 @@
 
 def surplus_given_up(world: World, allowances: dict[str, list[float]]) -> dict[str, float]:
     """What a controller with 8 cores in use gives up of its allowance after a while, by team."""
-    world.store.put(t.team_key("red"), allowances)
+    world.store.put(keys.team_key("red"), allowances)
     asked = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
     asked += world.claim_requests()
@@ -103,11 +104,11 @@
     machine_up(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
-    store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
+    store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     looked: list[str] = []
     open_tasks = store.tables.unclaimed_tasks
 
-    def look(job: t.Job, settled: bool) -> int:
+    def look(job: Job, settled: bool) -> int:
         looked.append(job.spec.id)
         return open_tasks(job, settled)
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -9,9 +9,10 @@
 
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
+from sloeswitch.core.records import JobState, Progress
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
@@ -26,14 +27,14 @@
 def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
     """A cancelled job of which a controller's run holds a claim."""
     store.job(spec(JOB))
-    store.put(t.progress_key(JOB), t.Progress(0, {tag: 1}).stored())
-    row = store.rows[t.job_key(JOB)][0]
-    store.put(t.job_key(JOB), {**row, "s": t.CANCELLED, "x": cancelled_ms})
+    store.put(keys.progress_key(JOB), Progress(0, {tag: 1}).stored())
+    row = store.rows[keys.job_key(JOB)][0]
+    store.put(keys.job_key(JOB), {**row, "s": JobState.CANCELLED, "x": cancelled_ms})
 
 
 def two_members(store: Store) -> None:
     store.view(4, ("c0", 1), ("c1", 2))
-    store.put(t.group_key("c1.2.1"), {"m": MACHINES})
+    store.put(keys.group_key("c1.2.1"), {"m": MACHINES})
 
 
 def owned_by(store: Store, member: str) -> set[str]:
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from sloeswitch.actors.jobs import stored_job
 from sloeswitch.cells.selection import Candidate, Move, MoveLimits, candidates, choose, limits_of
 from sloeswitch.cells.summary import MachinePool, Resources, Summary, SummaryBook, summarise
-from sloeswitch.core import job_queue
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys
+from sloeswitch.core.records import Job, JobState
+from sloeswitch.core.row_codec import encode_job
 from sloeswitch.settings import Settings, parse
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec
 
@@ -77,12 +77,12 @@
         store.view(3, ("c0", 1))
         store.member("c0", 1, settled=3)
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(machines)}
-        store.put(t.group_key("c0.1.1"), {"m": rows})
+        store.put(keys.group_key("c0.1.1"), {"m": rows})
 
     def summary(self) -> Summary:
         return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
 
-    def line(self) -> list[t.Job]:
+    def line(self) -> list[Job]:
         return job_queue.queue_order(self.store.tables, self.settings, 0)
 
 
@@ -144,7 +144,7 @@
 def test_what_was_handed_over_stands_behind_the_cells_own_guaranteed_work(store: Store) -> None:
     """And takes nothing of its team's guarantee, however old it is; with the rest it stands as any other job does."""
     settings = parse(SETTINGS)
-    store.put(t.job_key("wk-000001"), stored_job(t.LIVE, spec("wk-000001"), 0) | {"o": ["south", 7]})
+    store.put(keys.job_key("wk-000001"), encode_job(JobState.LIVE, spec("wk-000001"), 0) | {"o": ["south", 7]})
     store.job(spec("wk-000002"))
     store.job(spec("wk-000003"))
     # Eight cores are guaranteed, and each job takes that much: only the first of the cell's own is within it.
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -15,14 +15,14 @@
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
 from sloeswitch.cells.origin import STAY_LEASES, TAKE_BACK_LEASES
 from sloeswitch.cells.summary import Summary
-from sloeswitch.core import tables as t
 from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.records import Job
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
 from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError, Mesh, PeerStatus
+from sloeswitch.replica import StaleReplicaError
 from sloeswitch.settings import Address
-from sloeswitch.state import StaleReplicaError
 from tests.conftest import spec, submission
 from tests.support.cells import Cell, CellWorld, RuleError, play, settings_cache
 from tests.support.streams import connect_to
@@ -101,7 +101,7 @@
         self.work("south")
 
     @property
-    def at_origin(self) -> t.Job:
+    def at_origin(self) -> Job:
         return self.north.store.tables.jobs[JOB]
 
     def status(self) -> str | None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from sloeswitch.core import scaling
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys, scaling
 from sloeswitch.settings import parse
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec
 
@@ -47,7 +46,7 @@
     """Its other tasks run in zone b: room in zone a, however cheap, is of no use to what is left of it."""
     settings = parse(SETTINGS)
     store.job(spec(together=True, visits=8, dueS=None))
-    store.put(t.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
+    store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
     wanted = scaling.current_demand(store.tables, settings, 0, 1.0)
     assert [need.bound_zone for need in wanted] == ["b"]
     in_b = ("small", "b", True)
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -24,8 +24,10 @@
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Server
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, RequestPriority, StateClient
+from sloeswitch.state_client import StateClient
 from tests.conftest import Store
 from tests.support.cluster import Clock
 from tests.test_actors import World
--- a/tests/test_frozen_keys.py
+++ b/tests/test_frozen_keys.py
@@ -12,8 +12,8 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.core import tables as t
-from sloeswitch.core import taskset
+from sloeswitch.core import keys, taskset
+from sloeswitch.core.records import JobState
 
 FROZEN = Path(__file__).parent / "frozen"
 KEYS: dict[str, str] = json.loads((FROZEN / "keys.json").read_text())
@@ -21,31 +21,31 @@
 
 # The only place with Python names of keys.
 MADE = {
-    "prefix": t.KEY_PREFIX,
-    "view": t.VIEW_KEY,
-    "coordinator": t.COORDINATOR_KEY,
-    "catalog": t.CATALOG_KEY,
-    "layout mark": t.LAYOUT_KEY,
-    "member": t.member_key("c0"),
-    "job": t.job_key("wk-000001"),
-    "progress": t.progress_key("wk-000001"),
-    "part of a spec": t.chunk_key("wk-000001", "c0.1.2", 10),
-    "adoptions": t.adoption_key("c0.1", 12),
-    "feature mark": t.feature_key("cells"),
-    "admission row, root": t.admission_key(""),
-    "admission row, split": t.admission_key("01"),
-    "floor of a cell": t.floor_key("north"),
-    "team limit": t.team_key("red"),
-    "single machine": t.machine_key("vm-1"),
-    "single type": t.type_key("small"),
-    "group": t.group_key("c0.1.3"),
-    "group named by a key": t.group_name("s1/g/c0.1.3"),
-    "tag of a run": t.incarnation_id_of("c0", 1),
-    "status live": t.LIVE,
-    "status done": t.DONE,
-    "status withdrawn": t.CANCELLED,
-    "layout with groups": str(t.MACHINE_GROUPS_LAYOUT),
-    "layout": str(t.LAYOUT_VERSION),
+    "prefix": keys.KEY_PREFIX,
+    "view": keys.VIEW_KEY,
+    "coordinator": keys.COORDINATOR_KEY,
+    "catalog": keys.CATALOG_KEY,
+    "layout mark": keys.LAYOUT_KEY,
+    "member": keys.member_key("c0"),
+    "job": keys.job_key("wk-000001"),
+    "progress": keys.progress_key("wk-000001"),
+    "part of a spec": keys.chunk_key("wk-000001", "c0.1.2", 10),
+    "adoptions": keys.adoption_key("c0.1", 12),
+    "feature mark": keys.feature_key("cells"),
+    "admission row, root": keys.admission_key(""),
+    "admission row, split": keys.admission_key("01"),
+    "floor of a cell": keys.floor_key("north"),
+    "team limit": keys.team_key("red"),
+    "single machine": keys.machine_key("vm-1"),
+    "single type": keys.type_key("small"),
+    "group": keys.group_key("c0.1.3"),
+    "group named by a key": keys.group_name("s1/g/c0.1.3"),
+    "tag of a run": keys.incarnation_id_of("c0", 1),
+    "status live": JobState.LIVE,
+    "status done": JobState.DONE,
+    "status withdrawn": JobState.CANCELLED,
+    "layout with groups": str(keys.MACHINE_GROUPS_LAYOUT),
+    "layout": str(keys.LAYOUT_VERSION),
 }
 PACKS = {"pack": taskset.pack, "dense": taskset.pack_dense}
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -25,7 +25,8 @@
 from sloeswitch.cells.origin import CellOrigin
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.target import CellTarget
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
+from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from tests.conftest import MACHINE_TYPE, report, spec
@@ -86,7 +87,7 @@
 def layout_mark(world: Recorder) -> None:
     world.run(world.membership._record_layout)
     world.given("member")
-    world.store.put(t.LAYOUT_KEY, {"seen": ["c1"], "complete": False})
+    world.store.put(keys.LAYOUT_KEY, {"seen": ["c1"], "complete": False})
     world.run(world.membership._record_layout)
 
 
@@ -292,9 +293,9 @@
 
 def team_limit(world: Recorder) -> None:
     world.round(ClaimRequest(quota_increases={"red": (8.5, 0.0)}))
-    stamp = world.store.tables.mod_revision(t.team_key("red"))
+    stamp = world.store.tables.mod_revision(keys.team_key("red"))
     world.round(ClaimRequest(quota_decreases={"red": (stamp, 2.25, 0.0)}))
-    stamp = world.store.tables.mod_revision(t.team_key("red"))
+    stamp = world.store.tables.mod_revision(keys.team_key("red"))
     world.round(ClaimRequest(quota_decreases={"red": (stamp, 0.0, 0.0)}))
 
 
@@ -320,15 +321,15 @@
     row = AdmissionRow(4, common, lanes, {"red": 12.54, "blue": 0.0, "green": -3.0})
     root, parts = row.children("")
     for path, each in {"": row, **parts}.items():
-        world.lines.append(line_of(t.admission_key(path), each.stored()))
-    world.lines.append(line_of(t.admission_key(""), root.stored()))
+        world.lines.append(line_of(keys.admission_key(path), each.stored()))
+    world.lines.append(line_of(keys.admission_key(""), root.stored()))
 
 
 def admission_read_and_written(world: Recorder) -> None:
     world.given("admission rows with every field")
     for path, row in sorted(world.store.tables.admission_rows.items()):
         higher = row.raised(LaneCut(Ticket(1200, COMPLEX), 9000), {}, row.deficits)
-        world.lines += [line_of(t.admission_key(path), each.stored()) for each in (row, higher)]
+        world.lines += [line_of(keys.admission_key(path), each.stored()) for each in (row, higher)]
 
 
 # -- other cells
@@ -422,7 +423,7 @@
 
 def handoffs_beside_the_end(world: Recorder) -> None:
     """A job that runs at home while an earlier handoff is not stopped yet."""
-    world.store.put(t.job_key(JOB), recalled_job())
+    world.store.put(keys.job_key(JOB), recalled_job())
     world.round(ClaimRequest(task_counts={JOB: 4}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
@@ -431,7 +432,7 @@
 
 def recalled_job() -> Any:
     key, value = parse_line(READ["job offered to a cell"][0])
-    assert key == t.job_key(JOB)
+    assert key == keys.job_key(JOB)
     return {**value, "h": {"p": "repeatable", "r": [["south", 20]]}}
 
 
@@ -442,7 +443,7 @@
 
 def recall_of_a_cancelled_job(world: Recorder) -> None:
     each = origin(world, Answer.STOPPED)
-    world.store.put(t.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
+    world.store.put(keys.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     world.run(each.talk, "south")
 
@@ -559,16 +560,16 @@
     return world.lines
 
 
-def read(lines: list[str], backwards: bool = False) -> t.Tables:
+def read(lines: list[str], backwards: bool = False) -> Tables:
     """The tables of a controller that reads these rows, in their order or backwards."""
-    tables = t.Tables()
+    tables = Tables()
     rows = [(*parse_line(line), FIRST_STAMP + place) for place, line in enumerate(lines, 1)]
     for key, value, stamp in reversed(rows) if backwards else rows:
         tables.apply(key, value, stamp)
     return tables
 
 
-def after_drop(lines: list[str]) -> t.Tables:
+def after_drop(lines: list[str]) -> Tables:
     """The tables once the rows are dropped again, in their order."""
     tables = read(lines)
     for place, line in enumerate(lines, 1):
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,12 +15,15 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.membership import Leadership
 from sloeswitch.actors.users import Users
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
+from sloeswitch.core.records import JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.http import Request
 from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
+from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StateClient
+from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, report, spec
 from tests.support.cluster import Clock
 from tests.test_actors import JOB, World, machine_up, meshed
@@ -153,19 +156,19 @@
     store.epoch = 100
     store.job(spec("wk-000001"))
     assert tables.jobs["wk-000001"].is_cancelled
-    store.job(spec("wk-000001"), t.CANCELLED)
+    store.job(spec("wk-000001"), JobState.CANCELLED)
     assert tables.jobs["wk-000001"].is_cancelled and "wk-000001" not in tables.peer_cancellations
 
 
 def test_every_cancellation_that_may_be_told_is_in_the_log(store: Store) -> None:
     log = store.tables.cancellations
     store.job(spec("wk-000001"))
-    store.job(spec("wk-000001"), t.CANCELLED)  # read
-    store.job(spec("wk-000002"), t.CANCELLED)  # read at start
-    store.put(t.job_key("wk-000003"), {"s": t.CANCELLED, "n": 1, "t": 5})  # over at once
+    store.job(spec("wk-000001"), JobState.CANCELLED)  # read
+    store.job(spec("wk-000002"), JobState.CANCELLED)  # read at start
+    store.put(keys.job_key("wk-000003"), {"s": JobState.CANCELLED, "n": 1, "t": 5})  # over at once
     store.job(spec("wk-000004"))
     store.tables.apply_peer_cancellation(Cancellation("wk-000004", 99))  # learnt from a sibling
-    store.put(t.job_key("wk-000001"), {"s": t.CANCELLED, "n": 1, "t": 5})
+    store.put(keys.job_key("wk-000001"), {"s": JobState.CANCELLED, "n": 1, "t": 5})
     assert [entry.job for entry in log.since(0, 0, 0, 10).cancellations] == [f"wk-{n:06d}" for n in range(1, 5)]
 
 
@@ -266,7 +269,7 @@
         self.settings = parse(text.replace('"#', '"'))
         self.clock = clock
         log = CancellationLog(6, number)
-        self.tables = t.Tables(log)
+        self.tables = Tables(log)
         self.replica = Replica(StateClient(self.settings, lambda: 3, clock.now), self.tables, clock.now)
         self.leadership = Leadership(self.settings, self.tables, self.replica, clock.now)
         self.mesh = Mesh(
@@ -284,13 +287,13 @@
         """All three are members of one view, which stays: what is at stake here is cancellations alone."""
         self.leadership.incarnation = 1
         members = [["c0", 1], ["c1", 1], ["c2", 1]]
-        self.tables.apply(t.VIEW_KEY, {"n": 3, "members": members}, 1)
+        self.tables.apply(keys.VIEW_KEY, {"n": 3, "members": members}, 1)
 
     def read(self, service: Service) -> None:
         """A fresh read, sent now and answered at once."""
         for row in service.rows:
             if row.revision > self.replica.applied_revision:
-                self.tables.apply(t.job_key(row.job), {"s": t.CANCELLED, "n": 1, "t": 5}, row.revision)
+                self.tables.apply(keys.job_key(row.job), {"s": JobState.CANCELLED, "n": 1, "t": 5}, row.revision)
         self.replica.applied_revision = service.epoch
         self.replica.loaded = self.replica.fully_read = True
         self.replica.linearizable_at = self.leadership.lease_renewed_at = self.clock.time
@@ -335,7 +338,7 @@
             job = f"wk-{step}"
             service.rows.append(Cancellation(job, service.epoch))
             if rng.random() < 0.7:
-                member.tables.apply(t.job_key(job), {"s": t.CANCELLED, "n": 1, "t": 5}, service.epoch)
+                member.tables.apply(keys.job_key(job), {"s": JobState.CANCELLED, "n": 1, "t": 5}, service.epoch)
                 confirmed[job] = clock.time
         elif action < 0.35 and reaches[name]:
             member.read(service)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,14 +11,15 @@
 from sloeswitch import wire
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.core import placement
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys, placement
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.records import JobState
 from sloeswitch.http import Reply
+from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StateClient
+from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.cluster import Clock
 from tests.test_actors import JOB, World, machine_up
@@ -45,8 +46,8 @@
 
 def cancelled(world: World, at: float | None = None) -> None:
     """The job is stored as cancelled, at that time."""
-    value = dict(world.store.rows[t.job_key(JOB)][0], s=t.CANCELLED)
-    world.store.put(t.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
+    value = dict(world.store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
+    world.store.put(keys.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
 
 
 def look(world: World) -> None:
@@ -194,14 +195,14 @@
             if answered:
                 await replica.read_linearizable(1.0)
             # Another node stores and tells a cancellation now.
-            row = dict(store.rows[t.job_key(JOB)][0], s=t.CANCELLED)
-            answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=t.job_key(JOB), value=row)]))
+            row = dict(store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
+            answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=keys.job_key(JOB), value=row)]))
             await replica.read_linearizable(1.0)
             seen.append(store.tables.jobs[JOB].status)
             group.cancel_scope.cancel()
 
     anyio.run(play)
-    assert seen == [t.CANCELLED] and client.reads == 2 + answered
+    assert seen == [JobState.CANCELLED] and client.reads == 2 + answered
 
 
 # -- machines that cannot report, and late registrations
@@ -243,7 +244,7 @@
 
 
 def test_a_registration_carried_out_after_the_deletion_is_looked_after(world: World) -> None:
-    world.store.put(t.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
+    world.store.put(keys.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
     later(world, 100.0)
     world.machines._tick()
     assert not world.machines.registry.machines["vm-8"].is_recovered
@@ -323,7 +324,7 @@
     """Failure found on the bench: claimed ahead while no machine had room, a job had no zone, and its tasks went to
     any."""
     world.store.job(spec(**bound))
-    world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines._rebuild_queue()
@@ -343,8 +344,8 @@
 def test_tasks_for_other_zones_are_claimed_where_there_is_room_for_them(world: World) -> None:
     """Room in another zone than the stored one is for the upper half of a job that is spread."""
     world.store.job(spec(spread=True))
-    world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
-    world.store.put(t.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
+    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines._rebuild_queue()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b1100}
@@ -355,7 +356,7 @@
 def test_no_zone_is_chosen_while_tasks_without_one_are_somewhere(world: World) -> None:
     """As an earlier version may have left them."""
     world.store.job(spec(together=True))
-    world.store.put(t.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
+    world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
     world.round(
         ClaimRequest(
             task_counts={JOB: 3}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1110}, quota_increases={"red": (8.0, 0.0)}
@@ -366,8 +367,8 @@
 
 def test_with_room_in_the_limit_for_one_task_it_is_one_that_has_room(world: World) -> None:
     world.store.job(spec(spread=True))
-    world.store.put(t.team_key("red"), {"c0.1": [2.0, 0.0]})
-    world.store.put(t.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
+    world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
+    world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.quota.available = lambda team, use: (2.0, 0.0)  # type: ignore[method-assign]
     world.machines._rebuild_queue()
     (asked,) = world.claim_requests()
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,11 +10,12 @@
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.users import Users
-from sloeswitch.core import job_queue, scaling
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys, scaling
+from sloeswitch.core.records import JobState
+from sloeswitch.core.tables import Tables
 from sloeswitch.http import Answer, Reply, Request
+from sloeswitch.replica import Replica, StaleReplicaError
 from sloeswitch.settings import parse
-from sloeswitch.state import Replica, StaleReplicaError
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.test_actors import World, machine_up
 
@@ -34,7 +35,7 @@
 
 
 def done(store: Store, name: str, at_ms: int = 0) -> None:
-    store.put(t.job_key(name), {"s": t.DONE, "n": 4, "t": at_ms})
+    store.put(keys.job_key(name), {"s": JobState.DONE, "n": 4, "t": at_ms})
 
 
 def ask(world: World, method: str, path: str, body: Any = None) -> Answer:
@@ -140,12 +141,12 @@
     """The owner, or the coordinator, may end between the end of a prerequisite and the release; rows are read
     by key, whatever they need."""
     rows = {
-        t.job_key("wk-000009"): {"s": t.DONE, "n": 1, "t": 5000},
-        t.job_key("wk-000008"): {"s": t.CANCELLED, "n": 1, "t": 5000},
+        keys.job_key("wk-000009"): {"s": JobState.DONE, "n": 1, "t": 5000},
+        keys.job_key("wk-000008"): {"s": JobState.CANCELLED, "n": 1, "t": 5000},
     }
     store = Store()
     for name, awaits in ((A, ["wk-000009"]), (B, [A]), (C, ["wk-000008", A]), (D, [C, "wk-000009"])):
-        rows[t.job_key(name)] = {"s": t.LIVE, "n": 4, "t": 0, "spec": submission(name, awaits=awaits)}
+        rows[keys.job_key(name)] = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(name, awaits=awaits)}
     for key in sorted(rows, reverse=backwards):
         store.put(key, rows[key])
     jobs = store.tables.jobs
@@ -162,7 +163,7 @@
     store.job(spec("wk-200000", awaits=[names[-1]], urgency="critical", dueS=90000.0))
     assert line(store) == [names[0]]
     assert store.tables.jobs[names[0]].inherited_rank == 0
-    store.put(t.job_key(names[0]), {"s": t.CANCELLED, "n": 4})
+    store.put(keys.job_key(names[0]), {"s": JobState.CANCELLED, "n": 4})
     assert all(job.is_cancelled for job in store.tables.jobs.values()) and line(store) == []
 
 
@@ -170,7 +171,7 @@
 
 
 def test_cancelling_decides_all_that_needs_it_at_once_and_its_rows_are_settled_later(world: World) -> None:
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for name, awaits in ((A, []), (B, [A]), (C, [B])):
         assert submit(world, name, *awaits) == 201
     assert submit(world, D) == 201
@@ -190,12 +191,12 @@
     world.clock.time += 0.1
     world.round()
     over = world.store.tables.finished_jobs
-    assert over[B].status == over[C].status == t.CANCELLED and D in world.store.tables.jobs
+    assert over[B].status == over[C].status == JobState.CANCELLED and D in world.store.tables.jobs
     assert status(world, C) == wire.CANCELLED
 
 
 def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled(world: World) -> None:
-    world.store.put(t.job_key(A), {"s": t.CANCELLED, "n": 1})
+    world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 1})
     assert submit(world, B, A) == 201
     assert submit(world, C, B) == 201
     assert status(world, B) == status(world, C) == wire.CANCELLED
@@ -207,7 +208,7 @@
     world.store.job(spec(A))
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
-    world.store.put(t.job_key(A), {"s": t.CANCELLED, "n": 4})
+    world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 4})
     world.client.apply(*world.client.late[0])
     assert status(world, B) == wire.CANCELLED and line(world.store) == []
 
@@ -303,17 +304,17 @@
     assert job.unfinished_prerequisites == 1 and len(job.spec.prerequisites) == 1001
     # Read by key, a job's row comes before its parts.
     again = Store()
-    again.put(t.job_key("wk-100001"), {"s": t.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())})
+    again.put(keys.job_key("wk-100001"), {"s": JobState.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())})
     assert not again.tables.jobs
     for number, text in store.tables.spec_chunks["wk-100001"][job.spec_chunks[0] if job.spec_chunks else ""].items():
-        again.put(t.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
+        again.put(keys.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
     assert again.tables.jobs["wk-100001"].spec == job.spec
     # With claims its cancelled row names the parts too; over, they are dropped.
     store.progress("wk-100001", c0_1=1)
     assert anyio.run(world.jobs.cancel, "wk-100001") == wire.CANCELLED
     assert store.tables.jobs["wk-100001"].is_cancelled
     store.progress("wk-100001")
-    world.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.round()
     for _ in range(20):
         anyio.run(world.jobs._collect_garbage)
@@ -335,7 +336,7 @@
     commit = world.client.compare_and_swap
 
     async def lose_the_row(conditions: dict[str, int], writes: dict[str, Any], *rest: Any, **more: Any) -> Any:
-        world.client.lose_answers = int(t.job_key("wk-100001") in writes)
+        world.client.lose_answers = int(keys.job_key("wk-100001") in writes)
         return await commit(conditions, writes, *rest, **more)
 
     world.client.compare_and_swap = lose_the_row  # type: ignore[method-assign]
@@ -382,8 +383,8 @@
 
 
 def test_an_end_that_production_stored_without_its_time_counts_from_the_submission(store: Store) -> None:
-    store.put(t.job_key(A), {"s": t.DONE, "n": 4})
-    store.put(t.job_key(B), {"s": t.LIVE, "n": 4, "t": 7000, "spec": submission(B, awaits=[A])})
+    store.put(keys.job_key(A), {"s": JobState.DONE, "n": 4})
+    store.put(keys.job_key(B), {"s": JobState.LIVE, "n": 4, "t": 7000, "spec": submission(B, awaits=[A])})
     assert store.tables.jobs[B].ready_ms == 7000
 
 
@@ -400,7 +401,7 @@
     assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_queue.PRIORITY_RANKS["urgent"]
     assert job_queue.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # With the last job cancelled nothing needs the others any more.
-    store.put(t.job_key(C), {"s": t.CANCELLED, "n": 4})
+    store.put(keys.job_key(C), {"s": JobState.CANCELLED, "n": 4})
     assert line(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_ms is None
 
 
@@ -429,7 +430,7 @@
     """Scripted answers of the state service to a replica's reads."""
 
     def __init__(self, world: World, *answers: dict[str, Any]) -> None:
-        self.replica = Replica(world.client, t.Tables(), world.clock.now)
+        self.replica = Replica(world.client, Tables(), world.clock.now)
         self.replica.loaded = True
         self.replica.applied_revision = 10
         left = list(answers)
@@ -444,33 +445,33 @@
 
 
 def test_the_end_of_a_job_releases_its_successors_before_it_is_read(world: World) -> None:
-    row = {"s": t.LIVE, "n": 4, "t": 0, "spec": submission(B, awaits=[A])}
-    ended = {"s": t.DONE, "n": 4, "t": 5}
+    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B, awaits=[A])}
+    ended = {"s": JobState.DONE, "n": 4, "t": 5}
     answers = Answers(
         world,
-        {"epoch": 11, "events": [{"write": t.job_key(B), "v": row, "stamp": 11}]},
-        {"epoch": 13, "events": [{"write": t.job_key(A), "v": ended, "stamp": 13}]},
+        {"epoch": 11, "events": [{"write": keys.job_key(B), "v": row, "stamp": 11}]},
+        {"epoch": 13, "events": [{"write": keys.job_key(A), "v": ended, "stamp": 13}]},
     )
     answers.read()
     tables = answers.replica.tables
     assert tables.jobs[B].unfinished_prerequisites == 1
-    answers.replica.apply_own_write(13, {t.job_key(A): ended})
+    answers.replica.apply_own_write(13, {keys.job_key(A): ended})
     assert tables.jobs[B].unfinished_prerequisites == 0 and answers.replica.applied_revision == 11
     answers.read()
     assert answers.replica.loaded and tables.jobs[B].unfinished_prerequisites == 0
 
 
 def test_a_stamp_that_is_not_the_one_told_has_all_read_again(world: World) -> None:
-    row = {"s": t.LIVE, "n": 4, "t": 0, "spec": submission(B)}
-    answers = Answers(world, {"epoch": 14, "events": [{"write": t.job_key(B), "v": row, "stamp": 12}]})
-    answers.replica.apply_own_write(13, {t.job_key(B): row})
+    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B)}
+    answers = Answers(world, {"epoch": 14, "events": [{"write": keys.job_key(B), "v": row, "stamp": 12}]})
+    answers.replica.apply_own_write(13, {keys.job_key(B): row})
     answers.read()
     assert not answers.replica.loaded
 
 
 def test_an_urgent_stage_does_not_stand_behind_work_whose_image_is_at_hand(world: World) -> None:
     """Failure found on the bench: it waited for twenty seconds while machines filled up with their images' jobs."""
-    world.store.put(t.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     for name, urgency, image in ((A, "best_effort", "img-2"), (B, "standard", "img-2"), (C, "urgent", "img-1")):
         world.store.job(spec(name, urgency=urgency, kit=image))
         world.store.progress(name, c0_1=0b1111)
@@ -498,7 +499,7 @@
     store.job(spec(B, urgency="best_effort", dueS=500.0, visits=20))
     store.job(spec(C, urgency="urgent", awaits=[A], dueS=35.0, visits=20))
     assert line(store, 60_000, AIMS) == [A, B]  # late, and urgent for what needs it
-    store.put(t.job_key(C), {"s": t.CANCELLED, "n": 20})
+    store.put(keys.job_key(C), {"s": JobState.CANCELLED, "n": 20})
     assert line(store, 60_000, AIMS) == [B, A]
 
 
@@ -520,11 +521,11 @@
     store.progress(A, done=0b1)
     store.job(spec(B, urgency="best_effort", visits=50))
     late_s = 2 * job_queue.STARVATION_LEASES * 10.0 + 1
-    row = {"s": t.LIVE, "n": 2, "t": int(late_s * 1000), "spec": submission(C, urgency="urgent", visits=2)}
-    store.put(t.job_key(C), row)
+    row = {"s": JobState.LIVE, "n": 2, "t": int(late_s * 1000), "spec": submission(C, urgency="urgent", visits=2)}
+    store.put(keys.job_key(C), row)
     # What waits for its beginning is first still, with a part of its tasks, then the urgent, then the old.
     assert line(store, int(late_s * 1000)) == [B, C, A, B]
     # More than the guarantee: age alone is before it.
-    row = {"s": t.LIVE, "n": 9, "t": int(late_s * 1000), "spec": submission(D, urgency="urgent", visits=9)}
-    store.put(t.job_key(D), row)
+    row = {"s": JobState.LIVE, "n": 9, "t": int(late_s * 1000), "spec": submission(D, urgency="urgent", visits=9)}
+    store.put(keys.job_key(D), row)
     assert line(store, int(late_s * 1000)) == [B, C, A, D, B]
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,9 +10,9 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.core import placement
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys, placement
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
 from tests.test_actors import World
@@ -28,11 +28,11 @@
     """vm-1 is large and full of tasks of a job of the least priority."""
     world = World(store, SETTINGS.replace("cpus_max = 20.0", "cpus_max = 100.0"))
     monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
-    store.put(t.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
-    store.put(t.group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
+    store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
+    store.put(keys.group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
     world.heartbeat(large(1, 0))
     world.heartbeat(large(2, 3))
-    store.put(t.team_key("red"), {"c0.1": [100.0, 0.0]})
+    store.put(keys.team_key("red"), {"c0.1": [100.0, 0.0]})
     store.job(spec(FILL, visits=32, cores=1.0, memoryGb=0.1, urgency="best_effort"))
     world.round(ClaimRequest(task_counts={FILL: 32}))
     starts = world.heartbeat(large(3, 3)).commands
@@ -97,7 +97,7 @@
     tick(world, 0.1)
     assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_preemption.reservations
     if cancelled:
-        world.store.job(spec(SOLVE, **GANG), t.CANCELLED)
+        world.store.job(spec(SOLVE, **GANG), JobState.CANCELLED)
     tick(world, 0.1)
     assert bool(world.machines.gang_preemption.reservations) != cancelled
     # The tasks do not stop, and no others may.
@@ -131,7 +131,7 @@
 
 def test_at_its_limit_through_its_own_work_a_team_has_tasks_of_it_stopped(world: World) -> None:
     """The gang has room on an empty machine and none in the limit: nothing was stopped for it."""
-    world.store.put(t.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
+    world.store.put(keys.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
     world.machines.quota.available = lambda team, use: (50.0, 0.0)  # type: ignore[method-assign]
@@ -140,7 +140,7 @@
     assert tick(world, 2.5) == 12
     assert world.machines.gang_preemption.reservations.keys() == {"vm-2"}
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
-    world.store.put(t.team_key("red"), {"c0.1": [50.0, 0.0]})
+    world.store.put(keys.team_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
     # Small tasks of the team do not take what was freed, not even one by one.
     world.machines._place_unplaced()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,8 +12,7 @@
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.cloud import CloudClient
-from sloeswitch.core import placement
-from sloeswitch.core import tables as t
+from sloeswitch.core import keys, placement
 from sloeswitch.core.claim_planner import ClaimPlanner, PlanLimits
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http import Reply
@@ -68,7 +67,7 @@
 def test_a_look_for_claims_is_bounded_and_gives_no_allowance_back(fleet: FleetWorld) -> None:
     """Four thousand machines with room, and five hundred jobs that want it."""
     fleet.store_all()
-    fleet.store.put(t.team_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
+    fleet.store.put(keys.team_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
     for number in range(500):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=100, cores=1.0))
     fleet.tick()
@@ -142,7 +141,7 @@
     monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
     renting = Autoscaler(fleet.settings, fleet.client, cloud, fleet.replica, fleet.leadership, fleet.clock)
     renting.types = {"small": MACHINE_TYPE}
-    fleet.store.put(t.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=1000, cores=1.0))
     until = fleet.clock.time + 200 / paced.rate
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from sloeswitch.core import job_queue, quota, scaling, taskset
-from sloeswitch.core import tables as t
+from sloeswitch.core import job_queue, keys, quota, scaling, taskset
+from sloeswitch.core.records import JobState, Progress
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
 
@@ -28,20 +28,20 @@
 def test_an_older_change_is_ignored(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, done=0b11)
-    store.tables.apply(t.progress_key(JOB), t.Progress(0b1).stored(), 1)
+    store.tables.apply(keys.progress_key(JOB), Progress(0b1).stored(), 1)
     assert store.tables.jobs[JOB].progress.done == 0b11
 
 
 def test_a_final_state_never_goes_back(store: Store) -> None:
     store.job(spec())
-    store.put(t.job_key(JOB), {"s": t.DONE, "n": 4})
+    store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
     store.job(spec())  # an overlapping read brings what was before
-    assert store.tables.finished_jobs[JOB][:2] == (t.DONE, 4)
+    assert store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 4)
     assert JOB not in store.tables.jobs
 
 
 def test_malformed_stored_value_does_not_stop_the_rest(store: Store) -> None:
-    store.put(t.job_key(JOB), {"s": t.LIVE, "n": 4, "t": 0, "spec": {"id": 7}})
+    store.put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 4, "t": 0, "spec": {"id": 7}})
     store.job(spec("wk-000002"))
     assert list(store.tables.jobs) == ["wk-000002"]
 
@@ -97,7 +97,7 @@
         return [job.spec.id for job in job_queue.queue_order(store.tables, parse(SETTINGS), 1000)]
 
     assert line() == ["wk-000001", "wk-000004", "wk-000002", "wk-000003"]
-    store.put(t.job_key("wk-000001"), {"s": t.DONE, "n": 4})
+    store.put(keys.job_key("wk-000001"), {"s": JobState.DONE, "n": 4})
     assert line() == ["wk-000004", "wk-000002", "wk-000003"]
 
 
@@ -172,7 +172,7 @@
     """Failure found on the bench: a team stood still after all controllers had crashed."""
 
     red = parse(SETTINGS).teams["red"]
-    store.put(t.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
+    store.put(keys.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
     store.member("c0", 3, settled=1)
     assert store.tables.unallocated_quota(red)[0] == 0.0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,10 +14,10 @@
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.machines import Machines
-from sloeswitch.core import tables as t
-from sloeswitch.core import taskset
+from sloeswitch.core import keys, taskset
+from sloeswitch.core.records import JobState, MemberRow, Progress
 from sloeswitch.settings import SettingsError, parse
-from sloeswitch.state import StateClient
+from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.test_actors import World, machine_up
 from tests.test_pipelines import ask, submit
@@ -118,16 +118,16 @@
     tables = store.tables
     job = tables.jobs["wk-000001"]
     assert (job.status, job.submitted_ms, job.ready_ms, job.spec.tasks, job.spec.prerequisites) == (
-        t.LIVE,
+        JobState.LIVE,
         1000,
         1000,
         4,
         (),
     )
-    assert job.progress == t.Progress(0b11, {"c1.5": 0b100}, "a", 3) and job.is_runnable
-    assert tables.jobs["wk-000002"].is_cancelled and tables.finished_jobs["wk-000003"][:3] == (t.DONE, 7, 0)
+    assert job.progress == Progress(0b11, {"c1.5": 0b100}, "a", 3) and job.is_runnable
+    assert tables.jobs["wk-000002"].is_cancelled and tables.finished_jobs["wk-000003"][:3] == (JobState.DONE, 7, 0)
     assert tables.machines["vm-1"].key == "s1/g/c1.5.1" and not tables.machines["vm-2"].spot
-    assert tables.members["c1"] == t.MemberRow(5, 3, 2) and tables.coordinator == ("c1", 5)
+    assert tables.members["c1"] == MemberRow(5, 3, 2) and tables.coordinator == ("c1", 5)
     assert tables.quota_allocations["red"] == {"c1.5": (8.0, 0.0)} and not tables.layout_complete
 
 
@@ -156,15 +156,15 @@
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.CANCELLED
     assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.CANCELLED
     read = [Production().read(key, value) for key, value in written.items()]
-    assert ("j", "wk-000002", t.CANCELLED) in [row[:3] for row in read if row]
-    assert ("j", "wk-000003", t.CANCELLED, 4) in read
+    assert ("j", "wk-000002", JobState.CANCELLED) in [row[:3] for row in read if row]
+    assert ("j", "wk-000003", JobState.CANCELLED, 4) in read
     progress = store.tables.jobs[JOB].progress
     assert ("r", JOB, progress.done, progress.claims, None, 0) in read
     assert {vm for row in read if row and row[0] == "g" for vm in row[2]} == store.tables.machines.keys()
     world.tell_jobs(TaskUpdates(done={JOB: taskset.full(400)}))
     world.clock.time += 1.0
     world.round()
-    assert Production().read(t.job_key(JOB), written[t.job_key(JOB)]) == ("j", JOB, t.DONE, 400)
+    assert Production().read(keys.job_key(JOB), written[keys.job_key(JOB)]) == ("j", JOB, JobState.DONE, 400)
 
 
 def heartbeat_and_register(world: World, count: int) -> None:
@@ -204,15 +204,15 @@
 def test_the_mark_waits_for_a_controller_that_is_down_and_for_one_that_comes_back_old(store: Store) -> None:
     world = World(store)  # c0, and a sibling c1 that is down
     assert not mark(world) and store.tables.layout_members == ("c0",)
-    store.put(t.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
+    store.put(keys.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
     assert not mark(world)
     # Its turn comes; its former run's row is still there when it is first seen.
-    store.put(t.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": False})
+    store.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": False})
     assert not mark(world)
     store.member("c1", 6)
     assert mark(world)
     # No later restart takes it back.
-    store.put(t.member_key("c1"), None)
+    store.put(keys.member_key("c1"), None)
     store.member("c0", 9)
     assert store.tables.layout_complete
 
@@ -264,9 +264,9 @@
     # The largest array of the sites, half done in any order and claimed by three.
     done = sum(1 << index for index in range(600) if shuffle.random() < 0.5)
     masks = [sum(1 << index for index in range(600) if not done >> index & 1 and index % 3 == n) for n in range(3)]
-    progress = t.Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
+    progress = Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
     assert len(wire.encode(progress.stored())) > 2048 > len(wire.encode(progress.stored(dense=True)))
-    assert t.Progress.from_stored(progress.stored(dense=True)) == progress
+    assert Progress.from_stored(progress.stored(dense=True)) == progress
     assert taskset.pack_dense(taskset.full(100_000)) == [0, 100_000]
 
 
@@ -323,7 +323,7 @@
 
 def test_a_group_of_production_too_large_by_now_is_parted_when_it_changes_and_loses_no_machine(store: Store) -> None:
     world = World(store, NARROW)
-    store.put(t.group_key("c1.5.1"), large_group(240))
+    store.put(keys.group_key("c1.5.1"), large_group(240))
     everything = set(store.tables.machines)
     unregister(world, "vm-000007")
     # While an old controller is about, machines stay where they are: it would take them for deleted.
@@ -337,7 +337,7 @@
         outcome = apply(*transaction)
         # Whoever reads all again, by key, finds every machine.
         again = Store()
-        for key, value in sorted({t.group_key("c1.5.1"): large_group(240), **written}.items()):
+        for key, value in sorted({keys.group_key("c1.5.1"): large_group(240), **written}.items()):
             again.put(key, value)
         missing.extend(everything - {"vm-000007"} - again.tables.machines.keys())
         return outcome
@@ -370,11 +370,11 @@
     for order in (("a.1", "b.1"), ("b.1", "a.1")):
         store = Store()
         for group in order:
-            store.put(t.group_key(group), {"m": row})
-        assert store.tables.machines["vm-1"].key == t.group_key("b.1")
-        store.put(t.group_key("a.1"), None)
+            store.put(keys.group_key(group), {"m": row})
+        assert store.tables.machines["vm-1"].key == keys.group_key("b.1")
+        store.put(keys.group_key("a.1"), None)
         assert "vm-1" in store.tables.machines
-        store.put(t.group_key("b.1"), None)
+        store.put(keys.group_key("b.1"), None)
         assert "vm-1" in store.tables.deleted_machines
 
 
@@ -426,7 +426,7 @@
 
 
 def t_urgency() -> Any:
-    from sloeswitch.state import RequestPriority
+    from sloeswitch.rate_budget import RequestPriority
 
     return RequestPriority.LEASE
 
