--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -12,18 +12,15 @@
 import msgspec
 
 from sloeswitch import wire
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.machines import InstancesDeleted, Machines
-from sloeswitch.actors.membership import Leadership
-from sloeswitch.clock import Clock
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import keys
 from sloeswitch.core import scaling as plan
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.core.tables import Tables
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("fleet")
 
@@ -43,23 +40,15 @@
 
 
 class Autoscaler:
-    def __init__(
-        self,
-        settings: Settings,
-        client: StateClient,
-        cloud: CloudClient,
-        replica: Replica,
-        leadership: Leadership,
-        clock: Clock,
-    ) -> None:
-        self.settings = settings
-        self.client = client
+    def __init__(self, context: ControllerContext, cloud: CloudClient) -> None:
+        self.settings = context.settings
+        self.client = context.client
         self.cloud = cloud
-        self.replica = replica
-        self.tables: Tables = replica.tables
-        self.leadership = leadership
-        self.clock = clock
-        self.now = clock.now
+        self.replica = context.replica
+        self.tables: Tables = context.replica.tables
+        self.leadership = context.leadership
+        self.clock = context.clock
+        self.now = context.clock.now
         self.machines: Machines | None = None
         self.types: dict[str, wire.MachineType] = {}
         self.pending_instances: dict[str, PendingInstance] = {}
--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from sloeswitch.actors.commands import CommandSender, InspectionReply
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -15,7 +15,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core.machine_registry import Machine, MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Client, NoAnswerError
--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys
 from sloeswitch.core.records import FeatureStatus
 from sloeswitch.rate_budget import RequestPriority
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.core import placement, preemption, quota
 from sloeswitch.core.health import Health
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -17,17 +17,15 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import Actor, ActorRequest
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
-from sloeswitch.clock import Clock
 from sloeswitch.core import keys, quota, taskset
 from sloeswitch.core.records import Job, JobState, Progress
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links, split_spec
 from sloeswitch.core.tables import Tables
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica, StaleReplicaError
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("jobs")
 
@@ -85,22 +83,15 @@
 class Jobs(Actor):
     name = "jobs"
 
-    def __init__(
-        self,
-        settings: Settings,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        clock: Clock,
-    ) -> None:
-        super().__init__(settings.fd_limit)
-        self.settings = settings
-        self.client = client
-        self.replica = replica
-        self.tables: Tables = replica.tables
-        self.leadership = leadership
-        self.clock = clock
-        self.now = clock.now
+    def __init__(self, context: ControllerContext) -> None:
+        super().__init__(context.settings.fd_limit)
+        self.settings = context.settings
+        self.client = context.client
+        self.replica = context.replica
+        self.tables: Tables = context.replica.tables
+        self.leadership = context.leadership
+        self.clock = context.clock
+        self.now = context.clock.now
         self.uncommitted: dict[str, UncommittedUpdates] = {}
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
@@ -108,9 +99,9 @@
         self.batch_s = 0.3
         # Others wait longer: until they are stored the worker reports them again to whoever asks. What is
         # lost with a machine in that time is done once more, which costs less than the writes.
-        self.lazy_s = settings.lease_s
+        self.lazy_s = context.settings.lease_s
         # Values of a round beyond this size may leave no place for another one in a transaction.
-        self.most_bytes = max(0, int(0.8 * wire.MAX_BODY) - settings.value_bytes)
+        self.most_bytes = max(0, int(0.8 * wire.MAX_BODY) - context.settings.value_bytes)
         self.tries = 0
         self.adoptions_made = 0
         # When parts of a spec without a job were first seen.
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -19,12 +19,12 @@
 from sloeswitch.actors.base import Actor, ActorRequest, InboxFullError
 from sloeswitch.actors.cancellation_watch import CancellationWatch
 from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.gang_preemption import GangPreemption
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates, add_tasks
-from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
+from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
-from sloeswitch.clock import Clock
 from sloeswitch.core import job_queue, placement, preemption, quota, taskset
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
@@ -34,9 +34,6 @@
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Answer, refuse
-from sloeswitch.replica import Replica
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient
 
 log = logging.getLogger("machines")
 
@@ -82,33 +79,24 @@
 class Machines(Actor):
     name = "machines"
 
-    def __init__(
-        self,
-        settings: Settings,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        jobs: Jobs,
-        membership: Membership,
-        clock: Clock,
-    ) -> None:
-        super().__init__(settings.fd_limit)
-        self.settings = settings
-        self.client = client
-        self.replica = replica
-        self.tables: Tables = replica.tables
-        self.leadership = leadership
+    def __init__(self, context: ControllerContext, jobs: Jobs, membership: Membership) -> None:
+        super().__init__(context.settings.fd_limit)
+        self.settings = context.settings
+        self.client = context.client
+        self.replica = context.replica
+        self.tables: Tables = context.replica.tables
+        self.leadership = context.leadership
         self.jobs = jobs
         self.membership = membership
-        self.clock = clock
-        self.now = clock.now
+        self.clock = context.clock
+        self.now = context.clock.now
         self.group: TaskGroup | None = None
         self.autoscaler: InstanceTerminator | None = None
         # Where admission is on: what marks deferred jobs, and what is told of the room that is left over.
         self.admission: JobAdmission | None = None
         self.on_remaining_capacities: Callable[[list[placement.FreeCapacity], float], None] | None = None
         self.registry = MachineRegistry()
-        self.health = Health(settings.report_s, 20 * settings.lease_s)
+        self.health = Health(context.settings.report_s, 20 * context.settings.lease_s)
         self.incarnation = 0
         self.followed_view = 0
         self.attempts_started = 0
@@ -116,7 +104,7 @@
         self.unknown_types: set[str] = set()
         self.malformed_reporters: set[str] = set()
         self.commands = CommandSender(
-            settings, leadership, self.registry, self.tables, self._spawn, self.tell, clock.now
+            context.settings, context.leadership, self.registry, self.tables, self._spawn, self.tell, context.clock.now
         )
         self.unplaced_since: dict[str, float] = {}
         # When the jobs in the line were first seen there.
@@ -138,20 +126,30 @@
         # Whether a task of a job that was cancelled some time ago may still be anywhere.
         self.cancellation_overdue = False
         self.cancellations = CancellationWatch(
-            settings, self.tables, leadership, self.registry, self.commands, self._scale_in_urgently
+            context.settings, self.tables, context.leadership, self.registry, self.commands, self._scale_in_urgently
         )
         self.ticked_at = float("-inf")
         # Since when reports have been answered without a break: who is silent longer than that may be well.
         self.answering_since = float("-inf")
         self.summary_at = 0.0
-        self.pace_s = max(settings.report_s / 10, settings.lease_s / 60)
-        self.registration = Registration(settings, client, replica, leadership, self.pace_s, self._wake)
-        self.quota = QuotaLedger(settings, client, self.tables, leadership, self.registry)
+        self.pace_s = max(context.settings.report_s / 10, context.settings.lease_s / 60)
+        self.registration = Registration(
+            context.settings, context.client, context.replica, context.leadership, self.pace_s, self._wake
+        )
+        self.quota = QuotaLedger(context.settings, context.client, self.tables, context.leadership, self.registry)
         self.gang_preemption = GangPreemption(
-            settings, self.tables, leadership, self.registry, self.health, self.quota, self, self.kill, self.pace_s
+            context.settings,
+            self.tables,
+            context.leadership,
+            self.registry,
+            self.health,
+            self.quota,
+            self,
+            self.kill,
+            self.pace_s,
         )
         # Work is claimed about this long before it can start.
-        self.ahead_s = 0.2 * settings.lease_s
+        self.ahead_s = 0.2 * context.settings.lease_s
 
     # -- messages
 
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys, quota
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota_allocation import QuotaAllocation
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
 from typing import Any
 
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys
 from sloeswitch.core.machine_registry import Machine
 from sloeswitch.core.row_codec import split_machine_groups
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
@@ -23,18 +23,6 @@
 VALUES_SHARE = 0.8
 
 
-@dataclass
-class Transaction:
-    """Changes of groups that are to be stored together."""
-
-    conditions: dict[str, int] = field(default_factory=dict)
-    writes: dict[str, Any] = field(default_factory=dict)
-    drops: list[str] = field(default_factory=list)
-
-    def __len__(self) -> int:
-        return len(self.writes) + len(self.drops)
-
-
 class Registration:
     """Stores new machines and takes deleted ones out, many at a time: the state service takes few changes."""
 
@@ -110,7 +98,7 @@
             transaction = self._removals()
             if transaction:
                 await self.client.compare_and_swap(
-                    transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
+                    transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.PROGRESS
                 )
                 self.replica.request_read()
 
@@ -141,7 +129,7 @@
                 found.writes[key] = {"m": groups[0]}
                 found.writes.update((self._new_group(key), {"m": group}) for group in groups[1:])
             else:
-                found.drops.append(key)
+                found.deletes.append(key)
         return found
 
     def _without_leaving(self, key: str) -> list[dict[str, list[Any]]]:
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -7,14 +7,12 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machines import HeartbeatRequest, Machines
-from sloeswitch.actors.membership import Leadership
 from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.http import Answer, Request, refuse
-from sloeswitch.replica import Replica, StaleReplicaError
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient
+from sloeswitch.replica import StaleReplicaError
 
 log = logging.getLogger("users")
 
@@ -24,20 +22,12 @@
 
 
 class Users:
-    def __init__(
-        self,
-        settings: Settings,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        jobs: Jobs,
-        machines: Machines,
-    ) -> None:
-        self.settings = settings
-        self.client = client
-        self.replica = replica
-        self.tables = replica.tables
-        self.leadership = leadership
+    def __init__(self, context: ControllerContext, jobs: Jobs, machines: Machines) -> None:
+        self.settings = context.settings
+        self.client = context.client
+        self.replica = context.replica
+        self.tables = context.replica.tables
+        self.leadership = context.leadership
         self.jobs = jobs
         self.machines = machines
         # Users wait 2 s for a poll and 5 s for the rest (protocol); a refusal must come well before.
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -9,7 +9,7 @@
 import anyio
 
 from sloeswitch.actors.feature_rollout import FeatureRollout
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.epoch import chosen_changes, next_rows
 from sloeswitch.admission.frames import IdleCapacityLink
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -16,7 +16,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.feature_rollout import FeatureRollout
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells import handoff as rules
 from sloeswitch.cells.frames import MOST_SPEC_BYTES, CellAnswer, CellRequest, Offer
 from sloeswitch.cells.handoff import OriginRow, Placement, Result
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -9,7 +9,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.jobs import Jobs
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells.delegation import Delegation, DelegationState, TargetDecision, TargetRecord, decide
 from sloeswitch.cells.frames import CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -10,9 +10,11 @@
 from anyio.abc import SocketListener, TaskGroup
 
 from sloeswitch.actors.autoscaler import Autoscaler
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import Jobs
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import Machines
-from sloeswitch.actors.membership import Leadership, Membership
+from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.clock import SystemClock
 from sloeswitch.cloud import CloudClient
@@ -46,19 +48,13 @@
         cancellations,
         leadership.apply_peer_cancellations,
     )
-    membership = Membership(settings, client, replica, leadership)
-    jobs = Jobs(settings, client, replica, leadership, CLOCK)
-    machines = Machines(settings, client, replica, leadership, jobs, membership, CLOCK)
-    fleet = Autoscaler(
-        settings,
-        client,
-        CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now),
-        replica,
-        leadership,
-        CLOCK,
-    )
-    machines.autoscaler, fleet.machines = fleet, machines
-    users = Users(settings, client, replica, leadership, jobs, machines)
+    context = ControllerContext(settings, client, replica, leadership, CLOCK)
+    membership = Membership(context)
+    jobs = Jobs(context)
+    machines = Machines(context, jobs, membership)
+    autoscaler = Autoscaler(context, CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now))
+    machines.autoscaler, autoscaler.machines = autoscaler, machines
+    users = Users(context, jobs, machines)
     # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
     server = Server(
         users.handle,
@@ -85,9 +81,9 @@
             machines.run,
             machines.tick_forever,
             machines.registration.unregister_forever,
-            fleet.terminate_forever,
-            fleet.scale_out_forever,
-            fleet.scale_in_idle_forever,
+            autoscaler.terminate_forever,
+            autoscaler.scale_out_forever,
+            autoscaler.scale_in_idle_forever,
             server.sweep_forever,
         ):
             group.start_soon(loop)
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType
@@ -18,6 +19,13 @@
 SLACK = 1e-6
 
 
+class ResourceAmount(NamedTuple):
+    """An amount of what quotas bound."""
+
+    cores: float = 0.0
+    gpus: float = 0.0
+
+
 def fits_type(spec: JobSpec, kind: MachineType) -> bool:
     return (
         (spec.types is None or kind.name in spec.types)
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -5,7 +5,7 @@
 import enum
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 
@@ -25,6 +25,13 @@
     UNKNOWN = "unknown"  # may have been, or may yet be
 
 
+class TransactionResult(NamedTuple):
+    """How a transaction ended, and the revision of the store at that; 0 where the answer tells none."""
+
+    outcome: TransactionOutcome
+    revision: int = 0
+
+
 class StateClient:
     """Requests to the state service within this controller's part of the rates."""
 
@@ -107,7 +114,7 @@
         urgency: RequestPriority,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[TransactionOutcome, int]:
+    ) -> TransactionResult:
         """One transaction, and the epoch it was answered at. `paid`: see pay()."""
         body = wire.commit_body(conditions, writes, drops, lease or {})
         if paid:
@@ -118,25 +125,29 @@
             reply = await self.call("POST", "/multi", body, urgency)
         except NoAnswerError as error:
             log.debug("transaction without answer: %s", error)
-            return TransactionOutcome.UNKNOWN, 0
+            return TransactionResult(TransactionOutcome.UNKNOWN)
         try:
             if reply.status == 200:
-                return TransactionOutcome.COMMITTED, wire.decode(reply.body, wire.RevisionReply).revision
+                return TransactionResult(
+                    TransactionOutcome.COMMITTED, wire.decode(reply.body, wire.RevisionReply).revision
+                )
             if reply.status == 409:
-                return TransactionOutcome.CONFLICT, wire.decode(reply.body, wire.RevisionReply).revision
+                return TransactionResult(
+                    TransactionOutcome.CONFLICT, wire.decode(reply.body, wire.RevisionReply).revision
+                )
         except wire.MalformedError as error:
             log.error("transaction answered with %s", error)
-            return TransactionOutcome.UNKNOWN, 0
+            return TransactionResult(TransactionOutcome.UNKNOWN)
         if reply.status == 400:
             if b"no such lease" in reply.body:
-                return TransactionOutcome.NO_LEASE, 0
+                return TransactionResult(TransactionOutcome.NO_LEASE)
             log.error("transaction refused: %s", reply.body[:200])
             self._lower_limits(writes, len(writes) + len(drops))
         elif reply.status == 429:
             # A rate that fell, or another controller's burst: wait for what this one took to come back.
             log.info("transaction of %d changes is over the rate", len(writes) + len(drops))
             self.write_tokens.tokens = min(self.write_tokens.tokens, 0.0)
-        return TransactionOutcome.REJECTED, 0
+        return TransactionResult(TransactionOutcome.REJECTED)
 
     def _lower_limits(self, writes: dict[str, Any], changes: int) -> None:
         """Guards against limits that fell further than announced: the same would be refused for ever."""
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -79,7 +79,7 @@
         super().__init__(world, name)
         cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock.now)
         cloud.node = self
-        self.fleet = Autoscaler(self.settings, self.client, cloud, self.replica, self.leadership, world.clock)
+        self.fleet = Autoscaler(self.context, cloud)
         self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
 
     def scale(self) -> None:
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -18,8 +18,9 @@
 import anyio
 
 from sloeswitch import wire
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells.frames import CellAnswer, CellRequest, pack_summary
 from sloeswitch.cells.messages import AnswerMessage
 from sloeswitch.cells.origin import CellOrigin
@@ -32,7 +33,7 @@
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.settings import Settings, parse
-from sloeswitch.state_client import TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome, TransactionResult
 from tests.conftest import Store, spec
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState, settings_text
 from tests.support.recorder import TraceRecorder
@@ -71,17 +72,17 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[TransactionOutcome, int]:
+    ) -> TransactionResult:
         world, cell = self.cell.world, self.cell
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
         if cell.outage:
-            return TransactionOutcome.REJECTED, 0
+            return TransactionResult(TransactionOutcome.REJECTED, 0)
         luck = world.rng.random() if world.troubled else 1.0
         if luck < 0.03:
             world.late.append((world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops)))
-            return TransactionOutcome.UNKNOWN, 0
+            return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         outcome = self.apply(conditions, writes, drops)
-        return (TransactionOutcome.UNKNOWN, 0) if luck < 0.06 else outcome
+        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.06 else outcome
 
 
 class CellReplica(ScriptedReplica):
@@ -146,7 +147,8 @@
         self.replica.loaded = self.replica.fully_read = True
         self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock.now)
         self.leadership.incarnation = boot
-        self.jobs = Jobs(settings, client, self.replica, self.leadership, world.clock)
+        self.context = ControllerContext(settings, client, self.replica, self.leadership, world.clock)
+        self.jobs = Jobs(self.context)
         self.jobs.batch_s = 0.0
         peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -16,9 +16,11 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.commands import CommandReply, InspectionReply
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
-from sloeswitch.actors.membership import Leadership, Membership, ShardRecovered
+from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine_registry import Machine
@@ -26,7 +28,7 @@
 from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.recorder import TraceRecorder
 
@@ -80,22 +82,20 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[TransactionOutcome, int]:
+    ) -> TransactionResult:
         if self.lose_answers:
             self.lose_answers -= 1
             self.late.append((conditions, writes, drops))
-            return TransactionOutcome.UNKNOWN, 0
+            return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         sizes = [len(wire.encode(value)) for value in writes.values()]
         if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
             self._lower_limits(writes, len(writes) + len(drops))
-            return TransactionOutcome.REJECTED, 0
+            return TransactionResult(TransactionOutcome.REJECTED, 0)
         return self.apply(conditions, writes, drops)
 
-    def apply(
-        self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]
-    ) -> tuple[TransactionOutcome, int]:
+    def apply(self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
         tables = self.store.tables
         # What the state service would refuse (protocol).
         assert len(writes) + len(drops) <= self.settings.txn_ops
@@ -103,12 +103,12 @@
         assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
         if any(tables.mod_revision(key) != stamp for key, stamp in conditions.items()):
-            return TransactionOutcome.CONFLICT, self.store.epoch
+            return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
         for key, value in writes.items():
             self.store.put(key, value)
         for key in drops:
             self.store.put(key, None)
-        return TransactionOutcome.COMMITTED, self.store.epoch
+        return TransactionResult(TransactionOutcome.COMMITTED, self.store.epoch)
 
 
 class ScriptedReplica(Replica):
@@ -367,29 +367,29 @@
         urgency: Any,
         lease: dict[str, int] | None = None,
         paid: int = 0,
-    ) -> tuple[TransactionOutcome, int]:
+    ) -> TransactionResult:
         world = self.node.world
         world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
         if not self.node.reaches:
-            return TransactionOutcome.REJECTED, 0
+            return TransactionResult(TransactionOutcome.REJECTED, 0)
 
-        def carry_out() -> tuple[TransactionOutcome, int]:
+        def carry_out() -> TransactionResult:
             stored = world.store.tables
             if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
-                return TransactionOutcome.CONFLICT, world.store.epoch
+                return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
             # One transaction, one revision.
             world.store.epoch += 1
             for key, value in [*writes.items(), *((key, None) for key in drops)]:
                 world.store.epoch -= 1
                 world.store.put(key, value)
-            return TransactionOutcome.COMMITTED, world.store.epoch
+            return TransactionResult(TransactionOutcome.COMMITTED, world.store.epoch)
 
         luck = world.rng.random()
         if luck < 0.04:
             world.late.append((world.clock.time + 10 * world.rng.random(), carry_out))
-            return TransactionOutcome.UNKNOWN, 0
+            return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         outcome = carry_out()
-        return (TransactionOutcome.UNKNOWN, 0) if luck < 0.08 else outcome
+        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.08 else outcome
 
 
 class Reading(Replica):
@@ -501,11 +501,10 @@
             self.leadership.apply_peer_cancellations,
         )
         self.leadership.mesh = self.mesh
-        self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
-        self.jobs = Jobs(self.settings, self.client, self.replica, self.leadership, clock)
-        self.machines = Machines(
-            self.settings, self.client, self.replica, self.leadership, self.jobs, self.membership, clock
-        )
+        self.context = ControllerContext(self.settings, self.client, self.replica, self.leadership, clock)
+        self.membership = Membership(self.context)
+        self.jobs = Jobs(self.context)
+        self.machines = Machines(self.context, self.jobs, self.membership)
         # Pauses would be real ones.
         self.machines.pace_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -145,7 +145,7 @@
         async def unregister() -> None:
             while transaction := registration._removals():
                 await self.client.compare_and_swap(
-                    transaction.conditions, transaction.writes, transaction.drops, RequestPriority.PROGRESS
+                    transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.PROGRESS
                 )
 
         anyio.run(unregister)
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -9,9 +9,11 @@
 
 from sloeswitch import mesh, wire
 from sloeswitch.actors.autoscaler import Autoscaler
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import HeartbeatRequest, Machines
-from sloeswitch.actors.membership import Leadership, Membership
+from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -41,11 +43,10 @@
         self.leadership = Leadership(self.settings, store.tables, self.replica, self.clock.now)
         self.leadership.incarnation = 1
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
-        self.membership = Membership(self.settings, self.client, self.replica, self.leadership)
-        self.jobs = Jobs(self.settings, self.client, self.replica, self.leadership, self.clock)
-        self.machines = Machines(
-            self.settings, self.client, self.replica, self.leadership, self.jobs, self.membership, self.clock
-        )
+        self.context = ControllerContext(self.settings, self.client, self.replica, self.leadership, self.clock)
+        self.membership = Membership(self.context)
+        self.jobs = Jobs(self.context)
+        self.machines = Machines(self.context, self.jobs, self.membership)
         store.view(3, ("c0", 1))
         store.member("c0", 1, settled=3)
 
@@ -187,7 +188,7 @@
 
 
 def ask(world: World, method: str, path: str, body: Any = None) -> Answer:
-    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
+    users = Users(world.context, world.jobs, world.machines)
     world.client.last_ok = world.clock.time
 
     async def handle() -> Answer:
--- a/tests/support/trace.py
+++ b/tests/support/trace.py
@@ -33,7 +33,7 @@
 def ask_as_user(world: cluster.World, step: int) -> None:
     """Users poll, repeat, and make mistakes at one controller; all answers are recorded."""
     node = world.nodes[world.members[step % len(world.members)]]
-    users = Users(node.settings, node.client, node.replica, node.leadership, node.jobs, node.machines)
+    users = Users(node.context, node.jobs, node.machines)
     for request in user_requests(world, step):
         answer = anyio.run(users.handle, request)
         world.recorder.record(
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -165,7 +165,7 @@
     outage = Outage(store, monkeypatch)
     cloud: Any = Cloud()
     world = outage.world
-    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
+    fleet = Autoscaler(world.context, cloud)
     fleet.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
     fleet.scale_in(pressing, pressing=True)
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -13,7 +13,7 @@
 
 from sloeswitch import mesh, wire
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.membership import Leadership
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
@@ -37,7 +37,7 @@
 
 
 def poll(world: World, name: str = JOB) -> Any:
-    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
+    users = Users(world.context, world.jobs, world.machines)
     answer = anyio.run(users.handle, Request("GET", f"/submissions/{name}", b""))
     return wire.decode(answer.body, dict[str, Any]).get("status") if answer.status == 200 else answer.status
 
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -43,10 +43,7 @@
         controller = cell.controllers["c0"]
         nobody: Any = None
         users = Users(
-            settings_cache(),
-            controller.target.client,
-            controller.replica,
-            controller.leadership,
+            controller.context,
             controller.jobs,
             nobody,
         )
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -15,9 +15,11 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.commands import CommandSender
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
+from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import HeartbeatRequest
-from sloeswitch.actors.membership import Leadership, Membership
+from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -72,7 +74,7 @@
         self.world = World(store, SETTINGS)
         world = self.world
         world.machines.ask = self.ask  # type: ignore[method-assign, assignment]
-        users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
+        users = Users(world.context, world.jobs, world.machines)
         self.server = Server(users.handle, idle_s=60, request_s=60, most_connections=4, now=world.clock.now)
 
     async def ask(self, message: HeartbeatRequest) -> Any:
@@ -134,7 +136,7 @@
         self.replica = Replica(self.client, self.tables, self.now)
         self.replica.read_linearizable = self.fresh  # type: ignore[method-assign]
         self.leadership = Leadership(settings, self.tables, self.replica, self.now)
-        self.membership = Membership(settings, self.client, self.replica, self.leadership)
+        self.membership = Membership(ControllerContext(settings, self.client, self.replica, self.leadership, Clock()))
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -104,7 +104,7 @@
 
 def catalog(world: Recorder) -> None:
     cloud: Any = None
-    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
+    fleet = Autoscaler(world.context, cloud)
     other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
     world.run(fleet._store_catalog, [MACHINE_TYPE, other])
     world.given("layout mark, complete")
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -68,7 +68,7 @@
 
 
 def test_only_a_prompt_report_on_the_same_connection_shows_that_an_answer_came(world: World) -> None:
-    users = Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
+    users = Users(world.context, world.jobs, world.machines)
     seen: list[bool] = []
 
     async def ask(message: HeartbeatRequest) -> Answer:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -34,7 +34,7 @@
     mesh.peers["c1"].asked_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
-    return Users(world.settings, world.client, world.replica, world.leadership, world.jobs, world.machines)
+    return Users(world.context, world.jobs, world.machines)
 
 
 def test_a_cut_off_controller_sends_workers_and_users_elsewhere_at_once(world: World) -> None:
@@ -114,7 +114,7 @@
 
 def test_after_a_freeze_no_machine_is_deleted_on_what_was_known_before(world: World) -> None:
     cloud: Any = Cloud()
-    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
+    fleet = Autoscaler(world.context, cloud)
     fleet.machines = world.machines
     both = (("c0", 1), ("c1", 2))
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -139,7 +139,7 @@
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
     monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
-    renting = Autoscaler(fleet.settings, fleet.client, cloud, fleet.replica, fleet.leadership, fleet.clock)
+    renting = Autoscaler(fleet.context, cloud)
     renting.types = {"small": MACHINE_TYPE}
     fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -24,9 +24,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(
-        world.settings, world.client, cloud, world.replica, world.leadership, world.clock
-    )
+    world.machines.autoscaler = Autoscaler(world.context, cloud)
     world.machines.autoscaler.machines = world.machines
     yield world
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -104,7 +104,7 @@
 def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
     world = World(store, NARROW)
     cloud: Any = None
-    fleet = Autoscaler(world.settings, world.client, cloud, world.replica, world.leadership, world.clock)
+    fleet = Autoscaler(world.context, cloud)
     kinds = [
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
