--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -17,7 +17,7 @@
 from sloeswitch.cells.handoff import OriginRow
 from sloeswitch.core.records import FinishedJob, Job
 from sloeswitch.core.tables import Tables
-from sloeswitch.state_client import TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome, TransactionResult
 from tests.conftest import SETTINGS, Store
 from tests.support.single_controller import World
 
@@ -52,9 +52,7 @@
         self.lines: list[str] = []
         apply = self.client.apply
 
-        def record(
-            conditions: dict[str, int], writes: dict[str, Any], drops: list[str]
-        ) -> tuple[TransactionOutcome, int]:
+        def record(conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
             outcome = apply(conditions, writes, drops)
             assert outcome[0] is TransactionOutcome.COMMITTED, (outcome, conditions)
             self.lines += [line_of(key, value) for key, value in writes.items()]
