--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -16,7 +16,8 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.core.machine_registry import Machine, MachineRegistry
+from sloeswitch.core.machine import Machine
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Client, NoAnswerError
 from sloeswitch.settings import Address, Settings
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -10,7 +10,8 @@
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.core import placement, preemption, quota
 from sloeswitch.core.health import Health
-from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
+from sloeswitch.core.machine import Attempt, Machine
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -29,7 +29,8 @@
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.health import Health
-from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
+from sloeswitch.core.machine import FETCHING, RUNNING, Attempt, Machine
+from sloeswitch.core.machine_registry import MachineRegistry, ReconcileResult
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -10,7 +10,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 from sloeswitch.core.row_codec import split_machine_groups
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -8,7 +8,7 @@
 
 from sloeswitch.core import job_queue
 from sloeswitch.core.job_queue import PRIORITY_RANKS, effective_priority
-from sloeswitch.core.machine_registry import RUNNING, Attempt
+from sloeswitch.core.machine import RUNNING, Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.records import Job
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -23,7 +23,7 @@
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 from sloeswitch.core.tables import Tables
 from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
 from sloeswitch.replica import Replica
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -15,7 +15,7 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.core import machine_registry
+from sloeswitch.core import machine
 from sloeswitch.http import REASONS, refuse
 
 FROZEN: dict[str, dict[str, Any]] = json.loads((Path(__file__).parent / "frozen" / "wire.json").read_text())
@@ -92,8 +92,8 @@
     "urgencies": lambda: list(wire.PRIORITIES),
     "shapes": lambda: {"array": wire.ARRAY, "gang": wire.GANG},
     "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
-    "task states": lambda: sorted(machine_registry.TASK_STATES),
-    "task states acted on": lambda: [machine_registry.FETCHING, machine_registry.RUNNING, machine_registry.ENDED],
+    "task states": lambda: sorted(machine.TASK_STATES),
+    "task states acted on": lambda: [machine.FETCHING, machine.RUNNING, machine.ENDED],
     "job id": lambda: wire.ID_FORM.pattern,
     "task name": lambda: wire.task_name("wk-000412", 3),
     "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY],
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sloeswitch.core import preemption
-from sloeswitch.core.machine_registry import Attempt
+from sloeswitch.core.machine import Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
 from tests.conftest import Store, spec
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from sloeswitch.core.machine_registry import Machine, MachineRegistry
+from sloeswitch.core.machine import Machine
+from sloeswitch.core.machine_registry import MachineRegistry
 from tests.conftest import Store, report, spec
 
 JOB = "wk-000001"
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -11,7 +11,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.core import keys, placement
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -13,7 +13,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.cancellation_log import CancellationLog
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
 from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, running, told
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -10,7 +10,7 @@
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, placement
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 from tests.conftest import Store, spec
 from tests.support.single_controller import JOB, Cloud, World, later, machine_up
 
