--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -29,9 +29,10 @@
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.health import Health
-from sloeswitch.core.machine import FETCHING, RUNNING, Attempt, Machine
-from sloeswitch.core.machine_registry import MachineRegistry, ReconcileResult
+from sloeswitch.core.machine import Attempt, AttemptState, Machine
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota import fits_type
+from sloeswitch.core.reconciliation import ReceivedReport, ReconcileResult, is_outdated, reconcile
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Answer, refuse
@@ -217,7 +218,17 @@
                 self.registry.mark_unreconciled(machine, view.number, gone_at)
         for name, row in self.tables.machines.items():
             if leadership.owner_of(name) == me and name not in self.registry.machines:
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
+                self.registry.add_machine(
+                    Machine(
+                        name,
+                        row.address,
+                        row.type,
+                        row.zone,
+                        row.spot,
+                        owned_since_token=view.number,
+                        lease_expires_at=gone_at,
+                    )
+                )
         self.followed_view = view.number
         self.quota.update_handed_off_usage()
         self.task_updates.adopted = dict(self.registry.pending_adoptions())
@@ -247,13 +258,15 @@
         if machine is None:
             # Never registered, so that nobody can have started anything on it.
             machine = self.registry.add_machine(
-                report.machine,
-                report.address,
-                report.type,
-                report.zone,
-                report.spot,
-                leadership.view.number,
-                now + self.settings.worker_gone_s,
+                Machine(
+                    report.machine,
+                    report.address,
+                    report.type,
+                    report.zone,
+                    report.spot,
+                    owned_since_token=leadership.view.number,
+                    lease_expires_at=now + self.settings.worker_gone_s,
+                )
             )
             machine.accounted_for = True
             if (
@@ -263,13 +276,15 @@
             ):
                 self.unknown_types.add(report.type)
                 log.error("%s is of unknown type %s: machines of it get no work", report.machine, report.type)
-        elif self.registry.is_outdated(machine, report):
+        elif is_outdated(machine, report):
             # Neither a sign of life nor worth an answer that could renew the machine's lease: our own books
             # go by newer reports. Were it the machine's last word after all, its next one is newer.
             return refuse(1)
         was_heard = machine.reconciled
         try:
-            heard = self.registry.reconcile(machine, report, True, now, leadership.view.number, self.tables)
+            heard = reconcile(
+                self.registry, machine, ReceivedReport(report, True, now, leadership.view.number), self.tables
+            )
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return Answer(400)
@@ -300,7 +315,9 @@
         if machine is None or self.followed_view != self.leadership.view.number:
             return
         try:
-            heard = self.registry.reconcile(machine, report, False, self.now(), self.followed_view, self.tables)
+            heard = reconcile(
+                self.registry, machine, ReceivedReport(report, False, self.now(), self.followed_view), self.tables
+            )
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return
@@ -421,7 +438,17 @@
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
                 log.info("%s is in the tables and was not looked after", name)
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
+                self.registry.add_machine(
+                    Machine(
+                        name,
+                        row.address,
+                        row.type,
+                        row.zone,
+                        row.spot,
+                        owned_since_token=self.followed_view,
+                        lease_expires_at=gone_at,
+                    )
+                )
 
     def _has_begun(self, job: Job) -> bool:
         """Claimed by us and nowhere yet is not begun: it must not lose its place in the line for that. Nor is what only
@@ -446,7 +473,7 @@
             sum(m.usage.cores for m in machines),
             sum(self.tables.machine_types[m.type].cores for m in machines),
             sum(len(m.attempts) for m in machines),
-            sum(attempt.state == FETCHING for m in machines for attempt in m.attempts.values()),
+            sum(attempt.state == AttemptState.FETCHING for m in machines for attempt in m.attempts.values()),
             len(live),
             sum(not job.is_runnable for job in live),
             sum(
@@ -503,7 +530,7 @@
                 self.drain_and_scale_in(machine, "faulty")
         if machine.preemption_notice_s is not None:
             for attempt in list(machine.attempts.values()):
-                if attempt.spec.checkpoint_s > 0 and attempt.state == RUNNING:
+                if attempt.spec.checkpoint_s > 0 and attempt.state == AttemptState.RUNNING:
                     self.kill(machine, attempt, attempt.spec.save_s)
 
     def _may_hold_cancelled(self, machine: Machine, now: float, silent: bool) -> bool:
@@ -740,7 +767,9 @@
         self.unplaced_since[name] = now
         number = self._next_attempt_number()
         for index, room in placed:
-            self.registry.add_attempt(self.registry.machines[room.machine], name, index, number, job.spec, now)
+            self.registry.add_attempt(
+                self.registry.machines[room.machine], Attempt(name, index, number, job.spec, placed_at=now)
+            )
         if log.isEnabledFor(logging.DEBUG):
             log.debug("%s: %d tasks on %s", name, len(placed), {room.machine for _, room in placed})
             if job.spec.prerequisites and not job.progress.done:
--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -1,27 +1,90 @@
-"""One machine and the attempts on it, as its reports and this controller's decisions tell."""
+"""One machine and the attempts on it, as its reports and this controller's decisions tell.
+
+Plain records. `core.machine_registry` owns them and keeps their sums up; `core.reconciliation` brings them up to date
+with reports. Times named `_at`, `_since` are seconds of the controller's monotonic clock; amounts of memory are in GB.
+The words of states, causes and verbs are those of the worker protocol (PROTOCOL, "Workers").
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
 
 from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.wire import JobSpec, task_name
 
-PENDING, RUNNING, ENDED, FETCHING = "pending", "running", "ended", "fetching"
-TASK_STATES = {"fetching", "gathering", "running", "flushing", "ended"}
 
-Task = tuple[str, int]
+class AttemptState(StrEnum):
+    """The state of an attempt; all values but `PENDING` are words of reports."""
+
+    # Decided on by this controller, and in no report yet.
+    PENDING = "pending"
+    # Waits for its image.
+    FETCHING = "fetching"
+    # Of a gang: waits for the other tasks of its attempt.
+    GATHERING = "gathering"
+    RUNNING = "running"
+    # Was told to stop, and saves its progress.
+    FLUSHING = "flushing"
+    ENDED = "ended"
+
+
+REPORTED_STATES = frozenset(AttemptState) - {AttemptState.PENDING}
+
+
+class EndCause(StrEnum):
+    """Why an attempt ended, as reports say it; only the causes that a controller acts on.
+
+    After any other one (a command, a lost gang, a refused start) the task is simply startable again.
+    """
+
+    DONE = "done"
+    ERROR = "error"
+    # A refused start: the worker finds no such job or task.
+    NO_SUCH_TASK = "no_such"
+
+
+class CommandVerb(StrEnum):
+    """What a command asks of a worker; the values are the words of the protocol."""
+
+    START = "start"
+    KILL = "kill"
+    CLEAR = "clear"
+
+
+class TaskId(NamedTuple):
+    """A task: its job, and its index among the job's tasks."""
+
+    job: str
+    task_index: int
+
+
+class AttemptKey(NamedTuple):
+    """What reports and commands call an attempt: the task's name, and the number of the attempt."""
+
+    task: str
+    number: int
 
 
 @dataclass
 class Attempt:
-    """One attempt on one machine, from the decision to start it until it is gone."""
+    """One attempt on one machine, from the decision to start it until it is gone.
+
+    Attributes:
+        reported: Whether a report of the machine has listed it.
+        sent_sequence: The heartbeat whose answer carried the start; None while it is to be sent (again).
+        kill_grace_s: The time to save that goes with the command to stop it; None while it is to go on.
+        placed_at: When the start was decided on, or the attempt was adopted.
+        killed_at: When the stop was decided on.
+        running_at: When a report first showed it to run.
+    """
 
     job: str
     index: int
     number: int
     spec: JobSpec
-    state: str = PENDING
+    state: AttemptState = AttemptState.PENDING
     reported: bool = False
     sent_sequence: int | None = None
     kill_grace_s: float | None = None
@@ -33,28 +96,33 @@
         self.name = task_name(self.job, self.index)
 
     @property
-    def task(self) -> Task:
-        """The job, and the task's index in it."""
-        return self.job, self.index
+    def task(self) -> TaskId:
+        """The task that is attempted."""
+        return TaskId(self.job, self.index)
 
     @property
-    def key(self) -> tuple[str, int]:
+    def key(self) -> AttemptKey:
         """What reports call the attempt."""
-        return self.name, self.number
+        return AttemptKey(self.name, self.number)
 
 
 @dataclass
 class Machine:
-    """One machine, as its reports tell it."""
+    """One machine, as its reports tell it.
+
+    Written by `MachineRegistry`, by `reconcile` and by the machines actor; the autoscaler sets `surplus` only.
+    """
 
     name: str
     address: str
     type: str
     zone: str
     spot: bool
+    # The newest report that was applied: the worker's epoch, which grows each time its lease expires, and the
+    # sequence of its messages.
     agent_epoch: int = 0
     report_sequence: int = 0
-    # The last session whose lease is surely over: nothing that it reported can be true any more.
+    # The last epoch whose lease is surely over: nothing that it reported can be true any more.
     expired_agent_epoch: int = 0
     # Reports under tokens from here on are ours: we have owned the machine since that view.
     owned_since_token: int = 0
@@ -66,28 +134,32 @@
     reachable_at: float = float("-inf")
     answered_at: float = float("-inf")
     last_heard_at: float = float("-inf")
-    # The last report of its own accord; the first word of any kind under this ownership counts as one.
+    # The last report of its own accord; the first message of any kind under this ownership counts as one.
     reported_at: float | None = None
+    # When its lease is surely over, so that its tasks are gone.
     lease_expires_at: float = float("inf")
+    # Seconds until the cloud takes the machine away; None while it does not.
     preemption_notice_s: float | None = None
     draining: bool = False
-    # Since when users have been told of a cancellation of which a task may be on it. It outlasts our books'
-    # word that the lease is over: a machine that hangs gives its tasks up only when it goes on.
+    # Since when users have been told of a cancellation of which a task may be on it. It outlasts the end of the lease
+    # in our state: a machine that hangs gives its tasks up only when it goes on.
     cancelled_since: float | None = None
+    # Not needed: to be emptied and deleted.
     surplus: bool = False
-    attempts: dict[Task, Attempt] = field(default_factory=dict)
-    # The same attempts by what reports call them, what they use together, and their images.
+    attempts: dict[TaskId, Attempt] = field(default_factory=dict)
+    # The same attempts by what reports call them, what they use together, and how many have each image.
     attempts_by_key: dict[tuple[str, int], Attempt] = field(default_factory=dict)
     usage: ResourceUsage = field(default_factory=ResourceUsage)
-    memory: float = 0.0
+    used_memory_gb: float = 0.0
     image_attempts: dict[str, int] = field(default_factory=dict)
-    # Exited attempts to be cleared: (task name, attempt) -> whether the result is a completion.
-    ended_attempts: dict[tuple[str, int], bool] = field(default_factory=dict)
-    # Attempts the worker reports that are not ours to keep.
-    foreign_attempts: dict[tuple[str, int], None] = field(default_factory=dict)
+    # Exited attempts to be cleared, each with whether the result is a completion.
+    ended_attempts: dict[AttemptKey, bool] = field(default_factory=dict)
+    # Attempts the worker reports that are not ours to keep; a dict, since its order is that of the commands.
+    foreign_attempts: dict[AttemptKey, None] = field(default_factory=dict)
+    # Images that the machine has, the one used last at the end.
     images: dict[str, None] = field(default_factory=dict)
 
     @property
     def is_recovered(self) -> bool:
-        """Whether what is on the machine is known."""
+        """Whether what may be on the machine is known, by its report or since nothing can be."""
         return self.reconciled or self.accounted_for
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -8,7 +8,7 @@
 
 from sloeswitch.core import job_queue
 from sloeswitch.core.job_queue import PRIORITY_RANKS, effective_priority
-from sloeswitch.core.machine import RUNNING, Attempt
+from sloeswitch.core.machine import Attempt, AttemptState
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.records import Job
@@ -82,7 +82,7 @@
     return (
         spec.checkpoint_s > 0
         and not spec.gang
-        and attempt.state == RUNNING
+        and attempt.state == AttemptState.RUNNING
         and attempt.kill_grace_s is None
         and attempt.running_at is not None
         and now - attempt.running_at > 2 * spec.checkpoint_s
--- /dev/null
+++ b/sloeswitch/core/reconciliation.py
@@ -0,0 +1,272 @@
+"""Reconciliation of a worker's report with the attempts that this controller knows on the machine.
+
+The rules that keep a task from running twice, as far as reports go:
+- a report counts only if it is newer than what is known, and under a token that no earlier owner gave out;
+- a start counts as not carried out only when a later *heartbeat* lacks it: an answer to a heartbeat may still
+  arrive while the reply to a direct command overtakes it;
+- a report of an agent epoch that is surely over, however late it comes, says nothing any more;
+- only the first report of a machine that was taken over can bring attempts of an earlier owner to be adopted.
+
+A report lists every task of its machine, and mostly nothing has changed: such a report costs a look-up for each task.
+Called by the machines actor only.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from sloeswitch.core.machine import REPORTED_STATES, Attempt, AttemptKey, AttemptState, EndCause, Machine, TaskId
+from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.tables import Tables
+from sloeswitch.wire import MalformedError, ReportedTask, WorkerReport, split_task
+
+
+class ReceivedReport(NamedTuple):
+    """A report, and how it came.
+
+    Attributes:
+        report: The message.
+        is_heartbeat: Whether it came of the worker's own accord, not in answer to a direct command.
+        received_at: Seconds of the controller's monotonic clock.
+        fencing_token: The present view's token, the highest that a report of ours can carry.
+    """
+
+    report: WorkerReport
+    is_heartbeat: bool
+    received_at: float
+    fencing_token: int
+
+
+class TaskOnMachine(NamedTuple):
+    """A task, and the machine on which it ended."""
+
+    task: TaskId
+    machine: str
+
+
+@dataclass
+class ReconcileResult:
+    """What a report brought to light.
+
+    Attributes:
+        accepted: Whether the report was applied; otherwise nothing has changed.
+        done: Completed tasks; each is listed once, by the report that first shows its end.
+        failed: Tasks that ended by a fault of the machine or of the job.
+        adopted: Tasks of an earlier owner that are this controller's claims from now on.
+        capacity_freed: Whether something is free that was in use.
+    """
+
+    accepted: bool = False
+    done: list[TaskOnMachine] = field(default_factory=list)
+    failed: list[TaskOnMachine] = field(default_factory=list)
+    adopted: list[TaskId] = field(default_factory=list)
+    capacity_freed: bool = False
+
+
+def reconcile(registry: MachineRegistry, machine: Machine, received: ReceivedReport, tables: Tables) -> ReconcileResult:
+    """Brings the registry up to date with a report of one of its machines.
+
+    Raises:
+        MalformedError: The report lists an unknown state or task name. Nothing has changed then.
+    """
+    report = received.report
+    if is_outdated(machine, report) or not _is_fenced(machine, received):
+        return ReconcileResult()
+    differing = _differing_tasks(machine, report)
+    if not differing and _is_unchanged(machine, report):
+        _record_contact(machine, received)
+        return ReconcileResult(accepted=True)
+    return _Reconciliation(registry, machine, received, tables).apply(differing)
+
+
+def is_outdated(machine: Machine, report: WorkerReport) -> bool:
+    """Whether something newer is known than what the report says, or its agent epoch is over."""
+    return report.agent_epoch <= machine.expired_agent_epoch or (report.agent_epoch, report.sequence) <= (
+        machine.agent_epoch,
+        machine.report_sequence,
+    )
+
+
+def _is_fenced(machine: Machine, received: ReceivedReport) -> bool:
+    """Whether the worker obeys this ownership's tokens.
+
+    Guards against an earlier owner's answer, which may still act on a worker that has seen no token of ours.
+    """
+    return machine.owned_since_token <= received.report.fencing_token <= received.fencing_token
+
+
+def _is_restarted(machine: Machine, report: WorkerReport) -> bool:
+    """Whether the worker's lease expired since its last report, so that all it had is gone."""
+    return report.agent_epoch > machine.agent_epoch > 0
+
+
+def _differing_tasks(machine: Machine, report: WorkerReport) -> list[ReportedTask]:
+    """The tasks of the report that are not as they are known of the machine."""
+    # Looked up by a plain pair, which equals the AttemptKey: making one would cost more than the look-up.
+    known = machine.attempts_by_key
+    return [
+        item
+        for item in report.tasks
+        if (attempt := known.get((item.task, item.attempt))) is None
+        or not attempt.reported
+        or item.state != attempt.state
+    ]
+
+
+def _is_unchanged(machine: Machine, report: WorkerReport) -> bool:
+    """Whether a report without differing tasks changes nothing: none is missing, and nothing waits for a report."""
+    return (
+        len(report.tasks) == len(machine.attempts)
+        and not machine.ended_attempts
+        and not machine.foreign_attempts
+        and machine.cancelled_since is None
+        and not _is_restarted(machine, report)
+    )
+
+
+def _record_contact(machine: Machine, received: ReceivedReport) -> None:
+    """The machine was heard, whatever is on it."""
+    report = received.report
+    machine.agent_epoch, machine.report_sequence = report.agent_epoch, report.sequence
+    machine.reconciled, machine.accounted_for = True, True
+    machine.last_heard_at = received.received_at
+    if received.is_heartbeat or machine.reported_at is None:
+        machine.reported_at = received.received_at
+    machine.preemption_notice_s = report.preemption_notice_s
+    machine.address = report.address
+
+
+class _Reconciliation:
+    """A report with differences on its way into the registry."""
+
+    def __init__(self, registry: MachineRegistry, machine: Machine, received: ReceivedReport, tables: Tables) -> None:
+        self.registry = registry
+        self.machine = machine
+        self.received = received
+        self.tables = tables
+        self.result = ReconcileResult(accepted=True)
+        # Known attempts that are reported in another state, or for the first time.
+        self.changed: list[tuple[Attempt, ReportedTask]] = []
+        # Reported attempts that are not known.
+        self.unknown: list[tuple[TaskId, ReportedTask]] = []
+
+    def apply(self, differing: list[ReportedTask]) -> ReconcileResult:
+        """Applies the whole report, or raises MalformedError before anything has changed."""
+        machine, report = self.machine, self.received.report
+        is_restarted = _is_restarted(machine, report)
+        # After a restart nothing is as it was, even if it is called the same.
+        self._classify(report.tasks if is_restarted else differing, is_restarted)
+        if is_restarted:
+            self.registry.fail_machine(machine)
+            self.result.capacity_freed = True
+        is_first = not machine.is_recovered
+        _record_contact(machine, self.received)
+        if is_restarted or len(report.tasks) - len(differing) != len(machine.attempts):
+            self._apply_known()
+        if machine.ended_attempts:
+            # What the worker lists no more is cleared.
+            for key in machine.ended_attempts.keys() - self._reported_keys():
+                del machine.ended_attempts[key]
+        if machine.cancelled_since is not None and all(a.kill_grace_s is None for a in machine.attempts.values()):
+            machine.cancelled_since = None
+        machine.foreign_attempts.clear()
+        for task, item in self.unknown:
+            self._apply_unknown(task, item, is_first)
+        return self.result
+
+    def _classify(self, differing: list[ReportedTask], is_restarted: bool) -> None:
+        """Parts the differing tasks into changed and unknown ones; those that ended before are neither."""
+        for item in differing:
+            if item.state not in REPORTED_STATES:
+                raise MalformedError(f"task state {item.state!r}")
+            key = AttemptKey(item.task, item.attempt)
+            attempt = None if is_restarted else self.machine.attempts_by_key.get(key)
+            if attempt is not None:
+                self.changed.append((attempt, item))
+            elif is_restarted or key not in self.machine.ended_attempts:
+                self.unknown.append((TaskId(*split_task(item.task)), item))
+
+    def _apply_known(self) -> None:
+        reported_keys = self._reported_keys()
+        for attempt in list(self.machine.attempts.values()):
+            if attempt.key not in reported_keys:
+                self._apply_missing(attempt)
+        for attempt, item in self.changed:
+            self._apply_changed(attempt, AttemptState(item.state), item.cause)
+
+    def _reported_keys(self) -> set[AttemptKey]:
+        return {AttemptKey(item.task, item.attempt) for item in self.received.report.tasks}
+
+    def _apply_missing(self, attempt: Attempt) -> None:
+        """An attempt that the report lacks is gone, or its start was not carried out."""
+        received = self.received
+        if attempt.reported:
+            self.registry.remove_attempt(self.machine, attempt)
+            self.result.capacity_freed = True
+        elif (
+            received.is_heartbeat
+            and attempt.sent_sequence is not None
+            and received.report.sequence > attempt.sent_sequence
+        ):
+            attempt.sent_sequence = None  # the answer that carried the start was dropped: send it again
+            if attempt.kill_grace_s is not None:
+                self.registry.remove_attempt(self.machine, attempt)
+
+    def _apply_changed(self, attempt: Attempt, state: AttemptState, cause: str | None) -> None:
+        """A known attempt is in another state than before."""
+        attempt.reported = True
+        attempt.state = state
+        if state == AttemptState.RUNNING and attempt.running_at is None:
+            attempt.running_at = self.received.received_at
+        if state != AttemptState.FETCHING:
+            self._record_image_use(attempt.spec.image)
+        if state == AttemptState.ENDED:
+            self.registry.remove_attempt(self.machine, attempt)
+            self.result.capacity_freed = True
+            self._record_ended(attempt.key, attempt.task, cause)
+
+    def _record_image_use(self, image: str) -> None:
+        self.machine.images.pop(image, None)
+        self.machine.images[image] = None
+
+    def _record_ended(self, key: AttemptKey, task: TaskId, cause: str | None) -> None:
+        self.machine.ended_attempts[key] = cause == EndCause.DONE
+        if cause == EndCause.DONE:
+            self.result.done.append(TaskOnMachine(task, self.machine.name))
+        elif cause in (EndCause.ERROR, EndCause.NO_SUCH_TASK):
+            self.result.failed.append(TaskOnMachine(task, self.machine.name))
+
+    def _apply_unknown(self, task: TaskId, item: ReportedTask, is_first: bool) -> None:
+        """A task on the machine that this controller did not start: an earlier owner did.
+
+        Only the first report of a machine that was taken over can hold one to be adopted: later its machine was
+        accounted for without it, so that it may have been started elsewhere.
+        """
+        key = AttemptKey(item.task, item.attempt)
+        state = AttemptState(item.state)
+        if state == AttemptState.ENDED:
+            self._record_ended(key, task, item.cause)
+            return
+        if not is_first or not self._is_adoptable(task):
+            self.machine.foreign_attempts[key] = None
+            return
+        now = self.received.received_at
+        spec = self.tables.jobs[task.job].spec
+        attempt = Attempt(task.job, task.task_index, key.number, spec, state, reported=True, placed_at=now)
+        if state == AttemptState.RUNNING:
+            attempt.running_at = now
+        self.registry.adopt_attempt(self.machine, attempt)
+        self.result.adopted.append(task)
+
+    def _is_adoptable(self, task: TaskId) -> bool:
+        """Whether the task may go on here.
+
+        Not if it is done or nothing is known of its job, nor if stored claims say that it cannot be here: it is
+        stopped rather than trusted.
+        """
+        job = self.tables.jobs.get(task.job)
+        if job is None or task.task_index >= job.spec.tasks or job.progress.done >> task.task_index & 1:
+            return False
+        is_placed = bool(self.registry.placed_tasks.get(task.job, 0) >> task.task_index & 1)
+        return not is_placed and bool(job.progress.claimed_tasks() >> task.task_index & 1)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -9,6 +9,7 @@
 import anyio.lowlevel
 import pytest
 
+from sloeswitch.core.machine import Machine
 from tests.conftest import Store
 from tests.support.single_controller import World, machine_up
 
@@ -42,7 +43,15 @@
             world.machines.group = group
             for number in range(400):
                 machine = world.machines.registry.add_machine(
-                    f"vm-{number + 100}", "127.0.0.1:9000", "small", "a", True, 3, 9e9
+                    Machine(
+                        f"vm-{number + 100}",
+                        "127.0.0.1:9000",
+                        "small",
+                        "a",
+                        True,
+                        owned_since_token=3,
+                        lease_expires_at=9e9,
+                    )
                 )
                 world.machines.commands.probe(machine, world.clock.time)
             await anyio.wait_all_tasks_blocked()
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -23,7 +23,9 @@
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.machine import AttemptKey, Machine
 from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.reconciliation import ReceivedReport, reconcile
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Server
 from sloeswitch.rate_budget import RequestPriority
@@ -140,7 +142,9 @@
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
-        self.machine = registry.add_machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
+        self.machine = registry.add_machine(
+            Machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, owned_since_token=3, lease_expires_at=9e9)
+        )
         self.commands = CommandSender(
             settings, self.leadership, registry, self.tables, lambda *_: None, self.told.append, self.now
         )
@@ -181,7 +185,7 @@
 async def command(asking: Asking) -> Any:
     asking.act()
     asking.machine.reconciled, asking.machine.agent_epoch = True, 2
-    asking.machine.foreign_attempts["wk-000377/1", 4] = None
+    asking.machine.foreign_attempts[AttemptKey("wk-000377/1", 4)] = None
     await asking.commands._send_commands(asking.machine)
     return [reply.report for reply in asking.told]
 
@@ -278,12 +282,13 @@
 def heard(state: str, cause: str | None) -> list[int]:
     """How many tasks a report of this state and cause shows to be done, and failed."""
     registry, tables = MachineRegistry(), Tables(CancellationLog(9, 7))
-    machine = registry.add_machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
+    machine = registry.add_machine(
+        Machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, owned_since_token=3, lease_expires_at=9e9)
+    )
     task = {"visit": "wk-000412/3", "try": 2, "status": state, "cause": cause}
     report = json.loads(FROZEN["report"]) | {"visits": [task]}
-    found = registry.reconcile(
-        machine, wire.decode(json.dumps(report).encode(), wire.WorkerReport), True, 1.0, 3, tables
-    )
+    received = ReceivedReport(wire.decode(json.dumps(report).encode(), wire.WorkerReport), True, 1.0, 3)
+    found = reconcile(registry, machine, received, tables)
     return [len(found.done), len(found.failed)]
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from sloeswitch.core import preemption
-from sloeswitch.core.machine import Attempt
+from sloeswitch.core.machine import Attempt, AttemptState
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
 from tests.conftest import Store, spec
@@ -21,7 +21,10 @@
 def running(count: int, **changes: Any) -> list[Attempt]:
     """Tasks of one core each, started one after the other."""
     job = spec(FILL, **{"visits": count, "cores": 1.0, "memoryGb": 0.1, "urgency": "best_effort", **changes})
-    return [Attempt(FILL, index, 1, job, "running", reported=True, placed_at=float(index)) for index in range(count)]
+    return [
+        Attempt(FILL, index, 1, job, AttemptState.RUNNING, reported=True, placed_at=float(index))
+        for index in range(count)
+    ]
 
 
 def choose(
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -2,15 +2,18 @@
 
 from __future__ import annotations
 
-from sloeswitch.core.machine import Machine
+from sloeswitch.core.machine import Attempt, Machine, TaskId
 from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.reconciliation import ReceivedReport, reconcile
 from tests.conftest import Store, report, spec
 
 JOB = "wk-000001"
 
 
 def owned(registry: MachineRegistry, token: int = 3) -> Machine:
-    return registry.add_machine("vm-1", "127.0.0.1:9000", "small", "a", True, token, gone_at=100.0)
+    return registry.add_machine(
+        Machine("vm-1", "127.0.0.1:9000", "small", "a", True, owned_since_token=token, lease_expires_at=100.0)
+    )
 
 
 def started(store: Store) -> tuple[MachineRegistry, Machine]:
@@ -19,9 +22,9 @@
     store.progress(JOB, c0_1=0b1)
     registry = MachineRegistry()
     machine = owned(registry)
-    registry.reconcile(machine, report(1, 3), True, 0.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(1, 3), True, 0.0, 3), store.tables)
     machine.reachable = True
-    registry.add_attempt(machine, JOB, 0, 77, spec(), 0.0)
+    registry.add_attempt(machine, Attempt(JOB, 0, 77, spec()))
     orders = registry.commands(machine, store.tables, 1)
     assert [(order.verb, order.task, order.attempt) for order in orders] == [("start", f"{JOB}/0", 77)]
     return registry, machine
@@ -30,14 +33,14 @@
 def test_start_overtaken_by_a_direct_answer_still_counts(store: Store) -> None:
     registry, machine = started(store)
     # The answer to heartbeat 1 is under way; a direct command was answered before it arrived.
-    registry.reconcile(machine, report(2, 3), False, 1.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(2, 3), False, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
-    assert machine.attempts[(JOB, 0)].sent_sequence == 1
+    assert machine.attempts[TaskId(JOB, 0)].sent_sequence == 1
 
 
 def test_start_missing_from_a_later_beat_is_told_again(store: Store) -> None:
     registry, machine = started(store)
-    registry.reconcile(machine, report(2, 3), True, 1.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
     assert [order.verb for order in registry.commands(machine, store.tables, 2)] == ["start"]
 
@@ -49,8 +52,8 @@
 
 def test_late_reports_change_nothing(store: Store) -> None:
     registry, machine = started(store)
-    registry.reconcile(machine, report(5, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3, store.tables)
-    late = registry.reconcile(machine, report(4, 3), True, 2.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(5, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3), store.tables)
+    late = reconcile(registry, machine, ReceivedReport(report(4, 3), True, 2.0, 3), store.tables)
     assert not late.accepted
     assert registry.placed_tasks[JOB] == 0b1
 
@@ -58,21 +61,21 @@
 def test_report_under_an_earlier_owners_token_is_not_trusted(store: Store) -> None:
     registry = MachineRegistry()
     machine = owned(registry, token=3)
-    heard = registry.reconcile(machine, report(9, 2), True, 0.0, 3, store.tables)
+    heard = reconcile(registry, machine, ReceivedReport(report(9, 2), True, 0.0, 3), store.tables)
     assert not heard.accepted and not machine.is_recovered
 
 
 def test_new_session_means_all_tasks_are_gone(store: Store) -> None:
     registry, machine = started(store)
-    registry.reconcile(machine, report(2, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3, store.tables)
-    heard = registry.reconcile(machine, report(3, 3, session=2), True, 20.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(2, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3), store.tables)
+    heard = reconcile(registry, machine, ReceivedReport(report(3, 3, session=2), True, 20.0, 3), store.tables)
     assert heard.capacity_freed and JOB not in registry.placed_tasks
 
 
 def test_done_is_cleared_only_once_it_is_stored(store: Store) -> None:
     registry, machine = started(store)
     ended = (f"{JOB}/0", 77, "ended", "done")
-    heard = registry.reconcile(machine, report(2, 3, ended), True, 1.0, 3, store.tables)
+    heard = reconcile(registry, machine, ReceivedReport(report(2, 3, ended), True, 1.0, 3), store.tables)
     assert heard.done == [((JOB, 0), "vm-1")]
     assert registry.commands(machine, store.tables, 2) == []
     store.progress(JOB, done=0b1)
@@ -84,7 +87,9 @@
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
     machine = owned(registry)
-    heard = registry.reconcile(machine, report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3, store.tables)
+    heard = reconcile(
+        registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
+    )
     assert heard.adopted == [(JOB, 1)]
     assert not registry.is_recovered(store.tables, "c0.1")  # not before the adoption is stored
     store.progress(JOB, c0_1=0b10)
@@ -95,7 +100,9 @@
     store.job(spec())
     registry = MachineRegistry()
     machine = owned(registry)
-    heard = registry.reconcile(machine, report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3, store.tables)
+    heard = reconcile(
+        registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
+    )
     assert heard.adopted == []
     assert [order.verb for order in registry.commands(machine, store.tables, 1)] == ["kill"]
 
@@ -106,7 +113,7 @@
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
     machine = owned(registry)
-    registry.reconcile(machine, report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables)
     registry.release_machine("vm-1")
     assert registry.pending_adoptions() == {}
     assert registry.handed_off_tasks[JOB] == 0b10
@@ -132,14 +139,14 @@
 def test_cancelled_start_not_yet_sent_is_dropped_at_once(store: Store) -> None:
     registry = MachineRegistry()
     machine = owned(registry)
-    registry.add_attempt(machine, JOB, 0, 77, spec(), 0.0)
-    assert not registry.mark_for_kill(machine, machine.attempts[(JOB, 0)], 0.0)
+    registry.add_attempt(machine, Attempt(JOB, 0, 77, spec()))
+    assert not registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
     assert registry.placed_tasks == {}
 
 
 def test_cancelled_start_in_flight_is_killed_until_a_beat_lacks_it(store: Store) -> None:
     registry, machine = started(store)
-    assert registry.mark_for_kill(machine, machine.attempts[(JOB, 0)], 0.0)
+    assert registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
     assert [order.verb for order in registry.commands(machine, store.tables, None)] == ["kill"]
-    registry.reconcile(machine, report(2, 3), True, 1.0, 3, store.tables)
+    reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
     assert registry.placed_tasks == {}
