--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -186,7 +186,7 @@
         writes: dict[str, Any] = {}
         claimed = False
         size = 0
-        teams: dict[str, dict[str, tuple[float, float]]] = {}
+        teams: dict[str, dict[str, quota.ResourceAmount]] = {}
         shrinking = len(request.quota_decreases) if request is not None and acting else 0
         adopted: dict[str, Any] = {}
         if self.tables.layout_complete and shrinking + 2 <= self.client.txn_ops:
@@ -204,13 +204,13 @@
                 held = self._held(teams, team, settled)
                 # An adoption may have raised it since; only the asker knows when less will do.
                 mine = held.get(tag, (0.0, 0.0))
-                more = max(wanted[0], mine[0]), max(wanted[1], mine[1])
-                teams[team] = quota.reallocate(held, (limit.cpus_max, limit.gpus_max), tag, more)
+                more = quota.ResourceAmount(max(wanted[0], mine[0]), max(wanted[1], mine[1]))
+                teams[team] = quota.reallocate(held, quota.team_limit(limit), tag, more)
             for team, (stamp, cores, gpus) in request.quota_decreases.items():
                 if stamp == self.tables.mod_revision(keys.team_key(team)):
                     held = self._held(teams, team, settled)
                     mine = held.get(tag, (0.0, 0.0))
-                    held[tag] = min(mine[0], cores), min(mine[1], gpus)
+                    held[tag] = quota.ResourceAmount(min(mine[0], cores), min(mine[1], gpus))
                     teams[team] = held
         room -= len(teams)
         for name in names:
@@ -283,7 +283,7 @@
         return sorted(names, key=lambda name: self.tables.jobs[name].spec.team)
 
     def _adopt_together(
-        self, teams: dict[str, dict[str, tuple[float, float]]], settled: bool, room: int
+        self, teams: dict[str, dict[str, quota.ResourceAmount]], settled: bool, room: int
     ) -> dict[str, Any]:
         """Adoptions of many jobs as one value. Found on the bench: after a crash of all a change for each job and
         controller took half a minute of the state service's rate, and free room waited for it. The value counts
@@ -313,7 +313,7 @@
         return stored
 
     def _move_allowance(
-        self, teams: dict[str, dict[str, tuple[float, float]]], job: Job, adopted: int, settled: bool
+        self, teams: dict[str, dict[str, quota.ResourceAmount]], job: Job, adopted: int, settled: bool
     ) -> None:
         """The part of the limit that adopted tasks take comes with them."""
         held = self._held(teams, job.spec.team, settled)
@@ -361,8 +361,8 @@
         return any(note.adopted or self._runs_dry(name, note) for name, note in self.uncommitted.items())
 
     def _held(
-        self, teams: dict[str, dict[str, tuple[float, float]]], team: str, settled: bool
-    ) -> dict[str, tuple[float, float]]:
+        self, teams: dict[str, dict[str, quota.ResourceAmount]], team: str, settled: bool
+    ) -> dict[str, quota.ResourceAmount]:
         """The team's allowances so far in this round, those of departed controllers left out once no
         task that they covered can exist."""
         if team in teams:
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -55,22 +55,22 @@
         limbo = self.handed_off_usage.get(team, quota.ResourceUsage())
         return quota.ResourceUsage(use.cores + limbo.cores, use.gpus + limbo.gpus)
 
-    def allocation(self, team: str) -> tuple[float, float]:
+    def allocation(self, team: str) -> quota.ResourceAmount:
         """What may be used now: the stored allowance, or less while a smaller one is being stored."""
         cores, gpus = self.tables.quota_allocation(team, self.leadership.incarnation_id)
         shrinking = self.pending_decreases.get(team)
         if shrinking is not None:
             # A write without an answer may be carried out until another one makes its condition false.
             if shrinking[0] == self.tables.mod_revision(keys.team_key(team)):
-                return min(cores, shrinking[1]), min(gpus, shrinking[2])
+                return quota.ResourceAmount(min(cores, shrinking[1]), min(gpus, shrinking[2]))
             del self.pending_decreases[team]
-        return cores, gpus
+        return quota.ResourceAmount(cores, gpus)
 
-    def available(self, team: Team, use: quota.ResourceUsage) -> tuple[float, float]:
+    def available(self, team: Team, use: quota.ResourceUsage) -> quota.ResourceAmount:
         """The most that this controller could be allowed now: its allowance and what nobody holds."""
         cores, gpus = self.tables.quota_allocation(team.name, self.leadership.incarnation_id)
         more_cores, more_gpus = self.tables.unallocated_quota(team)
-        return max(cores + more_cores, use.cores), max(gpus + more_gpus, use.gpus)
+        return quota.ResourceAmount(max(cores + more_cores, use.cores), max(gpus + more_gpus, use.gpus))
 
     def startable(self, specs: Iterable[JobSpec]) -> list[JobSpec]:
         """Those of which the team's limit leaves this controller room for one more task."""
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from sloeswitch.core import scaling
-from sloeswitch.core.quota import ResourceUsage, tasks_within_quota
+from sloeswitch.core.quota import ResourceAmount, ResourceUsage, tasks_within_quota
 from sloeswitch.core.records import Job
 from sloeswitch.core.scaling import InstanceKind, InstanceOffer
 from sloeswitch.core.tables import Tables
@@ -75,7 +75,7 @@
     def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
         """How many of so many tasks find room now, by machines and by the team's limit."""
         limit = self.limits.get(spec.team, [0.0, 0.0])
-        most = min(most, tasks_within_quota(spec, (limit[0], limit[1]), ResourceUsage()))
+        most = min(most, tasks_within_quota(spec, ResourceAmount(limit[0], limit[1]), ResourceUsage()))
         found = 0.0
         for offer in self.offers:
             if found >= most:
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -37,8 +37,8 @@
     capacities: list[placement.FreeCapacity]
     # By team: what its tasks here use, the most that this controller could be allowed, and what it is allowed now.
     team_usage: Mapping[str, quota.ResourceUsage]
-    available_quota: Mapping[str, tuple[float, float]]
-    quota_allocations: Mapping[str, tuple[float, float]]
+    available_quota: Mapping[str, quota.ResourceAmount]
+    quota_allocations: Mapping[str, quota.ResourceAmount]
     # The set of a job's tasks that this controller has claimed and not placed: asked for only where the look gets to.
     idle_claims: Callable[[Job], int]
     # Cores likely to fall free in the time that a claim takes, and the smallest amount that any job wants.
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -1,10 +1,12 @@
-"""Team limits and guarantees.
+"""Quota of teams: their limits, how they are divided among controllers, and their guarantees.
 
-A team's limit is split into allowances, one for each controller, which are stored and moved only by
-conditional writes; their sum never passes the limit. A controller starts a task only while all tasks
-of the team that may exist on its machines, this one included, fit its allowance. So the limit holds
-although controllers start tasks without asking each other, and one who restarts or is cut off leaves
-its allowance in place until every task it covered is adopted or accounted for.
+A team's limit is split into allocations, one for each controller, which are stored and moved only by conditional
+writes; their sum never passes the limit. A controller starts a task only while all tasks of the team that may exist
+on its machines, this one included, fit its allocation. So the limit holds although controllers start tasks without
+asking each other, and one who restarts or is cut off leaves its allocation in place until every task it covered is
+adopted or accounted for.
+
+Functions without state, for everybody. Amounts are cores and GPUs; of memory there is no quota.
 """
 
 from __future__ import annotations
@@ -20,86 +22,105 @@
 
 
 class ResourceAmount(NamedTuple):
-    """An amount of what quotas bound."""
+    """An amount of what quotas bound. Stored and compared as the plain pair."""
+
+    cores: float = 0.0
+    gpus: float = 0.0
+
+
+NOTHING = ResourceAmount()
+
+
+@dataclass
+class ResourceUsage:
+    """What a changing set of tasks uses, or may use."""
 
     cores: float = 0.0
     gpus: float = 0.0
 
+    def add(self, spec: JobSpec, count: int = 1) -> None:
+        """Adds so many tasks of the job; a negative count takes them out."""
+        self.cores += count * spec.cores
+        self.gpus += count * spec.gpus
+
 
-def fits_type(spec: JobSpec, kind: MachineType) -> bool:
+def team_limit(team: Team) -> ResourceAmount:
+    """The most that the team may use, over all controllers."""
+    return ResourceAmount(team.cpus_max, team.gpus_max)
+
+
+def fits_type(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Whether an empty machine of the type could take one task of the job."""
     return (
-        (spec.types is None or kind.name in spec.types)
-        and (spec.zone is None or spec.zone in kind.zones)
-        and spec.cores <= kind.cores + SLACK
-        and spec.gpus <= kind.gpus + SLACK
-        and spec.memory <= kind.memory + SLACK
+        (spec.types is None or machine_type.name in spec.types)
+        and (spec.zone is None or spec.zone in machine_type.zones)
+        and spec.cores <= machine_type.cores + SLACK
+        and spec.gpus <= machine_type.gpus + SLACK
+        and spec.memory <= machine_type.memory + SLACK
     )
 
 
 def unschedulable_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
-    """Why the job can never run, or None."""
+    """Why the job can never run, as its user is told, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
-    together = spec.tasks if spec.gang else 1
-    if tasks_within_quota(spec, (team.cpus_max, team.gpus_max), ResourceUsage()) < together:
+    simultaneous_tasks = spec.tasks if spec.gang else 1
+    if tasks_within_quota(spec, team_limit(team), ResourceUsage()) < simultaneous_tasks:
         return "over the team's limit"
-    fitting = [kind for kind in types.values() if fits_type(spec, kind)]
-    if not fitting:
+    fitting_types = [machine_type for machine_type in types.values() if fits_type(spec, machine_type)]
+    if not fitting_types:
         return "fits no machine type"
-    zones = {zone for kind in fitting for zone in kind.zones} if spec.zone is None else {spec.zone}
+    zones = {zone for each in fitting_types for zone in each.zones} if spec.zone is None else {spec.zone}
     if spec.spread and spec.tasks > 1 and (spec.one_zone or len(zones) < 2):
         return "cannot be spread over one zone"
     return None
 
 
-@dataclass
-class ResourceUsage:
-    """What tasks use, or may use."""
-
-    cores: float = 0.0
-    gpus: float = 0.0
-
-    def add(self, spec: JobSpec, count: int = 1) -> None:
-        self.cores += count * spec.cores
-        self.gpus += count * spec.gpus
-
-
-def tasks_within_quota(spec: JobSpec, allowance: tuple[float, float], use: ResourceUsage) -> int:
-    """How many more tasks of the job the allowance covers."""
-    most = spec.tasks
+def tasks_within_quota(spec: JobSpec, quota: ResourceAmount, usage: ResourceUsage) -> int:
+    """How many more tasks of the job the quota covers, beside what its team uses of it."""
+    count = spec.tasks
     if spec.cores > 0:
-        most = min(most, int((allowance[0] - use.cores + SLACK) // spec.cores))
+        count = min(count, int((quota.cores - usage.cores + SLACK) // spec.cores))
     if spec.gpus > 0:
-        most = min(most, int((allowance[1] - use.gpus + SLACK) // spec.gpus))
-    return max(0, most)
+        count = min(count, int((quota.gpus - usage.gpus + SLACK) // spec.gpus))
+    return max(0, count)
 
 
 def reallocate(
-    held: dict[str, tuple[float, float]], limit: tuple[float, float], tag: str, wanted: tuple[float, float]
-) -> dict[str, tuple[float, float]]:
-    """The allowances after one controller asks for a new one: up to what is free, never past the limit."""
-    others = [amounts for holder, amounts in held.items() if holder != tag]
-    free = tuple(most - sum(amounts[place] for amounts in others) for place, most in enumerate(limit))
-    mine = (max(0.0, min(wanted[0], free[0])), max(0.0, min(wanted[1], free[1])))
-    after = {holder: amounts for holder, amounts in held.items() if holder != tag}
-    if mine[0] > 0 or mine[1] > 0:
-        after[tag] = mine
+    allocations: dict[str, ResourceAmount], limit: ResourceAmount, incarnation_id: str, wanted: ResourceAmount
+) -> dict[str, ResourceAmount]:
+    """The allocations after one controller asks for a new one: up to what is free, never past the limit.
+
+    Args:
+        allocations: What each incarnation of a controller has of the team's limit.
+        limit: The team's limit.
+        incarnation_id: The controller that asks.
+        wanted: What it should have, instead of what it has.
+    """
+    after = {holder: amount for holder, amount in allocations.items() if holder != incarnation_id}
+    free_cores = limit.cores - sum(amount.cores for amount in after.values())
+    free_gpus = limit.gpus - sum(amount.gpus for amount in after.values())
+    granted = ResourceAmount(max(0.0, min(wanted.cores, free_cores)), max(0.0, min(wanted.gpus, free_gpus)))
+    if granted.cores > 0 or granted.gpus > 0:
+        after[incarnation_id] = granted
     return after
 
 
 def transfer(
-    held: dict[str, tuple[float, float]], giver: str, taker: str, spec: JobSpec, count: int
-) -> dict[str, tuple[float, float]]:
-    """The allowances after tasks of one controller were found on a machine of another."""
-    after = dict(held)
-    had = after.get(giver, (0.0, 0.0))
-    got = after.get(taker, (0.0, 0.0))
-    cores, gpus = min(had[0], count * spec.cores), min(had[1], count * spec.gpus)
-    after[giver] = (had[0] - cores, had[1] - gpus)
-    after[taker] = (got[0] + cores, got[1] + gpus)
+    allocations: dict[str, ResourceAmount], source: str, target: str, spec: JobSpec, count: int
+) -> dict[str, ResourceAmount]:
+    """The allocations after so many tasks of one controller were found on a machine of another."""
+    after = dict(allocations)
+    source_amount = after.get(source, NOTHING)
+    target_amount = after.get(target, NOTHING)
+    cores = min(source_amount.cores, count * spec.cores)
+    gpus = min(source_amount.gpus, count * spec.gpus)
+    after[source] = ResourceAmount(source_amount.cores - cores, source_amount.gpus - gpus)
+    after[target] = ResourceAmount(target_amount.cores + cores, target_amount.gpus + gpus)
     return after
 
 
 def within_guarantee(team: Team, cores: float, gpus: float) -> bool:
+    """Whether so much lies within what the team is guaranteed."""
     return cores <= team.cpus + SLACK and gpus <= team.gpus + SLACK
--- a/sloeswitch/core/quota_allocation.py
+++ b/sloeswitch/core/quota_allocation.py
@@ -1,17 +1,20 @@
-"""When a controller asks for a larger or a smaller allowance of a team's limit."""
+"""When a controller asks for a larger or a smaller allocation of a team's limit.
+
+A decision without state; `actors.quota_ledger` makes it for each team and asks for what comes out.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from sloeswitch.core.quota import SLACK, ResourceUsage
+from sloeswitch.core.quota import SLACK, ResourceAmount, ResourceUsage, team_limit
 from sloeswitch.settings import Team
 
-# A limit is scarce when less than this part of it is held by nobody.
+# A limit is scarce when less than this part of it is allocated to nobody.
 SCARCE_FREE_SHARE = 0.1
 # While it is not, a controller takes this many times what it could use, and at least an equal part.
 SPARE_MARGIN = 1.2
-# Of a scarce limit a controller gives back what it holds above its use, unless that is hardly less than it holds.
+# Of a scarce limit a controller returns what it has above its use, unless that leaves hardly less than it has.
 MIN_SHRINK_RATIO = 0.97
 
 
@@ -20,53 +23,68 @@
     """One controller's part of a team's limit.
 
     Each change is a write: while much of the limit is free, whole parts of it are taken and kept. Of a limit that is
-    used up nobody holds more than it needs: what lay idle so, for the sake of a write, made checks late (found on
+    used up nobody keeps more than it needs: what lay idle so, for the sake of a write, made checks late (found on
     the bench).
+
+    Attributes:
+        team: Whose limit it is.
+        allocated: What this controller may use now.
+        usage: What it could put to use: what runs, what waits, and what could be claimed.
+        unallocated: What of the limit is nobody's.
+        controller_count: Among how many the limit is divided.
     """
 
     team: Team
-    # What this controller may use, what it could put to use, and what nobody holds.
-    held: tuple[float, float]
+    allocated: ResourceAmount
     usage: ResourceUsage
-    unallocated: tuple[float, float]
-    controllers: int
+    unallocated: ResourceAmount
+    controller_count: int
 
     @property
     def is_scarce(self) -> bool:
         """Whether little of the limit is free."""
+        limit = team_limit(self.team)
         return (
-            self.unallocated[0] < SCARCE_FREE_SHARE * self.team.cpus_max
-            or self.unallocated[1] < SCARCE_FREE_SHARE * self.team.gpus_max
+            self.unallocated.cores < SCARCE_FREE_SHARE * limit.cores
+            or self.unallocated.gpus < SCARCE_FREE_SHARE * limit.gpus
         )
 
     @property
-    def target(self) -> tuple[float, float]:
-        """What this controller should hold."""
-        margin, part = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controllers)
-        return (
-            max(margin * self.usage.cores, part * self.team.cpus_max),
-            max(margin * self.usage.gpus, part * self.team.gpus_max),
+    def target(self) -> ResourceAmount:
+        """What this controller should have."""
+        limit = team_limit(self.team)
+        margin, part = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controller_count)
+        return ResourceAmount(
+            max(margin * self.usage.cores, part * limit.cores), max(margin * self.usage.gpus, part * limit.gpus)
         )
 
     @property
     def is_short(self) -> bool:
-        """Whether more could be put to use than is held."""
-        return self.usage.cores > self.held[0] + SLACK or self.usage.gpus > self.held[1] + SLACK
+        """Whether more could be put to use than is allocated."""
+        return self.usage.cores > self.allocated.cores + SLACK or self.usage.gpus > self.allocated.gpus + SLACK
 
     @property
     def has_unallocated(self) -> bool:
-        return self.unallocated[0] > SLACK or self.unallocated[1] > SLACK
+        """Whether there is anything to ask for."""
+        return self.unallocated.cores > SLACK or self.unallocated.gpus > SLACK
 
     @property
     def has_surplus(self) -> bool:
         """Whether a part that others may need lies idle."""
-        cores, gpus = self.target
-        return self.is_scarce and (cores < MIN_SHRINK_RATIO * self.held[0] or gpus < MIN_SHRINK_RATIO * self.held[1])
+        target = self.target
+        return self.is_scarce and (
+            target.cores < MIN_SHRINK_RATIO * self.allocated.cores
+            or target.gpus < MIN_SHRINK_RATIO * self.allocated.gpus
+        )
 
     @property
-    def increased(self) -> tuple[float, float]:
-        return max(self.target[0], self.held[0]), max(self.target[1], self.held[1])
+    def increased(self) -> ResourceAmount:
+        """What to ask for when short: no less than there is of either resource."""
+        target = self.target
+        return ResourceAmount(max(target.cores, self.allocated.cores), max(target.gpus, self.allocated.gpus))
 
     @property
-    def decreased(self) -> tuple[float, float]:
-        return min(self.held[0], self.target[0]), min(self.held[1], self.target[1])
+    def decreased(self) -> ResourceAmount:
+        """What to keep when there is a surplus: no more than there is of either resource."""
+        target = self.target
+        return ResourceAmount(min(self.allocated.cores, target.cores), min(self.allocated.gpus, target.gpus))
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from sloeswitch.core.job_queue import is_begun, slo_targets
-from sloeswitch.core.quota import ResourceUsage, fits_type, tasks_within_quota
+from sloeswitch.core.quota import ResourceAmount, ResourceUsage, fits_type, tasks_within_quota
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
@@ -108,7 +108,8 @@
             continue
         spec = job.spec
         tasks = min(
-            count(job, settings, wall_clock_ms, spread), tasks_within_quota(spec, (limit[0], limit[1]), ResourceUsage())
+            count(job, settings, wall_clock_ms, spread),
+            tasks_within_quota(spec, ResourceAmount(limit[0], limit[1]), ResourceUsage()),
         )
         if tasks > 0:
             limit[0] -= tasks * spec.cores
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -11,6 +11,7 @@
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
 from sloeswitch.core.dependency_graph import DependencyGraph
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import (
     NO_VIEW,
     DelegationOrigin,
@@ -63,7 +64,7 @@
         self.machines: dict[str, MachineRow] = {}
         self.machine_groups: dict[str, set[str]] = {}
         self.deleted_machines: set[str] = set()
-        self.quota_allocations: dict[str, dict[str, tuple[float, float]]] = {}
+        self.quota_allocations: dict[str, dict[str, ResourceAmount]] = {}
         # Jobs that are over and whose progress is still stored.
         self.leftover_progress: set[str] = set()
         # Stored parts of specs: job -> try -> number -> text.
@@ -116,7 +117,9 @@
         elif kind == "g":
             self._apply_group(rest, {} if value is None else value["m"])
         elif kind == "q":
-            self.quota_allocations[rest] = {tag: (cores, gpus) for tag, (cores, gpus) in (value or {}).items()}
+            self.quota_allocations[rest] = {
+                tag: ResourceAmount(cores, gpus) for tag, (cores, gpus) in (value or {}).items()
+            }
         elif kind == "m":
             if value is None:
                 self.members.pop(rest, None)
@@ -336,11 +339,11 @@
                 taken |= mask
         return job.all_tasks & ~taken
 
-    def quota_allocation(self, team: str, tag: str) -> tuple[float, float]:
+    def quota_allocation(self, team: str, tag: str) -> ResourceAmount:
         """What tasks of the team on this controller's machines may use together."""
-        return self.quota_allocations.get(team, {}).get(tag, (0.0, 0.0))
+        return self.quota_allocations.get(team, {}).get(tag, ResourceAmount())
 
-    def unallocated_quota(self, team: Team) -> tuple[float, float]:
+    def unallocated_quota(self, team: Team) -> ResourceAmount:
         """What is left of the team's limit for any controller to take. Once all is settled, nothing that
         a departed controller's allowance covered exists. Found on the bench: counted on, such allowances
         used up a limit, nobody asked for more, and the team stood still."""
@@ -349,7 +352,7 @@
         held = [
             amounts for tag, amounts in self.quota_allocations.get(team.name, {}).items() if tag in tags or not settled
         ]
-        return (
+        return ResourceAmount(
             team.cpus_max - sum(cores for cores, _ in held),
             team.gpus_max - sum(gpus for _, gpus in held),
         )
--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from sloeswitch.core.quota import ResourceUsage
+from sloeswitch.core.quota import ResourceAmount, ResourceUsage
 from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.settings import Settings
 
 
 def allowance(settings: Settings, held: float, use: float, free: float) -> QuotaAllocation:
     """Of the limit of 20 cores, between two controllers."""
-    return QuotaAllocation(settings.teams["red"], (held, 0.0), ResourceUsage(use, 0.0), (free, 0.0), 2)
+    return QuotaAllocation(settings.teams["red"], ResourceAmount(held), ResourceUsage(use), ResourceAmount(free), 2)
 
 
 def test_while_much_of_a_limit_is_free_an_equal_part_is_taken(settings: Settings) -> None:
@@ -35,4 +35,4 @@
 ) -> None:
     part = allowance(settings, held, use, free)
     assert part.has_surplus == surplus and not part.is_short
-    assert part.decreased[0] <= held
+    assert part.decreased.cores <= held
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,7 +10,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.core import keys, placement
+from sloeswitch.core import keys, placement, quota
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
@@ -133,7 +133,7 @@
     world.store.put(keys.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
-    world.machines.quota.available = lambda team, use: (50.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, use: quota.ResourceAmount(50.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     assert tick(world, 2.5) == 12
@@ -151,7 +151,7 @@
 
 
 def test_without_enough_of_its_own_work_the_limit_stays_and_nothing_stops(world: World) -> None:
-    world.machines.quota.available = lambda team, use: (29.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, use: quota.ResourceAmount(29.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     for attempt in machine(world).attempts.values():
         attempt.spec = msgspec.structs.replace(attempt.spec, team="blue")
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -124,17 +124,17 @@
 
 
 def test_allowances_never_pass_the_limit() -> None:
-    held = {"c0.1": (12.0, 0.0), "c1.2": (6.0, 0.0)}
-    after = quota.reallocate(held, (20.0, 0.0), "c0.1", (18.0, 0.0))
+    held = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
+    after = quota.reallocate(held, quota.ResourceAmount(20.0), "c0.1", quota.ResourceAmount(18.0))
     assert after == {"c0.1": (14.0, 0.0), "c1.2": (6.0, 0.0)}
 
 
 def test_adopted_task_brings_its_part_of_the_limit() -> None:
-    held = {"c0.1": (12.0, 0.0), "c1.2": (6.0, 0.0)}
+    held = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
     after = quota.transfer(held, "c0.1", "c1.2", spec(), 2)
     assert after == {"c0.1": (8.0, 0.0), "c1.2": (10.0, 0.0)}
     # Never more than the giver had: the sum stays.
-    assert quota.transfer({"c0.1": (1.0, 0.0)}, "c0.1", "c1.2", spec(), 2)["c1.2"] == (1.0, 0.0)
+    assert quota.transfer({"c0.1": quota.ResourceAmount(1.0)}, "c0.1", "c1.2", spec(), 2)["c1.2"] == (1.0, 0.0)
 
 
 def test_impossible_jobs_are_told_why(store: Store) -> None:
