--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -56,7 +56,7 @@
         self.kill = kill
         self.pace_s = pace_s
         # Machines on which room was made for a job, each until when it is held for that.
-        self.reservations: dict[str, tuple[str, float]] = {}
+        self.reservations: dict[str, placement.Reservation] = {}
 
     def preempt_for_gangs(self, now: float) -> None:
         """Stops tasks of lower priority for a gang of one task that fits nowhere. The room is held for it until it
@@ -83,7 +83,7 @@
             more = self._preempt_within_team(job, chosen, short, order) if at_limit else []
             if more is None:
                 continue
-            self.reservations[chosen.machine] = (job.spec.id, now + self.settings.lease_s)
+            self.reservations[chosen.machine] = placement.Reservation(job.spec.id, now + self.settings.lease_s)
             del rooms[chosen.machine]
             log.info("%s: %d tasks of lower priority stop on %s", job.spec.id, len(chosen.attempts), chosen.machine)
             if more:
@@ -115,14 +115,14 @@
                 if attempt.key in keys:
                     self.kill(machine, attempt, attempt.spec.save_s)
 
-    def reserved_usage(self) -> dict[str, tuple[str, quota.ResourceUsage]]:
+    def reserved_usage(self) -> dict[str, quota.ReservedQuota]:
         """What gangs for which room is held, and which are not placed, want of their teams' limits: team and amounts.
         Guards against small tasks of the team that take one by one what was freed for a gang."""
-        found: dict[str, tuple[str, quota.ResourceUsage]] = {}
+        found: dict[str, quota.ReservedQuota] = {}
         for holder, _until in self.reservations.values():
             job = self.tables.jobs.get(holder)
             if job is not None and not self.registry.placed_tasks.get(holder):
-                found[holder] = (job.spec.team, quota.ResourceUsage(job.spec.cores, job.spec.gpus))
+                found[holder] = quota.ReservedQuota(job.spec.team, quota.ResourceUsage(job.spec.cores, job.spec.gpus))
         return found
 
     def usage_with_reservations(self, job: Job) -> quota.ResourceUsage:
--- a/sloeswitch/admission/idle_capacity.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -12,7 +12,7 @@
 
 def free_part(room: FreeCapacity, kind: MachineType) -> float:
     """The part of a machine that is free, by what is scarcest on it."""
-    pairs = ((room.cores, kind.cores), (room.gpus, kind.gpus), (room.memory, kind.memory))
+    pairs = ((room.cores, kind.cores), (room.gpus, kind.gpus), (room.memory_gb, kind.memory))
     return max(0.0, min((free / whole for free, whole in pairs if whole > 0), default=0.0))
 
 
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from sloeswitch.core import job_queue, placement, quota, taskset
 from sloeswitch.core.health import Health
@@ -21,13 +22,21 @@
 HOME_TICKS = 2
 
 
-Shape = tuple[float, float, float, tuple[str, ...] | None, str | None, bool]
+class PlacementShape(NamedTuple):
+    """What decides whether one task of a job fits a machine."""
 
+    cores: float
+    gpus: float
+    memory_gb: float
+    types: tuple[str, ...] | None
+    zone: str | None
+    spot: bool
 
-def shape_of(spec: JobSpec) -> Shape:
-    """What decides whether one task of a job fits a machine."""
+
+def shape_of(spec: JobSpec) -> PlacementShape:
+    """The shape of a job's tasks."""
     types = None if spec.types is None else tuple(spec.types)
-    return spec.cores, spec.gpus, spec.memory, types, spec.zone, spec.spot
+    return PlacementShape(spec.cores, spec.gpus, spec.memory, types, spec.zone, spec.spot)
 
 
 @dataclass(frozen=True)
@@ -45,8 +54,8 @@
     cores_ahead: float
     least_cores: float
     # Machines on which room is kept for a job, and what of their teams' limits is kept with it: job -> team, amounts.
-    reservations: Mapping[str, tuple[str, float]]
-    reserved_usage: Mapping[str, tuple[str, quota.ResourceUsage]]
+    reservations: Mapping[str, placement.Reservation]
+    reserved_usage: Mapping[str, quota.ReservedQuota]
     # The jobs' failures on machines.
     health: Health
     # When the jobs of the line were first seen there, and which of them have their images at home here.
@@ -106,7 +115,7 @@
         self.ahead_cores = picture.cores_ahead
         self.capacities_scanned = 0
         # What fitted no machine on paper; room only becomes less.
-        self.unplaceable_shapes: set[Shape] = set()
+        self.unplaceable_shapes: set[PlacementShape] = set()
         # By job: what was placed on paper.
         self.planned_tasks: dict[str, int] = {}
         self.claims = ClaimPlan(
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -5,6 +5,7 @@
 import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from sloeswitch.core import taskset
 from sloeswitch.core.health import Health
@@ -13,6 +14,13 @@
 from sloeswitch.wire import MAX_TASKS, JobSpec, MachineType
 
 
+class Reservation(NamedTuple):
+    """Free capacity of one machine that is kept for a job; `until`: seconds of the controller's monotonic clock."""
+
+    job: str
+    until: float
+
+
 @dataclass
 class FreeCapacity:
     """What a machine has free. Placement takes from it."""
@@ -23,7 +31,7 @@
     spot: bool
     cores: float
     gpus: float
-    memory: float
+    memory_gb: float
     images: set[str] = field(default_factory=set)
     # Whether some live job fits such machines and not others.
     scarce: bool = False
@@ -36,16 +44,23 @@
         if spec.gpus > 0:
             most = min(most, int((self.gpus + SLACK) // spec.gpus))
         if spec.memory > 0:
-            most = min(most, int((self.memory + SLACK) // spec.memory))
+            most = min(most, int((self.memory_gb + SLACK) // spec.memory))
         return max(0, most)
 
     def take(self, spec: JobSpec, count: int = 1) -> None:
         self.cores -= count * spec.cores
         self.gpus -= count * spec.gpus
-        self.memory -= count * spec.memory
+        self.memory_gb -= count * spec.memory
         self.images.add(spec.image)
 
 
+class Placement(NamedTuple):
+    """One task of a job, by its index, and the machine that it is placed on."""
+
+    task_index: int
+    capacity: FreeCapacity
+
+
 def satisfies_constraints(spec: JobSpec, room: FreeCapacity) -> bool:
     return (
         (spec.types is None or room.type in spec.types)
@@ -55,12 +70,12 @@
 
 
 def eligible(
-    job: str, rooms: list[FreeCapacity], held: Mapping[str, tuple[str, float]], health: Health
+    job: str, rooms: list[FreeCapacity], held: Mapping[str, Reservation], health: Health
 ) -> list[FreeCapacity]:
     """The machines that a job may use: not those on which room is kept for another one (`held`: machine -> job, and
     until when), nor those on which it failed."""
     if held:
-        rooms = [room for room in rooms if held.get(room.machine, (job, 0.0))[0] == job]
+        rooms = [room for room in rooms if room.machine not in held or held[room.machine].job == job]
     if job not in health.jobs:
         return rooms
     return [room for room in rooms if not health.has_failed_on(job, room.machine)]
@@ -92,7 +107,7 @@
         room
         for room in rooms
         if room.cores >= least_cores
-        and room.memory >= least_memory
+        and room.memory_gb >= least_memory
         and room.gpus >= least_gpus
         and satisfies_constraints(spec, room)
     ]
@@ -113,12 +128,12 @@
 
 def pack_tasks(
     job: Job, tasks: int, rooms: list[FreeCapacity], zone: str | None = None, most: int = MAX_TASKS
-) -> list[tuple[int, FreeCapacity]]:
+) -> list[Placement]:
     """Puts tasks (a set) of the job on machines, taking their room. What does not fit stays out. `zone`: what would
     be stored as the job's zone, if none is yet. `most`: how many tasks at most."""
     spec = job.spec
     home = job.progress.zone or zone
-    placed: list[tuple[int, FreeCapacity]] = []
+    placed: list[Placement] = []
     for room in rank_capacities(spec, rooms):
         if not tasks:
             break
@@ -131,6 +146,6 @@
         chosen = taskset.lowest(choice, min(count, most - len(placed)))
         if chosen:
             room.take(spec, chosen.bit_count())
-            placed += [(index, room) for index in taskset.members(chosen)]
+            placed += [Placement(index, room) for index in taskset.members(chosen)]
             tasks &= ~chosen
     return placed
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -44,6 +44,13 @@
         self.gpus += count * spec.gpus
 
 
+class ReservedQuota(NamedTuple):
+    """What of a team's limit is reserved for a job that waits for its machine."""
+
+    team: str
+    usage: ResourceUsage
+
+
 def team_limit(team: Team) -> ResourceAmount:
     """The most that the team may use, over all controllers."""
     return ResourceAmount(team.cpus_max, team.gpus_max)
