--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -1,4 +1,8 @@
-"""Which machine takes which task."""
+"""Which machine takes which task: constraints, ranking and bin packing over free capacity.
+
+Functions that take from the `FreeCapacity` objects they are given and own nothing; the machines actor places with them,
+and the claim planner and gang preemption try placements on capacity that nobody else sees.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,13 @@
 
 @dataclass
 class FreeCapacity:
-    """What a machine has free. Placement takes from it."""
+    """What a machine has free. Placement takes from it.
+
+    Attributes:
+        machine: The machine's name; `type`, `zone` and `spot` are its own.
+        images: Images that it has or fetches.
+        scarce: Whether some live job fits machines of this type and not others.
+    """
 
     machine: str
     type: str
@@ -33,26 +43,30 @@
     gpus: float
     memory_gb: float
     images: set[str] = field(default_factory=set)
-    # Whether some live job fits such machines and not others.
     scarce: bool = False
 
     def max_tasks(self, spec: JobSpec) -> int:
-        """How many tasks of the job fit."""
-        most = spec.tasks
+        """How many tasks of the job fit, whatever its constraints."""
+        count = spec.tasks
         if spec.cores > 0:
-            most = min(most, int((self.cores + SLACK) // spec.cores))
+            count = min(count, int((self.cores + SLACK) // spec.cores))
         if spec.gpus > 0:
-            most = min(most, int((self.gpus + SLACK) // spec.gpus))
+            count = min(count, int((self.gpus + SLACK) // spec.gpus))
         if spec.memory > 0:
-            most = min(most, int((self.memory_gb + SLACK) // spec.memory))
-        return max(0, most)
+            count = min(count, int((self.memory_gb + SLACK) // spec.memory))
+        return max(0, count)
 
     def take(self, spec: JobSpec, count: int = 1) -> None:
+        """Takes so many tasks' resources; a negative count returns them."""
         self.cores -= count * spec.cores
         self.gpus -= count * spec.gpus
         self.memory_gb -= count * spec.memory
         self.images.add(spec.image)
 
+    def trial(self) -> FreeCapacity:
+        """A copy whose resources can be taken without effect on this one. The set of images is shared."""
+        return FreeCapacity(**vars(self))
+
 
 class Placement(NamedTuple):
     """One task of a job, by its index, and the machine that it is placed on."""
@@ -61,91 +75,117 @@
     capacity: FreeCapacity
 
 
-def satisfies_constraints(spec: JobSpec, room: FreeCapacity) -> bool:
+def satisfies_constraints(spec: JobSpec, capacity: FreeCapacity) -> bool:
+    """Whether the job may run on such a machine, by the types, the zone and the spot machines that it accepts."""
     return (
-        (spec.types is None or room.type in spec.types)
-        and (spec.zone is None or spec.zone == room.zone)
-        and (spec.spot or not room.spot)
+        (spec.types is None or capacity.type in spec.types)
+        and (spec.zone is None or spec.zone == capacity.zone)
+        and (spec.spot or not capacity.spot)
     )
 
 
 def eligible(
-    job: str, rooms: list[FreeCapacity], held: Mapping[str, Reservation], health: Health
+    job: str, capacities: list[FreeCapacity], reservations: Mapping[str, Reservation], health: Health
 ) -> list[FreeCapacity]:
-    """The machines that a job may use: not those on which room is kept for another one (`held`: machine -> job, and
-    until when), nor those on which it failed."""
-    if held:
-        rooms = [room for room in rooms if room.machine not in held or held[room.machine].job == job]
+    """The machines that a job may use: not those reserved for another one, nor those on which it failed.
+
+    Args:
+        job: The job's id.
+        capacities: What machines have free.
+        reservations: By machine.
+        health: The failures of jobs on machines.
+    """
+    if reservations:
+        capacities = [
+            capacity
+            for capacity in capacities
+            if capacity.machine not in reservations or reservations[capacity.machine].job == job
+        ]
     if job not in health.jobs:
-        return rooms
-    return [room for room in rooms if not health.has_failed_on(job, room.machine)]
+        return capacities
+    return [capacity for capacity in capacities if not health.has_failed_on(job, capacity.machine)]
+
 
+def without_full(capacities: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
+    """Without the machines on which fewer cores are free than any job wants."""
+    return [capacity for capacity in capacities if capacity.cores + SLACK >= least_cores]
 
-def without_full(rooms: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
-    """Without the machines that are full by now."""
-    return [room for room in rooms if room.cores + SLACK >= least_cores]
 
+def satisfies_zone_binding(spec: JobSpec, task_index: int, zone: str, job_zone: str | None) -> bool:
+    """Whether a task of a zone-bound job may run in a zone, given the job's stored one; nowhere before there is one.
 
-def satisfies_zone_binding(spec: JobSpec, index: int, zone: str, home: str | None) -> bool:
-    """The zone rules of a job's tasks against each other, by the job's stored zone; nowhere before there is one.
-    `together`: all in that zone. `spread`: the lower half of the tasks, rounded up, in it, the others anywhere else;
-    fixed by task number, so that controllers need not count each other's tasks."""
+    `one_zone`: all in that zone. `spread`: the lower half of the tasks, rounded up, in it, the others anywhere else;
+    fixed by task index, so that controllers need not count each other's tasks.
+    """
     if spec.one_zone:
-        return zone == home
-    return home is not None and (zone == home) == (index < (spec.tasks + 1) // 2)
+        return zone == job_zone
+    return job_zone is not None and (zone == job_zone) == (task_index < (spec.tasks + 1) // 2)
 
 
-def rank_capacities(spec: JobSpec, rooms: list[FreeCapacity]) -> list[FreeCapacity]:
-    """Machines with room for the job, best first: those that no other job needs more, those that have its image,
-    so that it is not fetched again, then spot machines and the fullest ones, so that the dear and the empty can be
-    returned."""
-    # The same as Room.count() > 0, without a call for each machine: thousands are looked at for each job.
-    least_cores, least_gpus, least_memory = (
+def rank_capacities(spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
+    """Machines with capacity for the job, best first.
+
+    Those that no other job needs more, those that have its image, so that it is not fetched again, then spot machines
+    and the fullest ones, so that the expensive and the empty can be returned to the cloud.
+    """
+    # The same as max_tasks() > 0, without a call for each machine: thousands are looked at for each job.
+    least_cores, least_gpus, least_memory_gb = (
         amount - SLACK if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
     )
-    found = [
-        room
-        for room in rooms
-        if room.cores >= least_cores
-        and room.memory_gb >= least_memory
-        and room.gpus >= least_gpus
-        and satisfies_constraints(spec, room)
+    candidates = [
+        capacity
+        for capacity in capacities
+        if capacity.cores >= least_cores
+        and capacity.memory_gb >= least_memory_gb
+        and capacity.gpus >= least_gpus
+        and satisfies_constraints(spec, capacity)
     ]
-    found.sort(key=lambda room: (room.scarce, spec.image not in room.images, not room.spot, room.cores))
-    return found
+    candidates.sort(key=lambda each: (each.scarce, spec.image not in each.images, not each.spot, each.cores))
+    return candidates
 
 
 def scarce_types(specs: Iterable[JobSpec], types: dict[str, MachineType]) -> set[str]:
     """Types that some of the jobs fit while they do not fit others: tasks that fit any machine go there last.
-    Guards against many small tasks in the room of the only machines that are large enough for another job."""
+
+    Guards against many small tasks in the capacity of the only machines that are large enough for another job.
+    """
     found: set[str] = set()
     for spec in specs:
-        fitting_types = {kind.name for kind in types.values() if fits_type(spec, kind)}
+        fitting_types = {machine_type.name for machine_type in types.values() if fits_type(spec, machine_type)}
         if len(fitting_types) < len(types):
             found |= fitting_types
     return found
 
 
 def pack_tasks(
-    job: Job, tasks: int, rooms: list[FreeCapacity], zone: str | None = None, most: int = MAX_TASKS
+    job: Job, tasks: int, capacities: list[FreeCapacity], zone: str | None = None, max_count: int = MAX_TASKS
 ) -> list[Placement]:
-    """Puts tasks (a set) of the job on machines, taking their room. What does not fit stays out. `zone`: what would
-    be stored as the job's zone, if none is yet. `most`: how many tasks at most."""
+    """Places tasks of the job on the best machines first, taking their capacity. What does not fit stays out.
+
+    Args:
+        job: The job.
+        tasks: The set of its tasks that are to be placed (see `core.taskset`).
+        capacities: The machines that it may use.
+        zone: What would be stored as the job's zone, if none is yet.
+        max_count: How many tasks at most.
+    """
     spec = job.spec
-    home = job.progress.zone or zone
-    placed: list[Placement] = []
-    for room in rank_capacities(spec, rooms):
+    job_zone = job.progress.zone or zone
+    placements: list[Placement] = []
+    for capacity in rank_capacities(spec, capacities):
         if not tasks:
             break
-        count = room.max_tasks(spec)
-        choice = tasks
+        count = capacity.max_tasks(spec)
+        allowed = tasks
         if spec.zone_bound:
-            choice = sum(
-                1 << index for index in taskset.members(tasks) if satisfies_zone_binding(spec, index, room.zone, home)
+            allowed = sum(
+                1 << index
+                for index in taskset.members(tasks)
+                if satisfies_zone_binding(spec, index, capacity.zone, job_zone)
             )
-        chosen = taskset.lowest(choice, min(count, most - len(placed)))
+        chosen = taskset.lowest(allowed, min(count, max_count - len(placements)))
         if chosen:
-            room.take(spec, chosen.bit_count())
-            placed += [Placement(index, room) for index in taskset.members(chosen)]
+            capacity.take(spec, chosen.bit_count())
+            placements += [Placement(index, capacity) for index in taskset.members(chosen)]
             tasks &= ~chosen
-    return placed
+    return placements
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -1,4 +1,8 @@
-"""Which tasks of lower priority stop so that a task of a more urgent job finds room, and which move for little."""
+"""Preemption: which attempts of lower priority stop so that a task of a more urgent job fits a machine.
+
+Also which attempts can move at little cost. Decisions without state; `actors.gang_preemption` and the machines actor
+carry them out.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 from sloeswitch.core.records import Job
 from sloeswitch.wire import JobSpec
 
-# The part of its running tasks that a job which goes by age lends to jobs of higher priority.
+# The part of its running tasks that a job which is ordered by age alone yields to jobs of higher priority.
 PREEMPTIBLE_SHARE = 0.5
 
 
@@ -28,29 +32,36 @@
 
 @dataclass(frozen=True)
 class QueueOrder:
-    """Who may be stopped for whom, by the line."""
+    """Who may be preempted for whom, by the queue.
+
+    Attributes:
+        positions: The positions of jobs in the queue; a job without one is last.
+        preemptible_counts: How many running tasks may stop of jobs that stand where they do by their age alone.
+    """
 
-    # The places of jobs in the line; a job without one is last.
     positions: Mapping[str, int]
-    # How many running tasks may stop of jobs that stand where they do by their age alone.
     preemptible_counts: Mapping[str, int] = field(default_factory=dict)
 
     @staticmethod
-    def of(line: Iterable[Job], placed: Mapping[str, int]) -> QueueOrder:
-        """The order of a line. `placed`: the sets of tasks, by job, that are on machines.
+    def of(queue: Iterable[Job], placed_tasks: Mapping[str, int]) -> QueueOrder:
+        """The order of a queue.
 
-        Of a job that goes by age a part must go on, so that the bounds on standing back hold. Guards against large
+        Of a job that is ordered by age a part must go on, so that the bounds on its delay hold. Guards against large
         machines that stay full of old best-effort work: gangs that fit nowhere else waited for eight leases until they
         went first themselves (found on the bench).
+
+        Args:
+            queue: The jobs in the order in which they get capacity.
+            placed_tasks: The sets of tasks, by job, that are on machines.
         """
         positions: dict[str, int] = {}
-        lendable: dict[str, int] = {}
-        for position, job in enumerate(line):
+        preemptible_counts: dict[str, int] = {}
+        for position, job in enumerate(queue):
             name = job.spec.id
             positions.setdefault(name, position)
             if job_queue.is_ordered_by_age(job):
-                lendable[name] = int(PREEMPTIBLE_SHARE * placed.get(name, 0).bit_count())
-        return QueueOrder(positions, lendable)
+                preemptible_counts[name] = int(PREEMPTIBLE_SHARE * placed_tasks.get(name, 0).bit_count())
+        return QueueOrder(positions, preemptible_counts)
 
     def is_behind(self, job: str, other: str) -> bool:
         """Whether the other job stands behind this one."""
@@ -59,25 +70,27 @@
 
 
 def preemptible(job: Job, attempts: Iterable[Attempt], order: QueueOrder) -> list[Attempt]:
-    """The attempts that may be stopped for a job, the youngest first: of lower priority, and of jobs behind it in the
-    line or, for a part of their tasks, of jobs that go by age."""
-    lent: Counter[str] = Counter()
-    found: list[Attempt] = []
+    """The attempts that may be stopped for a job, the youngest first.
+
+    Of lower priority, and of jobs behind it in the queue or, for a part of their tasks, of jobs ordered by age.
+    """
+    preempted: Counter[str] = Counter()
+    candidates: list[Attempt] = []
     for attempt in sorted(attempts, key=lambda attempt: -attempt.placed_at):
         if attempt.spec.gang or attempt.kill_grace_s is not None:
             continue
         if PRIORITY_RANKS[attempt.spec.priority] <= effective_priority(job):
             continue
         if not order.is_behind(job.spec.id, attempt.job):
-            if lent[attempt.job] >= order.preemptible_counts.get(attempt.job, 0):
+            if preempted[attempt.job] >= order.preemptible_counts.get(attempt.job, 0):
                 continue
-            lent[attempt.job] += 1
-        found.append(attempt)
-    return found
+            preempted[attempt.job] += 1
+        candidates.append(attempt)
+    return candidates
 
 
 def is_movable(attempt: Attempt, now: float) -> bool:
-    """Whether an attempt can be stopped and go on elsewhere for little: it saves, and is not new."""
+    """Whether an attempt can be stopped and go on elsewhere at little cost: it has checkpoints, and is not new."""
     spec = attempt.spec
     return (
         spec.checkpoint_s > 0
@@ -89,46 +102,59 @@
     )
 
 
-def choose_victims(spec: JobSpec, room: FreeCapacity, attempts: list[Attempt]) -> list[Attempt]:
-    """Which of the attempts have to stop, in their order, so that one task of the job fits the machine; none if it
-    does not fit then either."""
-    trial = FreeCapacity(**vars(room))
-    chosen: list[Attempt] = []
-    for attempt in attempts:
+def choose_victims(spec: JobSpec, capacity: FreeCapacity, candidates: list[Attempt]) -> list[Attempt]:
+    """Which of the attempts have to stop, in their order, so that one task of the job fits the machine.
+
+    Empty if it does not fit then either.
+    """
+    trial = capacity.trial()
+    victims: list[Attempt] = []
+    for attempt in candidates:
         if trial.max_tasks(spec):
             break
         trial.take(attempt.spec, -1)
-        chosen.append(attempt)
-    return chosen if trial.max_tasks(spec) else []
+        victims.append(attempt)
+    return victims if trial.max_tasks(spec) else []
 
 
-def victims_within_limit(spec: JobSpec, short: ResourceUsage, attempts: Iterable[Attempt]) -> list[Attempt] | None:
-    """Which of the attempts have to stop so that the team's limit has so much more room: tasks of its own. None when
-    they do not suffice.
+def victims_within_limit(
+    spec: JobSpec, shortfall: ResourceUsage, candidates: Iterable[Attempt]
+) -> list[Attempt] | None:
+    """Which attempts of the job's own team have to stop so that its limit covers the shortfall; None if all do not.
 
     Guards against a team that is at its limit through its own work of lower priority, for which nothing was stopped.
     """
-    chosen: list[Attempt] = []
+    victims: list[Attempt] = []
     freed = ResourceUsage()
-    for attempt in attempts:
-        if freed.cores >= short.cores and freed.gpus >= short.gpus:
+    for attempt in candidates:
+        if freed.cores >= shortfall.cores and freed.gpus >= shortfall.gpus:
             break
         if attempt.spec.team == spec.team:
             freed.add(attempt.spec)
-            chosen.append(attempt)
-    return chosen if freed.cores >= short.cores and freed.gpus >= short.gpus else None
+            victims.append(attempt)
+    return victims if freed.cores >= shortfall.cores and freed.gpus >= shortfall.gpus else None
 
 
 def plan_preemption(
-    job: Job, rooms: Iterable[tuple[FreeCapacity, Iterable[Attempt]]], order: QueueOrder, at_limit: bool = False
+    job: Job,
+    machines: Iterable[tuple[FreeCapacity, Iterable[Attempt]]],
+    order: QueueOrder,
+    at_limit: bool = False,
 ) -> Preemption | None:
-    """The machine on which the fewest attempts have to stop for a task of the job. `at_limit`: the team's limit keeps
-    the job from room that is there, so that a machine with room will do."""
+    """The machine on which the fewest attempts have to stop for a task of the job; None if there is none.
+
+    Args:
+        job: The job that is to get capacity.
+        machines: What eligible machines have free, each with its attempts.
+        order: Who may be preempted for whom.
+        at_limit: The team's limit keeps the job from capacity that is there, so that a machine where nothing has to
+            stop will do.
+    """
     best: Preemption | None = None
-    for room, attempts in rooms:
-        if at_limit and room.max_tasks(job.spec):
-            return Preemption(room.machine, [])
-        stopped = choose_victims(job.spec, room, preemptible(job, attempts, order))
-        if stopped and (best is None or len(stopped) < len(best.attempts)):
-            best = Preemption(room.machine, stopped)
+    for capacity, attempts in machines:
+        if at_limit and capacity.max_tasks(job.spec):
+            return Preemption(capacity.machine, [])
+        victims = choose_victims(job.spec, capacity, preemptible(job, attempts, order))
+        if victims and (best is None or len(victims) < len(best.attempts)):
+            best = Preemption(capacity.machine, victims)
     return best
