--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -10,7 +10,7 @@
 
 from sloeswitch.actors.commands import CommandSender, InspectionReply
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, is_cancellation_overdue
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
@@ -51,7 +51,7 @@
             return
         suspects = self.guard.suspects(self.tables, self.leadership.incarnation_id, now, wall_time_ms)
         suspects |= self._own_suspects(now, wall_time_ms)
-        for name in self.guard.due(suspects, now):
+        for name in self.guard.begin_inspections(suspects, now):
             self.commands.inspect(name, self._address(name))
         if self._all_machines_silent(now):
             return
@@ -69,7 +69,9 @@
 
     def has_overdue(self, wall_time_ms: int) -> bool:
         """Whether a job that was cancelled longer ago than a part of the time allowed still has claims."""
-        return any(overdue_job(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values())
+        return any(
+            is_cancellation_overdue(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values()
+        )
 
     def _own_suspects(self, now: float, wall_time_ms: int) -> set[str]:
         overdue = self.has_overdue(wall_time_ms)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -10,7 +10,7 @@
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
 from sloeswitch.core import keys
-from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
+from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState, Progress
 from sloeswitch.mesh import Mesh
@@ -76,15 +76,15 @@
     cancelled_job(store, "c1.2")
     guard = CancellationGuard(settings)
     names = ["vm-1", "vm-2", "vm-3"]
-    assert guard.due(names, NOW) == names
-    assert guard.due(names, NOW) == [], "asked once at a time"
+    assert guard.begin_inspections(names, NOW) == names
+    assert guard.begin_inspections(names, NOW) == [], "asked once at a time"
     guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "running"), name="vm-1"), store.tables, NOW)
     guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "ended", "halted"), name="vm-2"), store.tables, NOW)
-    for _ in range(MOST_FAILURES):
+    for _ in range(MAX_FAILED_INSPECTIONS):
         assert "vm-3" not in guard.deletable()
         guard.record_no_answer("vm-3", NOW)
     assert guard.deletable() == ["vm-1", "vm-3"]
-    assert guard.due(["vm-2", "vm-3"], NOW + settings.lease_s) == ["vm-2"], "asked again later"
+    assert guard.begin_inspections(["vm-2", "vm-3"], NOW + settings.lease_s) == ["vm-2"], "asked again later"
     assert guard.deletable() == ["vm-3"], "vm-1 is suspected no more"
 
 
@@ -141,7 +141,7 @@
 ) -> None:
     outage = Outage(store, monkeypatch)
     silent = sorted(owned_by(store, "c1"))[0]
-    for _ in range(MOST_FAILURES):
+    for _ in range(MAX_FAILED_INSPECTIONS):
         outage.inspect({silent})
     assert set(outage.given_back) == {silent}
 
@@ -181,7 +181,7 @@
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outage = Outage(store, monkeypatch)
-    for _ in range(2 * MOST_FAILURES):
+    for _ in range(2 * MAX_FAILED_INSPECTIONS):
         outage.inspect(set(MACHINES))
     assert outage.given_back == []
     outage.world.machines.cancellations.any_heard_at = outage.world.clock.time
