--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -660,7 +660,7 @@
         kind = self.tables.machine_types.get(machine.type)
         if (
             kind is None
-            or self.registry.free_cores(machine, kind) + quota.SLACK < self.least_cores
+            or self.registry.free_cores(machine, kind) + quota.ROUNDING_TOLERANCE < self.least_cores
             or not self.registry.is_schedulable(machine)
             # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
             # report: it was given work again and again, which was taken back when no report came to be answered.
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -87,7 +87,8 @@
         use = self.usage(spec.team)
         cores, gpus = self.available(self.settings.teams[spec.team], use)
         return quota.ResourceUsage(
-            max(0.0, use.cores + spec.cores - cores - quota.SLACK), max(0.0, use.gpus + spec.gpus - gpus - quota.SLACK)
+            max(0.0, use.cores + spec.cores - cores - quota.ROUNDING_TOLERANCE),
+            max(0.0, use.gpus + spec.gpus - gpus - quota.ROUNDING_TOLERANCE),
         )
 
     def request_allocations(
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-from sloeswitch.core.quota import SLACK
+from sloeswitch.core.quota import ROUNDING_TOLERANCE
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
@@ -31,7 +31,9 @@
     def times_in(self, whole: Resources) -> int:
         """How many times this fits into the whole; 0 for what takes nothing."""
         pairs = ((self.cores, whole.cores), (self.gpus, whole.gpus), (self.memory, whole.memory))
-        counts = [int((room + SLACK) // amount) for amount, room in pairs if amount > 0 and math.isfinite(room)]
+        counts = [
+            int((room + ROUNDING_TOLERANCE) // amount) for amount, room in pairs if amount > 0 and math.isfinite(room)
+        ]
         return max(0, min(counts, default=0))
 
 
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -272,7 +272,7 @@
         placed_count = placed.bit_count()
         ahead = 0
         if not (spec.gang or spec.zone_bound):
-            ahead = min(count - placed_count, int(self.ahead_cores // max(spec.cores, quota.SLACK)))
+            ahead = min(count - placed_count, int(self.ahead_cores // max(spec.cores, quota.ROUNDING_TOLERANCE)))
             self.ahead_cores -= ahead * spec.cores
         wanted = min(unclaimed.bit_count(), max(0, placed_count + ahead - idle_count))
         is_worth_a_write = placed_count > idle_count or 2 * idle_count < ahead
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -13,7 +13,7 @@
 
 from sloeswitch.core import taskset
 from sloeswitch.core.health import Health
-from sloeswitch.core.quota import SLACK, fits_type
+from sloeswitch.core.quota import ROUNDING_TOLERANCE, fits_type
 from sloeswitch.core.records import Job
 from sloeswitch.wire import MAX_TASKS, JobSpec, MachineType
 
@@ -49,11 +49,11 @@
         """How many tasks of the job fit, whatever its constraints."""
         count = spec.tasks
         if spec.cores > 0:
-            count = min(count, int((self.cores + SLACK) // spec.cores))
+            count = min(count, int((self.cores + ROUNDING_TOLERANCE) // spec.cores))
         if spec.gpus > 0:
-            count = min(count, int((self.gpus + SLACK) // spec.gpus))
+            count = min(count, int((self.gpus + ROUNDING_TOLERANCE) // spec.gpus))
         if spec.memory > 0:
-            count = min(count, int((self.memory_gb + SLACK) // spec.memory))
+            count = min(count, int((self.memory_gb + ROUNDING_TOLERANCE) // spec.memory))
         return max(0, count)
 
     def take(self, spec: JobSpec, count: int = 1) -> None:
@@ -108,7 +108,7 @@
 
 def without_full(capacities: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
     """Without the machines on which fewer cores are free than any job wants."""
-    return [capacity for capacity in capacities if capacity.cores + SLACK >= least_cores]
+    return [capacity for capacity in capacities if capacity.cores + ROUNDING_TOLERANCE >= least_cores]
 
 
 def satisfies_zone_binding(spec: JobSpec, task_index: int, zone: str, job_zone: str | None) -> bool:
@@ -130,7 +130,7 @@
     """
     # The same as max_tasks() > 0, without a call for each machine: thousands are looked at for each job.
     least_cores, least_gpus, least_memory_gb = (
-        amount - SLACK if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
+        amount - ROUNDING_TOLERANCE if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
     )
     candidates = [
         capacity
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -17,8 +17,8 @@
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType
 
-# Sums of decimal amounts carry rounding; half of the last place that a limit could be meant to have.
-SLACK = 1e-6
+# Sums of decimal amounts (cores, GPUs, GB) carry rounding; half of the last place that a limit could be meant to have.
+ROUNDING_TOLERANCE = 1e-6
 
 
 class ResourceAmount(NamedTuple):
@@ -61,9 +61,9 @@
     return (
         (spec.types is None or machine_type.name in spec.types)
         and (spec.zone is None or spec.zone in machine_type.zones)
-        and spec.cores <= machine_type.cores + SLACK
-        and spec.gpus <= machine_type.gpus + SLACK
-        and spec.memory <= machine_type.memory + SLACK
+        and spec.cores <= machine_type.cores + ROUNDING_TOLERANCE
+        and spec.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+        and spec.memory <= machine_type.memory + ROUNDING_TOLERANCE
     )
 
 
@@ -88,9 +88,9 @@
     """How many more tasks of the job the quota covers, beside what its team uses of it."""
     count = spec.tasks
     if spec.cores > 0:
-        count = min(count, int((quota.cores - usage.cores + SLACK) // spec.cores))
+        count = min(count, int((quota.cores - usage.cores + ROUNDING_TOLERANCE) // spec.cores))
     if spec.gpus > 0:
-        count = min(count, int((quota.gpus - usage.gpus + SLACK) // spec.gpus))
+        count = min(count, int((quota.gpus - usage.gpus + ROUNDING_TOLERANCE) // spec.gpus))
     return max(0, count)
 
 
@@ -130,4 +130,4 @@
 
 def within_guarantee(team: Team, cores: float, gpus: float) -> bool:
     """Whether so much lies within what the team is guaranteed."""
-    return cores <= team.cpus + SLACK and gpus <= team.gpus + SLACK
+    return cores <= team.cpus + ROUNDING_TOLERANCE and gpus <= team.gpus + ROUNDING_TOLERANCE
--- a/sloeswitch/core/quota_allocation.py
+++ b/sloeswitch/core/quota_allocation.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from sloeswitch.core.quota import SLACK, ResourceAmount, ResourceUsage, team_limit
+from sloeswitch.core.quota import ROUNDING_TOLERANCE, ResourceAmount, ResourceUsage, team_limit
 from sloeswitch.settings import Team
 
 # A limit is scarce when less than this part of it is allocated to nobody.
@@ -61,12 +61,15 @@
     @property
     def is_short(self) -> bool:
         """Whether more could be put to use than is allocated."""
-        return self.usage.cores > self.allocated.cores + SLACK or self.usage.gpus > self.allocated.gpus + SLACK
+        return (
+            self.usage.cores > self.allocated.cores + ROUNDING_TOLERANCE
+            or self.usage.gpus > self.allocated.gpus + ROUNDING_TOLERANCE
+        )
 
     @property
     def has_unallocated(self) -> bool:
         """Whether there is anything to ask for."""
-        return self.unallocated.cores > SLACK or self.unallocated.gpus > SLACK
+        return self.unallocated.cores > ROUNDING_TOLERANCE or self.unallocated.gpus > ROUNDING_TOLERANCE
 
     @property
     def has_surplus(self) -> bool:
