--- a/tests/test_allowances.py
+++ b/tests/test_allowances.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from sloeswitch.core import quota
 from sloeswitch.core.quota import ResourceAmount, ResourceUsage
 from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.settings import Settings
@@ -36,3 +37,14 @@
     part = allowance(settings, held, use, free)
     assert part.has_surplus == surplus and not part.is_short
     assert part.decreased.cores <= held
+
+
+def test_a_reallocation_never_passes_the_limit_and_leaves_out_who_has_nothing() -> None:
+    others = {"c1.2": ResourceAmount(15.0, 1.0)}
+    after = quota.reallocate(others, ResourceAmount(20.0, 1.0), "c0.1", ResourceAmount(9.0, 1.0))
+    assert after == {"c1.2": (15.0, 1.0), "c0.1": (5.0, 0.0)}
+    assert quota.reallocate(after, ResourceAmount(20.0, 1.0), "c0.1", ResourceAmount()) == others
+
+
+def test_an_amount_equals_the_pair_that_is_stored() -> None:
+    assert ResourceAmount(8.0, 1.0) == (8.0, 1.0) and list(ResourceAmount(8.0)) == [8.0, 0.0]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -31,3 +31,21 @@
         health.record_failure("wk-1", name, 0.0)
     health.record_success("wk-1", "vm-4")
     assert not health.is_job_faulty("wk-1") and not health.is_job_paused("wk-1", 0.0)
+
+
+def test_back_off_doubles_up_to_its_bound_and_only_when_a_retry_was_due() -> None:
+    health = Health(1.0, 3.0)
+    for name in ("vm-1", "vm-2", "vm-3", "vm-4"):
+        health.record_failure("wk-1", name, 0.0)
+    assert health.jobs["wk-1"].backoff_s == 1.0
+    health.record_failure("wk-1", "vm-1", 1.0)
+    health.record_failure("wk-1", "vm-1", 10.0)
+    assert health.jobs["wk-1"].backoff_s == 3.0 and health.is_job_paused("wk-1", 12.9)
+
+
+def test_a_success_ends_a_machines_failures_in_a_row() -> None:
+    health = Health(1.0, 100.0)
+    health.record_failure("wk-1", "vm-1", 0.0)
+    health.record_success("wk-2", "vm-1")
+    health.record_failure("wk-3", "vm-1", 0.0)
+    assert not health.is_machine_quarantined("vm-1") and health.has_failed_on("wk-1", "vm-1")
--- /dev/null
+++ b/tests/test_reconciliation.py
@@ -0,0 +1,108 @@
+"""Reports beside what is known of a machine: what differs, and what follows from it."""
+
+from __future__ import annotations
+
+import pytest
+
+from sloeswitch.core.machine import REPORTED_STATES, Attempt, AttemptKey, AttemptState, Machine, TaskId
+from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.reconciliation import ReceivedReport, ReconcileResult, is_outdated, reconcile
+from sloeswitch.wire import MalformedError
+from tests.conftest import Store, report, spec
+
+JOB = "wk-000001"
+TOKEN = 3
+RUNNING = (f"{JOB}/0", 77, "running")
+UNKNOWN = (f"{JOB}/3", 5, "running")
+
+
+class Reports:
+    """A machine of which the first report, sequence 1, has shown attempt 77 of task 0 to run."""
+
+    def __init__(self, store: Store) -> None:
+        store.job(spec())
+        store.progress(JOB, c0_1=0b1)
+        self.tables = store.tables
+        self.registry = MachineRegistry()
+        self.machine = self.registry.add_machine(
+            Machine("vm-1", "127.0.0.1:9000", "small", "a", True, owned_since_token=TOKEN)
+        )
+        self.registry.add_attempt(self.machine, Attempt(JOB, 0, 77, spec(), sent_sequence=0))
+        self.sequence = 0
+        self.receive(RUNNING)
+
+    def receive(self, *tasks: tuple[object, ...], session: int = 1, is_heartbeat: bool = True) -> ReconcileResult:
+        self.sequence += 1
+        message = report(self.sequence, TOKEN, *tasks, session=session)
+        received = ReceivedReport(message, is_heartbeat, float(self.sequence), TOKEN)
+        return reconcile(self.registry, self.machine, received, self.tables)
+
+
+@pytest.fixture
+def reports(store: Store) -> Reports:
+    return Reports(store)
+
+
+def test_an_unchanged_report_only_shows_that_the_machine_is_there(reports: Reports) -> None:
+    before = dict(reports.machine.attempts)
+    assert reports.receive(RUNNING) == ReconcileResult(accepted=True)
+    assert reports.machine.attempts == before and reports.machine.last_heard_at == 2.0
+
+
+def test_a_reply_to_a_command_counts_as_contact_and_not_as_a_heartbeat(reports: Reports) -> None:
+    reports.receive(RUNNING, is_heartbeat=False)
+    assert reports.machine.last_heard_at == 2.0 and reports.machine.reported_at == 1.0
+
+
+def test_the_time_of_the_first_running_report_and_the_image_last_used_are_kept(reports: Reports) -> None:
+    attempt = reports.machine.attempts[TaskId(JOB, 0)]
+    reports.machine.images["img-other"] = None
+    reports.receive((f"{JOB}/0", 77, "flushing"))
+    assert attempt.running_at == 1.0 and attempt.state == AttemptState.FLUSHING
+    assert list(reports.machine.images)[-1] == spec().image
+
+
+@pytest.mark.parametrize("bad", [(f"{JOB}/1", 5, "pending"), (f"{JOB}/1", 5, "asleep"), ("nonsense", 5, "running")])
+def test_of_a_malformed_report_nothing_is_applied(reports: Reports, bad: tuple[object, ...]) -> None:
+    with pytest.raises(MalformedError):
+        reports.receive((f"{JOB}/0", 77, "ended", "done"), bad)
+    assert reports.machine.report_sequence == 1 and TaskId(JOB, 0) in reports.machine.attempts
+    assert "pending" not in REPORTED_STATES
+
+
+def test_after_a_restart_the_worker_has_nothing_even_if_it_lists_the_same(reports: Reports) -> None:
+    result = reports.receive(RUNNING, session=2)
+    assert result.capacity_freed and not result.adopted and reports.registry.placed_tasks == {}
+    assert list(reports.machine.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
+
+
+def test_foreign_attempts_are_those_of_the_last_report(reports: Reports) -> None:
+    reports.receive(RUNNING, UNKNOWN)
+    assert list(reports.machine.foreign_attempts) == [AttemptKey(f"{JOB}/3", 5)]
+    reports.receive(RUNNING)
+    assert not reports.machine.foreign_attempts
+
+
+def test_an_end_is_a_result_once_and_is_remembered_until_the_worker_has_cleared_it(reports: Reports) -> None:
+    ended = (f"{JOB}/0", 77, "ended", "error")
+    first = reports.receive(ended)
+    assert first.failed == [((JOB, 0), "vm-1")] and first.capacity_freed
+    assert reports.receive(ended).failed == []
+    assert list(reports.machine.ended_attempts) == [AttemptKey(f"{JOB}/0", 77)]
+    reports.receive()
+    assert not reports.machine.ended_attempts
+
+
+def test_a_cancellation_is_over_for_a_machine_that_has_nothing_left_to_stop(reports: Reports) -> None:
+    reports.machine.cancelled_since = 1.0
+    reports.registry.mark_for_kill(reports.machine, reports.machine.attempts[TaskId(JOB, 0)], 0.0)
+    reports.receive(RUNNING)
+    assert reports.machine.cancelled_since == 1.0
+    reports.receive()
+    assert reports.machine.cancelled_since is None
+
+
+def test_reports_of_an_epoch_whose_lease_expired_are_outdated_however_new(reports: Reports) -> None:
+    reports.registry.expire_lease(reports.machine)
+    assert is_outdated(reports.machine, report(99, TOKEN, RUNNING))
+    assert not is_outdated(reports.machine, report(1, TOKEN, session=2))
