--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -106,3 +106,17 @@
     reports.registry.expire_lease(reports.machine)
     assert is_outdated(reports.machine, report(99, TOKEN, RUNNING))
     assert not is_outdated(reports.machine, report(1, TOKEN, session=2))
+
+
+def test_a_cancellation_is_over_by_an_unchanged_report_if_nothing_is_to_stop(reports: Reports) -> None:
+    reports.machine.cancelled_since = 1.0
+    reports.receive(RUNNING)
+    assert reports.machine.cancelled_since is None
+
+
+def test_a_task_that_is_placed_on_another_machine_of_ours_is_not_adopted(reports: Reports) -> None:
+    other = Machine("vm-2", "127.0.0.1:9001", "small", "a", True, owned_since_token=TOKEN)
+    reports.registry.add_machine(other)
+    received = ReceivedReport(report(1, TOKEN, RUNNING, name="vm-2"), True, 2.0, TOKEN)
+    assert reconcile(reports.registry, other, received, reports.tables).adopted == []
+    assert list(other.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
