--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -1,6 +1,6 @@
-"""One machine and the attempts on it, as its reports and this controller's decisions tell.
+"""Records of one machine and of the attempts on it.
 
-Plain records. `core.machine_registry` owns them and keeps their sums up; `core.reconciliation` brings them up to date
+`core.machine_registry` owns them and keeps their sums up; `core.reconciliation` brings them up to date
 with reports. Times named `_at`, `_since` are seconds of the controller's monotonic clock; amounts of memory are in GB.
 The words of states, causes and verbs are those of the worker protocol (PROTOCOL, "Workers").
 """
@@ -25,7 +25,7 @@
     # Of a gang: waits for the other tasks of its attempt.
     GATHERING = "gathering"
     RUNNING = "running"
-    # Was told to stop, and saves its progress.
+    # Was stopped, and saves its progress.
     FLUSHING = "flushing"
     ENDED = "ended"
 
@@ -108,7 +108,7 @@
 
 @dataclass
 class Machine:
-    """One machine, as its reports tell it.
+    """One machine, by its reports and by what this controller decided on.
 
     Written by `MachineRegistry`, by `reconcile` and by the machines actor; the autoscaler sets `surplus` only.
     """
@@ -141,8 +141,8 @@
     # Seconds until the cloud takes the machine away; None while it does not.
     preemption_notice_s: float | None = None
     draining: bool = False
-    # Since when users have been told of a cancellation of which a task may be on it. It outlasts the end of the lease
-    # in our state: a machine that hangs gives its tasks up only when it goes on.
+    # When users were first confirmed a cancellation of which a task may still be on it. It outlasts the end of the
+    # lease in our state: a machine that hangs gives its tasks up only when it goes on.
     cancelled_since: float | None = None
     # Not needed: to be emptied and deleted.
     surplus: bool = False
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -192,7 +192,7 @@
     # -- commands
 
     def commands(self, machine: Machine, tables: Tables, heartbeat_sequence: int | None) -> list[WorkerCommand]:
-        """What the machine is to be told, and notes which starts go out.
+        """The commands that the machine is to be sent; notes which starts go out.
 
         Args:
             machine: One of the registry's.
@@ -222,7 +222,7 @@
         return record is None or record.status != JobState.LIVE or bool(record.progress.done >> index & 1)
 
     def mark_for_kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> bool:
-        """Marks an attempt to be stopped, or takes it back if it was never sent. True when the machine must be told."""
+        """Marks an attempt to be stopped, or takes it back if it was never sent. True when it must be sent."""
         if attempt.sent_sequence is None and not attempt.reported:
             self.remove_attempt(machine, attempt)
             return False
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -68,7 +68,7 @@
 
 
 def unschedulable_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
-    """Why the job can never run, as its user is told, or None."""
+    """Why the job can never run, as its user is answered, or None."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
--- a/sloeswitch/core/reconciliation.py
+++ b/sloeswitch/core/reconciliation.py
@@ -126,7 +126,7 @@
 
 
 def _record_contact(machine: Machine, received: ReceivedReport) -> None:
-    """The machine was heard, whatever is on it."""
+    """Records that the machine reported, whatever is on it."""
     report = received.report
     machine.agent_epoch, machine.report_sequence = report.agent_epoch, report.sequence
     machine.reconciled, machine.accounted_for = True, True
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -24,7 +24,7 @@
 
 
 def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
-    """A cancelled job of which a controller's run holds a claim."""
+    """A cancelled job of which an incarnation of a controller holds a claim."""
     store.job(spec(JOB))
     store.put(keys.progress_key(JOB), Progress(0, {tag: 1}).stored())
     row = store.rows[keys.job_key(JOB)][0]
@@ -44,23 +44,23 @@
     return CANCELLED_MS + int(1000 * OVERDUE_SHARE * settings.cancel_s) + 1
 
 
-def test_machines_of_the_run_that_holds_the_claims_are_suspected(settings: Settings, store: Store) -> None:
+def test_machines_of_the_incarnation_that_holds_the_claims_are_suspected(settings: Settings, store: Store) -> None:
     two_members(store)
     cancelled_job(store, "c1.2")
     guard = CancellationGuard(settings)
     assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == owned_by(store, "c1") != set()
-    assert guard.suspects(store.tables, "c1.2", NOW, overdue_ms(settings)) == set(), "its own books tell more"
+    assert guard.suspects(store.tables, "c1.2", NOW, overdue_ms(settings)) == set(), "its own registry says more"
     assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings) - 2) == set(), "not overdue yet"
 
 
-def test_what_a_departed_run_had_claimed_may_be_on_any_machine(settings: Settings, store: Store) -> None:
+def test_what_a_departed_incarnation_had_claimed_may_be_on_any_machine(settings: Settings, store: Store) -> None:
     two_members(store)
     cancelled_job(store, "c1.1")
     guard = CancellationGuard(settings)
     assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == set(MACHINES)
 
 
-def test_a_cancellation_that_a_sibling_told_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
+def test_a_cancellation_learnt_from_a_sibling_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
     """Its row is not read, so that nothing is known of its claims."""
     two_members(store)
     store.tables.apply_peer_cancellation(Cancellation("wk-000077", 99))
@@ -107,14 +107,14 @@
         )
         self.peer = world.leadership.mesh.peers["c1"]
         self.started: list[str] = []
-        self.given_back: list[str] = []
+        self.deleted: list[str] = []
         world.machines.group = self  # type: ignore[assignment]
         world.machines.autoscaler = self  # type: ignore[assignment]
         world.client.failing_since = world.clock.time
         world.clock.time += 2 * world.settings.controller_lease_s
-        self.sibling_tells(view=0, state_ok=False)
+        self.set_sibling_status(view=0, state_ok=False)
 
-    def sibling_tells(self, view: int, state_ok: bool) -> None:
+    def set_sibling_status(self, view: int, state_ok: bool) -> None:
         self.peer.asked_at, self.peer.view_number, self.peer.state_reachable = self.world.clock.time, view, state_ok
 
     def start_soon(self, call: Any, *args: Any) -> None:
@@ -122,7 +122,7 @@
         self.started.append(args[0])
 
     def scale_in(self, machine: str, pressing: bool) -> bool:
-        self.given_back.append(machine)
+        self.deleted.append(machine)
         return pressing
 
     def inspect(self, silent: set[str]) -> None:
@@ -143,7 +143,7 @@
     silent = sorted(owned_by(store, "c1"))[0]
     for _ in range(MAX_FAILED_INSPECTIONS):
         outage.inspect({silent})
-    assert set(outage.given_back) == {silent}
+    assert set(outage.deleted) == {silent}
 
 
 def test_a_sibling_that_reaches_the_state_service_or_knows_a_newer_view_decides_itself(
@@ -151,30 +151,30 @@
 ) -> None:
     outage = Outage(store, monkeypatch)
     for view, state_ok in ((5, True), (6, False)):
-        outage.sibling_tells(view, state_ok)
+        outage.set_sibling_status(view, state_ok)
         outage.inspect(set())
         assert not outage.world.machines.cancellations.guard.inspections
-    outage.sibling_tells(0, False)
+    outage.set_sibling_status(0, False)
     outage.inspect(set())
     assert outage.world.machines.cancellations.guard.inspections
 
 
-def test_the_fleet_deletes_what_is_not_its_own_for_a_cancellation_while_nobody_may_answer(
+def test_the_autoscaler_deletes_what_is_not_its_own_for_a_cancellation_while_nobody_may_answer(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outage = Outage(store, monkeypatch)
     cloud: Any = Cloud()
     world = outage.world
-    fleet = Autoscaler(world.context, cloud)
-    fleet.machines = world.machines
+    autoscaler = Autoscaler(world.context, cloud)
+    autoscaler.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
-    fleet.scale_in(pressing, pressing=True)
-    fleet.scale_in(other)
-    outage.sibling_tells(5, True)
-    assert deletions(world, fleet) == []
-    outage.sibling_tells(0, False)
-    fleet.wake = anyio.Event()  # of the next event loop
-    assert deletions(world, fleet) == [pressing]
+    autoscaler.scale_in(pressing, pressing=True)
+    autoscaler.scale_in(other)
+    outage.set_sibling_status(5, True)
+    assert deletions(world, autoscaler) == []
+    outage.set_sibling_status(0, False)
+    autoscaler.wake = anyio.Event()  # of the next event loop
+    assert deletions(world, autoscaler) == [pressing]
 
 
 def test_nothing_is_deleted_by_a_controller_that_hears_no_machine_at_all(
@@ -183,7 +183,7 @@
     outage = Outage(store, monkeypatch)
     for _ in range(2 * MAX_FAILED_INSPECTIONS):
         outage.inspect(set(MACHINES))
-    assert outage.given_back == []
+    assert outage.deleted == []
     outage.world.machines.cancellations.any_heard_at = outage.world.clock.time
     outage.inspect(set(MACHINES))
-    assert set(outage.given_back) == owned_by(store, "c1")
+    assert set(outage.deleted) == owned_by(store, "c1")
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -17,7 +17,7 @@
 
 
 def started(store: Store) -> tuple[MachineRegistry, Machine]:
-    """A registry whose machine was told to start task 0 in the answer to heartbeat 1."""
+    """A registry whose machine was sent the start of task 0 in the answer to heartbeat 1."""
     store.job(spec())
     store.progress(JOB, c0_1=0b1)
     registry = MachineRegistry()
@@ -25,8 +25,8 @@
     reconcile(registry, machine, ReceivedReport(report(1, 3), True, 0.0, 3), store.tables)
     machine.reachable = True
     registry.add_attempt(machine, Attempt(JOB, 0, 77, spec()))
-    orders = registry.commands(machine, store.tables, 1)
-    assert [(order.verb, order.task, order.attempt) for order in orders] == [("start", f"{JOB}/0", 77)]
+    commands = registry.commands(machine, store.tables, 1)
+    assert [(command.verb, command.task, command.attempt) for command in commands] == [("start", f"{JOB}/0", 77)]
     return registry, machine
 
 
@@ -38,14 +38,14 @@
     assert machine.attempts[TaskId(JOB, 0)].sent_sequence == 1
 
 
-def test_start_missing_from_a_later_beat_is_told_again(store: Store) -> None:
+def test_start_missing_from_a_later_heartbeat_is_sent_again(store: Store) -> None:
     registry, machine = started(store)
     reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
-    assert [order.verb for order in registry.commands(machine, store.tables, 2)] == ["start"]
+    assert [command.verb for command in registry.commands(machine, store.tables, 2)] == ["start"]
 
 
-def test_start_is_never_told_by_direct_command(store: Store) -> None:
+def test_start_is_never_sent_by_direct_command(store: Store) -> None:
     registry, machine = started(store)
     assert registry.commands(machine, store.tables, None) == []
 
@@ -61,25 +61,25 @@
 def test_report_under_an_earlier_owners_token_is_not_trusted(store: Store) -> None:
     registry = MachineRegistry()
     machine = owned(registry, token=3)
-    heard = reconcile(registry, machine, ReceivedReport(report(9, 2), True, 0.0, 3), store.tables)
-    assert not heard.accepted and not machine.is_recovered
+    result = reconcile(registry, machine, ReceivedReport(report(9, 2), True, 0.0, 3), store.tables)
+    assert not result.accepted and not machine.is_recovered
 
 
-def test_new_session_means_all_tasks_are_gone(store: Store) -> None:
+def test_new_agent_epoch_means_all_tasks_are_gone(store: Store) -> None:
     registry, machine = started(store)
     reconcile(registry, machine, ReceivedReport(report(2, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3), store.tables)
-    heard = reconcile(registry, machine, ReceivedReport(report(3, 3, session=2), True, 20.0, 3), store.tables)
-    assert heard.capacity_freed and JOB not in registry.placed_tasks
+    result = reconcile(registry, machine, ReceivedReport(report(3, 3, session=2), True, 20.0, 3), store.tables)
+    assert result.capacity_freed and JOB not in registry.placed_tasks
 
 
 def test_done_is_cleared_only_once_it_is_stored(store: Store) -> None:
     registry, machine = started(store)
     ended = (f"{JOB}/0", 77, "ended", "done")
-    heard = reconcile(registry, machine, ReceivedReport(report(2, 3, ended), True, 1.0, 3), store.tables)
-    assert heard.done == [((JOB, 0), "vm-1")]
+    result = reconcile(registry, machine, ReceivedReport(report(2, 3, ended), True, 1.0, 3), store.tables)
+    assert result.done == [((JOB, 0), "vm-1")]
     assert registry.commands(machine, store.tables, 2) == []
     store.progress(JOB, done=0b1)
-    assert [order.verb for order in registry.commands(machine, store.tables, 3)] == ["clear"]
+    assert [command.verb for command in registry.commands(machine, store.tables, 3)] == ["clear"]
 
 
 def test_task_of_an_earlier_owner_is_adopted(store: Store) -> None:
@@ -87,10 +87,10 @@
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
     machine = owned(registry)
-    heard = reconcile(
+    result = reconcile(
         registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
     )
-    assert heard.adopted == [(JOB, 1)]
+    assert result.adopted == [(JOB, 1)]
     assert not registry.is_recovered(store.tables, "c0.1")  # not before the adoption is stored
     store.progress(JOB, c0_1=0b10)
     assert registry.is_recovered(store.tables, "c0.1")
@@ -100,11 +100,11 @@
     store.job(spec())
     registry = MachineRegistry()
     machine = owned(registry)
-    heard = reconcile(
+    result = reconcile(
         registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
     )
-    assert heard.adopted == []
-    assert [order.verb for order in registry.commands(machine, store.tables, 1)] == ["kill"]
+    assert result.adopted == []
+    assert [command.verb for command in registry.commands(machine, store.tables, 1)] == ["kill"]
 
 
 def test_adoption_does_not_outlive_the_machines_ownership(store: Store) -> None:
@@ -119,7 +119,7 @@
     assert registry.handed_off_tasks[JOB] == 0b10
 
 
-def test_tasks_of_a_machine_given_up_are_not_waiting_until_settled(store: Store) -> None:
+def test_tasks_of_a_released_machine_are_not_unplaced_until_its_owner_has_settled_them(store: Store) -> None:
     registry, _machine = started(store)
     registry.release_machine("vm-1")
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0
@@ -144,9 +144,9 @@
     assert registry.placed_tasks == {}
 
 
-def test_cancelled_start_in_flight_is_killed_until_a_beat_lacks_it(store: Store) -> None:
+def test_cancelled_start_in_flight_is_killed_until_a_heartbeat_lacks_it(store: Store) -> None:
     registry, machine = started(store)
     assert registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
-    assert [order.verb for order in registry.commands(machine, store.tables, None)] == ["kill"]
+    assert [command.verb for command in registry.commands(machine, store.tables, None)] == ["kill"]
     reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
     assert registry.placed_tasks == {}
