--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -13,7 +13,8 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.context import ControllerContext
-from sloeswitch.actors.machines import InstancesDeleted, Machines
+from sloeswitch.actors.machine_messages import InstancesDeleted
+from sloeswitch.actors.machines import Machines
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import keys
 from sloeswitch.core import scaling as plan
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -9,19 +9,26 @@
 import contextlib
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any
 
 import anyio
 from anyio.abc import TaskGroup
 
 from sloeswitch import wire
-from sloeswitch.actors.base import Actor, ActorRequest, InboxFullError
+from sloeswitch.actors.base import Actor, InboxFullError
 from sloeswitch.actors.cancellation_watch import CancellationWatch
 from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.gang_preemption import GangPreemption
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates, add_tasks
+from sloeswitch.actors.machine_messages import (
+    HeartbeatRequest,
+    InstancesDeleted,
+    InstanceTerminator,
+    JobAdmission,
+    MachinesMessage,
+    TickRequest,
+)
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
@@ -38,40 +45,6 @@
 log = logging.getLogger("machines")
 
 
-@dataclass
-class HeartbeatRequest(ActorRequest):
-    report: wire.WorkerReport | None = None
-    # Whether the machine is seen to have received our last answer to it, a short while ago.
-    last_answer_received: bool = False
-
-
-@dataclass
-class InstancesDeleted:
-    """The cloud confirmed that these machines, and all on them, are gone."""
-
-    machines: list[str]
-
-
-class InstanceTerminator(Protocol):
-    """Has machines deleted at the cloud; Deleted follows."""
-
-    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
-        """Whether that was not under way yet. `listed`: found in the cloud's list, whoever owns it. `pressing`: also
-        while this controller may only answer machines, or nobody may."""
-
-
-class JobAdmission(Protocol):
-    """Marks jobs that may not enter the line yet."""
-
-    def apply(self) -> None:
-        """Brings `Job.deferred` up to date with the tables."""
-
-
-@dataclass
-class TickRequest(ActorRequest):
-    """Look after what no report brings up."""
-
-
 # Machines that are not needed are emptied once no more than this part of them is in use.
 DRAIN_UTILIZATION = 0.5
 
@@ -153,9 +126,8 @@
 
     # -- messages
 
-    async def handle(self, message: Any) -> None:
+    async def handle(self, message: MachinesMessage) -> None:
         if isinstance(message, HeartbeatRequest):
-            assert message.report is not None
             message.reply(self._heartbeat(message.report, message.last_answer_received))
         elif isinstance(message, TickRequest):
             self._tick()
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -9,7 +9,8 @@
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import Jobs
-from sloeswitch.actors.machines import HeartbeatRequest, Machines
+from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.machines import Machines
 from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.http import Answer, Request, refuse
 from sloeswitch.replica import StaleReplicaError
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -19,7 +19,8 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
+from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted
+from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -15,7 +15,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted
+from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.core.row_codec import split_machine_groups
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -12,7 +12,8 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest, Machines
+from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -10,7 +10,7 @@
 
 from sloeswitch import controller, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -18,7 +18,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -10,7 +10,7 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
 from sloeswitch.http import Answer, Request
