--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -4,10 +4,10 @@
 
 import logging
 from collections.abc import Callable, Iterator
-from typing import Protocol
 
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.quota_ledger import QuotaLedger
+from sloeswitch.actors.runnable_queue import RunnableQueue
 from sloeswitch.core import placement, preemption, quota
 from sloeswitch.core.health import Health
 from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
@@ -19,17 +19,6 @@
 log = logging.getLogger("machines")
 
 
-class QueueView(Protocol):
-    """The jobs in the order in which they get room, as of the last tick."""
-
-    queue: list[Job]
-    scarce_types: set[str]
-    queued_since: dict[str, float]
-
-    def has_image_affinity(self, job: Job) -> bool:
-        """Whether the job's image is one that this controller's machines are to have."""
-
-
 class GangPreemption:
     """Owns the room that is held for gangs of one task."""
 
@@ -41,7 +30,7 @@
         registry: MachineRegistry,
         health: Health,
         limits: QuotaLedger,
-        line: QueueView,
+        queue: RunnableQueue,
         kill: Callable[[Machine, Attempt, float], None],
         pace_s: float,
     ) -> None:
@@ -51,7 +40,7 @@
         self.registry = registry
         self.health = health
         self.limits = limits
-        self.queue_view = line
+        self.queue = queue
         self.kill = kill
         self.pace_s = pace_s
         # Machines on which room was made for a job, each until when it is held for that.
@@ -61,9 +50,9 @@
         """Stops tasks of lower priority for a gang of one task that fits nowhere. The room is held for it until it
         is placed or a worker lease is over."""
         self._expire_reservations(now)
-        if not self.queue_view.scarce_types:
+        if not self.queue.scarce_types:
             return
-        order = preemption.QueueOrder.of(self.queue_view.queue, self.registry.placed_tasks)
+        order = preemption.QueueOrder.of(self.queue.jobs, self.registry.placed_tasks)
         rooms: dict[str, placement.FreeCapacity] | None = None
         for job in self._unplaced_gangs(now):
             if rooms is None:
@@ -151,7 +140,7 @@
         members = [member for member, _ in self.leadership.view.members]
         turn = members.index(self.settings.member)
         passed = {holder for holder, _ in self.reservations.values()}
-        for job in self.queue_view.queue:
+        for job in self.queue.jobs:
             spec = job.spec
             if (
                 not (spec.gang and spec.tasks == 1)
@@ -160,10 +149,8 @@
             ):
                 continue
             passed.add(spec.id)  # it may stand in the line twice
-            wait = 4 * self.pace_s + (
-                0 if self.queue_view.has_image_affinity(job) else (1 + turn) * self.settings.report_s
-            )
-            if now - self.queue_view.queued_since.get(spec.id, now) < wait or self.health.is_job_paused(spec.id, now):
+            wait = 4 * self.pace_s + (0 if self.queue.has_image_affinity(job) else (1 + turn) * self.settings.report_s)
+            if now - self.queue.queued_since.get(spec.id, now) < wait or self.health.is_job_paused(spec.id, now):
                 continue
             yield job
 
@@ -172,7 +159,7 @@
         return {
             machine.name: self.registry.free_capacity(machine, self.tables.machine_types[machine.type])
             for machine in self.registry.machines.values()
-            if machine.type in self.queue_view.scarce_types
+            if machine.type in self.queue.scarce_types
             and machine.type in self.tables.machine_types
             and self.registry.is_schedulable(machine)
             and machine.name in self.tables.machines
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -20,23 +20,21 @@
 from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.gang_preemption import GangPreemption
-from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates, add_tasks
+from sloeswitch.actors.jobs import ClaimRequest, Jobs
 from sloeswitch.actors.machine_messages import (
     HeartbeatRequest,
     InstancesDeleted,
     InstanceTerminator,
-    JobAdmission,
     MachinesMessage,
     TickRequest,
 )
 from sloeswitch.actors.membership import Membership, ShardRecovered
-from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
+from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.core import job_queue, placement, preemption, quota, taskset
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
-from sloeswitch.core.health import Health
-from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, MachineRegistry, ReconcileResult
+from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, ReconcileResult
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
@@ -65,11 +63,14 @@
         self.now = context.clock.now
         self.group: TaskGroup | None = None
         self.autoscaler: InstanceTerminator | None = None
-        # Where admission is on: what marks deferred jobs, and what is told of the room that is left over.
-        self.admission: JobAdmission | None = None
+        # Where admission is on: what is told of the room that is left over.
         self.on_remaining_capacities: Callable[[list[placement.FreeCapacity], float], None] | None = None
-        self.registry = MachineRegistry()
-        self.health = Health(context.settings.report_s, 20 * context.settings.lease_s)
+        shard = ShardState.create(context, jobs)
+        self.registry = shard.registry
+        self.health = shard.health
+        self.quota = shard.quota
+        self.queue = shard.queue
+        self.task_updates = shard.task_updates
         self.incarnation = 0
         self.followed_view = 0
         self.attempts_started = 0
@@ -80,21 +81,9 @@
             context.settings, context.leadership, self.registry, self.tables, self._spawn, self.tell, context.clock.now
         )
         self.unplaced_since: dict[str, float] = {}
-        # When the jobs in the line were first seen there.
-        self.queued_since: dict[str, float] = {}
         self.wake = anyio.Event()
-        self.task_updates = TaskUpdates()
-        # Told and not yet in the tables, as sets of tasks by job.
-        self.unstored_done: dict[str, int] = {}
-        self.unstored_releases: dict[str, int] = {}
-        # As of the last tick: jobs in the order in which they get room, those of them with work claimed and
-        # not placed, the smallest cores any wants, and when machines are looked at again.
-        self.queue: list[Job] = []
-        self.recovery_complete = False
-        # Machine types kept for jobs that fit no other.
-        self.scarce_types: set[str] = set()
+        # As of the last tick: jobs with work claimed and not placed, and when machines are looked at again.
         self.unplaced_jobs: list[Job] = []
-        self.least_cores = 0.0
         self.next_check_at = 0.0
         # Whether a task of a job that was cancelled some time ago may still be anywhere.
         self.cancellation_overdue = False
@@ -109,7 +98,6 @@
         self.registration = Registration(
             context.settings, context.client, context.replica, context.leadership, self.pace_s, self._wake
         )
-        self.quota = QuotaLedger(context.settings, context.client, self.tables, context.leadership, self.registry)
         self.gang_preemption = GangPreemption(
             context.settings,
             self.tables,
@@ -117,7 +105,7 @@
             self.registry,
             self.health,
             self.quota,
-            self,
+            self.queue,
             self.kill,
             self.pace_s,
         )
@@ -170,10 +158,7 @@
             self.followed_view = 0
             self.registry.reset()
             self.quota.reset()
-            self.unstored_releases.clear()
-            self.task_updates.released.clear()
-            self.task_updates.adopted.clear()
-            self.jobs.reset_claims()
+            self.task_updates.reset_claims()
         if not leadership.is_member or leadership.view.number == self.followed_view:
             return
         view = leadership.view
@@ -191,8 +176,7 @@
                 self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
         self.followed_view = view.number
         self.quota.update_handed_off_usage()
-        self.task_updates.adopted = dict(self.registry.pending_adoptions())
-        self.task_updates.view_number = view.number
+        self.task_updates.begin_view(view.number)
         log.info(
             "view %d: %d machines are ours, %d of them to be heard",
             view.number,
@@ -285,8 +269,7 @@
         self.commands.record_reply(machine.name)
         for (job, index), name in heard.done:
             self.health.record_success(job, name)
-            add_tasks(self.task_updates.done, job, 1 << index)
-            add_tasks(self.unstored_done, job, 1 << index)
+            self.task_updates.record_done(job, index)
         for (job, index), name in heard.failed:
             was = self.health.is_machine_quarantined(name)
             self.health.record_failure(job, name, now)
@@ -294,50 +277,11 @@
             if not was and self.health.is_machine_quarantined(name):
                 log.info("%s fails what it is given: no more work for it", name)
         for job, index in heard.adopted:
-            add_tasks(self.task_updates.adopted, job, 1 << index)
-        self._send_updates()
+            self.task_updates.record_adopted(job, index)
+        self.task_updates.send()
         if heard.capacity_freed or heard.done:
             self.wake.set()
 
-    def _send_updates(self) -> None:
-        if self.task_updates:
-            try:
-                self.jobs.tell(self.task_updates)
-            except InboxFullError:
-                return  # told later, with what comes until then
-            self.task_updates = TaskUpdates(view_number=self.followed_view)
-
-    def _prune_stored_updates(self) -> None:
-        """Forgets what the tables show by now, and the failures of jobs that are over."""
-        for name in [name for name in self.health.jobs if name in self.tables.finished_jobs]:
-            self.health.forget_job(name)
-        for told, mine in ((self.unstored_done, False), (self.unstored_releases, True)):
-            for name in list(told):
-                job = self.tables.jobs.get(name)
-                mask = 0
-                if job is not None:
-                    mask = told[name] & ~job.progress.done
-                    if mine:
-                        mask &= job.progress.claims.get(self.leadership.incarnation_id, 0)
-                if mask:
-                    told[name] = mask
-                else:
-                    del told[name]
-
-    def _release(self, job: str, tasks: int) -> None:
-        add_tasks(self.task_updates.released, job, tasks)
-        add_tasks(self.unstored_releases, job, tasks)
-
-    def _unplaced_tasks(self, job: Job) -> int:
-        """Tasks claimed by this controller that are nowhere and may be placed. Those that ended, or are
-        being released, are neither: telling the jobs actor and storing take a while."""
-        claimed = job.progress.claims.get(self.leadership.incarnation_id, 0)
-        if not claimed:
-            return 0
-        name = job.spec.id
-        settled = job.progress.done | self.unstored_done.get(name, 0) | self.unstored_releases.get(name, 0)
-        return self.registry.unplaced_tasks(name, claimed, settled)
-
     # -- the tick
 
     def _tick(self) -> None:
@@ -368,8 +312,10 @@
             self.registry.handed_off_tasks.clear()
         self.registry.prune_handed_off(self.tables, leadership.incarnation_id)
         self.quota.update_handed_off_usage()
-        self._prune_stored_updates()
-        self._rebuild_queue()
+        for name in [name for name in self.health.jobs if name in self.tables.finished_jobs]:
+            self.health.forget_job(name)
+        self.task_updates.prune_stored()
+        self.queue.rebuild()
         if leadership.may_answer_workers:
             self._place_unplaced()
         if leadership.is_leader:
@@ -381,7 +327,7 @@
                 self.membership.tell(ShardRecovered(self.followed_view))
             self._register()
             self._request_claims()
-        self._send_updates()
+        self.task_updates.send()
 
     def _add_unowned_machines(self) -> None:
         """Machines of ours in the tables that the registry lacks. Guards against a registration that is carried out
@@ -394,17 +340,6 @@
                 log.info("%s is in the tables and was not looked after", name)
                 self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
 
-    def _has_begun(self, job: Job) -> bool:
-        """Claimed by us and nowhere yet is not begun: it must not lose its place in the line for that. Nor is what only
-        a run claimed that is gone, once all is settled: such a job never went first for having waited."""
-        if job.progress.done or self.registry.placed_tasks.get(job.spec.id):
-            return True
-        claims, own = job.progress.claims, self.leadership.incarnation_id
-        if len(claims) == (own in claims):
-            return False
-        tags = self.leadership.view.incarnation_ids
-        return not self.recovery_complete or any(tag in tags for tag in claims if tag != own)
-
     def _log_summary(self) -> None:
         """What an operator wants to know at a glance, once in a while."""
         machines = [m for m in self.registry.machines.values() if m.reconciled and m.type in self.tables.machine_types]
@@ -426,14 +361,6 @@
             ),
         )
 
-    def _rebuild_queue(self) -> None:
-        self.recovery_complete = self.tables.recovery_complete()
-        if self.admission is not None:
-            self.admission.apply()
-        self.queue = job_queue.queue_order(self.tables, self.settings, self.clock.wall_clock_ms(), self._has_begun)
-        self.scarce_types = placement.scarce_types((job.spec for job in self.queue), self.tables.machine_types)
-        self.least_cores = min((job.spec.cores for job in self.queue), default=0.0)
-
     def _check_machine(self, machine: Machine, now: float) -> None:
         if now >= machine.lease_expires_at and (machine.reconciled or not machine.accounted_for):
             lost = self.registry.expire_lease(machine)
@@ -558,9 +485,9 @@
         if cancelled:
             unwanted = self._foreign_jobs()
             for job in cancelled:
-                waiting = self._unplaced_tasks(job)
+                waiting = self.task_updates.unplaced_tasks(job)
                 if waiting and job.spec.id not in unwanted:
-                    self._release(job.spec.id, waiting)
+                    self.task_updates.release(job.spec.id, waiting)
         over: dict[str, Job | None] = {}
         for name in self.registry.placed_tasks:
             record = self.tables.jobs.get(name)
@@ -604,7 +531,7 @@
         kind = self.tables.machine_types.get(machine.type)
         if (
             kind is None
-            or self.registry.free_cores(machine, kind) + quota.SLACK < self.least_cores
+            or self.registry.free_cores(machine, kind) + quota.SLACK < self.queue.least_cores
             or not self.registry.is_schedulable(machine)
             # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
             # report: it was given work again and again, which was taken back when no report came to be answered.
@@ -615,20 +542,13 @@
         ):
             return None
         room = self.registry.free_capacity(machine, kind)
-        room.scarce = machine.type in self.scarce_types
+        room.scarce = machine.type in self.queue.scarce_types
         return room
 
     def _capacities(self, now: float) -> list[placement.FreeCapacity]:
         rooms = (self._capacity_of(machine, now) for machine in self.registry.machines.values())
         return [room for room in rooms if room is not None]
 
-    def waiting_jobs(self) -> list[Job]:
-        """The line, and behind it the jobs that admission defers, oldest first: those may go to another cell too."""
-        if self.admission is None:
-            return self.queue
-        deferred = [job for job in self.tables.jobs.values() if job.deferred and job.is_runnable]
-        return self.queue + sorted(deferred, key=lambda job: job.ready_revision)
-
     def _place_unplaced(self) -> None:
         """Puts claimed work on machines; work that came back stands before anything newly claimed."""
         rooms: list[placement.FreeCapacity] | None = None
@@ -636,25 +556,25 @@
         self.unplaced_jobs = []
         seen: set[str] = set()
         tag = self.leadership.incarnation_id
-        for job in self.queue:
+        for job in self.queue.jobs:
             name = job.spec.id
             if name in seen:
                 continue
             seen.add(name)
-            waiting = self._unplaced_tasks(job) if tag in job.progress.claims else 0
+            waiting = self.task_updates.unplaced_tasks(job) if tag in job.progress.claims else 0
             if not waiting:
                 self.unplaced_since.pop(name, None)
                 continue
             if rooms is None:
                 rooms = self._capacities(now)
             if rooms and not self.health.is_job_paused(name, now) and self._place(job, waiting, rooms, now):
-                rooms = placement.without_full(rooms, self.least_cores)
-                waiting = self._unplaced_tasks(job)
+                rooms = placement.without_full(rooms, self.queue.least_cores)
+                waiting = self.task_updates.unplaced_tasks(job)
             if waiting:
                 self.unplaced_jobs.append(job)
                 since = self.unplaced_since.setdefault(name, now)
                 if now - since > self.ahead_s + 2 * self.settings.report_s and self.leadership.is_leader:
-                    self._release(name, waiting)
+                    self.task_updates.release(name, waiting)
                     del self.unplaced_since[name]
 
     def _fill_machine(self, machine: Machine) -> None:
@@ -679,11 +599,11 @@
             if room.scarce and any(
                 fits_type(job.spec, kind)
                 for name, kind in self.tables.machine_types.items()
-                if name not in self.scarce_types
+                if name not in self.queue.scarce_types
             ):
                 continue  # placed there at the tick, if nowhere else
             if room.max_tasks(job.spec) and job.is_runnable and not job.spec.gang:
-                waiting = self._unplaced_tasks(job)
+                waiting = self.task_updates.unplaced_tasks(job)
                 if waiting and not self.health.is_job_paused(job.spec.id, now):
                     self._place(job, waiting, [room], now)
 
@@ -733,10 +653,10 @@
             return
         now = self.now()
         members = [member for member, _ in self.leadership.view.members]
-        self.queued_since = {job.spec.id: self.queued_since.get(job.spec.id, now) for job in self.queue}
+        self.queue.record_queued(now)
         limits = PlanLimits.of(self.settings, self.client.txn_ops, self.pace_s)
         planner = ClaimPlanner(self.capacity_snapshot(now), limits, self.tables)
-        claims = planner.plan(self.queue, len(members), members.index(self.settings.member))
+        claims = planner.plan(self.queue.jobs, len(members), members.index(self.settings.member))
         if self.on_remaining_capacities is not None and claims.remaining_capacities is not None:
             self.on_remaining_capacities(claims.remaining_capacities, now)
         request = ClaimRequest(
@@ -757,21 +677,17 @@
             team_usage=uses,
             available_quota={team.name: self.quota.available(team, uses[team.name]) for team in teams.values()},
             quota_allocations={team: self.quota.allocation(team) for team in teams},
-            idle_claims=self._unplaced_tasks,
+            idle_claims=self.task_updates.unplaced_tasks,
             cores_ahead=self._cores_ahead(),
-            least_cores=self.least_cores,
+            least_cores=self.queue.least_cores,
             reservations=self.gang_preemption.reservations,
             reserved_usage=self.gang_preemption.reserved_usage(),
             health=self.health,
-            queued_since=self.queued_since,
-            has_image_affinity=self.has_image_affinity,
+            queued_since=self.queue.queued_since,
+            has_image_affinity=self.queue.has_image_affinity,
             now=now,
         )
 
-    def has_image_affinity(self, job: Job) -> bool:
-        """Whether the job's image is one that this controller's machines are to have."""
-        return self.leadership.owner_of("image " + job.spec.image) == self.settings.member
-
     def _cores_ahead(self) -> float:
         """Cores likely to fall free on this controller's machines in the time that a claim takes."""
         cores = 0.0
@@ -788,10 +704,6 @@
         except InboxFullError:
             pass
         finally:
-            # Claimed anew, so not being released any more. Found on the bench: tasks were released and claimed
-            # again between two ticks, counted as on their way to others, and were never run by anybody.
-            for name, tasks in request.granted.items():
-                if name in self.unstored_releases:
-                    self.unstored_releases[name] &= ~tasks
+            self.task_updates.withdraw_releases(request.granted)
             self.claim_in_flight = False
             self.wake.set()
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -109,7 +109,7 @@
     links: dict[str, Link] = {
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
-    origin = CellOrigin(settings, features, client, replica, leadership, machines.waiting_jobs, links, CLOCK)
+    origin = CellOrigin(settings, features, client, replica, leadership, machines.queue.waiting_jobs, links, CLOCK)
     group.start_soon(origin.select_forever)
     for peer in features.peers:
         group.start_soon(origin.talk_forever, peer.name)
@@ -146,7 +146,7 @@
         },
         CLOCK,
     )
-    machines.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
+    machines.queue.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
     mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -110,7 +110,9 @@
             world.clock,
         )
         lines = world.logs.setdefault(f"{name}.{len(world.logs)}", [])
-        self.machines.admission = AdmissionGate(self.tables, RecordingLog(lines), lambda: self.admission.switched_on)
+        self.machines.queue.admission = AdmissionGate(
+            self.tables, RecordingLog(lines), lambda: self.admission.switched_on
+        )
         self.machines.on_remaining_capacities = lambda rooms, at: self.idle.observe(
             rooms, self.tables.machine_types, at
         )
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -585,8 +585,8 @@
                 await self.jobs.handle(request)
                 await self.jobs._commit_round()
                 for name, tasks in request.granted.items():
-                    if name in self.machines.unstored_releases:
-                        self.machines.unstored_releases[name] &= ~tasks
+                    if name in self.machines.task_updates.unstored_releases:
+                        self.machines.task_updates.unstored_releases[name] &= ~tasks
             if not asked:
                 await self.jobs._commit_round()
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -206,7 +206,7 @@
     row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
     world.store.put(keys.admission_key(ROOT), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
-    world.machines.admission = gate
+    world.machines.queue.admission = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
     timed("tick with admission", world.tick)
     limits = AdmissionLimits.of(world.settings)
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -71,7 +71,7 @@
             await self.jobs._commit_round()
 
         anyio.run(once)
-        self.machines._rebuild_queue()
+        self.machines.queue.rebuild()
         self.machines._place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -142,7 +142,7 @@
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
     world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
     world.machines._kill_cancelled()
-    world.tell_jobs(world.machines.task_updates)
+    world.tell_jobs(world.machines.task_updates.pending)
     world.clock.time += 1.0
     world.round()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.CANCELLED, 1)
@@ -242,7 +242,7 @@
     world.heartbeat(report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
     world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000002"}]
     world.clock.time += 2 * world.machines.pace_s
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
@@ -262,9 +262,9 @@
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(keys.team_key("red"), {"c0.1": [8.0, 0.0]})
-    world.machines._release(JOB, 0b11)
-    world.tell_jobs(world.machines.task_updates)
-    world.machines.task_updates = TaskUpdates()
+    world.machines.task_updates.release(JOB, 0b11)
+    world.tell_jobs(world.machines.task_updates.pending)
+    world.machines.task_updates.pending = TaskUpdates()
     world.clock.time += 2 * world.jobs.batch_s
 
     async def rounds() -> None:
@@ -278,5 +278,5 @@
 
     anyio.run(rounds)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b11}
-    world.machines._prune_stored_updates()
-    assert world.machines._unplaced_tasks(world.store.tables.jobs[JOB]) == 0b11
+    world.machines.task_updates.prune_stored()
+    assert world.machines.task_updates.unplaced_tasks(world.store.tables.jobs[JOB]) == 0b11
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -100,13 +100,13 @@
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002"))
     store.tables.jobs["wk-000001"].deferred = True
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
 
     def names(jobs: list[Job]) -> list[str]:
         # Having waited for long, it stands in the line twice.
         return list(dict.fromkeys(job.spec.id for job in jobs))
 
-    assert names(world.machines.queue) == ["wk-000002"]
-    assert names(world.machines.waiting_jobs()) == ["wk-000002"], "no gate, no deferred jobs"
-    world.machines.admission = AdmissionGate(store.tables, RecordingLog([]), lambda: True)
-    assert names(world.machines.waiting_jobs()) == ["wk-000002", "wk-000001"]
+    assert names(world.machines.queue.jobs) == ["wk-000002"]
+    assert names(world.machines.queue.waiting_jobs()) == ["wk-000002"], "no gate, no deferred jobs"
+    world.machines.queue.admission = AdmissionGate(store.tables, RecordingLog([]), lambda: True)
+    assert names(world.machines.queue.waiting_jobs()) == ["wk-000002", "wk-000001"]
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -112,7 +112,7 @@
         return open_tasks(job, settled)
 
     monkeypatch.setattr(store.tables, "unclaimed_tasks", look)
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     assert world.claim_requests()[0].task_counts and len(looked) < 20
 
 
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -67,7 +67,7 @@
     log.add(JOB, world.replica.applied_revision + 1)
     state_outage(world)
     told(log, world)
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     world.machines._place_unplaced()
     assert world.heartbeat(report(3, 3)).commands == []
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -45,7 +45,9 @@
     assert not world.store.tables.jobs[B].progress.claims
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    world.tell_jobs(world.machines.task_updates if world.machines.task_updates else TaskUpdates(done={A: 1}))
+    world.tell_jobs(
+        world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={A: 1})
+    )
     assert queued_names(world.store) == [A]  # told, not stored
     world.round()  # at once: nothing that others wait for is kept for company
     assert queued_names(world.store) == [B]
@@ -63,7 +65,7 @@
         return [need.spec.id for need in scaling.current_demand(world.store.tables, settings, 0, 0.5)]
 
     assert needed() == [A, C]
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     assert {name for request in world.claim_requests() for name in request.task_counts} == {A, C}
     # The team's 8 cores hold A and C, which came after B.
     assert world.store.tables.jobs[C].guaranteed and world.store.tables.jobs[B].guaranteed is None
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -50,9 +50,10 @@
 def tick(world: World, seconds: float) -> int:
     """How many tasks on the machine are to stop after a tick; direct commands are not sent here."""
     later(world, seconds)
-    world.machines._rebuild_queue()
-    world.machines.queued_since = {
-        job.spec.id: world.machines.queued_since.get(job.spec.id, world.clock.time) for job in world.machines.queue
+    world.machines.queue.rebuild()
+    world.machines.queue.queued_since = {
+        job.spec.id: world.machines.queue.queued_since.get(job.spec.id, world.clock.time)
+        for job in world.machines.queue.jobs
     }
     machine(world).reconciled = True
     kill = world.machines.registry.mark_for_kill
@@ -117,14 +118,14 @@
     """A job that waited too long goes by age: nothing starves for being stopped again and again."""
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
-    order = world.machines._rebuild_queue
+    order = world.machines.queue.rebuild
 
     def aged() -> None:
         order()
-        world.machines.queue.sort(key=lambda job: job.spec.id != FILL)
+        world.machines.queue.jobs.sort(key=lambda job: job.spec.id != FILL)
 
-    world.machines._rebuild_queue = aged  # type: ignore[method-assign]
-    assert FILL in [job.spec.id for job in world.machines.queue]
+    world.machines.queue.rebuild = aged  # type: ignore[method-assign]
+    assert FILL in [job.spec.id for job in world.machines.queue.jobs]
     assert tick(world, 5.0) == 0
 
 
@@ -164,7 +165,7 @@
     world.store.job(spec(SOLVE, **GANG))
     world.store.progress(SOLVE, c9_9=1)
     assert tick(world, 0.1) == 0
-    assert not world.machines._has_begun(world.store.tables.jobs[SOLVE])
+    assert not world.machines.queue._has_begun(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
     # It is kept at the next look too.
     assert tick(world, 0.1) == 30 and world.machines.gang_preemption.reservations
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -72,9 +72,9 @@
         fleet.store.job(spec(f"wk-{900000 + number}", visits=100, cores=1.0))
     fleet.tick()
     machines = fleet.machines
-    machines.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue}
+    machines.queue.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue.jobs}
     planner = claim_planner(fleet)
-    claims = planner.plan(machines.queue, 1, 0)
+    claims = planner.plan(machines.queue.jobs, 1, 0)
     assert len(claims.task_counts) == planner.limits.max_jobs
     assert planner.capacities_scanned <= planner.limits.max_capacities_scanned + planner.limits.max_jobs * MACHINES
     request = ClaimRequest()
@@ -92,7 +92,7 @@
     fleet.store.job(spec("wk-800000", visits=3, cores=1.0))
     fleet.tick()
     machines = fleet.machines
-    machines.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue}
+    machines.queue.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue.jobs}
     looks = 0
     place = placement.pack_tasks
 
@@ -103,7 +103,7 @@
 
     monkeypatch.setattr(placement, "pack_tasks", counted)
     planner = claim_planner(fleet)
-    planner.plan(machines.queue, 1, 0)
+    planner.plan(machines.queue.jobs, 1, 0)
     # The one that fits stands in the line twice, having waited for long.
     assert looks == 3 and planner.planned_tasks["wk-800000"]
 
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -62,16 +62,16 @@
         world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000)
     )
     assert job is again and job.starved
-    world.machines.queue = [job]
+    world.machines.queue.jobs = [job]
     assert world.claim_requests()[0].task_counts == {JOB: 2}
     # In its ordinary place it gets what room is left.
-    world.machines.queue = [job, job]
+    world.machines.queue.jobs = [job, job]
     assert world.claim_requests()[0].task_counts == {JOB: 16}
 
 
 def test_a_job_claimed_and_placed_nowhere_has_not_begun(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1)
-    assert not world.machines._has_begun(world.store.tables.jobs[JOB])
+    assert not world.machines.queue._has_begun(world.store.tables.jobs[JOB])
     world.store.progress(JOB, c1_2=0b1)
-    assert world.machines._has_begun(world.store.tables.jobs[JOB])
+    assert world.machines.queue._has_begun(world.store.tables.jobs[JOB])
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -181,7 +181,7 @@
     for number in range(5):
         store.job(spec(f"wk-00000{number}", crew=f"t{number}", visits=1, cores=1.0))
     for _ in range(8):
-        world.machines._rebuild_queue()
+        world.machines.queue.rebuild()
         for request in world.claim_requests():
             world.round(request)
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -60,7 +60,7 @@
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     assert all(not asked.task_counts for asked in world.claim_requests())
     world.round(ClaimRequest(task_counts={JOB: 4}))
     assert not world.store.tables.jobs[JOB].progress.claims
@@ -79,7 +79,7 @@
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b1100}
     world.round(asked)
@@ -103,7 +103,7 @@
     world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.quota.available = lambda team, use: (2.0, 0.0)  # type: ignore[method-assign]
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b0100}
 
