--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -17,10 +17,11 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import Actor, InboxFullError
 from sloeswitch.actors.cancellation_watch import CancellationWatch
+from sloeswitch.actors.claim_requester import ClaimRequester
 from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.gang_preemption import GangPreemption
-from sloeswitch.actors.jobs import ClaimRequest, Jobs
+from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machine_messages import (
     HeartbeatRequest,
     InstancesDeleted,
@@ -31,11 +32,10 @@
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.actors.registration import Registration
 from sloeswitch.actors.shard_state import ShardState
-from sloeswitch.core import job_queue, placement, preemption, quota, taskset
+from sloeswitch.actors.task_placement import TaskPlacement
+from sloeswitch.core import preemption
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
-from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, ReconcileResult
-from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Answer, refuse
@@ -63,8 +63,6 @@
         self.now = context.clock.now
         self.group: TaskGroup | None = None
         self.autoscaler: InstanceTerminator | None = None
-        # Where admission is on: what is told of the room that is left over.
-        self.on_remaining_capacities: Callable[[list[placement.FreeCapacity], float], None] | None = None
         shard = ShardState.create(context, jobs)
         self.registry = shard.registry
         self.health = shard.health
@@ -73,17 +71,12 @@
         self.task_updates = shard.task_updates
         self.incarnation = 0
         self.followed_view = 0
-        self.attempts_started = 0
-        self.claim_in_flight = False
         self.unknown_types: set[str] = set()
         self.malformed_reporters: set[str] = set()
         self.commands = CommandSender(
             context.settings, context.leadership, self.registry, self.tables, self._spawn, self.tell, context.clock.now
         )
-        self.unplaced_since: dict[str, float] = {}
         self.wake = anyio.Event()
-        # As of the last tick: jobs with work claimed and not placed, and when machines are looked at again.
-        self.unplaced_jobs: list[Job] = []
         self.next_check_at = 0.0
         # Whether a task of a job that was cancelled some time ago may still be anywhere.
         self.cancellation_overdue = False
@@ -94,9 +87,9 @@
         # Since when reports have been answered without a break: who is silent longer than that may be well.
         self.answering_since = float("-inf")
         self.summary_at = 0.0
-        self.pace_s = max(context.settings.report_s / 10, context.settings.lease_s / 60)
+        self.tick_interval_s = shard.tick_interval_s
         self.registration = Registration(
-            context.settings, context.client, context.replica, context.leadership, self.pace_s, self._wake
+            context.settings, context.client, context.replica, context.leadership, self.tick_interval_s, self._wake
         )
         self.gang_preemption = GangPreemption(
             context.settings,
@@ -107,10 +100,10 @@
             self.quota,
             self.queue,
             self.kill,
-            self.pace_s,
+            self.tick_interval_s,
         )
-        # Work is claimed about this long before it can start.
-        self.ahead_s = 0.2 * context.settings.lease_s
+        self.task_placement = TaskPlacement(shard, self.gang_preemption)
+        self.claims = ClaimRequester(shard, self.task_placement, jobs, self._spawn, self._wake)
 
     # -- messages
 
@@ -131,7 +124,7 @@
     async def tick_forever(self) -> None:
         self.replica.add_listener(self._wake)
         while True:
-            with anyio.move_on_after(2.5 * self.pace_s):
+            with anyio.move_on_after(2.5 * self.tick_interval_s):
                 await self.wake.wait()
             self.wake = anyio.Event()
             started = self.now()
@@ -139,7 +132,7 @@
                 await self.ask(TickRequest())
             # Under load the reports come first: a tick takes at most a quarter of the time, but leases and
             # silent machines are looked after at least about as often as reports come.
-            await anyio.sleep(max(self.pace_s, min(3 * (self.now() - started), self.settings.report_s)))
+            await anyio.sleep(max(self.tick_interval_s, min(3 * (self.now() - started), self.settings.report_s)))
 
     def _spawn(self, call: Callable[..., Any], *args: Any) -> None:
         """Starts a call beside this actor, once it runs."""
@@ -236,7 +229,7 @@
             if received or not was_heard:
                 machine.reachable_at = now
             self._apply_reconciled(machine, heard)
-            self._fill_machine(machine)
+            self.task_placement.fill_machine(machine)
             orders = self.registry.commands(machine, self.tables, report.sequence)
         machine.answered_at = now
         machine.lease_expires_at = max(
@@ -317,7 +310,7 @@
         self.task_updates.prune_stored()
         self.queue.rebuild()
         if leadership.may_answer_workers:
-            self._place_unplaced()
+            self.task_placement.place_unplaced()
         if leadership.is_leader:
             self.gang_preemption.preempt_for_gangs(now)
             if (
@@ -326,7 +319,7 @@
             ):
                 self.membership.tell(ShardRecovered(self.followed_view))
             self._register()
-            self._request_claims()
+            self.claims.request_claims()
         self.task_updates.send()
 
     def _add_unowned_machines(self) -> None:
@@ -431,7 +424,7 @@
         ]
         if not lean:
             return
-        free = sum(room.cores for room in self._capacities(now))
+        free = sum(capacity.cores for capacity in self.task_placement.free_capacities(now))
         for machine in sorted(lean, key=lambda machine: machine.usage.cores):
             free -= machine.usage.cores
             if free < 0:
@@ -523,187 +516,3 @@
         """Stops a task on a machine; it has so long to save."""
         if self.registry.mark_for_kill(machine, attempt, grace_s) and machine.reconciled:
             self.commands.send(machine)
-
-    # -- placement
-
-    def _capacity_of(self, machine: Machine, now: float) -> placement.FreeCapacity | None:
-        """What the machine has free, or None if no task may go there or none would fit."""
-        kind = self.tables.machine_types.get(machine.type)
-        if (
-            kind is None
-            or self.registry.free_cores(machine, kind) + quota.SLACK < self.queue.least_cores
-            or not self.registry.is_schedulable(machine)
-            # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
-            # report: it was given work again and again, which was taken back when no report came to be answered.
-            or machine.reported_at is None
-            or now - machine.reported_at >= self.settings.late_s
-            or machine.name not in self.tables.machines
-            or self.health.is_machine_quarantined(machine.name)
-        ):
-            return None
-        room = self.registry.free_capacity(machine, kind)
-        room.scarce = machine.type in self.queue.scarce_types
-        return room
-
-    def _capacities(self, now: float) -> list[placement.FreeCapacity]:
-        rooms = (self._capacity_of(machine, now) for machine in self.registry.machines.values())
-        return [room for room in rooms if room is not None]
-
-    def _place_unplaced(self) -> None:
-        """Puts claimed work on machines; work that came back stands before anything newly claimed."""
-        rooms: list[placement.FreeCapacity] | None = None
-        now = self.now()
-        self.unplaced_jobs = []
-        seen: set[str] = set()
-        tag = self.leadership.incarnation_id
-        for job in self.queue.jobs:
-            name = job.spec.id
-            if name in seen:
-                continue
-            seen.add(name)
-            waiting = self.task_updates.unplaced_tasks(job) if tag in job.progress.claims else 0
-            if not waiting:
-                self.unplaced_since.pop(name, None)
-                continue
-            if rooms is None:
-                rooms = self._capacities(now)
-            if rooms and not self.health.is_job_paused(name, now) and self._place(job, waiting, rooms, now):
-                rooms = placement.without_full(rooms, self.queue.least_cores)
-                waiting = self.task_updates.unplaced_tasks(job)
-            if waiting:
-                self.unplaced_jobs.append(job)
-                since = self.unplaced_since.setdefault(name, now)
-                if now - since > self.ahead_s + 2 * self.settings.report_s and self.leadership.is_leader:
-                    self.task_updates.release(name, waiting)
-                    del self.unplaced_since[name]
-
-    def _fill_machine(self, machine: Machine) -> None:
-        """Puts claimed work on one machine, with the answer to its report."""
-        if not self.unplaced_jobs:
-            return
-        now = self.now()
-        room = self._capacity_of(machine, now)
-        if room is None:
-            return
-        # Little is claimed ahead, so that whose image is here may go first: it saves a fetch and bends the
-        # order among a few only. What is more urgent than usual stands before all that: a stage of a pipeline
-        # waited for twenty seconds beside machines that had the images of others (found on the bench).
-        for job in sorted(
-            self.unplaced_jobs,
-            key=lambda job: (
-                not job.starved,
-                min(job_queue.effective_priority(job), job_queue.STANDARD_RANK),
-                job.spec.image not in room.images,
-            ),
-        ):
-            if room.scarce and any(
-                fits_type(job.spec, kind)
-                for name, kind in self.tables.machine_types.items()
-                if name not in self.queue.scarce_types
-            ):
-                continue  # placed there at the tick, if nowhere else
-            if room.max_tasks(job.spec) and job.is_runnable and not job.spec.gang:
-                waiting = self.task_updates.unplaced_tasks(job)
-                if waiting and not self.health.is_job_paused(job.spec.id, now):
-                    self._place(job, waiting, [room], now)
-
-    def _place(self, job: Job, tasks: int, rooms: list[placement.FreeCapacity], now: float) -> bool:
-        name = job.spec.id
-        team = job.spec.team
-        tasks = taskset.lowest(
-            tasks,
-            quota.tasks_within_quota(
-                job.spec, self.quota.allocation(team), self.gang_preemption.usage_with_reservations(job)
-            ),
-        )
-        if self.health.is_job_faulty(name):
-            tasks = taskset.lowest(tasks, 1)
-        usable = placement.eligible(name, rooms, self.gang_preemption.reservations, self.health)
-        if job.spec.gang:
-            if tasks != job.all_tasks:
-                return False
-            trial = [placement.FreeCapacity(**vars(room)) for room in usable]
-            if len(placement.pack_tasks(job, tasks, trial)) < job.spec.tasks:
-                return False
-        placed = placement.pack_tasks(job, tasks, usable)
-        if not placed:
-            return False
-        self.unplaced_since[name] = now
-        number = self._next_attempt_number()
-        for index, room in placed:
-            self.registry.add_attempt(self.registry.machines[room.machine], name, index, number, job.spec, now)
-        if log.isEnabledFor(logging.DEBUG):
-            log.debug("%s: %d tasks on %s", name, len(placed), {room.machine for _, room in placed})
-            if job.spec.prerequisites and not job.progress.done:
-                log.debug(
-                    "%s: %.2f s since the last that it needs", name, (self.clock.wall_clock_ms() - job.ready_ms) / 1000
-                )
-        return True
-
-    def _next_attempt_number(self) -> int:
-        """An attempt number that no other controller, and no other view, gives out."""
-        self.attempts_started += 1
-        tags = [member for member, _ in self.leadership.view.members]
-        position = tags.index(self.settings.member)
-        return (self.leadership.view.number << 28) + (position << 24) + self.attempts_started % (1 << 24)
-
-    def _request_claims(self) -> None:
-        """Asks the jobs actor for work for the free room, and for the allowances that it takes."""
-        if self.claim_in_flight or self.replica.client.failing_since is not None:
-            return
-        now = self.now()
-        members = [member for member, _ in self.leadership.view.members]
-        self.queue.record_queued(now)
-        limits = PlanLimits.of(self.settings, self.client.txn_ops, self.pace_s)
-        planner = ClaimPlanner(self.capacity_snapshot(now), limits, self.tables)
-        claims = planner.plan(self.queue.jobs, len(members), members.index(self.settings.member))
-        if self.on_remaining_capacities is not None and claims.remaining_capacities is not None:
-            self.on_remaining_capacities(claims.remaining_capacities, now)
-        request = ClaimRequest(
-            task_counts=claims.task_counts, zones=claims.zones, zone_bound_tasks=claims.zone_bound_tasks
-        )
-        self.quota.request_allocations(request, claims.usable_quota, len(members), now)
-        if request.task_counts or request.quota_increases or request.quota_decreases:
-            self.claim_in_flight = True
-            assert self.group is not None
-            self.group.start_soon(self._await_claims, request)
-
-    def capacity_snapshot(self, now: float) -> CapacitySnapshot:
-        """What is free here, and what may be used, for the planner to take from."""
-        teams = self.settings.teams
-        uses = {team: self.quota.usage(team) for team in teams}
-        return CapacitySnapshot(
-            capacities=self._capacities(now),
-            team_usage=uses,
-            available_quota={team.name: self.quota.available(team, uses[team.name]) for team in teams.values()},
-            quota_allocations={team: self.quota.allocation(team) for team in teams},
-            idle_claims=self.task_updates.unplaced_tasks,
-            cores_ahead=self._cores_ahead(),
-            least_cores=self.queue.least_cores,
-            reservations=self.gang_preemption.reservations,
-            reserved_usage=self.gang_preemption.reserved_usage(),
-            health=self.health,
-            queued_since=self.queue.queued_since,
-            has_image_affinity=self.queue.has_image_affinity,
-            now=now,
-        )
-
-    def _cores_ahead(self) -> float:
-        """Cores likely to fall free on this controller's machines in the time that a claim takes."""
-        cores = 0.0
-        for name, mask in self.registry.placed_tasks.items():
-            job = self.tables.jobs.get(name)
-            if job is not None:
-                share = self.ahead_s / max(job.spec.estimate_s, self.ahead_s)
-                cores += mask.bit_count() * job.spec.cores * share
-        return cores
-
-    async def _await_claims(self, request: ClaimRequest) -> None:
-        try:
-            await self.jobs.ask(request)
-        except InboxFullError:
-            pass
-        finally:
-            self.task_updates.withdraw_releases(request.granted)
-            self.claim_in_flight = False
-            self.wake.set()
--- a/sloeswitch/actors/shard_state.py
+++ b/sloeswitch/actors/shard_state.py
@@ -31,6 +31,8 @@
     queue: RunnableQueue
     # Results of attempts on their way to the jobs actor.
     task_updates: TaskUpdateOutbox
+    # Time between two ticks that are not held up by load.
+    tick_interval_s: float
 
     @staticmethod
     def create(context: ControllerContext, jobs: Jobs) -> ShardState:
@@ -44,4 +46,5 @@
             quota=QuotaLedger(settings, context.client, context.tables, context.leadership, registry),
             queue=RunnableQueue(context, registry),
             task_updates=TaskUpdateOutbox(context, registry, jobs),
+            tick_interval_s=max(settings.report_s / 10, settings.lease_s / 60),
         )
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -147,7 +147,7 @@
         CLOCK,
     )
     machines.queue.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
-    machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
+    machines.claims.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
     mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -113,7 +113,7 @@
         self.machines.queue.admission = AdmissionGate(
             self.tables, RecordingLog(lines), lambda: self.admission.switched_on
         )
-        self.machines.on_remaining_capacities = lambda rooms, at: self.idle.observe(
+        self.machines.claims.on_remaining_capacities = lambda rooms, at: self.idle.observe(
             rooms, self.tables.machine_types, at
         )
         self.look_at = 0.0
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -507,7 +507,7 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         # Pauses would be real ones.
-        self.machines.pace_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
+        self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
             self.machines.autoscaler = ScriptedCloud(self)
@@ -518,7 +518,7 @@
         async def ask_for(request: ClaimRequest) -> None:
             raise AssertionError("taken from the group")
 
-        self.machines._await_claims = ask_for  # type: ignore[method-assign]
+        self.machines.claims._await_claims = ask_for  # type: ignore[method-assign]
 
     @property
     def reaches(self) -> bool:
@@ -560,7 +560,7 @@
         asked: list[ClaimRequest] = []
 
         def take(call: Any, *args: Any) -> None:
-            if call is self.machines._await_claims:
+            if call is self.machines.claims._await_claims:
                 asked.append(args[0])
             else:
                 start_soon(call, *args)
@@ -591,7 +591,7 @@
                 await self.jobs._commit_round()
 
         anyio.run(follow)
-        self.machines.claim_in_flight = False
+        self.machines.claims.claim_in_flight = False
 
 
 class Worker:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -105,7 +105,7 @@
 
     def tick(self) -> None:
         self.machines.next_check_at = 0.0
-        self.machines.claim_in_flight = True  # no claims: only what is there already counts
+        self.machines.claims.claim_in_flight = True  # no claims: only what is there already counts
         self.machines._tick()
 
     def store_all(self) -> int:
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -72,7 +72,7 @@
 
         anyio.run(once)
         self.machines.queue.rebuild()
-        self.machines._place_unplaced()
+        self.machines.task_placement.place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
         """What the machines actor asks the jobs actor for."""
@@ -80,14 +80,14 @@
 
         async def ask(request: ClaimRequest) -> None:
             asked.append(request)
-            self.machines.claim_in_flight = False
+            self.machines.claims.claim_in_flight = False
 
-        self.machines._await_claims = ask  # type: ignore[method-assign]
+        self.machines.claims._await_claims = ask  # type: ignore[method-assign]
 
         async def once() -> None:
             async with anyio.create_task_group() as group:
                 self.machines.group = group
-                self.machines._request_claims()
+                self.machines.claims.request_claims()
 
         anyio.run(once)
         return asked
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -81,7 +81,7 @@
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     assert world.heartbeat(report(3, 3)).commands == []
     world.client.apply(*world.client.late[0])
-    world.machines._place_unplaced()
+    world.machines.task_placement.place_unplaced()
     assert len(world.heartbeat(report(4, 3)).commands) == 4
 
 
@@ -244,7 +244,7 @@
     world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
     world.machines.queue.rebuild()
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000002"}]
-    world.clock.time += 2 * world.machines.pace_s
+    world.clock.time += 2 * world.machines.claims.tick_interval_s
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
@@ -271,7 +271,7 @@
         await world.jobs._commit_round()
         assert not world.store.tables.jobs[JOB].progress.claims
         async with anyio.create_task_group() as group:
-            group.start_soon(world.machines._await_claims, ClaimRequest(task_counts={JOB: 2}))
+            group.start_soon(world.machines.claims._await_claims, ClaimRequest(task_counts={JOB: 2}))
             await anyio.wait_all_tasks_blocked()
             await world.jobs.handle(world.jobs._inbox.popleft())
             await world.jobs._commit_round()
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -68,7 +68,7 @@
     state_outage(world)
     told(log, world)
     world.machines.queue.rebuild()
-    world.machines._place_unplaced()
+    world.machines.task_placement.place_unplaced()
     assert world.heartbeat(report(3, 3)).commands == []
 
 
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -86,8 +86,8 @@
     machine = world.machines.registry.machines["vm-1"]
     machine.images["img-2"] = None
     jobs = world.store.tables.jobs
-    world.machines.unplaced_jobs = [jobs[A], jobs[B], jobs[C]]
-    world.machines._fill_machine(machine)
+    world.machines.task_placement.unplaced_jobs = [jobs[A], jobs[B], jobs[C]]
+    world.machines.task_placement.fill_machine(machine)
     assert set(world.machines.registry.placed_tasks) == {C}
     # Among usual ones the image still decides, whatever their priority.
     for attempt in list(machine.attempts.values()):
@@ -96,8 +96,8 @@
     machine.images["img-1"] = None
     world.store.job(spec(D, urgency="best_effort", kit="img-1"))
     world.store.progress(D, c0_1=0b1111)
-    world.machines.unplaced_jobs = [jobs[B], jobs[D]]
-    world.machines._fill_machine(machine)
+    world.machines.task_placement.unplaced_jobs = [jobs[B], jobs[D]]
+    world.machines.task_placement.fill_machine(machine)
     assert set(world.machines.registry.placed_tasks) == {D}
 
 
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -84,8 +84,8 @@
     world.heartbeat(large(5, 3, *running))
     assert machine(world).usage.cores == 2.0
     # What comes back does not take the room again.
-    world.machines._place_unplaced()
-    world.machines._fill_machine(machine(world))
+    world.machines.task_placement.place_unplaced()
+    world.machines.task_placement.fill_machine(machine(world))
     assert machine(world).usage.cores == 2.0
     world.round(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
     assert machine(world).usage.cores == 32.0 and world.machines.registry.placed_tasks[SOLVE] == 0b1
@@ -143,7 +143,7 @@
     world.store.put(keys.team_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
     # Small tasks of the team do not take what was freed, not even one by one.
-    world.machines._place_unplaced()
+    world.machines.task_placement.place_unplaced()
     assert world.machines.quota.usage("red").cores == 20.0
     assert all(FILL not in asked.task_counts for asked in world.claim_requests())
     world.heartbeat(msgspec.structs.replace(large(3, 3), machine="vm-2"))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -60,8 +60,8 @@
 
 def claim_planner(fleet: FleetWorld) -> ClaimPlanner:
     machines = fleet.machines
-    limits = PlanLimits.of(fleet.settings, fleet.client.txn_ops, machines.pace_s)
-    return ClaimPlanner(machines.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
+    limits = PlanLimits.of(fleet.settings, fleet.client.txn_ops, machines.claims.tick_interval_s)
+    return ClaimPlanner(machines.claims.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
 
 
 def test_a_look_for_claims_is_bounded_and_gives_no_allowance_back(fleet: FleetWorld) -> None:
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -59,7 +59,7 @@
     world.store.job(spec(**bound))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
-    world.machines._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
+    world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
     assert all(not asked.task_counts for asked in world.claim_requests())
     world.round(ClaimRequest(task_counts={JOB: 4}))
