--- /dev/null
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -0,0 +1,152 @@
+"""Heartbeats: reports of machines are reconciled with the registry and answered with commands.
+
+Owns which machines were already logged for their reports. Called by the machines actor only.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from sloeswitch import wire
+from sloeswitch.actors.commands import CommandSender
+from sloeswitch.actors.machine_ownership import MachineOwnership
+from sloeswitch.actors.shard_state import ShardState
+from sloeswitch.actors.task_placement import TaskPlacement
+from sloeswitch.core.machine_registry import Machine, ReconcileResult
+from sloeswitch.http import Answer, refuse
+
+log = logging.getLogger("machines")
+
+
+class HeartbeatHandler:
+    """Answers heartbeats, and applies what machines answer to direct commands."""
+
+    def __init__(
+        self,
+        shard: ShardState,
+        ownership: MachineOwnership,
+        task_placement: TaskPlacement,
+        commands: CommandSender,
+        wake: Callable[[], None],
+    ) -> None:
+        context = shard.context
+        self.settings = context.settings
+        self.tables = context.tables
+        self.leadership = context.leadership
+        self.now = context.clock.now
+        self.registry = shard.registry
+        self.health = shard.health
+        self.task_updates = shard.task_updates
+        self.ownership = ownership
+        self.task_placement = task_placement
+        self.commands = commands
+        self.wake = wake
+        # Logged once each.
+        self.unknown_types: set[str] = set()
+        self.malformed_reporters: set[str] = set()
+
+    def answer(self, report: wire.WorkerReport, last_answer_received: bool) -> Answer:
+        """Reconciles a heartbeat with the registry, and answers it with the commands for its machine.
+
+        Returns:
+            200 with commands; 400 for a malformed report; 421 with the owner of a machine that is not ours; 503 when
+            this controller may not answer it now, for the machine to try again.
+        """
+        leadership = self.leadership
+        if not leadership.may_answer_workers:
+            return refuse(1)
+        owner = leadership.owner_of(report.machine)
+        if owner != self.settings.member:
+            return Answer(421, wire.redirect_reply(owner))
+        self.ownership.follow_view()
+        if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
+            return refuse(1)
+        now = self.now()
+        machine = self.registry.machines.get(report.machine)
+        if machine is None:
+            machine = self._add_machine(report, now)
+        elif self.registry.is_outdated(machine, report):
+            # Neither a sign of life nor worth an answer that could renew the machine's lease: our own books
+            # go by newer reports. Were it the machine's last report after all, its next one is newer.
+            return refuse(1)
+        was_reconciled = machine.reconciled
+        try:
+            result = self.registry.reconcile(machine, report, True, now, leadership.view.number, self.tables)
+        except wire.MalformedError as error:
+            self._log_malformed(report.machine, error)
+            return Answer(400)
+        commands: list[wire.WorkerCommand] = []
+        if result.accepted:
+            # Reports can arrive while nothing reaches the machine: until it is seen to have received an
+            # answer it gets no start command, so that no task waits there for its lease to run out.
+            machine.reachable = last_answer_received
+            if last_answer_received or not was_reconciled:
+                machine.reachable_at = now
+            self._apply_reconciled(machine, result)
+            self.task_placement.fill_machine(machine)
+            commands = self.registry.commands(machine, self.tables, report.sequence)
+        machine.answered_at = now
+        machine.lease_expires_at = max(
+            machine.lease_expires_at if not machine.is_recovered else 0.0, now + self.settings.worker_gone_s
+        )
+        return Answer(200, wire.encode(wire.WorkerCommands(leadership.view.number, commands)))
+
+    def apply_command_reply(self, report: wire.WorkerReport) -> None:
+        """Reconciles a machine's answer to a direct command with the registry, unless the view has changed since."""
+        machine = self.registry.machines.get(report.machine)
+        followed_view = self.ownership.followed_view
+        if machine is None or followed_view != self.leadership.view.number:
+            return
+        try:
+            result = self.registry.reconcile(machine, report, False, self.now(), followed_view, self.tables)
+        except wire.MalformedError as error:
+            self._log_malformed(report.machine, error)
+            return
+        if result.accepted:
+            # It carried out what was sent, and its reply came.
+            machine.reachable, machine.reachable_at = True, self.now()
+            self._apply_reconciled(machine, result)
+
+    def _add_machine(self, report: wire.WorkerReport, now: float) -> Machine:
+        """A machine that was never registered, so that nobody can have started anything on it."""
+        machine = self.registry.add_machine(
+            report.machine,
+            report.address,
+            report.type,
+            report.zone,
+            report.spot,
+            self.leadership.view.number,
+            now + self.settings.worker_gone_s,
+        )
+        machine.accounted_for = True
+        types = self.tables.machine_types
+        if types and report.type not in types and report.type not in self.unknown_types:
+            self.unknown_types.add(report.type)
+            log.error("%s is of unknown type %s: machines of it get no work", report.machine, report.type)
+        return machine
+
+    def _apply_reconciled(self, machine: Machine, result: ReconcileResult) -> None:
+        """Passes on what a report revealed: completions, failures and adoptions."""
+        now = self.now()
+        self.commands.record_reply(machine.name)
+        for (job, index), name in result.done:
+            self.health.record_success(job, name)
+            self.task_updates.record_done(job, index)
+        for (job, index), name in result.failed:
+            was_quarantined = self.health.is_machine_quarantined(name)
+            self.health.record_failure(job, name, now)
+            log.info("%s failed on %s", wire.task_name(job, index), name)
+            if not was_quarantined and self.health.is_machine_quarantined(name):
+                log.info("%s fails what it is given: no more work for it", name)
+        for job, index in result.adopted:
+            self.task_updates.record_adopted(job, index)
+        self.task_updates.send()
+        if result.capacity_freed or result.done:
+            self.wake()
+
+    def _log_malformed(self, machine: str, error: wire.MalformedError) -> None:
+        """Once for each machine: a broken one says the same with every report."""
+        if machine not in self.malformed_reporters and len(self.malformed_reporters) < self.settings.fd_limit:
+            self.malformed_reporters.add(machine)
+            log.error("report of %s: %s", machine, error)
--- /dev/null
+++ b/sloeswitch/actors/machine_ownership.py
@@ -0,0 +1,85 @@
+"""Which machines this controller owns: follows the views, and takes machines over at a failover.
+
+Owns the incarnation and the view that the registry goes by. Called by the machines actor and its modules only.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from sloeswitch.actors.shard_state import ShardState
+
+log = logging.getLogger("machines")
+
+
+class MachineOwnership:
+    """Brings the registry in line with the view: machines are added, released, or have to be heard again."""
+
+    def __init__(self, shard: ShardState) -> None:
+        context = shard.context
+        self.settings = context.settings
+        self.tables = context.tables
+        self.leadership = context.leadership
+        self.now = context.clock.now
+        self.registry = shard.registry
+        self.quota = shard.quota
+        self.task_updates = shard.task_updates
+        # The incarnation and the view number that the registry goes by; 0: none yet.
+        self.incarnation = 0
+        self.followed_view = 0
+
+    def follow_view(self) -> None:
+        """Applies the current view if it is not followed yet, while this controller is a member of it.
+
+        A new incarnation of this controller begins with an empty registry, also before it is a member.
+        """
+        if self.leadership.incarnation != self.incarnation:
+            self._begin_incarnation()
+        if self.leadership.is_member and self.leadership.view.number != self.followed_view:
+            self._apply_view()
+
+    def _begin_incarnation(self) -> None:
+        self.incarnation = self.leadership.incarnation
+        self.followed_view = 0
+        self.registry.reset()
+        self.quota.reset()
+        self.task_updates.reset_claims()
+
+    def _apply_view(self) -> None:
+        view = self.leadership.view
+        consecutive = view.number == self.followed_view + 1
+        member = self.settings.member
+        gone_at = self.now() + self.settings.takeover_gone_s
+        for name in list(self.registry.machines):
+            machine = self.registry.machines[name]
+            if self.leadership.owner_of(name) != member:
+                self.registry.release_machine(name)
+            elif not consecutive:
+                # Another controller may have owned it under a view that was missed.
+                self.registry.mark_unreconciled(machine, view.number, gone_at)
+        for name, row in self.tables.machines.items():
+            if self.leadership.owner_of(name) == member and name not in self.registry.machines:
+                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
+        self.followed_view = view.number
+        self.quota.update_handed_off_usage()
+        self.task_updates.begin_view(view.number)
+        log.info(
+            "view %d: %d machines are ours, %d of them to be heard",
+            view.number,
+            len(self.registry.machines),
+            sum(not machine.is_recovered for machine in self.registry.machines.values()),
+        )
+
+    def add_unowned_machines(self, pending_removals: set[str]) -> None:
+        """Adds machines of ours that are in the tables and that the registry lacks, unless they are being removed.
+
+        Guards against a registration that is carried out late, after its machine was deleted and left out: nobody
+        would look after it, and it would count as supply.
+        """
+        gone_at = self.now() + self.settings.takeover_gone_s
+        for name, row in self.tables.machines.items():
+            if name not in self.registry.machines and name not in pending_removals:
+                if self.leadership.owner_of(name) != self.settings.member:
+                    continue
+                log.info("%s is in the tables and was not looked after", name)
+                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -14,13 +14,13 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from sloeswitch import wire
 from sloeswitch.actors.base import Actor, InboxFullError
 from sloeswitch.actors.cancellation_watch import CancellationWatch
 from sloeswitch.actors.claim_requester import ClaimRequester
 from sloeswitch.actors.commands import CommandReply, CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.gang_preemption import GangPreemption
+from sloeswitch.actors.heartbeat_handler import HeartbeatHandler
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machine_messages import (
     HeartbeatRequest,
@@ -29,16 +29,16 @@
     MachinesMessage,
     TickRequest,
 )
+from sloeswitch.actors.machine_ownership import MachineOwnership
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.actors.registration import Registration
 from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.actors.task_placement import TaskPlacement
 from sloeswitch.core import preemption
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
-from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine, ReconcileResult
+from sloeswitch.core.machine_registry import FETCHING, RUNNING, Attempt, Machine
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
-from sloeswitch.http import Answer, refuse
 
 log = logging.getLogger("machines")
 
@@ -69,10 +69,6 @@
         self.quota = shard.quota
         self.queue = shard.queue
         self.task_updates = shard.task_updates
-        self.incarnation = 0
-        self.followed_view = 0
-        self.unknown_types: set[str] = set()
-        self.malformed_reporters: set[str] = set()
         self.commands = CommandSender(
             context.settings, context.leadership, self.registry, self.tables, self._spawn, self.tell, context.clock.now
         )
@@ -103,18 +99,21 @@
             self.tick_interval_s,
         )
         self.task_placement = TaskPlacement(shard, self.gang_preemption)
+        self.ownership = MachineOwnership(shard)
+        self.heartbeats = HeartbeatHandler(shard, self.ownership, self.task_placement, self.commands, self._wake)
         self.claims = ClaimRequester(shard, self.task_placement, jobs, self._spawn, self._wake)
 
     # -- messages
 
     async def handle(self, message: MachinesMessage) -> None:
         if isinstance(message, HeartbeatRequest):
-            message.reply(self._heartbeat(message.report, message.last_answer_received))
+            self.cancellations.any_heard_at = self.now()
+            message.reply(self.heartbeats.answer(message.report, message.last_answer_received))
         elif isinstance(message, TickRequest):
             self._tick()
             message.reply(None)
         elif isinstance(message, CommandReply):
-            self._command_reply(message.report)
+            self.heartbeats.apply_command_reply(message.report)
         elif isinstance(message, InspectionReply):
             self.cancellations.apply_inspection(message, self.now())
             self.wake.set()
@@ -142,139 +141,6 @@
     def _wake(self) -> None:
         self.wake.set()
 
-    # -- ownership
-
-    def _apply_view(self) -> None:
-        leadership = self.leadership
-        if leadership.incarnation != self.incarnation:
-            self.incarnation = leadership.incarnation
-            self.followed_view = 0
-            self.registry.reset()
-            self.quota.reset()
-            self.task_updates.reset_claims()
-        if not leadership.is_member or leadership.view.number == self.followed_view:
-            return
-        view = leadership.view
-        consecutive = view.number == self.followed_view + 1
-        me = self.settings.member
-        gone_at = self.now() + self.settings.takeover_gone_s
-        for name in list(self.registry.machines):
-            machine = self.registry.machines[name]
-            if leadership.owner_of(name) != me:
-                self.registry.release_machine(name)
-            elif not consecutive:
-                self.registry.mark_unreconciled(machine, view.number, gone_at)
-        for name, row in self.tables.machines.items():
-            if leadership.owner_of(name) == me and name not in self.registry.machines:
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
-        self.followed_view = view.number
-        self.quota.update_handed_off_usage()
-        self.task_updates.begin_view(view.number)
-        log.info(
-            "view %d: %d machines are ours, %d of them to be heard",
-            view.number,
-            len(self.registry.machines),
-            sum(not machine.is_recovered for machine in self.registry.machines.values()),
-        )
-
-    # -- reports
-
-    def _heartbeat(self, report: wire.WorkerReport, received: bool) -> Answer:
-        leadership = self.leadership
-        self.cancellations.any_heard_at = self.now()
-        if not leadership.may_answer_workers:
-            return refuse(1)
-        owner = leadership.owner_of(report.machine)
-        if owner != self.settings.member:
-            return Answer(421, wire.redirect_reply(owner))
-        self._apply_view()
-        if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
-            return refuse(1)
-        now = self.now()
-        machine = self.registry.machines.get(report.machine)
-        if machine is None:
-            # Never registered, so that nobody can have started anything on it.
-            machine = self.registry.add_machine(
-                report.machine,
-                report.address,
-                report.type,
-                report.zone,
-                report.spot,
-                leadership.view.number,
-                now + self.settings.worker_gone_s,
-            )
-            machine.accounted_for = True
-            if (
-                self.tables.machine_types
-                and report.type not in self.tables.machine_types
-                and report.type not in self.unknown_types
-            ):
-                self.unknown_types.add(report.type)
-                log.error("%s is of unknown type %s: machines of it get no work", report.machine, report.type)
-        elif self.registry.is_outdated(machine, report):
-            # Neither a sign of life nor worth an answer that could renew the machine's lease: our own books
-            # go by newer reports. Were it the machine's last word after all, its next one is newer.
-            return refuse(1)
-        was_heard = machine.reconciled
-        try:
-            heard = self.registry.reconcile(machine, report, True, now, leadership.view.number, self.tables)
-        except wire.MalformedError as error:
-            self._log_malformed(report.machine, error)
-            return Answer(400)
-        orders: list[wire.WorkerCommand] = []
-        if heard.accepted:
-            # Reports can arrive while nothing reaches the machine: until it is seen to have received an
-            # answer it is told no start, so that no task waits there for its lease to run out.
-            machine.reachable = received
-            if received or not was_heard:
-                machine.reachable_at = now
-            self._apply_reconciled(machine, heard)
-            self.task_placement.fill_machine(machine)
-            orders = self.registry.commands(machine, self.tables, report.sequence)
-        machine.answered_at = now
-        machine.lease_expires_at = max(
-            machine.lease_expires_at if not machine.is_recovered else 0.0, now + self.settings.worker_gone_s
-        )
-        return Answer(200, wire.encode(wire.WorkerCommands(leadership.view.number, orders)))
-
-    def _log_malformed(self, machine: str, error: wire.MalformedError) -> None:
-        """Once for each machine: a broken one says the same with every report."""
-        if machine not in self.malformed_reporters and len(self.malformed_reporters) < self.settings.fd_limit:
-            self.malformed_reporters.add(machine)
-            log.error("report of %s: %s", machine, error)
-
-    def _command_reply(self, report: wire.WorkerReport) -> None:
-        machine = self.registry.machines.get(report.machine)
-        if machine is None or self.followed_view != self.leadership.view.number:
-            return
-        try:
-            heard = self.registry.reconcile(machine, report, False, self.now(), self.followed_view, self.tables)
-        except wire.MalformedError as error:
-            self._log_malformed(report.machine, error)
-            return
-        if heard.accepted:
-            # It carried out what was sent, and its reply came.
-            machine.reachable, machine.reachable_at = True, self.now()
-            self._apply_reconciled(machine, heard)
-
-    def _apply_reconciled(self, machine: Machine, heard: ReconcileResult) -> None:
-        now = self.now()
-        self.commands.record_reply(machine.name)
-        for (job, index), name in heard.done:
-            self.health.record_success(job, name)
-            self.task_updates.record_done(job, index)
-        for (job, index), name in heard.failed:
-            was = self.health.is_machine_quarantined(name)
-            self.health.record_failure(job, name, now)
-            log.info("%s failed on %s", wire.task_name(job, index), name)
-            if not was and self.health.is_machine_quarantined(name):
-                log.info("%s fails what it is given: no more work for it", name)
-        for job, index in heard.adopted:
-            self.task_updates.record_adopted(job, index)
-        self.task_updates.send()
-        if heard.capacity_freed or heard.done:
-            self.wake.set()
-
     # -- the tick
 
     def _tick(self) -> None:
@@ -284,15 +150,13 @@
             self.answering_since = now
         self.ticked_at = now
         self.cancellations.inspect_suspects(now, self.clock.wall_clock_ms())
+        self.ownership.follow_view()
         if not leadership.is_member:
-            if leadership.incarnation != self.incarnation:
-                self._apply_view()
             return
-        self._apply_view()
         if now >= self.summary_at:
             self.summary_at = now + 2 * self.settings.lease_s
             self._log_summary()
-            self._add_unowned_machines()
+            self.ownership.add_unowned_machines(self.registration.pending_removals)
         if now >= self.next_check_at:
             self.next_check_at = now + self.settings.report_s / 4
             self.cancellation_overdue = self.cancellations.has_overdue(self.clock.wall_clock_ms())
@@ -315,24 +179,13 @@
             self.gang_preemption.preempt_for_gangs(now)
             if (
                 self.registry.is_recovered(self.tables, leadership.incarnation_id)
-                and self.membership.recovered_view != self.followed_view
+                and self.membership.recovered_view != self.ownership.followed_view
             ):
-                self.membership.tell(ShardRecovered(self.followed_view))
+                self.membership.tell(ShardRecovered(self.ownership.followed_view))
             self._register()
             self.claims.request_claims()
         self.task_updates.send()
 
-    def _add_unowned_machines(self) -> None:
-        """Machines of ours in the tables that the registry lacks. Guards against a registration that is carried out
-        late, after its machine was deleted and left out: nobody would look after it, and it would count as supply."""
-        gone_at = self.now() + self.settings.takeover_gone_s
-        for name, row in self.tables.machines.items():
-            if name not in self.registry.machines and name not in self.registration.pending_removals:
-                if self.leadership.owner_of(name) != self.settings.member:
-                    continue
-                log.info("%s is in the tables and was not looked after", name)
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
-
     def _log_summary(self) -> None:
         """What an operator wants to know at a glance, once in a while."""
         machines = [m for m in self.registry.machines.values() if m.reconciled and m.type in self.tables.machine_types]
@@ -471,7 +324,7 @@
         names, writes = self.registration.rows_to_store(list(self.registry.machines.values()))
         if writes and self.group is not None:
             self.registration.pending_registrations |= names
-            self.group.start_soon(self.registration.store, names, writes, self.followed_view)
+            self.group.start_soon(self.registration.store, names, writes, self.ownership.followed_view)
 
     def _kill_cancelled(self) -> None:
         cancelled = [job for job in self.tables.jobs.values() if job.is_cancelled]
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -234,7 +234,7 @@
 def test_a_new_job_is_left_for_a_moment_to_the_controller_that_has_its_image(world: World) -> None:
     machine_up(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.machines._apply_view()
+    world.machines.ownership.follow_view()
     kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -145,7 +145,7 @@
     world.store.tables.deleted_machines.clear()
     world.machines.registry.reset()
     world.store.view(4, ("c0", 1))
-    world.machines.followed_view = 0
+    world.machines.ownership.followed_view = 0
     assert heartbeat(world, report(10, 3)).status == 200
     machine = world.machines.registry.machines["vm-1"]
     assert not machine.reconciled and not world.machines.registry.is_schedulable(machine)
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -161,7 +161,7 @@
         serial += 1
         # Its lease runs out again and again, since direct commands do not renew it.
         session = 1 + int((world.clock.time - begun) // (world.settings.lease_s + 1))
-        world.machines._command_reply(report(serial, 3, session=session))
+        world.machines.heartbeats.apply_command_reply(report(serial, 3, session=session))
         world.machines._tick()
         # It looks well by its answers; what was placed before is free for others.
         assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - begun < 3.0)
@@ -176,7 +176,7 @@
         world.clock.time += 1.0
         world.machines._tick()
     later(world, 0.0)
-    world.machines._command_reply(report(90, 3, session=5))
+    world.machines.heartbeats.apply_command_reply(report(90, 3, session=5))
     world.machines._tick()
     later(world, 2.0)
     world.machines._tick()
