--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -14,6 +14,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.machine_messages import InstancesDeleted
+from sloeswitch.actors.machine_termination import TerminationReason
 from sloeswitch.actors.machines import Machines
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import keys
@@ -294,7 +295,7 @@
             since = self.idle_since.setdefault(machine.name, now)
             if now - since > kind.boot_s or (machine.surplus and now - since > 2 * self.settings.report_s):
                 del self.idle_since[machine.name]
-                self.machines.drain_and_scale_in(machine, "idle")
+                self.machines.termination.drain_and_scale_in(machine, TerminationReason.IDLE)
 
     async def scale_in_idle_forever(self) -> None:
         while True:
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -16,7 +16,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.core.machine_registry import Machine, MachineRegistry
+from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Client, NoAnswerError
 from sloeswitch.settings import Address, Settings
@@ -83,6 +83,11 @@
             self._waiting.add(machine.name)
             self.spawn(self._command, machine)
 
+    def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
+        """Stops a task on a machine; it has so long to save."""
+        if self.registry.mark_for_kill(machine, attempt, grace_s) and machine.reconciled:
+            self.send(machine)
+
     def probe(self, machine: Machine, now: float) -> None:
         """Asks a machine that does not report; for a machine just taken over this also fences it."""
         if now < self.probe_at.get(machine.name, 0.0) or not machine.address:
--- /dev/null
+++ b/sloeswitch/actors/machine_monitor.py
@@ -0,0 +1,164 @@
+"""Monitoring: machines that are silent, unreachable, faulty, or about to be preempted by the cloud.
+
+Owns when machines are checked next, and since when heartbeats have been answered. Called by the machines actor at each
+tick.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import NamedTuple
+
+from sloeswitch.actors.cancellation_watch import CancellationWatch
+from sloeswitch.actors.commands import CommandSender
+from sloeswitch.actors.machine_termination import MachineTermination, TerminationReason
+from sloeswitch.actors.shard_state import ShardState
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
+from sloeswitch.core.machine_registry import RUNNING, Machine
+
+log = logging.getLogger("machines")
+
+# With this part of more than so many machines out of contact at once, our own network is the likely reason.
+NETWORK_FAULT_SHARE = 0.75
+NETWORK_FAULT_MIN_MACHINES = 3
+# A silent machine is deleted only after this many direct commands found no answer.
+DELETE_AFTER_FAILED_COMMANDS = 2
+
+
+class ContactLoss(NamedTuple):
+    """For how long a machine has been out of contact, in seconds; 0 where that is not known."""
+
+    # Neither heard nor answered.
+    silent_s: float
+    # No heartbeat came; it may answer commands all the same.
+    no_report_s: float
+    # Nothing that was sent is seen to have arrived.
+    unreachable_s: float
+
+
+class MachineMonitor:
+    """Expires leases, probes machines that are out of contact, and has those deleted that do not recover."""
+
+    def __init__(
+        self,
+        shard: ShardState,
+        commands: CommandSender,
+        cancellations: CancellationWatch,
+        termination: MachineTermination,
+        wake: Callable[[], None],
+    ) -> None:
+        context = shard.context
+        self.settings = context.settings
+        self.leadership = context.leadership
+        self.clock = context.clock
+        self.registry = shard.registry
+        self.health = shard.health
+        self.commands = commands
+        self.cancellations = cancellations
+        self.termination = termination
+        self.wake = wake
+        self.next_check_at = 0.0
+        self.ticked_at = float("-inf")
+        # Since when heartbeats have been answered without a break: a machine that is out of contact for longer than
+        # that may be well.
+        self.answering_since = float("-inf")
+        # Whether a task of a job that was cancelled some time ago may still be anywhere.
+        self.cancellation_overdue = False
+
+    def begin_tick(self, now: float) -> None:
+        """Notes a break in the answers: by lack of permission, or because this process stood still."""
+        if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
+            self.answering_since = now
+        self.ticked_at = now
+
+    def check_if_due(self, now: float) -> bool:
+        """Checks all machines, four times in a report interval; whether it did so now."""
+        if now < self.next_check_at:
+            return False
+        self.next_check_at = now + self.settings.report_s / 4
+        self.cancellation_overdue = self.cancellations.has_overdue(self.clock.wall_clock_ms())
+        for machine in list(self.registry.machines.values()):
+            self.check_machine(machine, now)
+        return True
+
+    def check_machine(self, machine: Machine, now: float) -> None:
+        """Does what the state of one machine calls for."""
+        if now >= machine.lease_expires_at and (machine.reconciled or not machine.accounted_for):
+            lost = self.registry.expire_lease(machine)
+            log.info("%s is silent and its lease is over: %d tasks come back", machine.name, len(lost))
+        loss = self._contact_loss(machine, now)
+        late_s = self.settings.late_s
+        if (machine.reconciled and loss.silent_s > late_s) or not machine.is_recovered:
+            self.commands.probe(machine, now)
+        out_of_contact = max(loss.silent_s, loss.no_report_s) > late_s or not machine.reachable
+        if out_of_contact and self.registry.remove_unsent(machine):
+            self.wake()
+        self._terminate_if_lost(machine, loss, now)
+        if machine.preemption_notice_s is not None:
+            for attempt in list(machine.attempts.values()):
+                if attempt.spec.checkpoint_s > 0 and attempt.state == RUNNING:
+                    self.commands.kill(machine, attempt, attempt.spec.save_s)
+
+    def _contact_loss(self, machine: Machine, now: float) -> ContactLoss:
+        silent_s = now - max(
+            machine.last_heard_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
+        )
+        no_report_s = unreachable_s = 0.0
+        if machine.reported_at is not None:
+            no_report_s = now - max(machine.reported_at, self.answering_since)
+        if machine.reconciled:
+            unreachable_s = now - max(machine.reachable_at, self.answering_since)
+        return ContactLoss(silent_s, no_report_s, unreachable_s)
+
+    def _terminate_if_lost(self, machine: Machine, loss: ContactLoss, now: float) -> None:
+        max_silence_s = max(3.5 * self.settings.report_s, 0.35 * self.settings.lease_s)
+        silent = loss.silent_s > max_silence_s
+        if self._may_hold_cancelled(machine, now, silent) and self.leadership.may_answer_workers:
+            # Whether it hangs, is cut off or receives nothing: its deletion ends what is on it in time, also while
+            # the state service is down. Should it have got another owner after all, that one counts it as silent:
+            # work is lost, nothing is started twice.
+            self.termination.drain_and_scale_in(machine, TerminationReason.CANCELLED_TASKS, pressing=True)
+        failed_commands = self.commands.failures.get(machine.name, 0)
+        if (
+            silent
+            and failed_commands >= DELETE_AFTER_FAILED_COMMANDS
+            and self.leadership.is_leader
+            and not self._most_machines_lost(now)
+        ):
+            self.termination.drain_and_scale_in(machine, TerminationReason.SILENT)
+        elif (
+            max(loss.no_report_s, loss.unreachable_s) > 2 * self.settings.lease_s
+            and self.leadership.is_leader
+            and not self._most_machines_lost(now)
+        ):
+            # Its reports come and nothing reaches it, or it answers commands and cannot report: by now its lease is
+            # over and it has nothing on it, and it would be paid for in vain for as long as that lasts.
+            self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHED)
+        elif self.health.is_machine_quarantined(machine.name) and self.leadership.is_leader:
+            machine.draining = True
+            if not machine.attempts:
+                self.termination.drain_and_scale_in(machine, TerminationReason.FAULTY)
+
+    def _may_hold_cancelled(self, machine: Machine, now: float, silent: bool) -> bool:
+        """Whether a cancelled task may be on the machine that must be gone soon.
+
+        Nothing is known of what is on a machine that was taken over and is not heard. Guards against one that hangs
+        with a cancelled task while its owner changes and the state service is down: nobody deleted it (found by the
+        random world, tests/test_world.py).
+        """
+        if machine.cancelled_since is not None:
+            return now - machine.cancelled_since > OVERDUE_SHARE * self.settings.cancel_s
+        return self.cancellation_overdue and not machine.reconciled and silent
+
+    def _most_machines_lost(self, now: float) -> bool:
+        """Whether most machines are silent or unreachable at once.
+
+        That points to our own network: then nothing is deleted, and the machines' leases have to do.
+        """
+        reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
+        lost = sum(
+            now - min(machine.last_heard_at, machine.reported_at or 0.0) > self.settings.late_s or not machine.reachable
+            for machine in reconciled
+        )
+        return len(reconciled) > NETWORK_FAULT_MIN_MACHINES and lost > NETWORK_FAULT_SHARE * len(reconciled)
--- /dev/null
+++ b/sloeswitch/actors/shard_summary.py
@@ -0,0 +1,31 @@
+"""The summary of a shard that is logged once in a while, for operators."""
+
+from __future__ import annotations
+
+import logging
+
+from sloeswitch.actors.shard_state import ShardState
+from sloeswitch.core.machine_registry import FETCHING
+from sloeswitch.core.records import JobState
+
+log = logging.getLogger("machines")
+
+
+def log_summary(shard: ShardState) -> None:
+    """Logs what an operator wants to know at a glance: machines, cores, tasks and jobs."""
+    tables, registry = shard.context.tables, shard.registry
+    machines = [m for m in registry.machines.values() if m.reconciled and m.type in tables.machine_types]
+    live = [job for job in tables.jobs.values() if job.status == JobState.LIVE]
+    log.info(
+        "%d machines up (%d not to be used), %.0f of %.0f cores in use, %d tasks placed, %d fetching;"
+        " %d jobs live, %d of them wait for others, %d have work open",
+        len(machines),
+        sum(not registry.is_schedulable(m) for m in machines),
+        sum(m.usage.cores for m in machines),
+        sum(tables.machine_types[m.type].cores for m in machines),
+        sum(len(m.attempts) for m in machines),
+        sum(attempt.state == FETCHING for m in machines for attempt in m.attempts.values()),
+        len(live),
+        sum(not job.is_runnable for job in live),
+        sum(job.is_runnable and bool(tables.unclaimed_tasks(job, tables.recovery_complete())) for job in live),
+    )
--- /dev/null
+++ b/sloeswitch/actors/surplus_drain.py
@@ -0,0 +1,54 @@
+"""Draining of surplus machines: their last tasks save and move, so that the machines can be deleted.
+
+Called by the machines actor after each check of the machines. Which machines are surplus is decided by the autoscaler.
+"""
+
+from __future__ import annotations
+
+import logging
+
+from sloeswitch.actors.commands import CommandSender
+from sloeswitch.actors.shard_state import ShardState
+from sloeswitch.actors.task_placement import TaskPlacement
+from sloeswitch.core import preemption
+
+log = logging.getLogger("machines")
+
+# Surplus machines are drained once no more than this part of their cores is in use.
+DRAIN_UTILIZATION = 0.5
+
+
+class SurplusDrain:
+    """Moves the last tasks off machines that are not needed, where that loses next to nothing."""
+
+    def __init__(self, shard: ShardState, task_placement: TaskPlacement, commands: CommandSender) -> None:
+        self.tables = shard.context.tables
+        self.registry = shard.registry
+        self.task_placement = task_placement
+        self.commands = commands
+
+    def drain(self, now: float) -> None:
+        """Stops the tasks of surplus machines whose tasks all save, have run for a while, and fit elsewhere.
+
+        One long task would else keep a whole machine for minutes.
+        """
+        candidates = [
+            machine
+            for machine in self.registry.machines.values()
+            if machine.surplus
+            and machine.reachable
+            and machine.attempts
+            and machine.type in self.tables.machine_types
+            and machine.usage.cores <= DRAIN_UTILIZATION * self.tables.machine_types[machine.type].cores
+            and all(preemption.is_movable(attempt, now) for attempt in machine.attempts.values())
+        ]
+        if not candidates:
+            return
+        free_cores = sum(capacity.cores for capacity in self.task_placement.free_capacities(now))
+        for machine in sorted(candidates, key=lambda machine: machine.usage.cores):
+            free_cores -= machine.usage.cores
+            if free_cores < 0:
+                return
+            log.info("%s is not needed: %d tasks save and move", machine.name, len(machine.attempts))
+            for attempt in list(machine.attempts.values()):
+                self.commands.kill(machine, attempt, attempt.spec.save_s)
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -53,7 +53,7 @@
     jobs = Jobs(context)
     machines = Machines(context, jobs, membership)
     autoscaler = Autoscaler(context, CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now))
-    machines.autoscaler, autoscaler.machines = autoscaler, machines
+    machines.termination.autoscaler, autoscaler.machines = autoscaler, machines
     users = Users(context, jobs, machines)
     # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
     server = Server(
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -80,7 +80,7 @@
         cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock.now)
         cloud.node = self
         self.fleet = Autoscaler(self.context, cloud)
-        self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
+        self.machines.termination.autoscaler, self.fleet.machines = self.fleet, self.machines
 
     def scale(self) -> None:
         """What the loops of the fleet actor do in about a report's time."""
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -510,7 +510,7 @@
         self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
-            self.machines.autoscaler = ScriptedCloud(self)
+            self.machines.termination.autoscaler = ScriptedCloud(self)
         self.group = Group(self)
         self.machines.group = self.group  # type: ignore[assignment]
         self.asked: list[ClaimRequest] = []
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -104,7 +104,7 @@
         return anyio.run(report_each)
 
     def tick(self) -> None:
-        self.machines.next_check_at = 0.0
+        self.machines.monitor.next_check_at = 0.0
         self.machines.claims.claim_in_flight = True  # no claims: only what is there already counts
         self.machines._tick()
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -135,13 +135,13 @@
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
     machine.reconciled = False  # no direct command in this test
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     machine.reconciled = True
     orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
     world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     world.tell_jobs(world.machines.task_updates.pending)
     world.clock.time += 1.0
     world.round()
@@ -192,13 +192,13 @@
     world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
     spared.reconciled = False  # no direct command in this test
-    world.machines._drain_surplus(world.clock.time)
+    world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s is None  # there is no room elsewhere
     world.heartbeat(report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
     spared.reconciled = False
-    world.machines._drain_surplus(world.clock.time)
+    world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
     assert world.machines.registry.placed_tasks[JOB] == 0b1  # until it is reported gone
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -109,7 +109,7 @@
         self.started: list[str] = []
         self.given_back: list[str] = []
         world.machines.group = self  # type: ignore[assignment]
-        world.machines.autoscaler = self  # type: ignore[assignment]
+        world.machines.termination.autoscaler = self  # type: ignore[assignment]
         world.client.failing_since = world.clock.time
         world.clock.time += 2 * world.settings.controller_lease_s
         self.sibling_tells(view=0, state_ok=False)
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -52,7 +52,7 @@
     orders = world.heartbeat(report(5, 3, (*task, "running"))).commands
     assert orders == []  # known, and marked at the next tick, which the news wakes
     world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     world.machines.registry.machines["vm-1"].reconciled = True
     orders = world.heartbeat(report(6, 3, (*task, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -94,7 +94,7 @@
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
     "claim": lambda world: world.round(ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": (4.0, 0.0)})),
-    "stop what is cancelled": lambda world: world.machines._kill_cancelled(),
+    "stop what is cancelled": lambda world: world.machines.cancelled_tasks.stop_all(),
     "another controller": lambda world: world.store.view(4, ("c0", 1), ("c1", 2)),
     "nothing read": lambda world: setattr(world.replica, "loaded", False),
 }
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -41,13 +41,13 @@
     world.round(ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": (8.0, 0.0)}))
     assert world.machines.registry.placed_tasks["wk-000002"] == 0b11
     heartbeat(world, report(5, 3, (*task, "running")), received=False)
-    world.machines._check_machine(machine, world.clock.time)
+    world.machines.monitor.check_machine(machine, world.clock.time)
     assert "wk-000002" not in world.machines.registry.placed_tasks  # to be placed again
     assert world.machines.registry.placed_tasks[JOB] == 0b1
     # Its reports go on, so its lease may be alive: it counts until it is reported gone.
     later(world, 2.0)
     heartbeat(world, report(9, 3, (*task, "running")), received=False)
-    world.machines._check_machine(machine, world.clock.time)
+    world.machines.monitor.check_machine(machine, world.clock.time)
     assert world.machines.registry.placed_tasks[JOB] == 0b1
     heartbeat(world, report(10, 3, session=2), received=False)
     assert JOB not in world.machines.registry.placed_tasks
@@ -56,13 +56,13 @@
 def test_a_machine_that_nothing_reaches_is_returned_after_two_leases(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     returned: list[str] = []
-    world.machines.drain_and_scale_in = lambda machine, why, pressing=False: returned.append(why)  # type: ignore[method-assign]
+    world.machines.termination.drain_and_scale_in = lambda machine, why, pressing=False: returned.append(why)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
         heartbeat(world, report(serial, 3), received=serial < 5)
         serial += 1
-        world.machines._check_machine(machine, world.clock.time)
+        world.machines.monitor.check_machine(machine, world.clock.time)
         assert bool(returned) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
     assert returned and set(returned) == {"unreached"}
 
@@ -103,7 +103,7 @@
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
     later(world, machine.lease_expires_at + 0.1 - world.clock.time)
-    world.machines._check_machine(machine, world.clock.time)
+    world.machines.monitor.check_machine(machine, world.clock.time)
     assert JOB not in world.machines.registry.placed_tasks
     # A number never seen, of the session that is over: the task may run elsewhere by now.
     assert heartbeat(world, report(99, 3, (*task, "running"))).status == 503
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -24,8 +24,8 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
-    world.machines.autoscaler.machines = world.machines
+    world.machines.termination.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.termination.autoscaler.machines = world.machines
     yield world
 
 
@@ -43,17 +43,17 @@
     """A tick's look after cancelled tasks and silent machines; direct commands do not arrive."""
     vm = machine(world)
     heard, vm.reconciled = vm.reconciled, False
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     vm.reconciled = heard
-    world.machines.cancellation_overdue = world.machines.cancellations.has_overdue(world.clock.wall_clock_ms())
+    world.machines.monitor.cancellation_overdue = world.machines.cancellations.has_overdue(world.clock.wall_clock_ms())
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
-    world.machines._check_machine(vm, world.clock.time)
+    world.machines.monitor.check_machine(vm, world.clock.time)
 
 
 def deleted(world: World) -> list[str]:
-    assert isinstance(world.machines.autoscaler, Autoscaler)
-    world.machines.autoscaler.wake = anyio.Event()  # of this event loop
-    return deletions(world, world.machines.autoscaler)
+    assert isinstance(world.machines.termination.autoscaler, Autoscaler)
+    world.machines.termination.autoscaler.wake = anyio.Event()  # of this event loop
+    return deletions(world, world.machines.termination.autoscaler)
 
 
 @pytest.mark.parametrize("outage", [False, True])
@@ -191,6 +191,6 @@
     for _ in range(4):
         later(world, 10.0)
         world.machines.commands.failures["vm-8"] = 2
-        world.machines.next_check_at = 0.0
+        world.machines.monitor.next_check_at = 0.0
         world.machines._tick()
     assert "vm-8" in deleted(world)
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -20,8 +20,8 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
-    world.machines.autoscaler.machines = world.machines
+    world.machines.termination.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.termination.autoscaler.machines = world.machines
     yield world
 
 
