--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -9,11 +9,9 @@
 from collections.abc import Callable
 
 from sloeswitch.actors.commands import CommandSender, InspectionReply
-from sloeswitch.actors.leadership import Leadership
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
 from sloeswitch.core.machine_registry import MachineRegistry
-from sloeswitch.core.tables import Tables
-from sloeswitch.settings import Settings
 
 log = logging.getLogger("machines")
 
@@ -26,20 +24,18 @@
 
     def __init__(
         self,
-        settings: Settings,
-        tables: Tables,
-        leadership: Leadership,
+        context: ControllerContext,
         registry: MachineRegistry,
         commands: CommandSender,
         scale_in: Callable[[str], bool],
     ) -> None:
-        self.settings = settings
-        self.tables = tables
-        self.leadership = leadership
+        self.settings = context.settings
+        self.tables = context.tables
+        self.leadership = context.leadership
         self.registry = registry
         self.commands = commands
         self.scale_in = scale_in
-        self.guard = CancellationGuard(settings)
+        self.guard = CancellationGuard(context.settings)
         # When a machine last told anything, whether or not it could be answered.
         self.any_heard_at = float("-inf")
 
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -15,11 +15,10 @@
 
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
-from sloeswitch.actors.leadership import Leadership
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
-from sloeswitch.core.tables import Tables
 from sloeswitch.http import Client, NoAnswerError
-from sloeswitch.settings import Address, Settings
+from sloeswitch.settings import Address
 
 log = logging.getLogger("machines")
 
@@ -54,21 +53,19 @@
 
     def __init__(
         self,
-        settings: Settings,
-        leadership: Leadership,
+        context: ControllerContext,
         registry: MachineRegistry,
-        tables: Tables,
         spawn: Spawn,
-        tell: Callable[[CommandReply | InspectionReply], None],
-        now: Callable[[], float],
+        deliver: Callable[[CommandReply | InspectionReply], None],
     ) -> None:
+        settings = context.settings
         self.settings = settings
-        self.leadership = leadership
+        self.leadership = context.leadership
+        self.tables = context.tables
+        self.now = context.clock.now
         self.registry = registry
-        self.tables = tables
         self.spawn = spawn
-        self.deliver = tell
-        self.now = now
+        self.deliver = deliver
         self.failures: dict[str, int] = {}
         self.probe_at: dict[str, float] = {}
         self.timeout_s = min(2.0, settings.lease_s / 6)
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -5,16 +5,11 @@
 import logging
 from collections.abc import Callable, Iterator
 
-from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.quota_ledger import QuotaLedger
-from sloeswitch.actors.runnable_queue import RunnableQueue
+from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.core import placement, preemption, quota
-from sloeswitch.core.health import Health
-from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
+from sloeswitch.core.machine_registry import Attempt, Machine
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job
-from sloeswitch.core.tables import Tables
-from sloeswitch.settings import Settings
 
 log = logging.getLogger("machines")
 
@@ -22,27 +17,17 @@
 class GangPreemption:
     """Owns the room that is held for gangs of one task."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        tables: Tables,
-        leadership: Leadership,
-        registry: MachineRegistry,
-        health: Health,
-        limits: QuotaLedger,
-        queue: RunnableQueue,
-        kill: Callable[[Machine, Attempt, float], None],
-        pace_s: float,
-    ) -> None:
-        self.settings = settings
-        self.tables = tables
-        self.leadership = leadership
-        self.registry = registry
-        self.health = health
-        self.limits = limits
-        self.queue = queue
+    def __init__(self, shard: ShardState, kill: Callable[[Machine, Attempt, float], None]) -> None:
+        context = shard.context
+        self.settings = context.settings
+        self.tables = context.tables
+        self.leadership = context.leadership
+        self.registry = shard.registry
+        self.health = shard.health
+        self.quota = shard.quota
+        self.queue = shard.queue
+        self.tick_interval_s = shard.tick_interval_s
         self.kill = kill
-        self.pace_s = pace_s
         # Machines on which room was made for a job, each until when it is held for that.
         self.reservations: dict[str, tuple[str, float]] = {}
 
@@ -63,7 +48,7 @@
                 if placement.satisfies_constraints(job.spec, room)
                 and fits_type(job.spec, self.tables.machine_types[room.type])
             ]
-            short = self.limits.shortfall(job.spec)
+            short = self.quota.shortfall(job.spec)
             at_limit = short.cores > 0 or short.gpus > 0
             chosen = preemption.plan_preemption(job, fitting, order, at_limit)
             if chosen is None:
@@ -115,7 +100,7 @@
 
     def usage_with_reservations(self, job: Job) -> quota.ResourceUsage:
         """What the team uses or is reserved of its limit, for a job to be placed beside."""
-        use = self.limits.usage(job.spec.team)
+        use = self.quota.usage(job.spec.team)
         for holder, (team, reserved) in self.reserved_usage().items():
             if team == job.spec.team and holder != job.spec.id:
                 use = quota.ResourceUsage(use.cores + reserved.cores, use.gpus + reserved.gpus)
@@ -149,7 +134,9 @@
             ):
                 continue
             passed.add(spec.id)  # it may stand in the line twice
-            wait = 4 * self.pace_s + (0 if self.queue.has_image_affinity(job) else (1 + turn) * self.settings.report_s)
+            wait = 4 * self.tick_interval_s + (
+                0 if self.queue.has_image_affinity(job) else (1 + turn) * self.settings.report_s
+            )
             if now - self.queue.queued_since.get(spec.id, now) < wait or self.health.is_job_paused(spec.id, now):
                 continue
             yield job
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -64,9 +64,7 @@
         self.quota = shard.quota
         self.queue = shard.queue
         self.task_updates = shard.task_updates
-        self.commands = CommandSender(
-            context.settings, context.leadership, self.registry, self.tables, self._spawn, self.tell, context.clock.now
-        )
+        self.commands = CommandSender(context, self.registry, self._spawn, self.tell)
         self.wake = anyio.Event()
         self.tick_interval_s = shard.tick_interval_s
         self.registration = Registration(
@@ -74,25 +72,10 @@
         )
         self.termination = MachineTermination(shard, self.commands, self.registration)
         self.cancellations = CancellationWatch(
-            context.settings,
-            self.tables,
-            context.leadership,
-            self.registry,
-            self.commands,
-            self.termination.scale_in_urgently,
+            context, self.registry, self.commands, self.termination.scale_in_urgently
         )
         self.summary_at = 0.0
-        self.gang_preemption = GangPreemption(
-            context.settings,
-            self.tables,
-            context.leadership,
-            self.registry,
-            self.health,
-            self.quota,
-            self.queue,
-            self.commands.kill,
-            self.tick_interval_s,
-        )
+        self.gang_preemption = GangPreemption(shard, self.commands.kill)
         self.task_placement = TaskPlacement(shard, self.gang_preemption)
         self.ownership = MachineOwnership(shard)
         self.heartbeats = HeartbeatHandler(shard, self.ownership, self.task_placement, self.commands, self._wake)
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -7,28 +7,24 @@
 
 from collections.abc import Iterable, Mapping
 
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
-from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys, quota
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota_allocation import QuotaAllocation
-from sloeswitch.core.tables import Tables
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.settings import Settings, Team
-from sloeswitch.state_client import StateClient
+from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec
 
 
 class QuotaLedger:
     """Reckons with what is stored and with what may exist under this controller's responsibility."""
 
-    def __init__(
-        self, settings: Settings, client: StateClient, tables: Tables, leadership: Leadership, registry: MachineRegistry
-    ) -> None:
-        self.settings = settings
-        self.client = client
-        self.tables = tables
-        self.leadership = leadership
+    def __init__(self, context: ControllerContext, registry: MachineRegistry) -> None:
+        self.settings = context.settings
+        self.client = context.client
+        self.tables = context.tables
+        self.leadership = context.leadership
         self.registry = registry
         # Smaller allowances being stored: team -> (stamp it relies on, cores, gpus).
         self.pending_decreases: dict[str, tuple[int, float, float]] = {}
--- a/sloeswitch/actors/shard_state.py
+++ b/sloeswitch/actors/shard_state.py
@@ -43,7 +43,7 @@
             context=context,
             registry=registry,
             health=Health(settings.report_s, 20 * settings.lease_s),
-            quota=QuotaLedger(settings, context.client, context.tables, context.leadership, registry),
+            quota=QuotaLedger(context, registry),
             queue=RunnableQueue(context, registry),
             task_updates=TaskUpdateOutbox(context, registry, jobs),
             tick_interval_s=max(settings.report_s / 10, settings.lease_s / 60),
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -136,14 +136,13 @@
         self.replica = Replica(self.client, self.tables, self.now)
         self.replica.read_linearizable = self.fresh  # type: ignore[method-assign]
         self.leadership = Leadership(settings, self.tables, self.replica, self.now)
-        self.membership = Membership(ControllerContext(settings, self.client, self.replica, self.leadership, Clock()))
+        context = ControllerContext(settings, self.client, self.replica, self.leadership, Clock())
+        self.membership = Membership(context)
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
         self.machine = registry.add_machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, 3, 9e9)
-        self.commands = CommandSender(
-            settings, self.leadership, registry, self.tables, lambda *_: None, self.told.append, self.now
-        )
+        self.commands = CommandSender(context, registry, lambda *_: None, self.told.append)
         # A busy machine may take long over an exchange in memory.
         self.client.timeout_s = self.cloud.timeout_s = self.commands.timeout_s = 60.0
 
