--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -1,6 +1,7 @@
-"""Cancelled tasks while nobody may answer machines: machines are inspected, and deleted if need be.
+"""Cancelled tasks while no controller may answer machines: machines are inspected, and deleted if need be.
 
-Owns the guard over cancelled tasks (core.cancellation_guard), and when any machine was last heard.
+Owns the guard over cancelled tasks (core.cancellation_guard), and when any machine last reported. Called by the
+machines actor at each tick and with the results of inspections.
 """
 
 from __future__ import annotations
@@ -17,7 +18,9 @@
 
 
 class CancellationWatch:
-    """Guards against a machine that hangs with a cancelled task, and whose owner restarted while the state service is
+    """Finds machines that may hold cancelled tasks, while nobody may answer them, and has them deleted in time.
+
+    Guards against a machine that hangs with a cancelled task, and whose owner restarted while the state service is
     down: that process knows of nothing, and the others' permission ends with its confirmations (found by the random
     world, tests/test_world.py).
     """
@@ -36,11 +39,16 @@
         self.commands = commands
         self.scale_in = scale_in
         self.guard = CancellationGuard(context.settings)
-        # When a machine last told anything, whether or not it could be answered.
+        # When any machine last reported, whether or not it could be answered, in seconds of the clock.
         self.any_heard_at = float("-inf")
 
     def inspect_suspects(self, now: float, wall_time_ms: int) -> None:
-        """Has machines inspected, and deleted if need be, that may hold cancelled tasks while nobody may answer."""
+        """Has machines inspected, and deleted if need be, that may hold cancelled tasks while nobody may answer.
+
+        Args:
+            now: The clock's time in seconds.
+            wall_time_ms: The time of day in milliseconds, as stored with cancellations.
+        """
         self.guard.observe(self.tables, now)
         if not self.leadership.is_leaderless:
             self.guard.clear()
@@ -56,7 +64,7 @@
                 log.info("%s goes back: cancelled tasks may be on it, and no controller may answer it", name)
 
     def apply_inspection(self, message: InspectionReply, now: float) -> None:
-        """The answer of a machine that was asked what is on it, or none."""
+        """Records the answer of a machine that was inspected, or that there was none."""
         if message.report is None:
             self.guard.record_no_answer(message.machine, now)
         else:
@@ -68,6 +76,7 @@
         return any(overdue_job(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values())
 
     def _own_suspects(self, now: float, wall_time_ms: int) -> set[str]:
+        """Machines of this controller that may hold tasks cancelled some time ago, or are known to."""
         overdue = self.has_overdue(wall_time_ms)
         return {
             machine.name
@@ -84,6 +93,8 @@
         return known.address if known is not None else self.tables.machines[machine].address
 
     def _all_machines_silent(self, now: float) -> bool:
-        """Whether no machine at all was heard for two leases though there are some: our own network is the likely
-        reason, and what does not answer may be well."""
+        """Whether no machine at all reported for two leases though there are some.
+
+        Our own network is the likely reason, and machines that do not answer may be well.
+        """
         return len(self.tables.machines) > 3 and now - self.any_heard_at > 2 * self.settings.lease_s
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -1,13 +1,14 @@
-"""Direct commands: what machines are told, and asked, between their reports.
+"""Direct commands and inspections: requests that a controller sends to machines between their heartbeats.
 
-A direct command stops tasks under the present token; it never starts one, since it could be carried out minutes late.
-An inspection only asks what a machine holds.
+A direct command stops tasks under the present fencing token; it never starts one, since it could be carried out minutes
+late. An inspection only asks what a machine holds. Called by the modules of the machines actor; replies are delivered
+to it as messages.
 """
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
 from typing import Any, Protocol
 
@@ -22,34 +23,38 @@
 
 log = logging.getLogger("machines")
 
-# The part of the sockets that may carry direct commands: a controller that takes over hundreds of machines asks each
-# of them, and sockets are for workers first.
+# The part of this process's sockets that may carry direct commands and inspections: a controller that takes over
+# hundreds of machines asks each of them, and sockets are for workers first.
 SOCKETS_SHARE = 1 / 8
 
 
 @dataclass
 class CommandReply:
-    """A machine's answer to a direct command."""
+    """A machine's answer to a direct command: its report, as in a heartbeat."""
 
     report: wire.WorkerReport
 
 
 @dataclass
 class InspectionReply:
-    """What a machine told that was asked for its tasks only; None when it did not answer."""
+    """The report of a machine that was inspected; None when it did not answer."""
 
     machine: str
     report: wire.WorkerReport | None
 
 
 class Spawn(Protocol):
-    """Starts a call beside the caller."""
+    """Starts a coroutine beside the caller."""
 
-    def __call__(self, call: Callable[..., Any], *args: Any) -> None: ...
+    def __call__(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
+        """Calls `call` with the arguments, without waiting for it."""
 
 
 class CommandSender:
-    """Owns the direct commands that wait or are under way, and how often each machine failed to answer one."""
+    """Sends direct commands and inspections, within a share of the sockets.
+
+    Owns the direct commands that wait or are under way, and how often each machine failed to answer one.
+    """
 
     def __init__(
         self,
@@ -66,38 +71,46 @@
         self.registry = registry
         self.spawn = spawn
         self.deliver = deliver
+        # Commands in a row that found no answer, by machine.
         self.failures: dict[str, int] = {}
+        # When a machine may be probed next.
         self.probe_at: dict[str, float] = {}
         self.timeout_s = min(2.0, settings.lease_s / 6)
         self._sockets = anyio.Semaphore(max(1, int(settings.fd_limit * SOCKETS_SHARE)))
-        # Machines for which a command waits for a socket: it will carry all that is to be told by then.
+        # Machines for which a command waits for a socket: it will carry all that is to be stopped by then.
         self._waiting: set[str] = set()
 
     def send(self, machine: Machine) -> None:
-        """Tells the machine what is to be stopped. Guards against a command for each task: a wave of cancellations on
-        thousands of machines would make one of each, and memory would not hold them."""
+        """Sends the machine what is to be stopped on it, unless a command for it waits already.
+
+        Guards against a command for each task: a wave of cancellations on thousands of machines would make one of each,
+        and memory would not hold them.
+        """
         if machine.name not in self._waiting:
             self._waiting.add(machine.name)
             self.spawn(self._command, machine)
 
     def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
-        """Stops a task on a machine; it has so long to save."""
+        """Stops a task on a machine; it has `grace_s` seconds to save."""
         if self.registry.mark_for_kill(machine, attempt, grace_s) and machine.reconciled:
             self.send(machine)
 
     def probe(self, machine: Machine, now: float) -> None:
-        """Asks a machine that does not report; for a machine just taken over this also fences it."""
+        """Sends a command to a machine that does not report, at most once a lease while it does not answer.
+
+        For a machine just taken over this also fences it: it accepts no older token afterwards.
+        """
         if now < self.probe_at.get(machine.name, 0.0) or not machine.address:
             return
         self.probe_at[machine.name] = now + self.settings.lease_s
         self.send(machine)
 
     def inspect(self, name: str, address: str) -> None:
-        """Asks a machine what it holds. That needs no permission: it changes nothing there."""
+        """Asks a machine what it holds. That needs no leadership: it changes nothing there."""
         self.spawn(self._inspect, name, address)
 
     def record_reply(self, machine: str) -> None:
-        """The machine was heard: earlier failures count no more."""
+        """The machine reported: earlier failures count no more."""
         self.failures.pop(machine, None)
 
     def forget(self, machine: str) -> None:
@@ -106,7 +119,7 @@
         self.probe_at.pop(machine, None)
 
     def record_begun(self, machine: Machine) -> None:
-        """A command is being made up: what is decided from here on needs another one."""
+        """The content of a command is being fixed: what is decided from here on needs another one."""
         self._waiting.discard(machine.name)
 
     def record_failure(self, machine: Machine) -> None:
@@ -119,7 +132,7 @@
             self.probe_at[machine.name] = self.now() + self.settings.report_s / 4
 
     async def _command(self, machine: Machine) -> None:
-        """Sends what is to be stopped under the present token."""
+        """Sends one command once there is a socket for it, and records how it went."""
         try:
             async with self._sockets:
                 self.record_begun(machine)
@@ -133,20 +146,25 @@
             self.record_ended(machine)
 
     async def _send_commands(self, machine: Machine) -> None:
-        session = machine.agent_epoch or 1
+        """Sends what is to be stopped under the present token.
+
+        Sent once more when the answer names another agent epoch: a machine executes only what bears its own (protocol,
+        "Commands").
+        """
+        agent_epoch = machine.agent_epoch or 1
         for _ in range(2):
             if not self.leadership.may_answer_workers or self.registry.machines.get(machine.name) is not machine:
                 return
-            orders = self.registry.commands(machine, self.tables, None) if machine.reconciled else []
-            body = wire.encode(wire.WorkerCommands(self.leadership.view.number, orders, session))
+            commands = self.registry.commands(machine, self.tables, None) if machine.reconciled else []
+            body = wire.encode(wire.WorkerCommands(self.leadership.view.number, commands, agent_epoch))
             reply = await self._client(machine.address).request("POST", "/commands", body, self.timeout_s)
             if reply.status not in (200, 409):
                 return
             report = wire.decode(reply.body, wire.WorkerReport)
             self.deliver(CommandReply(report))
-            if reply.status == 200 or report.agent_epoch == session:
+            if reply.status == 200 or report.agent_epoch == agent_epoch:
                 return
-            session = report.agent_epoch
+            agent_epoch = report.agent_epoch
 
     async def _inspect(self, name: str, address: str) -> None:
         report: wire.WorkerReport | None = None
@@ -162,10 +180,14 @@
         try:
             self.deliver(InspectionReply(name, report))
         except InboxFullError:
-            log.debug("no place for what %s told", name)
+            log.debug("inspection reply dropped: machine=%s reason=inbox-full", name)
 
     @staticmethod
     def _client(address: str) -> Client:
-        """Raises ValueError for what is no address."""
+        """A client for one request.
+
+        Raises:
+            ValueError: The address is not HOST:PORT.
+        """
         host, _, port = address.rpartition(":")
         return Client(Address(host, int(port)), most_idle=0)
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -1,14 +1,17 @@
-"""Machines: reports, orders, placement and accounting of the machines this controller owns.
+"""The machines actor: heartbeats, commands, placement and accounting of the machines that this controller owns.
 
-Owns the registry. It is the ClaimRequest side of dwork: free room asks the jobs actor for the oldest ready tasks,
-completions go back as Complete, and work that comes back is placed first.
+It is the claiming side of the dwork protocol: for free capacity it claims the oldest ready tasks of the jobs actor
+(ClaimRequest), and it sends completions back to it (TaskUpdates); tasks of lost machines are placed before new ones.
+
+This module receives the messages and calls the modules that do the work, in order; each of them owns its own state, and
+what they share is in shard_state.
 """
 
 from __future__ import annotations
 
 import contextlib
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 import anyio
@@ -44,6 +47,12 @@
 
 
 class Machines(Actor):
+    """Takes heartbeats, ticks, replies of machines and confirmed deletions, one at a time.
+
+    Before `run`, `group` is set; `termination.autoscaler`, `queue.admission` and `claims.on_remaining_capacities` may
+    be. Users, the autoscaler, cells and admission read `queue`, `quota`, `registry` and `termination`.
+    """
+
     name = "machines"
 
     def __init__(self, context: ControllerContext, jobs: Jobs, membership: Membership) -> None:
@@ -87,6 +96,7 @@
     # -- messages
 
     async def handle(self, message: MachinesMessage) -> None:
+        """Handles one message; requests get their reply."""
         if isinstance(message, HeartbeatRequest):
             self.cancellations.any_heard_at = self.now()
             message.reply(self.heartbeats.answer(message.report, message.last_answer_received))
@@ -103,6 +113,7 @@
             self.wake.set()
 
     async def tick_forever(self) -> None:
+        """Runs a tick when something changed, and at least every few tick intervals."""
         self.replica.add_listener(self._wake)
         while True:
             with anyio.move_on_after(2.5 * self.tick_interval_s):
@@ -111,12 +122,12 @@
             started = self.now()
             with contextlib.suppress(InboxFullError):
                 await self.ask(TickRequest())
-            # Under load the reports come first: a tick takes at most a quarter of the time, but leases and
-            # silent machines are looked after at least about as often as reports come.
+            # Under load the heartbeats come first: a tick takes at most a quarter of the time, but leases and
+            # silent machines are checked at least about as often as heartbeats come.
             await anyio.sleep(max(self.tick_interval_s, min(3 * (self.now() - started), self.settings.report_s)))
 
-    def _spawn(self, call: Callable[..., Any], *args: Any) -> None:
-        """Starts a call beside this actor, once it runs."""
+    def _spawn(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
+        """Starts a coroutine beside this actor; nothing while `group` is not set."""
         if self.group is not None:
             self.group.start_soon(call, *args)
 
@@ -126,6 +137,7 @@
     # -- the tick
 
     def _tick(self) -> None:
+        """The periodic work, in an order that later steps rely on: what is known, what is stopped, what is placed."""
         leadership = self.leadership
         now = self.now()
         self.monitor.begin_tick(now)
@@ -140,27 +152,35 @@
         if self.monitor.check_if_due(now) and leadership.is_leader:
             self.surplus_drain.drain(now)
         self.cancelled_tasks.stop_all()
-        if self.tables.recovery_complete():
-            self.registry.handed_off_tasks.clear()
-        self.registry.prune_handed_off(self.tables, leadership.incarnation_id)
-        self.quota.update_handed_off_usage()
-        for name in [name for name in self.health.jobs if name in self.tables.finished_jobs]:
-            self.health.forget_job(name)
-        self.task_updates.prune_stored()
+        self._update_accounting()
         self.queue.rebuild()
         if leadership.may_answer_workers:
             self.task_placement.place_unplaced()
         if leadership.is_leader:
             self.gang_preemption.preempt_for_gangs(now)
-            if (
-                self.registry.is_recovered(self.tables, leadership.incarnation_id)
-                and self.membership.recovered_view != self.ownership.followed_view
-            ):
-                self.membership.tell(ShardRecovered(self.ownership.followed_view))
+            self._report_recovery()
             self._register()
             self.claims.request_claims()
         self.task_updates.send()
 
+    def _update_accounting(self) -> None:
+        """Forgets what the tables have settled by now: tasks that were handed off, ended jobs, stored updates."""
+        if self.tables.recovery_complete():
+            self.registry.handed_off_tasks.clear()
+        self.registry.prune_handed_off(self.tables, self.leadership.incarnation_id)
+        self.quota.update_handed_off_usage()
+        for name in [name for name in self.health.jobs if name in self.tables.finished_jobs]:
+            self.health.forget_job(name)
+        self.task_updates.prune_stored()
+
+    def _report_recovery(self) -> None:
+        """Once all machines under the view have reported or are accounted for, the membership actor stores that."""
+        if (
+            self.registry.is_recovered(self.tables, self.leadership.incarnation_id)
+            and self.membership.recovered_view != self.ownership.followed_view
+        ):
+            self.membership.tell(ShardRecovered(self.ownership.followed_view))
+
     def _register(self) -> None:
         """Stores machines before anything is started on them, so that a later owner knows of them."""
         names, writes = self.registration.rows_to_store(list(self.registry.machines.values()))
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -1,24 +1,37 @@
-"""Team limits as one controller sees them: what teams use here, what they may use, and the allowances to ask for.
+"""Team quotas as one controller sees them: what teams use here, what they may use, and what it asks for.
 
-Owns the smaller allowances that are being stored, and since when an allowance has been larger than needed.
+Each controller is allocated a part of a team's quota (core.quota). Owns the decreases of allocations that are being
+stored, and since when an allocation has been larger than needed. Called by the modules of the machines actor, and by
+the autoscaler for what could start.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
+from typing import NamedTuple
 
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.core import keys, quota
 from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.quota_allocation import QuotaAllocation
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec
 
 
+class QuotaDecrease(NamedTuple):
+    """A smaller allocation that is being stored."""
+
+    # Of the team's stored allocations that it was computed from.
+    mod_revision: int
+    cores: float
+    gpus: float
+
+
 class QuotaLedger:
-    """Reckons with what is stored and with what may exist under this controller's responsibility."""
+    """Accounts for what is allocated, and for all tasks that may exist under this controller's responsibility."""
 
     def __init__(self, context: ControllerContext, registry: MachineRegistry) -> None:
         self.settings = context.settings
@@ -26,19 +39,19 @@
         self.tables = context.tables
         self.leadership = context.leadership
         self.registry = registry
-        # Smaller allowances being stored: team -> (stamp it relies on, cores, gpus).
-        self.pending_decreases: dict[str, tuple[int, float, float]] = {}
+        # By team: decreases that are being stored, and since when its allocation has been larger than needed.
+        self.pending_decreases: dict[str, QuotaDecrease] = {}
         self.surplus_since: dict[str, float] = {}
-        # What tasks use that may be somewhere, and are on no machine that was heard (see registry).
+        # By team: what tasks use that may be somewhere, and are on no machine that reported (see the registry).
         self.handed_off_usage: dict[str, quota.ResourceUsage] = {}
 
     def reset(self) -> None:
-        """Another run of this controller begins: nothing is under way."""
+        """Another incarnation of this controller begins: nothing is being stored."""
         self.pending_decreases.clear()
         self.surplus_since.clear()
 
     def update_handed_off_usage(self) -> None:
-        """Reckons anew what tasks use whose place is not known."""
+        """Computes anew what tasks use whose machine is not known."""
         self.handed_off_usage = {}
         for name, mask in self.registry.handed_off_tasks.items():
             job = self.tables.jobs.get(name)
@@ -47,68 +60,80 @@
 
     def usage(self, team: str) -> quota.ResourceUsage:
         """What tasks of the team that may exist under this controller's responsibility use."""
-        use = self.registry.team_usage.get(team, quota.ResourceUsage())
-        limbo = self.handed_off_usage.get(team, quota.ResourceUsage())
-        return quota.ResourceUsage(use.cores + limbo.cores, use.gpus + limbo.gpus)
+        placed = self.registry.team_usage.get(team, quota.ResourceUsage())
+        handed_off = self.handed_off_usage.get(team, quota.ResourceUsage())
+        return quota.ResourceUsage(placed.cores + handed_off.cores, placed.gpus + handed_off.gpus)
 
-    def allocation(self, team: str) -> tuple[float, float]:
-        """What may be used now: the stored allowance, or less while a smaller one is being stored."""
+    def allocation(self, team: str) -> ResourceAmount:
+        """What the team may use here now: the stored allocation, or less while a smaller one is being stored."""
         cores, gpus = self.tables.quota_allocation(team, self.leadership.incarnation_id)
-        shrinking = self.pending_decreases.get(team)
-        if shrinking is not None:
+        decrease = self.pending_decreases.get(team)
+        if decrease is not None:
             # A write without an answer may be carried out until another one makes its condition false.
-            if shrinking[0] == self.tables.mod_revision(keys.team_key(team)):
-                return min(cores, shrinking[1]), min(gpus, shrinking[2])
+            if decrease.mod_revision == self.tables.mod_revision(keys.team_key(team)):
+                return ResourceAmount(min(cores, decrease.cores), min(gpus, decrease.gpus))
             del self.pending_decreases[team]
-        return cores, gpus
+        return ResourceAmount(cores, gpus)
 
-    def available(self, team: Team, use: quota.ResourceUsage) -> tuple[float, float]:
-        """The most that this controller could be allowed now: its allowance and what nobody holds."""
+    def available(self, team: Team, usage: quota.ResourceUsage) -> ResourceAmount:
+        """The most that the team could use here now: the allocation and what is allocated to nobody.
+
+        Never less than `usage`, what it uses already.
+        """
         cores, gpus = self.tables.quota_allocation(team.name, self.leadership.incarnation_id)
         more_cores, more_gpus = self.tables.unallocated_quota(team)
-        return max(cores + more_cores, use.cores), max(gpus + more_gpus, use.gpus)
+        return ResourceAmount(max(cores + more_cores, usage.cores), max(gpus + more_gpus, usage.gpus))
 
     def startable(self, specs: Iterable[JobSpec]) -> list[JobSpec]:
-        """Those of which the team's limit leaves this controller room for one more task."""
-        uses = {team: self.usage(team) for team in self.settings.teams}
-        spare = {team.name: self.available(team, uses[team.name]) for team in self.settings.teams.values()}
+        """Those of the jobs of which one more task is within the team's quota here."""
+        usage = {team: self.usage(team) for team in self.settings.teams}
+        available = {team.name: self.available(team, usage[team.name]) for team in self.settings.teams.values()}
         return [
             spec
             for spec in specs
-            if spec.team in spare and quota.tasks_within_quota(spec, spare[spec.team], uses[spec.team]) > 0
+            if spec.team in available and quota.tasks_within_quota(spec, available[spec.team], usage[spec.team]) > 0
         ]
 
     def shortfall(self, spec: JobSpec) -> quota.ResourceUsage:
-        """By how much the team's limit leaves this controller too little room for one more task."""
-        use = self.usage(spec.team)
-        cores, gpus = self.available(self.settings.teams[spec.team], use)
+        """By how much one more task of the job would exceed the team's quota here."""
+        usage = self.usage(spec.team)
+        cores, gpus = self.available(self.settings.teams[spec.team], usage)
         return quota.ResourceUsage(
-            max(0.0, use.cores + spec.cores - cores - quota.SLACK), max(0.0, use.gpus + spec.gpus - gpus - quota.SLACK)
+            max(0.0, usage.cores + spec.cores - cores - quota.SLACK),
+            max(0.0, usage.gpus + spec.gpus - gpus - quota.SLACK),
         )
 
     def request_allocations(
-        self, request: ClaimRequest, useful: Mapping[str, quota.ResourceUsage], controllers: int, now: float
+        self, request: ClaimRequest, usable: Mapping[str, quota.ResourceUsage], controllers: int, now: float
     ) -> None:
-        """Adds the allowances to ask for, given what each team could put to use on these machines."""
+        """Adds changes of allocations to a request.
+
+        Args:
+            request: The request, which gets increases and decreases of allocations.
+            usable: What each team could put to use on this controller's machines.
+            controllers: How many controllers share the quotas.
+            now: The clock's time in seconds.
+        """
         # Some changes of a round are left for claims.
         max_teams = max(1, min(self.client.txn_ops // 2, self.client.available_changes(RequestPriority.CLAIM) - 1))
-        for name, use in useful.items():
+        for name, usage in usable.items():
             if len(request.quota_increases) + len(request.quota_decreases) >= max_teams:
                 break
             team = self.settings.teams[name]
-            part = QuotaAllocation(team, self.allocation(name), use, self.tables.unallocated_quota(team), controllers)
-            if part.is_short:
+            allocation = QuotaAllocation(
+                team, self.allocation(name), usage, self.tables.unallocated_quota(team), controllers
+            )
+            if allocation.is_short:
                 self.surplus_since.pop(name, None)
-                if name in self.pending_decreases or part.has_unallocated:
-                    request.quota_increases[name] = part.increased
-            elif not part.has_surplus:
+                if name in self.pending_decreases or allocation.has_unallocated:
+                    request.quota_increases[name] = allocation.increased
+            elif not allocation.has_surplus:
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
                 # Returned after a while: the next job of the team is likely to want it again.
-                request.quota_decreases[name] = (self.tables.mod_revision(keys.team_key(name)), *part.decreased)
-                self.pending_decreases[name] = request.quota_decreases[name]
+                decrease = QuotaDecrease(self.tables.mod_revision(keys.team_key(name)), *allocation.decreased)
+                request.quota_decreases[name] = self.pending_decreases[name] = decrease
                 del self.surplus_since[name]
-        # A smaller allowance may be under way and its answer lost, and until something else is written we
-        # hold ourselves to it. Found on the bench: a team stood still, since growing back to what was
-        # stored all along wrote nothing.
+        # A decrease may be under way and its answer lost, and until something else is written this controller keeps
+        # to it. Found on the bench: a team stood still, since growing back to what was stored all along wrote nothing.
         request.forced_rewrites = {name for name in request.quota_increases if name in self.pending_decreases}
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -11,6 +11,7 @@
 from sloeswitch import controller, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.quota_ledger import QuotaDecrease
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
@@ -166,7 +167,8 @@
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
     """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
-    world.machines.quota.pending_decreases["red"] = (world.store.tables.mod_revision(keys.team_key("red")), 4.0, 0.0)
+    stamp = world.store.tables.mod_revision(keys.team_key("red"))
+    world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
     world.round(ClaimRequest(quota_increases={"red": (12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -12,6 +12,7 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.core import keys, placement
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
@@ -134,7 +135,7 @@
     world.store.put(keys.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
-    world.machines.quota.available = lambda team, use: (50.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, usage: ResourceAmount(50.0, 0.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     assert tick(world, 2.5) == 12
@@ -152,7 +153,7 @@
 
 
 def test_without_enough_of_its_own_work_the_limit_stays_and_nothing_stops(world: World) -> None:
-    world.machines.quota.available = lambda team, use: (29.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, usage: ResourceAmount(29.0, 0.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     for attempt in machine(world).attempts.values():
         attempt.spec = msgspec.structs.replace(attempt.spec, team="blue")
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -11,6 +11,7 @@
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, placement
 from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.quota import ResourceAmount
 from tests.conftest import Store, spec
 from tests.support.single_controller import JOB, Cloud, World, later, machine_up
 
@@ -102,7 +103,7 @@
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines.quota.available = lambda team, use: (2.0, 0.0)  # type: ignore[method-assign]
+    world.machines.quota.available = lambda team, usage: ResourceAmount(2.0, 0.0)  # type: ignore[method-assign]
     world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b0100}
