--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -11,6 +11,7 @@
 
 from sloeswitch.actors.commands import CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
+from sloeswitch.actors.machine_termination import TerminationReason
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
 from sloeswitch.core.machine_registry import MachineRegistry
 
@@ -61,7 +62,11 @@
             return
         for name in self.guard.deletable():
             if self.scale_in(name):
-                log.info("%s goes back: cancelled tasks may be on it, and no controller may answer it", name)
+                log.info(
+                    "machine termination requested: machine=%s reason=%s",
+                    name,
+                    TerminationReason.CANCELLED_TASKS_LEADERLESS,
+                )
 
     def apply_inspection(self, message: InspectionReply, now: float) -> None:
         """Records the answer of a machine that was inspected, or that there was none."""
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -140,7 +140,7 @@
         except NoAnswerError:
             self.record_failure(machine)
         except (wire.MalformedError, ValueError, InboxFullError) as error:
-            log.error("%s answered a command with %s", machine.name, error)
+            log.error("invalid answer to a command: machine=%s error=%s", machine.name, error)
         finally:
             self.record_begun(machine)
             self.record_ended(machine)
@@ -176,7 +176,7 @@
         except NoAnswerError:
             pass
         except (wire.MalformedError, ValueError) as error:
-            log.error("%s answered an inspection with %s", name, error)
+            log.error("invalid answer to an inspection: machine=%s error=%s", name, error)
         try:
             self.deliver(InspectionReply(name, report))
         except InboxFullError:
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -82,9 +82,14 @@
                 continue
             self.reservations[chosen.machine] = Reservation(job.spec.id, now + self.settings.lease_s)
             del capacities[chosen.machine]
-            log.info("%s: %d tasks of lower priority stop on %s", job.spec.id, len(chosen.attempts), chosen.machine)
+            log.info(
+                "tasks preempted for a gang: job=%s machine=%s tasks=%d",
+                job.spec.id,
+                chosen.machine,
+                len(chosen.attempts),
+            )
             if more:
-                log.info("%s: %d more tasks of %s stop, which is at its limit", job.spec.id, len(more), job.spec.team)
+                log.info("tasks preempted for quota: job=%s team=%s tasks=%d", job.spec.id, job.spec.team, len(more))
             self._stop([*chosen.attempts, *more])
 
     def _preempt_within_team(
--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -123,7 +123,7 @@
         types = self.tables.machine_types
         if types and report.type not in types and report.type not in self.unknown_types:
             self.unknown_types.add(report.type)
-            log.error("%s is of unknown type %s: machines of it get no work", report.machine, report.type)
+            log.error("unknown machine type, gets no tasks: machine=%s type=%s", report.machine, report.type)
         return machine
 
     def _apply_reconciled(self, machine: Machine, result: ReconcileResult) -> None:
@@ -136,9 +136,9 @@
         for (job, index), name in result.failed:
             was_quarantined = self.health.is_machine_quarantined(name)
             self.health.record_failure(job, name, now)
-            log.info("%s failed on %s", wire.task_name(job, index), name)
+            log.info("task failed: task=%s machine=%s", wire.task_name(job, index), name)
             if not was_quarantined and self.health.is_machine_quarantined(name):
-                log.info("%s fails what it is given: no more work for it", name)
+                log.info("machine quarantined: machine=%s", name)
         for job, index in result.adopted:
             self.task_updates.record_adopted(job, index)
         self.task_updates.send()
@@ -149,4 +149,4 @@
         """Once for each machine: a broken one says the same with every report."""
         if machine not in self.malformed_reporters and len(self.malformed_reporters) < self.settings.fd_limit:
             self.malformed_reporters.add(machine)
-            log.error("report of %s: %s", machine, error)
+            log.error("malformed report: machine=%s error=%s", machine, error)
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -86,7 +86,7 @@
         """Does what the state of one machine calls for."""
         if now >= machine.lease_expires_at and (machine.reconciled or not machine.accounted_for):
             lost = self.registry.expire_lease(machine)
-            log.info("%s is silent and its lease is over: %d tasks come back", machine.name, len(lost))
+            log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
         loss = self._contact_loss(machine, now)
         late_s = self.settings.late_s
         if (machine.reconciled and loss.silent_s > late_s) or not machine.is_recovered:
@@ -134,7 +134,7 @@
         ):
             # Its reports come and nothing reaches it, or it answers commands and cannot report: by now its lease is
             # over and it has nothing on it, and it would be paid for in vain for as long as that lasts.
-            self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHED)
+            self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHABLE)
         elif self.health.is_machine_quarantined(machine.name) and self.leadership.is_leader:
             machine.draining = True
             if not machine.attempts:
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -64,7 +64,7 @@
         self.quota.update_handed_off_usage()
         self.task_updates.begin_view(view.number)
         log.info(
-            "view %d: %d machines are ours, %d of them to be heard",
+            "view applied: view=%d machines=%d unrecovered=%d",
             view.number,
             len(self.registry.machines),
             sum(not machine.is_recovered for machine in self.registry.machines.values()),
@@ -81,5 +81,5 @@
             if name not in self.registry.machines and name not in pending_removals:
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
-                log.info("%s is in the tables and was not looked after", name)
+                log.info("unowned machine added: machine=%s", name)
                 self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
--- a/sloeswitch/actors/machine_termination.py
+++ b/sloeswitch/actors/machine_termination.py
@@ -21,10 +21,15 @@
     """Why a machine is deleted, as logged."""
 
     IDLE = "idle"
+    # No answer to its probes either.
     SILENT = "silent"
-    UNREACHED = "unreached"
+    # For two leases no report came from it, or no answer reached it.
+    UNREACHABLE = "unreachable"
+    # Tasks failed on it again and again.
     FAULTY = "faulty"
-    CANCELLED_TASKS = "cancelled tasks may be on it"
+    # It may hold tasks that were cancelled some time ago; the second: and no controller may answer it.
+    CANCELLED_TASKS = "cancelled-tasks"
+    CANCELLED_TASKS_LEADERLESS = "cancelled-tasks-leaderless"
 
 
 class MachineTermination:
@@ -39,17 +44,17 @@
         # None while no cloud is attached: then nothing is deleted.
         self.autoscaler: InstanceTerminator | None = None
 
-    def drain_and_scale_in(self, machine: Machine, why: TerminationReason, pressing: bool = False) -> None:
+    def drain_and_scale_in(self, machine: Machine, reason: TerminationReason, pressing: bool = False) -> None:
         """Gives a machine no more tasks and has it deleted, for the reason that is logged.
 
         Args:
             machine: The machine, of this controller.
-            why: The reason.
+            reason: Why.
             pressing: Delete it also while this controller may only answer machines, or nobody may.
         """
         machine.draining = True
         if self.autoscaler is not None and self.autoscaler.scale_in(machine.name, pressing=pressing):
-            log.info("%s goes back: %s", machine.name, why)
+            log.info("machine termination requested: machine=%s reason=%s", machine.name, reason)
 
     def scale_in_urgently(self, machine: str) -> bool:
         """Has a machine deleted, whoever owns it and whether or not anybody may answer machines.
@@ -66,7 +71,7 @@
             if machine is not None:
                 lost = self.registry.fail_machine(machine)
                 if lost:
-                    log.info("%s is deleted: %d tasks come back", name, len(lost))
+                    log.info("machine deleted with tasks on it: machine=%s tasks=%d", name, len(lost))
                 del self.registry.machines[name]
             self.health.forget_machine(name)
             self.commands.forget(name)
--- a/sloeswitch/actors/shard_summary.py
+++ b/sloeswitch/actors/shard_summary.py
@@ -17,8 +17,8 @@
     machines = [m for m in registry.machines.values() if m.reconciled and m.type in tables.machine_types]
     live = [job for job in tables.jobs.values() if job.status == JobState.LIVE]
     log.info(
-        "%d machines up (%d not to be used), %.0f of %.0f cores in use, %d tasks placed, %d fetching;"
-        " %d jobs live, %d of them wait for others, %d have work open",
+        "shard summary: machines=%d unschedulable=%d cores_used=%.0f cores=%.0f tasks=%d fetching=%d"
+        " live_jobs=%d blocked_jobs=%d jobs_with_unclaimed_tasks=%d",
         len(machines),
         sum(not registry.is_schedulable(m) for m in machines),
         sum(m.usage.cores for m in machines),
--- a/sloeswitch/actors/surplus_drain.py
+++ b/sloeswitch/actors/surplus_drain.py
@@ -49,6 +49,6 @@
             free_cores -= machine.usage.cores
             if free_cores < 0:
                 return
-            log.info("%s is not needed: %d tasks save and move", machine.name, len(machine.attempts))
+            log.info("surplus machine drained: machine=%s tasks=%d", machine.name, len(machine.attempts))
             for attempt in list(machine.attempts.values()):
                 self.commands.kill(machine, attempt, attempt.spec.save_s)
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -164,10 +164,10 @@
         return tasks
 
     def _log_placed(self, job: Job, machines: list[str]) -> None:
-        log.debug("%s: %d tasks on %s", job.spec.id, len(machines), set(machines))
+        log.debug("tasks placed: job=%s tasks=%d machines=%s", job.spec.id, len(machines), set(machines))
         if job.spec.prerequisites and not job.progress.done:
             log.debug(
-                "%s: %.2f s since the last that it needs",
+                "pipeline stage started: job=%s since_ready_s=%.2f",
                 job.spec.id,
                 (self.clock.wall_clock_ms() - job.ready_ms) / 1000,
             )
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -11,6 +11,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.machine_termination import TerminationReason
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
 from sloeswitch.http import Answer, Request
@@ -55,8 +56,8 @@
 
 def test_a_machine_that_nothing_reaches_is_returned_after_two_leases(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
-    returned: list[str] = []
-    world.machines.termination.drain_and_scale_in = lambda machine, why, pressing=False: returned.append(why)  # type: ignore[method-assign]
+    returned: list[TerminationReason] = []
+    world.machines.termination.drain_and_scale_in = lambda machine, reason, pressing=False: returned.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
@@ -64,7 +65,7 @@
         serial += 1
         world.machines.monitor.check_machine(machine, world.clock.time)
         assert bool(returned) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
-    assert returned and set(returned) == {"unreached"}
+    assert returned and set(returned) == {TerminationReason.UNREACHABLE}
 
 
 def test_only_a_prompt_report_on_the_same_connection_shows_that_an_answer_came(world: World) -> None:
