--- a/sloeswitch/actors/cancelled_tasks.py
+++ b/sloeswitch/actors/cancelled_tasks.py
@@ -52,8 +52,8 @@
     def _foreign_jobs(self) -> set[str]:
         """Jobs of which machines hold tasks that are not ours to keep.
 
-        Collected once for all cancelled jobs: a look at each machine for each of them took most of a tick in a wave of
-        cancellations on thousands of machines.
+        Collected once for all cancelled jobs: a pass over the machines for each of them took most of a tick in a wave
+        of cancellations on thousands of machines.
         """
         return {
             key[0].rpartition("/")[0] for machine in self.registry.machines.values() for key in machine.foreign_attempts
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -44,7 +44,7 @@
 
 
 class Spawn(Protocol):
-    """Starts a coroutine beside the caller."""
+    """Starts a coroutine that runs concurrently with the caller."""
 
     def __call__(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
         """Calls `call` with the arguments, without waiting for it."""
@@ -98,7 +98,7 @@
     def probe(self, machine: Machine, now: float) -> None:
         """Sends a command to a machine that does not report, at most once a lease while it does not answer.
 
-        For a machine just taken over this also fences it: it accepts no older token afterwards.
+        This also fences a machine that was just taken over: it accepts no older token afterwards.
         """
         if now < self.probe_at.get(machine.name, 0.0) or not machine.address:
             return
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -141,8 +141,8 @@
     def usage_with_reservations(self, job: Job) -> quota.ResourceUsage:
         """What the job's team uses of its quota, and what is reserved of it for other jobs."""
         usage = self.quota.usage(job.spec.team)
-        for holder, reserved in self.reserved_usage().items():
-            if reserved.team == job.spec.team and holder != job.spec.id:
+        for name, reserved in self.reserved_usage().items():
+            if reserved.team == job.spec.team and name != job.spec.id:
                 usage = quota.ResourceUsage(usage.cores + reserved.usage.cores, usage.gpus + reserved.usage.gpus)
         return usage
 
--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -53,15 +53,10 @@
             200 with commands; 400 for a malformed report; 421 with the owner of a machine that is not ours; 503 when
             this controller may not answer it now, for the machine to try again.
         """
-        leadership = self.leadership
-        if not leadership.may_answer_workers:
-            return refuse(1)
-        owner = leadership.owner_of(report.machine)
-        if owner != self.settings.member:
-            return Answer(421, wire.redirect_reply(owner))
-        self.ownership.follow_view()
-        if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
-            return refuse(1)
+        refusal = self._refusal(report)
+        if refusal is not None:
+            return refusal
+        view_number = self.leadership.view.number
         now = self.now()
         machine = self.registry.machines.get(report.machine)
         if machine is None:
@@ -72,7 +67,7 @@
             return refuse(1)
         was_reconciled = machine.reconciled
         try:
-            result = self.registry.reconcile(machine, report, True, now, leadership.view.number, self.tables)
+            result = self.registry.reconcile(machine, report, True, now, view_number, self.tables)
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return Answer(400)
@@ -90,7 +85,20 @@
         machine.lease_expires_at = max(
             machine.lease_expires_at if not machine.is_recovered else 0.0, now + self.settings.worker_gone_s
         )
-        return Answer(200, wire.encode(wire.WorkerCommands(leadership.view.number, commands)))
+        return Answer(200, wire.encode(wire.WorkerCommands(view_number, commands)))
+
+    def _refusal(self, report: wire.WorkerReport) -> Answer | None:
+        """The answer to a machine that this controller may not serve now; None, with the view applied, for others."""
+        leadership = self.leadership
+        if not leadership.may_answer_workers:
+            return refuse(1)
+        owner = leadership.owner_of(report.machine)
+        if owner != self.settings.member:
+            return Answer(421, wire.redirect_reply(owner))
+        self.ownership.follow_view()
+        if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
+            return refuse(1)
+        return None
 
     def apply_command_reply(self, report: wire.WorkerReport) -> None:
         """Reconciles a machine's answer to a direct command with the registry, unless the view has changed since."""
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -29,7 +29,7 @@
 class ContactLoss(NamedTuple):
     """For how long a machine has been out of contact, in seconds; 0 where that is not known."""
 
-    # Neither heard nor answered.
+    # It neither reported nor was answered.
     silent_s: float
     # No heartbeat came; it may answer commands all the same.
     no_report_s: float
@@ -67,7 +67,7 @@
         self.cancellation_overdue = False
 
     def begin_tick(self, now: float) -> None:
-        """Notes a break in the answers: by lack of permission, or because this process stood still."""
+        """Notes a break in the answers: by lack of permission, or because this process was suspended."""
         if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
             self.answering_since = now
         self.ticked_at = now
@@ -143,7 +143,7 @@
     def _may_hold_cancelled(self, machine: Machine, now: float, silent: bool) -> bool:
         """Whether a cancelled task may be on the machine that must be gone soon.
 
-        Nothing is known of what is on a machine that was taken over and is not heard. Guards against one that hangs
+        Nothing is known of what is on a machine that was taken over and does not report. Guards against one that hangs
         with a cancelled task while its owner changes and the state service is down: nobody deleted it (found by the
         random world, tests/test_world.py).
         """
@@ -154,7 +154,7 @@
     def _most_machines_lost(self, now: float) -> bool:
         """Whether most machines are silent or unreachable at once.
 
-        That points to our own network: then nothing is deleted, and the machines' leases have to do.
+        That points to our own network: then none is deleted for it, and the machines' leases end what is on them.
         """
         reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
         lost = sum(
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -13,7 +13,7 @@
 
 
 class MachineOwnership:
-    """Brings the registry in line with the view: machines are added, released, or have to be heard again."""
+    """Brings the registry in line with the view: machines are added, released, or have to report again."""
 
     def __init__(self, shard: ShardState) -> None:
         context = shard.context
@@ -74,7 +74,7 @@
         """Adds machines of ours that are in the tables and that the registry lacks, unless they are being removed.
 
         Guards against a registration that is carried out late, after its machine was deleted and left out: nobody
-        would look after it, and it would count as supply.
+        would monitor it, and it would count as supply.
         """
         gone_at = self.now() + self.settings.takeover_gone_s
         for name, row in self.tables.machines.items():
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -127,7 +127,7 @@
             await anyio.sleep(max(self.tick_interval_s, min(3 * (self.now() - started), self.settings.report_s)))
 
     def _spawn(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
-        """Starts a coroutine beside this actor; nothing while `group` is not set."""
+        """Starts a coroutine that runs concurrently with this actor; does nothing while `group` is not set."""
         if self.group is not None:
             self.group.start_soon(call, *args)
 
@@ -164,7 +164,7 @@
         self.task_updates.send()
 
     def _update_accounting(self) -> None:
-        """Forgets what the tables have settled by now: tasks that were handed off, ended jobs, stored updates."""
+        """Forgets what the tables show by now: recovered tasks, failures of ended jobs, stored updates."""
         if self.tables.recovery_complete():
             self.registry.handed_off_tasks.clear()
         self.registry.prune_handed_off(self.tables, self.leadership.incarnation_id)
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -82,8 +82,8 @@
         if capacity is None:
             return
         # Little is claimed ahead, so that whose image is here may go first: it saves a fetch and bends the
-        # order among a few only. What is more urgent than usual stands before all that: a stage of a pipeline
-        # waited for twenty seconds beside machines that had the images of others (found on the bench).
+        # order among a few only. Priorities above standard come before that: a stage of a pipeline waited for
+        # twenty seconds while machines had only the images of others (found on the bench).
         for job in sorted(
             self.unplaced_jobs,
             key=lambda job: (
@@ -111,7 +111,7 @@
             or self.registry.free_cores(machine, machine_type) + quota.SLACK < self.queue.least_cores
             or not self.registry.is_schedulable(machine)
             # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
-            # report: it was given work again and again, which was taken back when no report came to be answered.
+            # report: it got tasks again and again, which were removed again when no report came to be answered.
             or machine.reported_at is None
             or now - machine.reported_at >= self.settings.late_s
             or machine.name not in self.tables.machines
--- a/sloeswitch/actors/task_update_outbox.py
+++ b/sloeswitch/actors/task_update_outbox.py
@@ -103,5 +103,5 @@
         if not claimed:
             return 0
         name = job.spec.id
-        settled = job.progress.done | self.unstored_done.get(name, 0) | self.unstored_releases.get(name, 0)
-        return self.registry.unplaced_tasks(name, claimed, settled)
+        excluded = job.progress.done | self.unstored_done.get(name, 0) | self.unstored_releases.get(name, 0)
+        return self.registry.unplaced_tasks(name, claimed, excluded)
