--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -20,8 +20,8 @@
     yield world
 
 
-def test_a_take_over_asks_few_machines_at_once_and_all_in_the_end(world: World) -> None:
-    asked: list[str] = []
+def test_a_takeover_probes_few_machines_at_once_and_all_in_the_end(world: World) -> None:
+    probed: list[str] = []
     most = 0
 
     async def run() -> None:
@@ -35,7 +35,7 @@
             most = max(most, under_way)
             await go.wait()
             under_way -= 1
-            asked.append(machine.name)
+            probed.append(machine.name)
 
         world.machines.commands._send_commands = send  # type: ignore[method-assign]
         async with anyio.create_task_group() as group:
@@ -49,11 +49,11 @@
             go.set()
 
     anyio.run(run)
-    assert len(asked) == 400 and most <= world.settings.fd_limit / 8
+    assert len(probed) == 400 and most <= world.settings.fd_limit / 8
 
 
 def test_a_machine_has_one_command_waiting_however_many_tasks_are_to_be_stopped(world: World) -> None:
-    """And what is decided once a command is being made up goes with another one."""
+    """And what is decided once the content of a command is fixed goes with another one."""
     waiting: list[Any] = []
     world.machines.commands.spawn = lambda call, *args: waiting.append((call, args))
     machine = world.machines.registry.machines["vm-1"]
--- a/tests/test_room.py
+++ b/tests/test_gang_preemption.py
@@ -1,4 +1,4 @@
-"""Room for tasks that fit few machine types: small tasks leave it, and lower priority stops for a gang of one."""
+"""Tasks that fit few machine types: small tasks avoid those, and tasks of lower priority stop for a gang of one."""
 
 from __future__ import annotations
 
@@ -67,24 +67,24 @@
     kinds = {kind.name: kind for kind in (MACHINE_TYPE, LARGE)}
     assert placement.scarce_types([spec(SOLVE, **GANG), spec()], kinds) == {"large"}
     assert placement.scarce_types([spec()], kinds) == set()
-    rooms = [
+    capacities = [
         placement.FreeCapacity("vm-1", "large", "a", True, 32.0, 0.0, 64.0, {"img-1"}, scarce=True),
         placement.FreeCapacity("vm-2", "small", "a", False, 8.0, 0.0, 16.0),
     ]
-    assert [room.machine for room in placement.rank_capacities(spec(), rooms)] == ["vm-2", "vm-1"]
-    assert [room.machine for room in placement.rank_capacities(spec(SOLVE, **GANG), rooms)] == ["vm-1"]
+    assert [capacity.machine for capacity in placement.rank_capacities(spec(), capacities)] == ["vm-2", "vm-1"]
+    assert [capacity.machine for capacity in placement.rank_capacities(spec(SOLVE, **GANG), capacities)] == ["vm-1"]
 
 
-def test_lower_priority_stops_for_a_gang_of_one_and_its_room_is_held(world: World) -> None:
+def test_lower_priority_stops_for_a_gang_of_one_and_the_machine_is_reserved(world: World) -> None:
     world.store.job(spec(SOLVE, **GANG))
-    assert tick(world, 0.1) == 0  # another controller may have room
+    assert tick(world, 0.1) == 0  # another controller may have free capacity
     assert tick(world, 2.5) == 30
     assert tick(world, 0.5) == 30  # once is enough
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     running = ((attempt.name, attempt.number, "running") for attempt in left)
     world.heartbeat(large(5, 3, *running))
     assert machine(world).usage.cores == 2.0
-    # What comes back does not take the room again.
+    # The stopped tasks do not take the capacity again.
     world.machines.task_placement.place_unplaced()
     world.machines.task_placement.fill_machine(machine(world))
     assert machine(world).usage.cores == 2.0
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_the_room_is_held_no_longer_than_needed_or_a_worker_lease(world: World, cancelled: bool) -> None:
+def test_a_reservation_lasts_no_longer_than_needed_or_a_worker_lease(world: World, cancelled: bool) -> None:
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     assert tick(world, 2.5) == 30 and "vm-1" in world.machines.gang_preemption.reservations
@@ -115,7 +115,7 @@
     assert tick(world, 5.0) == 0
 
 
-def test_what_stands_before_it_in_the_line_is_not_stopped(world: World) -> None:
+def test_tasks_of_jobs_before_it_in_the_queue_are_not_stopped(world: World) -> None:
     """A job that waited too long goes by age: nothing starves for being stopped again and again."""
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
@@ -130,8 +130,8 @@
     assert tick(world, 5.0) == 0
 
 
-def test_at_its_limit_through_its_own_work_a_team_has_tasks_of_it_stopped(world: World) -> None:
-    """The gang has room on an empty machine and none in the limit: nothing was stopped for it."""
+def test_a_team_that_uses_up_its_quota_has_its_own_tasks_stopped(world: World) -> None:
+    """The gang fits an empty machine and not the quota: nothing was stopped for it."""
     world.store.put(keys.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
@@ -152,7 +152,7 @@
     assert world.machines.registry.placed_tasks[SOLVE] == 0b1 and world.machines.quota.usage("red").cores == 50.0
 
 
-def test_without_enough_of_its_own_work_the_limit_stays_and_nothing_stops(world: World) -> None:
+def test_with_too_few_tasks_of_the_team_to_stop_nothing_stops(world: World) -> None:
     world.machines.quota.available = lambda team, usage: ResourceAmount(29.0, 0.0)  # type: ignore[method-assign]
     world.store.job(spec(SOLVE, **GANG))
     for attempt in machine(world).attempts.values():
@@ -161,18 +161,18 @@
     assert tick(world, 5.0) == 0 and not world.machines.gang_preemption.reservations
 
 
-def test_room_is_made_for_a_gang_that_only_a_run_that_is_gone_has_claimed(world: World) -> None:
-    """Failure found on the bench: its controller had ended, and no other made room for it, nor let it go first."""
+def test_tasks_are_preempted_for_a_gang_that_only_an_ended_incarnation_has_claimed(world: World) -> None:
+    """Failure found on the bench: its controller had ended, and no other preempted tasks for it or let it go first."""
     world.store.job(spec(SOLVE, **GANG))
     world.store.progress(SOLVE, c9_9=1)
     assert tick(world, 0.1) == 0
     assert not world.machines.queue._has_begun(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
-    # It is kept at the next look too.
+    # It is kept at the next tick too.
     assert tick(world, 0.1) == 30 and world.machines.gang_preemption.reservations
 
 
-def test_a_gang_that_a_present_controller_has_claimed_gets_no_room_here(world: World) -> None:
+def test_nothing_is_preempted_for_a_gang_that_a_present_controller_has_claimed(world: World) -> None:
     world.store.job(spec(SOLVE, **GANG))
     world.store.progress(SOLVE, c0_1=1)
     tick(world, 0.1)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: lost answers, late copies, and machines that nothing reaches."""
+"""Heartbeats: lost answers, late copies, and machines that are unreachable."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     yield world
 
 
-def test_no_start_is_told_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
+def test_no_start_command_goes_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     assert verbs(heartbeat(world, report(3, 3), received=False)) == []
     assert verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
 
 
-def test_what_was_never_sent_goes_elsewhere_and_what_was_sent_counts_as_present(world: World) -> None:
+def test_tasks_never_sent_are_placed_elsewhere_and_tasks_sent_count_as_present(world: World) -> None:
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
@@ -54,18 +54,18 @@
     assert JOB not in world.machines.registry.placed_tasks
 
 
-def test_a_machine_that_nothing_reaches_is_returned_after_two_leases(world: World) -> None:
+def test_an_unreachable_machine_is_terminated_after_two_leases(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
-    returned: list[TerminationReason] = []
-    world.machines.termination.drain_and_scale_in = lambda machine, reason, pressing=False: returned.append(reason)  # type: ignore[method-assign]
+    reasons: list[TerminationReason] = []
+    world.machines.termination.drain_and_scale_in = lambda machine, reason, pressing=False: reasons.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
         heartbeat(world, report(serial, 3), received=serial < 5)
         serial += 1
         world.machines.monitor.check_machine(machine, world.clock.time)
-        assert bool(returned) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
-    assert returned and set(returned) == {TerminationReason.UNREACHABLE}
+        assert bool(reasons) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
+    assert reasons and set(reasons) == {TerminationReason.UNREACHABLE}
 
 
 def test_only_a_prompt_report_on_the_same_connection_shows_that_an_answer_came(world: World) -> None:
@@ -90,7 +90,7 @@
     assert seen == [False, True, False, False]
 
 
-def test_a_late_copy_renews_no_lease_and_is_answered_no_orders(world: World) -> None:
+def test_a_late_copy_renews_no_lease_and_gets_no_commands(world: World) -> None:
     running(world)
     machine = world.machines.registry.machines["vm-1"]
     gone_at = machine.lease_expires_at
@@ -106,14 +106,14 @@
     later(world, machine.lease_expires_at + 0.1 - world.clock.time)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert JOB not in world.machines.registry.placed_tasks
-    # A number never seen, of the session that is over: the task may run elsewhere by now.
+    # A sequence number never seen, of the agent epoch that is over: the task may run elsewhere by now.
     assert heartbeat(world, report(99, 3, (*task, "running"))).status == 503
     assert JOB not in world.machines.registry.placed_tasks and not machine.reconciled
     assert heartbeat(world, report(100, 3, session=2), received=False).status == 200
     assert machine.reconciled and not machine.reachable
 
 
-def test_a_copy_of_an_earlier_session_says_nothing(world: World) -> None:
+def test_a_copy_from_an_earlier_agent_epoch_is_ignored(world: World) -> None:
     task = running(world)
     heartbeat(world, report(1, 3, session=2))
     assert JOB not in world.machines.registry.placed_tasks
@@ -121,7 +121,7 @@
     assert JOB not in world.machines.registry.placed_tasks
 
 
-def test_a_task_that_turns_up_after_its_machine_was_accounted_for_is_stopped_not_adopted(world: World) -> None:
+def test_a_task_reported_after_its_machine_was_accounted_for_is_stopped_not_adopted(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c1_9=0b1)
     answer = heartbeat(world, report(3, 3, (f"{JOB}/0", 5, "running")))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,7 +31,7 @@
     yield world
 
 
-def test_a_take_over_stores_all_adoptions_in_few_changes_and_settles(fleet: FleetWorld) -> None:
+def test_a_takeover_stores_all_adoptions_in_few_changes_and_completes_recovery(fleet: FleetWorld) -> None:
     rounds = fleet.store_all()
     assert rounds == 1 and all(size < wire.MAX_BODY for _, size in fleet.transactions)
     fleet.tick()
@@ -64,8 +64,8 @@
     return ClaimPlanner(machines.claims.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
 
 
-def test_a_look_for_claims_is_bounded_and_gives_no_allowance_back(fleet: FleetWorld) -> None:
-    """Four thousand machines with room, and five hundred jobs that want it."""
+def test_planning_claims_is_bounded_and_returns_no_allocation_in_use(fleet: FleetWorld) -> None:
+    """Four thousand machines with free capacity, and five hundred jobs that want it."""
     fleet.store_all()
     fleet.store.put(keys.team_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
     for number in range(500):
@@ -78,14 +78,16 @@
     assert len(claims.task_counts) == planner.limits.max_jobs
     assert planner.capacities_scanned <= planner.limits.max_capacities_scanned + planner.limits.max_jobs * MACHINES
     request = ClaimRequest()
-    # What the jobs further back could use is not reckoned, and yet no surplus as far as there is room for it.
+    # What jobs later in the queue could use is not counted, yet it is no surplus as far as there is capacity for it.
     for later_s in (0.0, 3 * fleet.settings.report_s):
         machines.quota.request_allocations(request, claims.usable_quota, 1, fleet.clock.time + later_s)
     _, cores, _ = request.quota_decreases["red"]
     assert 0.95 * 8.0 * MACHINES < cores < 1.05 * 8.0 * MACHINES
 
 
-def test_jobs_that_fit_nowhere_cost_one_look_for_each_shape(fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_jobs_that_fit_nowhere_cost_one_packing_for_each_shape(
+    fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet.store_all()
     for number in range(50):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=3, cores=7.0))
@@ -93,19 +95,19 @@
     fleet.tick()
     machines = fleet.machines
     machines.queue.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue.jobs}
-    looks = 0
+    packings = 0
     place = placement.pack_tasks
 
     def counted(*args: Any) -> Any:
-        nonlocal looks
-        looks += 1
+        nonlocal packings
+        packings += 1
         return place(*args)
 
     monkeypatch.setattr(placement, "pack_tasks", counted)
     planner = claim_planner(fleet)
     planner.plan(machines.queue.jobs, 1, 0)
-    # The one that fits stands in the line twice, having waited for long.
-    assert looks == 3 and planner.planned_tasks["wk-800000"]
+    # The one that fits is in the queue twice, having waited for long.
+    assert packings == 3 and planner.planned_tasks["wk-800000"]
 
 
 class PacedCloud:
@@ -131,10 +133,10 @@
         return Reply(200, wire.encode(wire.InstancePage(hosts, first + PAGE < MACHINES)))
 
 
-def test_lists_of_many_pages_leave_most_of_the_rate_to_bookings(
+def test_lists_of_many_pages_leave_most_of_the_rate_to_instance_requests(
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A full list takes as long as eight calls; a day's first thousands must not be rented one booking a list."""
+    """A full list takes as long as eight calls; a day's first thousands must not be rented one request a list."""
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
@@ -159,7 +161,7 @@
     assert paced.calls.count("list") >= 2 * MACHINES // PAGE
 
 
-def test_owners_of_all_machines_stay_remembered(fleet: FleetWorld) -> None:
+def test_owners_of_all_machines_stay_cached(fleet: FleetWorld) -> None:
     """A second pass over all of them computes nothing anew."""
     members = (("c0", 1), ("c1", 2))
     names = [machine_name(number) for number in range(3 * MACHINES)]
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -1,4 +1,4 @@
-"""Machines that hang, hear nothing or cannot report, with and without cancelled tasks on them."""
+"""Machines that hang, are unreachable or cannot report, with and without cancelled tasks on them."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     world.store.put(keys.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
 
 
-def look(world: World) -> None:
-    """A tick's look after cancelled tasks and silent machines; direct commands do not arrive."""
+def check(world: World) -> None:
+    """A tick's checks for cancelled tasks and silent machines; direct commands do not arrive."""
     vm = machine(world)
-    heard, vm.reconciled = vm.reconciled, False
+    reconciled, vm.reconciled = vm.reconciled, False
     world.machines.cancelled_tasks.stop_all()
-    vm.reconciled = heard
+    vm.reconciled = reconciled
     world.machines.monitor.cancellation_overdue = world.machines.cancellations.has_overdue(world.clock.wall_clock_ms())
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines.monitor.check_machine(vm, world.clock.time)
@@ -58,37 +58,37 @@
 
 @pytest.mark.parametrize("outage", [False, True])
 def test_a_machine_that_hangs_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
-    """Also while the state service is down, and although our books say that its lease is over."""
+    """Also while the state service is down, and although its lease is over in the registry."""
     running(world)
     cancelled(world)
     log = CancellationLog(10, 9)
     soon = OVERDUE_SHARE * world.settings.cancel_s
     since = world.clock.time
-    look(world)
+    check(world)
     while world.clock.time - since < soon - 1:
         if outage:
             world.clock.time += 1.0
             told(log, world)
         else:
             later(world, 1.0)
-        look(world)
+        check(world)
     assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
-    assert JOB not in world.machines.registry.placed_tasks  # its lease is over in our books
+    assert JOB not in world.machines.registry.placed_tasks  # its lease is over in the registry
     assert deleted(world) == []
     world.clock.time += 2.0
     if outage:
         told(log, world)
     else:
         later(world, 0.0)
-    look(world)
+    check(world)
     assert deleted(world) == ["vm-1"]
     assert world.clock.time - since < 0.6 * world.settings.cancel_s
 
 
-def test_a_machine_that_gave_the_cancelled_task_up_is_kept(world: World) -> None:
+def test_a_machine_that_ended_the_cancelled_task_is_kept(world: World) -> None:
     task = running(world)
     cancelled(world)
-    look(world)
+    check(world)
     assert machine(world).cancelled_since is not None
     later(world, 1.0)
     heartbeat(world, report(5, 3, (*task, "running")))
@@ -97,16 +97,16 @@
     assert machine(world).cancelled_since is None
     later(world, world.settings.cancel_s)
     heartbeat(world, report(7, 3))
-    look(world)
+    check(world)
     assert deleted(world) == []
 
 
 def test_a_new_owner_goes_by_the_time_when_the_cancellation_was_stored(world: World) -> None:
     running(world)
     cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
-    look(world)
+    check(world)
     later(world, 0.2 * world.settings.cancel_s)
-    look(world)
+    check(world)
     assert deleted(world) == ["vm-1"]
 
 
@@ -124,7 +124,7 @@
     for _ in range(5):
         world.clock.time += 1.0
         told(log, world)
-        look(world)
+        check(world)
     assert world.leadership.may_answer_workers
     assert deleted(world) == (["vm-1"] if overdue else [])
 
@@ -137,18 +137,18 @@
 
 
 def test_a_controller_that_may_not_answer_deletes_nothing(world: World) -> None:
-    """It stood still: the machine may have got another owner, and work from it."""
+    """It was suspended: the machine may have got another owner, and tasks from it."""
     running(world)
     cancelled(world)
-    look(world)
+    check(world)
     world.clock.time += world.settings.cancel_s
-    look(world)
+    check(world)
     assert deleted(world) == []
     later(world, 0.0)
-    assert deleted(world) == []  # nor on what it thought of then
+    assert deleted(world) == []  # nor for what it decided then
 
 
-def test_a_machine_that_only_answers_commands_gets_no_work_and_goes_back(world: World) -> None:
+def test_a_machine_that_only_answers_commands_gets_no_tasks_and_is_terminated(world: World) -> None:
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
@@ -169,7 +169,7 @@
     assert world.clock.time - begun > 2 * world.settings.lease_s
 
 
-def test_after_an_outage_no_machine_goes_back_for_what_could_not_be_answered(world: World) -> None:
+def test_after_an_outage_no_machine_is_terminated_for_heartbeats_that_could_not_be_answered(world: World) -> None:
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     for _ in range(5 * int(world.settings.lease_s)):
@@ -183,7 +183,7 @@
     assert deleted(world) == []
 
 
-def test_a_registration_carried_out_after_the_deletion_is_looked_after(world: World) -> None:
+def test_a_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
     world.store.put(keys.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
     later(world, 100.0)
     world.machines._tick()
