--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -70,7 +70,7 @@
             sum(not machine.is_recovered for machine in self.registry.machines.values()),
         )
 
-    def add_unowned_machines(self, pending_removals: set[str]) -> None:
+    def add_missing_machines(self, pending_removals: set[str]) -> None:
         """Adds machines of ours that are in the tables and that the registry lacks, unless they are being removed.
 
         Guards against a registration that is carried out late, after its machine was deleted and left out: nobody
@@ -81,5 +81,5 @@
             if name not in self.registry.machines and name not in pending_removals:
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
-                log.info("unowned machine added: machine=%s", name)
+                log.info("missing machine added: machine=%s", name)
                 self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -148,7 +148,7 @@
         if now >= self.summary_at:
             self.summary_at = now + 2 * self.settings.lease_s
             log_summary(self.shard)
-            self.ownership.add_unowned_machines(self.registration.pending_removals)
+            self.ownership.add_missing_machines(self.registration.pending_removals)
         if self.monitor.check_if_due(now) and leadership.is_leader:
             self.surplus_drain.drain(now)
         self.cancelled_tasks.stop_all()
