--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -19,7 +19,8 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted, Machines
+from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted
+from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -506,10 +507,10 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         # Pauses would be real ones.
-        self.machines.pace_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
+        self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
-            self.machines.autoscaler = ScriptedCloud(self)
+            self.machines.termination.autoscaler = ScriptedCloud(self)
         self.group = Group(self)
         self.machines.group = self.group  # type: ignore[assignment]
         self.asked: list[ClaimRequest] = []
@@ -517,7 +518,7 @@
         async def ask_for(request: ClaimRequest) -> None:
             raise AssertionError("taken from the group")
 
-        self.machines._await_claims = ask_for  # type: ignore[method-assign]
+        self.machines.claims._await_claims = ask_for  # type: ignore[method-assign]
 
     @property
     def reaches(self) -> bool:
@@ -559,7 +560,7 @@
         asked: list[ClaimRequest] = []
 
         def take(call: Any, *args: Any) -> None:
-            if call is self.machines._await_claims:
+            if call is self.machines.claims._await_claims:
                 asked.append(args[0])
             else:
                 start_soon(call, *args)
@@ -584,13 +585,13 @@
                 await self.jobs.handle(request)
                 await self.jobs._commit_round()
                 for name, tasks in request.granted.items():
-                    if name in self.machines.unstored_releases:
-                        self.machines.unstored_releases[name] &= ~tasks
+                    if name in self.machines.task_updates.unstored_releases:
+                        self.machines.task_updates.unstored_releases[name] &= ~tasks
             if not asked:
                 await self.jobs._commit_round()
 
         anyio.run(follow)
-        self.machines.claim_in_flight = False
+        self.machines.claims.claim_in_flight = False
 
 
 class Worker:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -15,7 +15,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.machines import HeartbeatRequest, InstancesDeleted
+from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.core.row_codec import split_machine_groups
@@ -104,8 +104,8 @@
         return anyio.run(report_each)
 
     def tick(self) -> None:
-        self.machines.next_check_at = 0.0
-        self.machines.claim_in_flight = True  # no claims: only what is there already counts
+        self.machines.monitor.next_check_at = 0.0
+        self.machines.claims.claim_in_flight = True  # no claims: only what is there already counts
         self.machines._tick()
 
     def store_all(self) -> int:
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -12,7 +12,8 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest, Machines
+from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
@@ -70,8 +71,8 @@
             await self.jobs._commit_round()
 
         anyio.run(once)
-        self.machines._rebuild_queue()
-        self.machines._place_unplaced()
+        self.machines.queue.rebuild()
+        self.machines.task_placement.place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
         """What the machines actor asks the jobs actor for."""
@@ -79,14 +80,14 @@
 
         async def ask(request: ClaimRequest) -> None:
             asked.append(request)
-            self.machines.claim_in_flight = False
+            self.machines.claims.claim_in_flight = False
 
-        self.machines._await_claims = ask  # type: ignore[method-assign]
+        self.machines.claims._await_claims = ask  # type: ignore[method-assign]
 
         async def once() -> None:
             async with anyio.create_task_group() as group:
                 self.machines.group = group
-                self.machines._request_claims()
+                self.machines.claims.request_claims()
 
         anyio.run(once)
         return asked
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -10,7 +10,8 @@
 
 from sloeswitch import controller, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.machine_messages import HeartbeatRequest
+from sloeswitch.actors.quota_ledger import QuotaDecrease
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
@@ -81,7 +82,7 @@
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
     assert world.heartbeat(report(3, 3)).commands == []
     world.client.apply(*world.client.late[0])
-    world.machines._place_unplaced()
+    world.machines.task_placement.place_unplaced()
     assert len(world.heartbeat(report(4, 3)).commands) == 4
 
 
@@ -135,14 +136,14 @@
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
     machine.reconciled = False  # no direct command in this test
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     machine.reconciled = True
     orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
     world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
-    world.machines._kill_cancelled()
-    world.tell_jobs(world.machines.task_updates)
+    world.machines.cancelled_tasks.stop_all()
+    world.tell_jobs(world.machines.task_updates.pending)
     world.clock.time += 1.0
     world.round()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.CANCELLED, 1)
@@ -166,7 +167,8 @@
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
     """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
-    world.machines.quota.pending_decreases["red"] = (world.store.tables.mod_revision(keys.team_key("red")), 4.0, 0.0)
+    stamp = world.store.tables.mod_revision(keys.team_key("red"))
+    world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
     world.round(ClaimRequest(quota_increases={"red": (12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
@@ -192,13 +194,13 @@
     world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
     spared.reconciled = False  # no direct command in this test
-    world.machines._drain_surplus(world.clock.time)
+    world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s is None  # there is no room elsewhere
     world.heartbeat(report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
     spared.reconciled = False
-    world.machines._drain_surplus(world.clock.time)
+    world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
     assert world.machines.registry.placed_tasks[JOB] == 0b1  # until it is reported gone
 
@@ -234,7 +236,7 @@
 def test_a_new_job_is_left_for_a_moment_to_the_controller_that_has_its_image(world: World) -> None:
     machine_up(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.machines._apply_view()
+    world.machines.ownership.follow_view()
     kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
@@ -242,9 +244,9 @@
     world.heartbeat(report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
     world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000002"}]
-    world.clock.time += 2 * world.machines.pace_s
+    world.clock.time += 2 * world.machines.claims.tick_interval_s
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
@@ -262,21 +264,21 @@
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(keys.team_key("red"), {"c0.1": [8.0, 0.0]})
-    world.machines._release(JOB, 0b11)
-    world.tell_jobs(world.machines.task_updates)
-    world.machines.task_updates = TaskUpdates()
+    world.machines.task_updates.release(JOB, 0b11)
+    world.tell_jobs(world.machines.task_updates.pending)
+    world.machines.task_updates.pending = TaskUpdates()
     world.clock.time += 2 * world.jobs.batch_s
 
     async def rounds() -> None:
         await world.jobs._commit_round()
         assert not world.store.tables.jobs[JOB].progress.claims
         async with anyio.create_task_group() as group:
-            group.start_soon(world.machines._await_claims, ClaimRequest(task_counts={JOB: 2}))
+            group.start_soon(world.machines.claims._await_claims, ClaimRequest(task_counts={JOB: 2}))
             await anyio.wait_all_tasks_blocked()
             await world.jobs.handle(world.jobs._inbox.popleft())
             await world.jobs._commit_round()
 
     anyio.run(rounds)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b11}
-    world.machines._prune_stored_updates()
-    assert world.machines._unplaced_tasks(world.store.tables.jobs[JOB]) == 0b11
+    world.machines.task_updates.prune_stored()
+    assert world.machines.task_updates.unplaced_tasks(world.store.tables.jobs[JOB]) == 0b11
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -52,7 +52,7 @@
     orders = world.heartbeat(report(5, 3, (*task, "running"))).commands
     assert orders == []  # known, and marked at the next tick, which the news wakes
     world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
-    world.machines._kill_cancelled()
+    world.machines.cancelled_tasks.stop_all()
     world.machines.registry.machines["vm-1"].reconciled = True
     orders = world.heartbeat(report(6, 3, (*task, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
@@ -67,8 +67,8 @@
     log.add(JOB, world.replica.applied_revision + 1)
     state_outage(world)
     told(log, world)
-    world.machines._rebuild_queue()
-    world.machines._place_unplaced()
+    world.machines.queue.rebuild()
+    world.machines.task_placement.place_unplaced()
     assert world.heartbeat(report(3, 3)).commands == []
 
 
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -18,7 +18,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machines import HeartbeatRequest
+from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.membership import Membership
 from sloeswitch.actors.users import Users
 from sloeswitch.cloud import CloudClient
@@ -96,7 +96,7 @@
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
     "claim": lambda world: world.round(ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": (4.0, 0.0)})),
-    "stop what is cancelled": lambda world: world.machines._kill_cancelled(),
+    "stop what is cancelled": lambda world: world.machines.cancelled_tasks.stop_all(),
     "another controller": lambda world: world.store.view(4, ("c0", 1), ("c1", 2)),
     "nothing read": lambda world: setattr(world.replica, "loaded", False),
 }
@@ -138,16 +138,15 @@
         self.replica = Replica(self.client, self.tables, self.now)
         self.replica.read_linearizable = self.fresh  # type: ignore[method-assign]
         self.leadership = Leadership(settings, self.tables, self.replica, self.now)
-        self.membership = Membership(ControllerContext(settings, self.client, self.replica, self.leadership, Clock()))
+        context = ControllerContext(settings, self.client, self.replica, self.leadership, Clock())
+        self.membership = Membership(context)
         self.cloud = CloudClient(settings, lambda: True, self.now)
         self.told: list[Any] = []
         registry = MachineRegistry()
         self.machine = registry.add_machine(
             Machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, owned_since_token=3, lease_expires_at=9e9)
         )
-        self.commands = CommandSender(
-            settings, self.leadership, registry, self.tables, lambda *_: None, self.told.append, self.now
-        )
+        self.commands = CommandSender(context, registry, lambda *_: None, self.told.append)
         # A busy machine may take long over an exchange in memory.
         self.client.timeout_s = self.cloud.timeout_s = self.commands.timeout_s = 60.0
 
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -9,8 +9,9 @@
 
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.core import keys, placement, quota
+from sloeswitch.core import keys, placement
 from sloeswitch.core.machine import Machine
+from sloeswitch.core.quota import ResourceAmount
 from tests.conftest import Store, spec
 from tests.support.single_controller import JOB, Cloud, World, later, machine_up
 
@@ -20,8 +21,8 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
-    world.machines.autoscaler.machines = world.machines
+    world.machines.termination.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.termination.autoscaler.machines = world.machines
     yield world
 
 
@@ -59,8 +60,8 @@
     world.store.job(spec(**bound))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
-    world.machines._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
-    world.machines._rebuild_queue()
+    world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
+    world.machines.queue.rebuild()
     assert all(not asked.task_counts for asked in world.claim_requests())
     world.round(ClaimRequest(task_counts={JOB: 4}))
     assert not world.store.tables.jobs[JOB].progress.claims
@@ -79,7 +80,7 @@
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines._rebuild_queue()
+    world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b1100}
     world.round(asked)
@@ -102,8 +103,8 @@
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
-    world.machines.quota.available = lambda team, use: quota.ResourceAmount(2.0)  # type: ignore[method-assign]
-    world.machines._rebuild_queue()
+    world.machines.quota.available = lambda team, usage: ResourceAmount(2.0, 0.0)  # type: ignore[method-assign]
+    world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
     assert asked.zone_bound_tasks == {JOB: 0b0100}
 
