--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -30,7 +30,8 @@
     ENDED = "ended"
 
 
-REPORTED_STATES = frozenset(AttemptState) - {AttemptState.PENDING}
+# The states that reports may show, by their words.
+REPORTED_STATES = {str(state): state for state in AttemptState if state != AttemptState.PENDING}
 
 
 class EndCause(StrEnum):
@@ -72,6 +73,9 @@
     """One attempt on one machine, from the decision to start it until it is gone.
 
     Attributes:
+        name: The task's name in reports.
+        task: The task that is attempted.
+        key: What reports call the attempt.
         reported: Whether a report of the machine has listed it.
         sent_sequence: The heartbeat whose answer carried the start; None while it is to be sent (again).
         kill_grace_s: The time to save that goes with the command to stop it; None while it is to go on.
@@ -94,16 +98,9 @@
 
     def __post_init__(self) -> None:
         self.name = task_name(self.job, self.index)
-
-    @property
-    def task(self) -> TaskId:
-        """The task that is attempted."""
-        return TaskId(self.job, self.index)
-
-    @property
-    def key(self) -> AttemptKey:
-        """What reports call the attempt."""
-        return AttemptKey(self.name, self.number)
+        # Made once: they are the keys of the machine's attempts, and a take-over adds thousands of these.
+        self.task = TaskId(self.job, self.index)
+        self.key = AttemptKey(self.name, self.number)
 
 
 @dataclass
--- a/sloeswitch/core/reconciliation.py
+++ b/sloeswitch/core/reconciliation.py
@@ -19,7 +19,7 @@
 from sloeswitch.core.machine import REPORTED_STATES, Attempt, AttemptKey, AttemptState, EndCause, Machine, TaskId
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
-from sloeswitch.wire import MalformedError, ReportedTask, WorkerReport, split_task
+from sloeswitch.wire import JobSpec, MalformedError, ReportedTask, WorkerReport, split_task
 
 
 class ReceivedReport(NamedTuple):
@@ -148,8 +148,8 @@
         self.result = ReconcileResult(accepted=True)
         # Known attempts that are reported in another state, or for the first time.
         self.changed: list[tuple[Attempt, ReportedTask]] = []
-        # Reported attempts that are not known.
-        self.unknown: list[tuple[TaskId, ReportedTask]] = []
+        # Reported attempts that are not known, with the job and the index of their tasks.
+        self.unknown: list[tuple[str, int, ReportedTask]] = []
 
     def apply(self, differing: list[ReportedTask]) -> ReconcileResult:
         """Applies the whole report, or raises MalformedError before anything has changed."""
@@ -171,8 +171,8 @@
         if machine.cancelled_since is not None and all(a.kill_grace_s is None for a in machine.attempts.values()):
             machine.cancelled_since = None
         machine.foreign_attempts.clear()
-        for task, item in self.unknown:
-            self._apply_unknown(task, item, is_first)
+        for job, index, item in self.unknown:
+            self._apply_unknown(job, index, item, is_first)
         return self.result
 
     def _classify(self, differing: list[ReportedTask], is_restarted: bool) -> None:
@@ -180,12 +180,12 @@
         for item in differing:
             if item.state not in REPORTED_STATES:
                 raise MalformedError(f"task state {item.state!r}")
-            key = AttemptKey(item.task, item.attempt)
+            key = (item.task, item.attempt)
             attempt = None if is_restarted else self.machine.attempts_by_key.get(key)
             if attempt is not None:
                 self.changed.append((attempt, item))
             elif is_restarted or key not in self.machine.ended_attempts:
-                self.unknown.append((TaskId(*split_task(item.task)), item))
+                self.unknown.append((*split_task(item.task), item))
 
     def _apply_known(self) -> None:
         reported_keys = self._reported_keys()
@@ -193,7 +193,7 @@
             if attempt.key not in reported_keys:
                 self._apply_missing(attempt)
         for attempt, item in self.changed:
-            self._apply_changed(attempt, AttemptState(item.state), item.cause)
+            self._apply_changed(attempt, REPORTED_STATES[item.state], item.cause)
 
     def _reported_keys(self) -> set[AttemptKey]:
         return {AttemptKey(item.task, item.attempt) for item in self.received.report.tasks}
@@ -237,36 +237,36 @@
         elif cause in (EndCause.ERROR, EndCause.NO_SUCH_TASK):
             self.result.failed.append(TaskOnMachine(task, self.machine.name))
 
-    def _apply_unknown(self, task: TaskId, item: ReportedTask, is_first: bool) -> None:
+    def _apply_unknown(self, job: str, index: int, item: ReportedTask, is_first: bool) -> None:
         """A task on the machine that this controller did not start: an earlier owner did.
 
         Only the first report of a machine that was taken over can hold one to be adopted: later its machine was
         accounted for without it, so that it may have been started elsewhere.
         """
-        key = AttemptKey(item.task, item.attempt)
-        state = AttemptState(item.state)
+        state = REPORTED_STATES[item.state]
         if state == AttemptState.ENDED:
-            self._record_ended(key, task, item.cause)
+            self._record_ended(AttemptKey(item.task, item.attempt), TaskId(job, index), item.cause)
             return
-        if not is_first or not self._is_adoptable(task):
-            self.machine.foreign_attempts[key] = None
+        spec = self._adoptable_spec(job, index) if is_first else None
+        if spec is None:
+            self.machine.foreign_attempts[AttemptKey(item.task, item.attempt)] = None
             return
         now = self.received.received_at
-        spec = self.tables.jobs[task.job].spec
-        attempt = Attempt(task.job, task.task_index, key.number, spec, state, reported=True, placed_at=now)
+        attempt = Attempt(job, index, item.attempt, spec, state, reported=True, placed_at=now)
         if state == AttemptState.RUNNING:
             attempt.running_at = now
         self.registry.adopt_attempt(self.machine, attempt)
-        self.result.adopted.append(task)
+        self.result.adopted.append(attempt.task)
 
-    def _is_adoptable(self, task: TaskId) -> bool:
-        """Whether the task may go on here.
+    def _adoptable_spec(self, job: str, index: int) -> JobSpec | None:
+        """The job of a task that may go on here; None if it may not.
 
         Not if it is done or nothing is known of its job, nor if stored claims say that it cannot be here: it is
         stopped rather than trusted.
         """
-        job = self.tables.jobs.get(task.job)
-        if job is None or task.task_index >= job.spec.tasks or job.progress.done >> task.task_index & 1:
-            return False
-        is_placed = bool(self.registry.placed_tasks.get(task.job, 0) >> task.task_index & 1)
-        return not is_placed and bool(job.progress.claimed_tasks() >> task.task_index & 1)
+        record = self.tables.jobs.get(job)
+        if record is None or index >= record.spec.tasks or record.progress.done >> index & 1:
+            return None
+        if self.registry.placed_tasks.get(job, 0) >> index & 1 or not record.progress.claimed_tasks() >> index & 1:
+            return None
+        return record.spec
