--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class ClaimRequest(ActorRequest):
+class ClaimRequest(ActorRequest[bool]):
     """Claim so many tasks of these jobs, and ask for these allowances of teams. Answered when that is
     in the tables, or not to be had."""
 
@@ -80,7 +80,7 @@
     since: float = 0.0
 
 
-class Jobs(Actor):
+class Jobs(Actor[Any]):
     name = "jobs"
 
     def __init__(self, context: ControllerContext) -> None:
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class HeartbeatRequest(ActorRequest):
+class HeartbeatRequest(ActorRequest[Answer]):
     report: wire.WorkerReport | None = None
     # Whether the machine is seen to have received our last answer to it, a short while ago.
     last_answer_received: bool = False
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class TickRequest(ActorRequest):
+class TickRequest(ActorRequest[None]):
     """Look after what no report brings up."""
 
 
@@ -76,7 +76,7 @@
 DRAIN_UTILIZATION = 0.5
 
 
-class Machines(Actor):
+class Machines(Actor[Any]):
     name = "machines"
 
     def __init__(self, context: ControllerContext, jobs: Jobs, membership: Membership) -> None:
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -8,7 +8,6 @@
 import contextlib
 import logging
 from dataclasses import dataclass
-from typing import Any
 
 import anyio
 
@@ -32,7 +31,7 @@
     view_number: int
 
 
-class Membership(Actor):
+class Membership(Actor[ShardRecovered]):
     name = "membership"
 
     def __init__(self, context: ControllerContext) -> None:
@@ -43,8 +42,8 @@
         self.leadership = context.leadership
         self.recovered_view = 0
 
-    async def handle(self, message: Any) -> None:
-        if isinstance(message, ShardRecovered) and message.view_number != self.recovered_view:
+    async def handle(self, message: ShardRecovered) -> None:
+        if message.view_number != self.recovered_view:
             self.recovered_view = message.view_number
             await self._write_member()
 
--- a/tests/test_actor_inbox.py
+++ b/tests/test_actor_inbox.py
@@ -2,26 +2,24 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import anyio
 import anyio.lowlevel
 import pytest
 
-from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, InboxFullError
+from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, ActorRequest, InboxFullError, UnansweredError
 
 
 def test_an_actor_lets_others_have_their_turn_and_says_when_it_is_full() -> None:
     handled: list[int] = []
     turns = 0
 
-    class Counting(Actor):
-        async def handle(self, message: Any) -> None:
+    class Counting(Actor[int]):
+        async def handle(self, message: int) -> None:
             handled.append(message)
 
     async def run() -> None:
         nonlocal turns
-        actor = Counting(most=100)
+        actor = Counting(inbox_limit=100)
         for number in range(100):
             actor.tell(number)
         with pytest.raises(InboxFullError):
@@ -35,3 +33,34 @@
 
     anyio.run(run)
     assert handled == list(range(100)) and turns > 100 / MAX_MESSAGES_PER_TURN
+
+
+class Halving(Actor[ActorRequest[int]]):
+    """Answers the first request with a half, and fails at the others."""
+
+    def __init__(self) -> None:
+        super().__init__(inbox_limit=2)
+        self.numbers = [4]
+
+    async def handle(self, message: ActorRequest[int]) -> None:
+        message.reply(self.numbers.pop() // 2)
+
+
+def test_a_request_is_answered_also_when_the_actor_fails_at_it() -> None:
+    answers: list[int | None] = []
+    request = ActorRequest[int]()
+    with pytest.raises(UnansweredError):
+        assert request.answer
+
+    async def run() -> None:
+        actor = Halving()
+        async with anyio.create_task_group() as group:
+            group.start_soon(actor.run)
+            answered = await actor.ask(request)
+            failed = await actor.ask(ActorRequest[int]())
+            answers.extend((answered, failed))
+            group.cancel_scope.cancel()
+
+    anyio.run(run)
+    request.reply(3)  # it has its answer
+    assert answers == [2, None] and request.answer == 2
