--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -1,51 +1,86 @@
-"""The mark of a feature: on once every configured controller has run with it."""
+"""Rollouts: which configured controllers have run with a layout or feature, and whether all have.
+
+A rollout is one stored row. Every controller adds its member name once it runs with what is rolled out; when all
+configured members are in it the row is complete, for good, and rows and frames that others would not know may be
+written. Guards against a controller that is down, of an earlier version or of another configuration: it has not been
+seen yet, so it may come back and ignore, or wrongly rewrite, what it does not know.
+"""
 
 from __future__ import annotations
 
 import logging
+from dataclasses import dataclass
 
-from sloeswitch.actors.leadership import Leadership
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core import keys
 from sloeswitch.core.records import FeatureStatus
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("features")
 
 
+@dataclass(frozen=True)
+class RolloutRow:
+    """The stored row of one rollout, as the replica has it."""
+
+    key: str
+    status: FeatureStatus
+    # Whether it may become complete once every configured member is in it.
+    may_complete: bool
+    priority: RequestPriority
+
+
+async def record_in_rollout(context: ControllerContext, row: RolloutRow) -> FeatureStatus | None:
+    """Adds this member to a rollout's row, on condition of the row and of the view.
+
+    Returns the status that was stored; None if there was nothing to add, or if it was not stored.
+    """
+    known_members = set(row.status.seen)
+    members = {*known_members, context.settings.member}
+    complete = members >= set(context.settings.members) and row.may_complete
+    if members == known_members and not complete:
+        return None
+    status = FeatureStatus(tuple(sorted(members)), complete)
+    change = Transaction(
+        {row.key: context.tables.mod_revision(row.key), **context.leadership.view_conditions()},
+        {row.key: {"seen": list(status.seen), "complete": status.complete}},
+    )
+    outcome, _revision = await context.client.compare_and_swap(
+        change.conditions, change.writes, change.deletes, row.priority
+    )
+    context.replica.request_read()
+    return status if outcome is TransactionOutcome.COMMITTED else None
+
+
 class FeatureRollout:
-    """Guards against a controller of a version or a configuration that doesn't know the feature's rows and frames."""
+    """The rollout of one feature of the features file; its owner asks `is_complete` before it uses the feature."""
 
-    def __init__(
-        self, feature: str, settings: Settings, client: StateClient, replica: Replica, leadership: Leadership
-    ) -> None:
+    def __init__(self, feature: str, context: ControllerContext) -> None:
         self.feature = feature
-        self.settings = settings
-        self.client = client
-        self.replica = replica
-        self.leadership = leadership
+        self.context = context
+
+    @property
+    def status(self) -> FeatureStatus:
+        """Who has run with the feature, as the replica has it."""
+        return self.context.tables.features.get(self.feature, FeatureStatus())
 
     @property
     def is_complete(self) -> bool:
         """Whether every configured controller has run with the feature."""
-        return self.replica.tables.features.get(self.feature, FeatureStatus()).complete
+        return self.status.complete
 
     async def record_member(self) -> None:
-        """Notes that this controller runs with the feature; complete once every configured one does."""
-        tables = self.replica.tables
-        known = tables.features.get(self.feature, FeatureStatus())
-        if known.complete or not (self.leadership.is_leader and tables.layout_complete):
-            return
-        seen = {*known.seen, self.settings.member}
-        complete = seen >= set(self.settings.members)
-        if seen == set(known.seen) and not complete:
+        """Stores that this controller runs with the feature; complete once every configured one does."""
+        status = self.status
+        # An earlier layout does not know rows of features.
+        if status.complete or not (self.context.leadership.is_leader and self.context.tables.layout_complete):
             return
-        key = keys.feature_key(self.feature)
-        value = {"seen": sorted(seen), "complete": complete}
-        conditions = {key: tables.mod_revision(key), **self.leadership.view_conditions()}
-        outcome, _ = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.CLAIM)
-        self.replica.request_read()
-        if outcome is TransactionOutcome.COMMITTED:
-            log.info("%s: run by %s%s", self.feature, ", ".join(sorted(seen)), "; it is on" if complete else "")
+        stored = await record_in_rollout(
+            self.context,
+            RolloutRow(keys.feature_key(self.feature), status, may_complete=True, priority=RequestPriority.CLAIM),
+        )
+        if stored is not None:
+            # Operators wait for this line before they go on (docs/operations).
+            log.info("%s: run by %s%s", self.feature, ", ".join(stored.seen), "; it is on" if stored.complete else "")
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -8,6 +8,7 @@
 
 import anyio
 
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.admission.capacity import IdleCapacity
@@ -64,7 +65,7 @@
         self.now = clock.now
         self.sleep = sleep
         self.limits = AdmissionLimits.of(settings)
-        self.feature = FeatureRollout("admission", settings, client, replica, leadership)
+        self.feature = FeatureRollout("admission", ControllerContext(settings, client, replica, leadership, clock))
         self.told: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
 
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from sloeswitch import wire
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells import handoff as rules
@@ -91,7 +92,7 @@
         self.clock = clock
         self.now = clock.now
         self.sleep = sleep
-        self.feature = FeatureRollout("cells", settings, client, replica, leadership)
+        self.feature = FeatureRollout("cells", ControllerContext(settings, client, replica, leadership, clock))
         self.book = SummaryBook(SUMMARY_LEASES * settings.controller_lease_s)
         self.contacts: dict[tuple[str, Placement], Contact] = {}
         self.incarnations: dict[str, int] = {}
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -94,9 +94,9 @@
 def feature_mark(world: Recorder) -> None:
     world.given("layout mark, complete")
     for name in ("cells", "admission"):
-        world.run(FeatureRollout(name, world.settings, world.client, world.replica, world.leadership).record_member)
+        world.run(FeatureRollout(name, world.context).record_member)
     world.given("feature mark, begun")
-    world.run(FeatureRollout("cells", world.settings, world.client, world.replica, world.leadership).record_member)
+    world.run(FeatureRollout("cells", world.context).record_member)
 
 
 # -- machines
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -16,7 +16,8 @@
 from sloeswitch.core import keys
 from sloeswitch.core.records import View
 from sloeswitch.core.rendezvous import owner
-from sloeswitch.http import Request
+from sloeswitch.http import Reply, Request
+from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report, spec, submission
 from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, meshed
@@ -138,3 +139,25 @@
     epoch = world.store.epoch
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
     assert world.store.epoch == epoch
+
+
+def test_a_controller_whose_lease_expired_joins_with_a_new_one(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    """What it held is not its own any more: the new incarnation is in no view until one is written with it."""
+    sent: list[str] = []
+    replies = {"/grants/1/renew": Reply(404, b"{}"), "/grants": Reply(200, b'{"permit": 9}')}
+
+    async def call(method: str, path: str, body: bytes | None, urgency: RequestPriority) -> Reply:
+        sent.append(path)
+        return replies[path]
+
+    monkeypatch.setattr(world.client, "call", call)
+    anyio.run(world.membership._renew)
+    assert sent == ["/grants/1/renew", "/grants"]
+    assert world.leadership.own_incarnation == ("c0", 9) and world.leadership.own_incarnation.id == "c0.9"
+    assert not world.leadership.is_member and not world.leadership.is_leader
+    # Any other answer leaves the lease as it is: it may have been renewed or not.
+    replies["/grants/9/renew"] = Reply(500, b"")
+    renewed_at = world.leadership.lease_renewed_at
+    world.clock.time += 1.0
+    anyio.run(world.membership._renew)
+    assert world.leadership.incarnation == 9 and world.leadership.lease_renewed_at == renewed_at
