--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -133,9 +133,7 @@
         self.answering_since = float("-inf")
         self.summary_at = 0.0
         self.pace_s = max(context.settings.report_s / 10, context.settings.lease_s / 60)
-        self.registration = Registration(
-            context.settings, context.client, context.replica, context.leadership, self.pace_s, self._wake
-        )
+        self.registration = Registration(context, self.pace_s, self._wake)
         self.quota = QuotaLedger(context.settings, context.client, self.tables, context.leadership, self.registry)
         self.gang_preemption = GangPreemption(
             context.settings,
@@ -576,10 +574,10 @@
 
     def _register(self) -> None:
         """Stores machines before anything is started on them, so that a later owner knows of them."""
-        names, writes = self.registration.rows_to_store(list(self.registry.machines.values()))
-        if writes and self.group is not None:
-            self.registration.pending_registrations |= names
-            self.group.start_soon(self.registration.store, names, writes, self.followed_view)
+        new = self.registration.machines_to_store(list(self.registry.machines.values()))
+        if new.writes and self.group is not None:
+            self.registration.pending_registrations |= new.names
+            self.group.start_soon(self.registration.store, new, self.followed_view)
 
     def _kill_cancelled(self) -> None:
         cancelled = [job for job in self.tables.jobs.values() if job.is_cancelled]
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -9,6 +9,8 @@
 import pytest
 
 from sloeswitch.core import keys
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report
 from tests.support.single_controller import World, heartbeat, machine_up
 
@@ -83,3 +85,40 @@
 
     anyio.run(register)
     assert world.store.tables.machines["vm-9"].key == keys.machine_key("vm-9")
+
+
+def test_a_group_too_large_for_one_transaction_is_split_first(store: Store) -> None:
+    """Failure this guards against: the same removal would be refused for ever, and the machine counted as there."""
+    world = World(store)
+    store.upgraded()
+    rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
+    store.put(keys.group_key("c0.1.1"), {"m": rows})
+    registration = world.machines.registration
+    world.client.value_bytes = 4 * len('"vm-000":["127.0.0.1:9000","small","a",true],')
+    world.client.txn_ops = 3
+    registration.pending_removals.add("vm-000")
+    change = registration._removals()
+    assert len(change) <= 3 and not change.deletes and keys.group_key("c0.1.1") not in change.writes
+    assert change.conditions == {keys.group_key("c0.1.1"): store.tables.mod_revision(keys.group_key("c0.1.1"))}
+    for _ in range(40):
+        change = registration._removals()
+        if not change:
+            break
+        assert len(change) <= 3
+        result = anyio.run(
+            world.client.compare_and_swap, change.conditions, change.writes, change.deletes, RequestPriority.PROGRESS
+        )
+        assert result.outcome is TransactionOutcome.COMMITTED
+    assert store.tables.machines.keys() == rows.keys() - {"vm-000"}
+
+
+def test_new_machines_count_as_pending_until_their_write_has_ended(world: World) -> None:
+    heartbeat(world, report(1, 0, name="vm-9"), received=False)
+    heartbeat(world, report(2, 3, name="vm-9"))
+    registration = world.machines.registration
+    new = registration.machines_to_store(list(world.machines.registry.machines.values()))
+    assert new.names == {"vm-9"}
+    registration.pending_registrations |= new.names
+    assert not registration.machines_to_store(list(world.machines.registry.machines.values())).writes
+    anyio.run(registration.store, new, 2)  # heard under an earlier view: not written
+    assert "vm-9" not in world.store.tables.machines and not registration.pending_registrations
