--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -19,7 +19,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
-from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted
+from sloeswitch.actors.machine_messages import HeartbeatRequest, InstancesDeleted, MachinesMessage
 from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.core import keys
@@ -508,7 +508,7 @@
         self.machines = Machines(self.context, self.jobs, self.membership)
         # Pauses would be real ones.
         self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
-        self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
+        self.inbox: list[MachinesMessage] = []
         if world.troubled:
             self.machines.termination.autoscaler = ScriptedCloud(self)
         self.group = Group(self)
