--- /dev/null
+++ b/sloeswitch/core/quota_changes.py
@@ -0,0 +1,100 @@
+"""The changes that one transaction makes to the quota allocations of teams.
+
+A team's limit is split into allocations, one for each incarnation of a controller (see `core.quota`). The commit
+planner collects a transaction's changes here and then writes the rows of the teams that changed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Set
+from typing import NamedTuple
+
+from sloeswitch.core import keys, quota
+from sloeswitch.core.quota import ResourceAmount
+from sloeswitch.core.records import Job
+from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
+from sloeswitch.settings import Team
+
+
+class QuotaDecrease(NamedTuple):
+    """A smaller allocation, and the revision of the team's row that it was computed from."""
+
+    mod_revision: int
+    cores: float
+    gpus: float
+
+
+# The allocations of one team by the incarnation that holds them.
+TeamAllocations = dict[str, tuple[float, float]]
+
+
+class QuotaChanges:
+    """The teams whose allocations one transaction touches, and their allocations after it."""
+
+    def __init__(self, tables: Tables, incarnation_id: str, recovery_complete: bool) -> None:
+        self._tables = tables
+        self._incarnation_id = incarnation_id
+        self._recovery_complete = recovery_complete
+        self._allocations: dict[str, TeamAllocations] = {}
+
+    def __len__(self) -> int:
+        return len(self._allocations)
+
+    def __contains__(self, team: str) -> bool:
+        return team in self._allocations
+
+    def _current(self, team: str) -> TeamAllocations:
+        """The team's allocations so far, without departed controllers' once no task that those covered can exist."""
+        if team in self._allocations:
+            return self._allocations[team]
+        stored = self._tables.quota_allocations.get(team, {})
+        if not self._recovery_complete:
+            return dict(stored)
+        members = self._tables.view.incarnation_ids
+        return {holder: amount for holder, amount in stored.items() if holder in members}
+
+    def move_with_adoption(self, job: Job, adopted: int) -> None:
+        """Moves the part of the limit that adopted tasks use from their former holders to this controller."""
+        allocations = self._current(job.spec.team)
+        for holder, tasks in job.progress.claims.items():
+            if holder != self._incarnation_id and tasks & adopted:
+                allocations = quota.transfer(
+                    allocations, holder, self._incarnation_id, job.spec, (tasks & adopted).bit_count()
+                )
+        self._allocations[job.spec.team] = allocations
+
+    def increase(self, team: Team, wanted: ResourceAmount) -> None:
+        """Raises this controller's allocation to what is wanted, as far as the team's limit has it."""
+        allocations = self._current(team.name)
+        # An adoption may have raised it since the request was made; only the requester knows when less will do.
+        cores, gpus = allocations.get(self._incarnation_id, ResourceAmount())
+        amount = ResourceAmount(max(wanted.cores, cores), max(wanted.gpus, gpus))
+        limit = ResourceAmount(team.cpus_max, team.gpus_max)
+        self._allocations[team.name] = quota.reallocate(allocations, limit, self._incarnation_id, amount)
+
+    def decrease(self, team: str, decrease: QuotaDecrease) -> None:
+        """Lowers this controller's allocation, unless the team's row changed since the decrease was computed."""
+        if decrease.mod_revision != self._tables.mod_revision(keys.team_key(team)):
+            return
+        allocations = self._current(team)
+        cores, gpus = allocations.get(self._incarnation_id, ResourceAmount())
+        allocations[self._incarnation_id] = ResourceAmount(min(cores, decrease.cores), min(gpus, decrease.gpus))
+        self._allocations[team] = allocations
+
+    def write_rows(self, transaction: Transaction, forced_rewrites: Set[str]) -> bool:
+        """Adds the rows of teams whose allocations change, or are to be rewritten; returns whether there is any."""
+        has_written = False
+        for team, allocations in self._allocations.items():
+            if allocations == self._tables.quota_allocations.get(team, {}) and team not in forced_rewrites:
+                continue
+            key = keys.team_key(team)
+            transaction.writes[key] = _encode_allocations(allocations)
+            transaction.conditions[key] = self._tables.mod_revision(key)
+            has_written = True
+        return has_written
+
+
+def _encode_allocations(allocations: Mapping[str, tuple[float, float]]) -> dict[str, list[float]]:
+    """The value of a team's row; an empty allocation is left out."""
+    return {holder: list(amount) for holder, amount in allocations.items() if amount[0] > 0 or amount[1] > 0}
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -52,7 +52,7 @@
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
     world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
-    due = world.jobs._due(ClaimRequest(task_counts={"wk-000007": 4, "wk-000008": 4}))
+    due = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
     assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -260,7 +260,7 @@
     store.job(spec("wk-000009"))
     world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
-    due = world.jobs._due(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
+    due = world.jobs._schedule().due_jobs({"wk-000008": 4, "wk-000009": 4})
     assert due[0] == "wk-000006" and set(due[1:6]) == {f"wk-00000{number}" for number in range(1, 6)}
     world.round(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
     assert "wk-000006" in store.tables.finished_jobs
