--- /dev/null
+++ b/sloeswitch/actors/spec_chunks.py
@@ -0,0 +1,78 @@
+"""Stores a job's spec that is larger than a value may be, in chunks of their own keys."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from sloeswitch import wire
+from sloeswitch.actors.context import ControllerContext
+from sloeswitch.core import keys
+from sloeswitch.core.row_codec import split_spec
+from sloeswitch.core.transaction import Transaction
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.state_client import TransactionOutcome
+
+# The fraction of a request's bytes that the values of one transaction may take.
+VALUES_FRACTION = 0.8
+
+
+def transaction_values_bytes(value_bytes: int) -> int:
+    """The size of a transaction's values beyond which it may have no place for another one of `value_bytes`."""
+    return max(0, int(VALUES_FRACTION * wire.MAX_BODY) - value_bytes)
+
+
+class StoredSpec(NamedTuple):
+    """The chunks of one spec: which attempt stored them, how many they are, and the first one's revision."""
+
+    attempt: str
+    chunk_count: int
+    first_chunk_revision: int
+
+
+class SpecChunkStore:
+    """Writes the chunks of specs. Called by `JobRequests` only, before the job's row is written."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self._client = context.client
+        self._replica = context.replica
+        self._tables = context.tables
+        self._leadership = context.leadership
+        self._values_bytes = transaction_values_bytes(context.settings.value_bytes)
+        # Numbers the attempts of this controller, so that no two share a key.
+        self._attempts = 0
+
+    async def store(self, spec: wire.JobSpec) -> StoredSpec | None:
+        """Stores the spec's chunks, the first one last; None if that did not succeed for certain.
+
+        The job's row is to be written on the condition of the first chunk's revision, so that no job is accepted
+        whose chunks were taken for garbage (see `actors.garbage_collection`).
+        """
+        self._attempts += 1
+        attempt = f"{self._leadership.incarnation_id}.{self._attempts}"
+        texts = split_spec(spec, self._client.value_bytes)
+        chunk_keys = [keys.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
+        if not await self._write_from_last(list(zip(chunk_keys, texts, strict=True))):
+            return None
+        try:
+            await self._replica.read_linearizable(self._client.timeout_s)
+        except StaleReplicaError:
+            return None
+        stored = self._tables.spec_chunks.get(spec.id, {}).get(attempt, {})
+        if len(stored) != len(texts):
+            return None
+        return StoredSpec(attempt, len(texts), self._tables.mod_revision(chunk_keys[0]))
+
+    async def _write_from_last(self, chunks: list[tuple[str, str]]) -> bool:
+        """Writes the keys and their texts, the last ones first, in as few transactions as may be."""
+        batch_size = max(1, min(self._client.txn_ops, self._values_bytes // self._client.value_bytes))
+        while chunks:
+            batch = dict(chunks[-batch_size:])
+            del chunks[-batch_size:]
+            transaction = Transaction(dict.fromkeys(batch, 0), dict(batch))
+            outcome, _revision = await self._client.compare_and_swap(
+                transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.USER
+            )
+            if outcome is not TransactionOutcome.COMMITTED:
+                return False
+        return True
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -382,7 +382,7 @@
         for name, home in self.home.items():
             cell = self.cells[home]
             status = cell.any_controller().jobs.status(name)
-            self.recorder.record("status", home, name, status)
+            self.recorder.record("status", home, name, None if status is None else str(status))
             if status is None and name in self.submitted_at:
                 raise RuleError(f"{name} is forgotten")
             if status in (wire.DONE, wire.CANCELLED):
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -115,16 +115,16 @@
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     adopt(world, 3)
     stored_keys = set(world.store.tables.adoption_keys)
-    anyio.run(world.jobs._collect_garbage)
+    anyio.run(world.jobs.garbage_collector.collect)
     assert stored_keys and set(world.store.tables.adoption_keys) == stored_keys
     world.store.view(4, ("c0", 7))
     world.leadership.incarnation = 7
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 7})
-    anyio.run(world.jobs._collect_garbage)
+    anyio.run(world.jobs.garbage_collector.collect)
     assert set(world.store.tables.adoption_keys) == stored_keys  # not settled: still counted
     world.store.member("c0", 7, settled=4)
     for _ in range(4):
-        anyio.run(world.jobs._collect_garbage)
+        anyio.run(world.jobs.garbage_collector.collect)
     assert not world.store.tables.adoption_keys and not world.store.tables.adoptions
 
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -236,9 +236,9 @@
 def cleared_away(world: Recorder) -> None:
     world.given("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
     world.given("adoptions that the progress holds")
-    world.run(world.jobs._collect_garbage)
+    world.run(world.jobs.garbage_collector.collect)
     world.later(100.0)
-    world.run(world.jobs._collect_garbage)
+    world.run(world.jobs.garbage_collector.collect)
 
 
 # -- progress
