--- a/tests/test_commit_planner.py
+++ b/tests/test_commit_planner.py
@@ -10,11 +10,10 @@
 from sloeswitch import wire
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.commit_planner import CommitLimits, CommitPlan, CommitSnapshot, RequestedClaims, plan_commit
-from sloeswitch.core.commit_schedule import CommitDelays, CommitSchedule
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.core.records import JobState
-from sloeswitch.core.uncommitted_updates import JobUpdates, TaskUpdates, UncommittedUpdates
+from sloeswitch.core.uncommitted_updates import JobUpdates
 from sloeswitch.settings import Team
 from tests.conftest import Store, spec
 
@@ -369,71 +368,8 @@
     assert keys.progress_key("wk-000004") not in plan.transaction.conditions
 
 
-# -- the order and the time of commits
-
-
-def schedule(store: Store, updates: UncommittedUpdates, now_s: float, is_coordinator: bool = False) -> CommitSchedule:
-    return CommitSchedule(store.tables, updates, OWN, is_coordinator, CommitDelays(last_s=0.3, other_s=10.0), now_s)
-
-
-def test_ends_come_first_those_awaited_before_all_then_claims_then_the_rest(store: Store) -> None:
-    for name in (JOB, OTHER, THIRD):
-        store.job(spec(name, visits=1 if name != THIRD else 4))
-        store.progress(name, c0_1=0b1)
-    store.job(spec("wk-000004", awaits=[OTHER]))
-    store.job(spec("wk-000005"))
-    updates = UncommittedUpdates()
-    updates.merge(TaskUpdates(done={THIRD: 1, JOB: 1, OTHER: 1}), now_s=100.0)
-    due = schedule(store, updates, 100.5).due_jobs(["wk-000005"])
-    assert due == [OTHER, JOB, "wk-000005", THIRD]
-
-
-def test_last_updates_wait_for_a_moment_and_others_for_long(store: Store) -> None:
-    store.job(spec())
-    store.progress(JOB, c0_1=0b0011)
-    updates = UncommittedUpdates()
-    updates.merge(TaskUpdates(done={JOB: 0b0001}), now_s=100.0)
-    assert schedule(store, updates, 109.0).due_jobs(()) == [] and not schedule(store, updates, 109.0).is_urgent()
-    assert schedule(store, updates, 110.0).due_jobs(()) == [JOB]
-    updates.merge(TaskUpdates(done={JOB: 0b0010}), now_s=100.1)
-    assert schedule(store, updates, 100.2).due_jobs(()) == [] and schedule(store, updates, 100.2).is_urgent()
-    assert schedule(store, updates, 100.4).due_jobs(()) == [JOB]
-
-
-def test_the_coordinator_ends_cancelled_jobs_whose_claims_are_void(store: Store) -> None:
+def test_a_cancelled_job_whose_claims_are_void_ends(store: Store) -> None:
     store.job(spec(), JobState.CANCELLED)
     store.progress(JOB, c1_1=0b0001)
-    store.job(spec(OTHER), JobState.CANCELLED)
-    store.progress(OTHER, c1_2=0b0001)
-    assert schedule(store, UncommittedUpdates(), 0.0).due_jobs(()) == []
-    assert schedule(store, UncommittedUpdates(), 0.0, is_coordinator=True).due_jobs(()) == [JOB]
     plan = plan_commit(snapshot(store), [JOB])
     assert list(plan.transaction.writes) == [keys.job_key(JOB)] and plan.relies_on_view
-
-
-# -- uncommitted updates
-
-
-def test_adoptions_hold_for_their_view_only(store: Store) -> None:
-    updates = UncommittedUpdates()
-    updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=0.0)
-    updates.merge(TaskUpdates(adopted={JOB: 0b0010}, view_number=2), now_s=0.0)
-    assert updates.by_job[JOB].adopted == 0b0001
-    updates.merge(TaskUpdates(adopted={JOB: 0b0100}, view_number=4), now_s=0.0)
-    assert updates.by_job[JOB].adopted == 0b0100
-    updates.expire_adoptions(4, is_member=True)
-    assert updates.by_job[JOB].adopted == 0b0100
-    updates.expire_adoptions(5, is_member=True)
-    assert updates.by_job[JOB].adopted == 0
-
-
-def test_what_the_tables_hold_is_dropped_and_a_new_incarnation_keeps_only_completions(store: Store) -> None:
-    store.job(spec())
-    store.progress(JOB, 0b0001, c0_1=0b0010)
-    updates = UncommittedUpdates()
-    updates.merge(TaskUpdates(done={JOB: 0b0001}, released={JOB: 0b0100}), now_s=0.0)
-    updates.prune_committed(store.tables, OWN)
-    assert not updates
-    updates.merge(TaskUpdates(done={JOB: 0b1000}, released={JOB: 0b0010}), now_s=0.0)
-    updates.reset_claims()
-    assert updates.by_job[JOB].done == 0b1000 and updates.by_job[JOB].released == 0
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -55,9 +55,9 @@
     mesh = world.leadership.mesh
     assert mesh is not None
     mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
-    assert users._healthz().status == 200
+    assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 200
     mesh.peers["c1"].state_reachable = True
-    assert users._healthz().status == 503
+    assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 503
 
 
 def test_the_former_runs_late_write_does_not_take_the_member_row(world: World) -> None:
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -27,5 +27,5 @@
 def test_another_answer_to_users_shows_in_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
     play = trace.PLAYERS["random"]
     before = play(3).digest
-    monkeypatch.setattr(users, "fault", lambda status, text: Answer(status, text.encode()))
+    monkeypatch.setattr(users, "error_answer", lambda status, text: Answer(status, text.encode()))
     assert play(3).digest != before
