--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -10,7 +10,7 @@
 
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
-from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.records import Job, JobState, Progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, spec
@@ -129,74 +129,99 @@
 
 
 class Writer:
-    """A controller that may lag: tables and the epoch up to which they are complete."""
+    """A controller that may lag: tables and the revision up to which they are complete."""
 
-    def __init__(self, tag: str) -> None:
-        self.tag = tag
+    def __init__(self, incarnation_id: str) -> None:
+        self.incarnation_id = incarnation_id
         self.tables = Tables()
-        self.applied = 0
-
-
-@pytest.mark.parametrize("seed", range(40))
-def test_whatever_the_order_of_writes_all_readers_agree_on_who_has_a_task(seed: int) -> None:
-    """Random adoptions, claims, releases and ends by three lagging controllers, one of which reads all again now
-    and then: what the rows say is what was decided, write by write."""
-    shuffle = random.Random(seed)
-    store = Store()
-    log: list[tuple[str, object, int]] = []
-
-    def put(key: str, value: object) -> None:
-        log.append((key, value, store.put(key, value)))
-
-    put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(spec(JOB, visits=30))})
-    put(keys.progress_key(JOB), Progress(0, {"c1.9": taskset.full(10)}).stored())
-    truth = dict.fromkeys(range(10), "c1.9")
-    writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
-    made = 0
-    for _ in range(150):
-        writer = shuffle.choice(writers)
-        if shuffle.random() < 0.5:
-            for key, value, stamp in log:
-                if stamp > writer.applied:
-                    writer.tables.apply(key, value, stamp)
-            writer.applied = store.epoch
-        elif shuffle.random() < 0.1:
+        self.applied_revision = 0
+
+
+class LaggingWriters:
+    """Three writers of one job's rows, and who has each of its tasks by what was decided, write by write."""
+
+    def __init__(self, seed: int) -> None:
+        self.random = random.Random(seed)
+        self.store = Store()
+        self.log: list[tuple[str, object, int]] = []
+        job = spec(JOB, visits=30)
+        self.put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(job)})
+        self.put(keys.progress_key(JOB), Progress(0, {"c1.9": taskset.full(10)}).stored())
+        # The holder of each task, or "done".
+        self.truth = dict.fromkeys(range(10), "c1.9")
+        self.writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
+        self.adoption_count = 0
+
+    def put(self, key: str, value: object) -> None:
+        self.log.append((key, value, self.store.put(key, value)))
+
+    def step(self) -> None:
+        """One writer reads, or writes from what it knows."""
+        writer = self.random.choice(self.writers)
+        if self.random.random() < 0.5:
+            self.catch_up(writer)
+        elif self.random.random() < 0.1:
             # A first reading: complete only up to where it began.
-            writer.tables = store.read_again()
-            writer.applied = max(0, store.epoch - shuffle.randrange(4))
-            continue
+            writer.tables = self.store.read_again()
+            writer.applied_revision = max(0, self.store.epoch - self.random.randrange(4))
+            return
         job = writer.tables.jobs.get(JOB)
         if job is None:
-            continue
+            return
+        if self.random.random() < 0.3:
+            self.adopt(writer)
+        else:
+            self.write_progress(writer, job)
+
+    def catch_up(self, writer: Writer) -> None:
+        for key, value, revision in self.log:
+            if revision > writer.applied_revision:
+                writer.tables.apply(key, value, revision)
+        writer.applied_revision = self.store.epoch
+
+    def adopt(self, writer: Writer) -> None:
+        """Tasks found on its machines: of the departed one only, and known only to it."""
+        mine = [task for task, holder in self.truth.items() if holder == "c1.9" and self.random.random() < 0.4]
+        tasks = sum(1 << task for task in mine)
+        if tasks:
+            self.adoption_count += 1
+            key = keys.adoption_key(writer.incarnation_id, self.adoption_count)
+            self.put(key, {"m": {JOB: taskset.pack_dense(tasks)}})
+            self.truth.update(dict.fromkeys(mine, writer.incarnation_id))
+
+    def write_progress(self, writer: Writer, job: Job) -> None:
+        """Claims, releases and ends of tasks, on the condition of the row as the writer knows it."""
         progress = job.progress.copy()
-        if shuffle.random() < 0.3:
-            # Found on its machines: of the departed one only, and known only to it.
-            mine = [task for task, holder in truth.items() if holder == "c1.9" and shuffle.random() < 0.4]
-            tasks = sum(1 << task for task in mine)
-            if tasks:
-                made += 1
-                put(keys.adoption_key(writer.tag, made), {"m": {JOB: taskset.pack_dense(tasks)}})
-                truth.update(dict.fromkeys(mine, writer.tag))
-            continue
-        own = progress.claims.get(writer.tag, 0)
-        release = sum(1 << task for task in taskset.members(own) if shuffle.random() < 0.3)
-        ended = sum(1 << task for task in taskset.members(own & ~release) if shuffle.random() < 0.1)
+        own = progress.claims.get(writer.incarnation_id, 0)
+        release = sum(1 << task for task in taskset.members(own) if self.random.random() < 0.3)
+        ended = sum(1 << task for task in taskset.members(own & ~release) if self.random.random() < 0.1)
         free = job.all_tasks & ~progress.done & ~progress.claimed_tasks()
-        claim = taskset.lowest(free, shuffle.randrange(4))
-        if job.progress_revision != store.rows[keys.progress_key(JOB)][1]:
-            continue  # its condition fails
+        claim = taskset.lowest(free, self.random.randrange(4))
+        if job.progress_revision != self.store.rows[keys.progress_key(JOB)][1]:
+            return  # its condition fails
         progress.done |= ended
-        progress.claims[writer.tag] = (own & ~release & ~ended) | claim
-        value = progress.stored(dense=True) | {"e": max(writer.applied, job.progress.adoption_revision)}
-        put(keys.progress_key(JOB), value)
+        progress.claims[writer.incarnation_id] = (own & ~release & ~ended) | claim
+        value = progress.stored(dense=True) | {"e": max(writer.applied_revision, job.progress.adoption_revision)}
+        self.put(keys.progress_key(JOB), value)
         for task in taskset.members(release):
-            truth.pop(task)
-        truth.update(dict.fromkeys(taskset.members(claim), writer.tag))
-        truth.update(dict.fromkeys(taskset.members(ended), "done"))
-    told = store.read_again().jobs[JOB].progress
-    assert told.claims == store.tables.jobs[JOB].progress.claims
+            self.truth.pop(task)
+        self.truth.update(dict.fromkeys(taskset.members(claim), writer.incarnation_id))
+        self.truth.update(dict.fromkeys(taskset.members(ended), "done"))
+
+
+@pytest.mark.parametrize("seed", range(40))
+def test_whatever_the_order_of_writes_all_readers_agree_on_who_has_a_task(seed: int) -> None:
+    """Random adoptions, claims, releases and ends by three lagging controllers.
+
+    One of them reads all again now and then: what the rows say is what was decided, write by write.
+    """
+    world = LaggingWriters(seed)
+    for _ in range(150):
+        world.step()
+    told = world.store.read_again().jobs[JOB].progress
+    assert told.claims == world.store.tables.jobs[JOB].progress.claims
     for task in range(30):
-        holders = [tag for tag, mask in told.claims.items() if mask >> task & 1]
+        holders = [holder for holder, mask in told.claims.items() if mask >> task & 1]
         if told.done >> task & 1:
             holders.append("done")
-        assert holders == ([truth[task]] if task in truth else []), task
+        assert holders == ([world.truth[task]] if task in world.truth else []), task
