--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import NamedTuple
 
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest
@@ -16,20 +15,12 @@
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.quota_allocation import QuotaAllocation
+from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec
 
 
-class QuotaDecrease(NamedTuple):
-    """A smaller allocation that is being stored."""
-
-    # Of the team's stored allocations that it was computed from.
-    mod_revision: int
-    cores: float
-    gpus: float
-
-
 class QuotaLedger:
     """Accounts for what is allocated, and for all tasks that may exist under this controller's responsibility."""
 
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -28,6 +28,7 @@
 from sloeswitch.cells.summary import Summary
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.core import job_queue, keys
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import Job
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
@@ -264,7 +265,7 @@
             used = sum(
                 self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
             )
-            want = (max(held, used + count * job.spec.cores), 0.0)
+            want = ResourceAmount(max(held, used + count * job.spec.cores))
             await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
             await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
@@ -382,7 +383,7 @@
         for name, home in self.home.items():
             cell = self.cells[home]
             status = cell.any_controller().jobs.status(name)
-            self.recorder.record("status", home, name, status)
+            self.recorder.record("status", home, name, None if status is None else str(status))
             if status is None and name in self.submitted_at:
                 raise RuleError(f"{name} is forgotten")
             if status in (wire.DONE, wire.CANCELLED):
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -578,9 +578,9 @@
                 assert isinstance(message, ShardRecovered)
                 await self.membership.handle(message)
             while self.jobs._inbox:
-                message = self.jobs._inbox.popleft()
-                assert isinstance(message, TaskUpdates)
-                await self.jobs.handle(message)
+                updates = self.jobs._inbox.popleft()
+                assert isinstance(updates, TaskUpdates)
+                await self.jobs.handle(updates)
             for request in asked:
                 await self.jobs.handle(request)
                 await self.jobs._commit_round()
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -18,6 +18,7 @@
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.cancellation_log import CancellationLog
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.http import Answer, Request
 from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
@@ -131,7 +132,7 @@
 def running(world: World) -> tuple[str, int]:
     """One task of a job runs on vm-1, as its report 4 tells."""
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     return start.task, start.attempt
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,6 +6,7 @@
 
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import Job
 from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from tests.conftest import Store, spec
@@ -52,7 +53,7 @@
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
     world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
-    due = world.jobs._due(ClaimRequest(task_counts={"wk-000007": 4, "wk-000008": 4}))
+    due = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
     assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
 
 
@@ -83,7 +84,7 @@
     world = World(store)
     machine_up(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.machines.quota.usage("red").cores == 8.0
     assert surplus_given_up(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
 
@@ -93,7 +94,7 @@
     world = World(store)
     machine_up(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert surplus_given_up(world, {"c0.1": [12.0, 0.0]}) == {}
 
 
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -17,6 +17,7 @@
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Request
@@ -61,7 +62,7 @@
 
 def test_nothing_claimed_of_it_is_started_any_more(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.machines.registry.remove_unsent(world.machines.registry.machines["vm-1"])
     log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied_revision + 1)
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -25,6 +25,7 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine import AttemptKey, Machine
 from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.reconciliation import ReceivedReport, reconcile
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Server
@@ -95,7 +96,9 @@
 
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
-    "claim": lambda world: world.round(ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": (4.0, 0.0)})),
+    "claim": lambda world: world.round(
+        ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": ResourceAmount(4.0, 0.0)})
+    ),
     "stop what is cancelled": lambda world: world.machines.cancelled_tasks.stop_all(),
     "another controller": lambda world: world.store.view(4, ("c0", 1), ("c1", 2)),
     "nothing read": lambda world: setattr(world.replica, "loaded", False),
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -26,6 +26,8 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.core import keys
+from sloeswitch.core.quota import ResourceAmount
+from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
@@ -184,7 +186,7 @@
 
 def job_done(world: Recorder) -> None:
     world.given("job")
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
@@ -236,9 +238,9 @@
 def cleared_away(world: Recorder) -> None:
     world.given("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
     world.given("adoptions that the progress holds")
-    world.run(world.jobs._collect_garbage)
+    world.run(world.jobs.garbage_collector.collect)
     world.later(100.0)
-    world.run(world.jobs._collect_garbage)
+    world.run(world.jobs.garbage_collector.collect)
 
 
 # -- progress
@@ -292,11 +294,11 @@
 
 
 def team_limit(world: Recorder) -> None:
-    world.round(ClaimRequest(quota_increases={"red": (8.5, 0.0)}))
+    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
     stamp = world.store.tables.mod_revision(keys.team_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": (stamp, 2.25, 0.0)}))
+    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 2.25, 0.0)}))
     stamp = world.store.tables.mod_revision(keys.team_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": (stamp, 0.0, 0.0)}))
+    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 0.0, 0.0)}))
 
 
 # -- admission
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,6 +12,7 @@
 from sloeswitch import mesh, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState, MemberRow, Progress
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
@@ -127,7 +128,7 @@
     anyio.run(world.membership._record_layout)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
-    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     scattered = sum(1 << index for index in range(0, 120, 3))
     world.tell_jobs(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -36,7 +36,10 @@
     world.store.job(spec(**bound))
     world.round(
         ClaimRequest(
-            task_counts={JOB: 4}, zones={JOB: "b"}, zone_bound_tasks={JOB: 0b1111}, quota_increases={"red": (8.0, 0.0)}
+            task_counts={JOB: 4},
+            zones={JOB: "b"},
+            zone_bound_tasks={JOB: 0b1111},
+            quota_increases={"red": ResourceAmount(8.0, 0.0)},
         )
     )
     job = world.store.tables.jobs[JOB]
@@ -93,7 +96,10 @@
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
     world.round(
         ClaimRequest(
-            task_counts={JOB: 3}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1110}, quota_increases={"red": (8.0, 0.0)}
+            task_counts={JOB: 3},
+            zones={JOB: "a"},
+            zone_bound_tasks={JOB: 0b1110},
+            quota_increases={"red": ResourceAmount(8.0, 0.0)},
         )
     )
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
