--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -19,6 +19,7 @@
 from sloeswitch.core import scaling as plan
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 
@@ -172,9 +173,11 @@
             batch = set(changes[: self.client.txn_ops])
             del changes[: self.client.txn_ops]
             outcome, _ = await self.client.compare_and_swap(
-                {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
-                {key: value for key, value in writes.items() if key in batch},
-                [key for key in drops if key in batch],
+                Transaction(
+                    {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
+                    {key: value for key, value in writes.items() if key in batch},
+                    [key for key in drops if key in batch],
+                ),
                 RequestPriority.CLAIM,
             )
             self.replica.request_read()
--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -7,6 +7,7 @@
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys
 from sloeswitch.core.records import FeatureStatus
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
@@ -45,7 +46,7 @@
         key = keys.feature_key(self.feature)
         value = {"seen": sorted(seen), "complete": complete}
         conditions = {key: tables.mod_revision(key), **self.leadership.view_conditions()}
-        outcome, _ = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.CLAIM)
+        outcome, _ = await self.client.compare_and_swap(Transaction(conditions, {key: value}), RequestPriority.CLAIM)
         self.replica.request_read()
         if outcome is TransactionOutcome.COMMITTED:
             log.info("%s: run by %s%s", self.feature, ", ".join(sorted(seen)), "; it is on" if complete else "")
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -23,6 +23,7 @@
 from sloeswitch.core.records import Job, JobState, Progress
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links, split_spec
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
@@ -259,7 +260,9 @@
             return
         if claimed:
             conditions.update(self.leadership.view_conditions())
-        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], urgency, paid=paid)
+        outcome, epoch = await self.client.compare_and_swap(
+            Transaction(conditions, writes), urgency, acquired_changes=paid
+        )
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, writes)
         else:
@@ -503,7 +506,7 @@
             attempt, count, stamp = head
             value = encode_job(JobState.LIVE, spec, now_ms, (attempt, count))
             conditions[keys.chunk_key(spec.id, attempt, 0)] = stamp
-        outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
+        outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, {key: value}), RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, {key: value})
             return self.status(spec.id) or self._first_status(spec), True
@@ -536,7 +539,7 @@
             batch = dict(left[-most:])
             del left[-most:]
             outcome, _epoch = await self.client.compare_and_swap(
-                dict.fromkeys(batch, 0), batch, [], RequestPriority.USER
+                Transaction(dict.fromkeys(batch, 0), batch), RequestPriority.USER
             )
             if outcome is not TransactionOutcome.COMMITTED:
                 return None
@@ -593,7 +596,7 @@
         self.lone_since = lone
         if drops:
             conditions.update({key: self.tables.mod_revision(key) for key in drops})
-            await self.client.compare_and_swap(conditions, {}, drops, RequestPriority.PROGRESS)
+            await self.client.compare_and_swap(Transaction(conditions, {}, drops), RequestPriority.PROGRESS)
             self.replica.request_read()
 
     async def cancel(self, name: str, only_unclaimed: bool = False) -> str | None:
@@ -630,7 +633,9 @@
                 # Never claimed, so nowhere: it is over with the same change.
                 value = self._finished_row(job, JobState.CANCELLED)
                 conditions[keys.progress_key(name)] = 0
-            outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
+            outcome, epoch = await self.client.compare_and_swap(
+                Transaction(conditions, {key: value}), RequestPriority.USER
+            )
             if outcome is TransactionOutcome.COMMITTED:
                 self.replica.apply_own_write(epoch, {key: value})
                 return wire.CANCELLED
@@ -650,7 +655,7 @@
         value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks) | {"h": wanted}
         key = keys.job_key(job.spec.id)
         outcome, epoch = await self.client.compare_and_swap(
-            {key: job.mod_revision}, {key: value}, [], RequestPriority.USER
+            Transaction({key: job.mod_revision}, {key: value}), RequestPriority.USER
         )
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, {key: value})
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -17,6 +17,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core import keys
 from sloeswitch.core.records import MemberRow
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.http import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
@@ -116,7 +117,7 @@
             value = {"boot": boot, "settled": self.recovered_view, "layout": keys.LAYOUT_VERSION}
             conditions = {key: self.replica.tables.mod_revision(key)}
             outcome, _epoch = await self.client.compare_and_swap(
-                conditions, {key: value}, [], RequestPriority.LEASE, {key: boot}
+                Transaction(conditions, {key: value}), RequestPriority.LEASE, leases={key: boot}
             )
             if outcome in (TransactionOutcome.COMMITTED, TransactionOutcome.NO_LEASE):
                 self.replica.request_read()
@@ -139,7 +140,7 @@
         conditions = {keys.LAYOUT_KEY: tables.mod_revision(keys.LAYOUT_KEY), **self.leadership.view_conditions()}
         value = {"seen": sorted(seen), "complete": complete}
         outcome, _epoch = await self.client.compare_and_swap(
-            conditions, {keys.LAYOUT_KEY: value}, [], RequestPriority.LEASE
+            Transaction(conditions, {keys.LAYOUT_KEY: value}), RequestPriority.LEASE
         )
         self.replica.request_read()
         if outcome is TransactionOutcome.COMMITTED:
@@ -171,7 +172,9 @@
             conditions = {keys.COORDINATOR_KEY: tables.mod_revision(keys.COORDINATOR_KEY)}
             value = {"member": me, "boot": boot}
             outcome, _ = await self.client.compare_and_swap(
-                conditions, {keys.COORDINATOR_KEY: value}, [], RequestPriority.LEASE, {keys.COORDINATOR_KEY: boot}
+                Transaction(conditions, {keys.COORDINATOR_KEY: value}),
+                RequestPriority.LEASE,
+                leases={keys.COORDINATOR_KEY: boot},
             )
             await self._refresh_replica()
             if outcome is TransactionOutcome.COMMITTED:
@@ -188,7 +191,9 @@
         }
         number = tables.view.number + 1
         value = {"n": number, "members": [list(pair) for pair in members]}
-        outcome, _ = await self.client.compare_and_swap(conditions, {keys.VIEW_KEY: value}, [], RequestPriority.LEASE)
+        outcome, _ = await self.client.compare_and_swap(
+            Transaction(conditions, {keys.VIEW_KEY: value}), RequestPriority.LEASE
+        )
         if outcome is TransactionOutcome.COMMITTED:
             log.info("view %d: %s", number, ", ".join(keys.incarnation_id_of(*pair) for pair in members))
         await self._refresh_replica()
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -82,7 +82,7 @@
         conditions = self.leadership.view_conditions()
         try:
             if self.leadership.view.number == view_number:
-                await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
+                await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
                 self.replica.request_read()
                 await anyio.sleep(self.pace_s)
         finally:
@@ -97,9 +97,7 @@
             await self.sleep(2 * self.settings.report_s)
             transaction = self._removals()
             if transaction:
-                await self.client.compare_and_swap(
-                    transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.PROGRESS
-                )
+                await self.client.compare_and_swap(transaction, RequestPriority.PROGRESS)
                 self.replica.request_read()
 
     def _removals(self) -> Transaction:
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -16,6 +16,7 @@
 from sloeswitch.admission.limits import AdmissionLimits
 from sloeswitch.clock import Clock
 from sloeswitch.core import keys
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
@@ -125,7 +126,7 @@
         # On the rows' own stamps rests that no cut falls (docs/admission.md); the coordinator's key only spares a
         # deposed one its changes.
         conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
-        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
+        outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         now = self.now()
         self.written_at |= {change.path: now for change in chosen}
         if outcome is TransactionOutcome.COMMITTED:
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -29,6 +29,7 @@
 from sloeswitch.core.records import FinishedJob, Job, JobState
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
@@ -353,7 +354,7 @@
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
             return False  # too close to the limit for the handoff beside the job; it stays
-        outcome, epoch = await self.client.compare_and_swap(conditions, writes, [], RequestPriority.CLAIM)
+        outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, writes)
         else:
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -20,6 +20,7 @@
 from sloeswitch.core.records import DelegationOrigin, FeatureStatus, JobState
 from sloeswitch.core.row_codec import encode_job
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import Replica, StaleReplicaError
@@ -177,7 +178,9 @@
             assert request.offer is not None
             conditions[job] = conditions[keys.progress_key(name)] = 0
             writes[job] = self._delegated_job(after.delegation.handoff, request.offer)
-        outcome, epoch = await self.client.compare_and_swap(conditions, writes, drops, RequestPriority.CLAIM)
+        outcome, epoch = await self.client.compare_and_swap(
+            Transaction(conditions, writes, drops), RequestPriority.CLAIM
+        )
         if outcome is TransactionOutcome.COMMITTED and not drops:
             self.replica.apply_own_write(epoch, writes)
         self.replica.request_read()
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -5,11 +5,12 @@
 import enum
 import logging
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import anyio
 
 from sloeswitch import wire
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.http import Client, NoAnswerError, Reply
 from sloeswitch.rate_budget import RESERVED_SHARE, RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
@@ -108,21 +109,28 @@
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: RequestPriority,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: RequestPriority,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
-        """One transaction, and the epoch it was answered at. `paid`: see pay()."""
-        body = wire.commit_body(conditions, writes, drops, lease or {})
-        if paid:
-            self.refund_changes(paid - len(writes) - len(drops))
+        """Carries out one transaction.
+
+        Args:
+            transaction: What is compared, written and deleted.
+            priority: Its priority for the write rate and the request rate.
+            leases: The lease, by its identifier, that each of these written keys is bound to.
+            acquired_changes: How many changes acquire_changes() has already taken from the write rate for it; the
+                ones that the transaction does not need are refunded. 0: they are acquired here.
+        """
+        body = wire.commit_body(transaction.conditions, transaction.writes, transaction.deletes, leases or {})
+        if acquired_changes:
+            self.refund_changes(acquired_changes - len(transaction))
         else:
-            await self.acquire_changes(len(writes) + len(drops), urgency)
+            await self.acquire_changes(len(transaction), priority)
         try:
-            reply = await self.call("POST", "/multi", body, urgency)
+            reply = await self.call("POST", "/multi", body, priority)
         except NoAnswerError as error:
             log.debug("transaction without answer: %s", error)
             return TransactionResult(TransactionOutcome.UNKNOWN)
@@ -142,21 +150,22 @@
             if b"no such lease" in reply.body:
                 return TransactionResult(TransactionOutcome.NO_LEASE)
             log.error("transaction refused: %s", reply.body[:200])
-            self._lower_limits(writes, len(writes) + len(drops))
+            self._lower_limits(transaction)
         elif reply.status == 429:
             # A rate that fell, or another controller's burst: wait for what this one took to come back.
-            log.info("transaction of %d changes is over the rate", len(writes) + len(drops))
+            log.info("transaction of %d changes is over the rate", len(transaction))
             self.write_tokens.tokens = min(self.write_tokens.tokens, 0.0)
         return TransactionResult(TransactionOutcome.REJECTED)
 
-    def _lower_limits(self, writes: dict[str, Any], changes: int) -> None:
+    def _lower_limits(self, transaction: Transaction) -> None:
         """Guards against limits that fell further than announced: the same would be refused for ever."""
+        changes = len(transaction)
         if changes > 2:
             # Two are needed at least: an adoption and its part of the team's limit.
             self.txn_ops = max(2, changes // 2)
             log.error("from now on at most %d changes a transaction", self.txn_ops)
-        elif writes:
-            largest = max(len(wire.encode(value)) for value in writes.values())
+        elif transaction.writes:
+            largest = max(len(wire.encode(value)) for value in transaction.writes.values())
             least = self.settings.value_bytes // 8
             if largest > least:
                 self.value_bytes = max(least, min(self.value_bytes, int(0.7 * largest)))
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -29,6 +29,7 @@
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.records import Job
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.replica import StaleReplicaError
@@ -66,15 +67,15 @@
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         world, cell = self.cell.world, self.cell
-        world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
+        world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, leases)
         if cell.outage:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
         luck = world.rng.random() if world.troubled else 1.0
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -25,6 +25,7 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine_registry import Machine
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
@@ -76,13 +77,13 @@
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         if self.lose_answers:
             self.lose_answers -= 1
             self.late.append((conditions, writes, drops))
@@ -91,7 +92,7 @@
         if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
-            self._lower_limits(writes, len(writes) + len(drops))
+            self._lower_limits(transaction)
             return TransactionResult(TransactionOutcome.REJECTED, 0)
         return self.apply(conditions, writes, drops)
 
@@ -361,15 +362,15 @@
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         world = self.node.world
-        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
+        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, leases)
         if not self.node.reaches:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -19,6 +19,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.core.row_codec import split_machine_groups
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import SETTINGS, Store, spec
@@ -66,11 +67,10 @@
     def _watch_commits(self) -> None:
         commit = self.client.compare_and_swap
 
-        async def watched(
-            conditions: Any, writes: Any, drops: Any, urgency: Any, **more: Any
-        ) -> tuple[TransactionOutcome, int]:
-            self.transactions.append((len(writes) + len(drops), len(wire.commit_body(conditions, writes, drops, {}))))
-            return await commit(conditions, writes, drops, urgency, **more)
+        async def watched(transaction: Transaction, priority: Any, **more: Any) -> tuple[TransactionOutcome, int]:
+            body = wire.commit_body(transaction.conditions, transaction.writes, transaction.deletes, {})
+            self.transactions.append((len(transaction), len(body)))
+            return await commit(transaction, priority, **more)
 
         self.client.compare_and_swap = watched  # type: ignore[method-assign, assignment]
 
@@ -144,9 +144,7 @@
 
         async def unregister() -> None:
             while transaction := registration._removals():
-                await self.client.compare_and_swap(
-                    transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.PROGRESS
-                )
+                await self.client.compare_and_swap(transaction, RequestPriority.PROGRESS)
 
         anyio.run(unregister)
         return len(self.transactions) - before
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -25,6 +25,7 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.http import Server
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import Replica
@@ -216,7 +217,7 @@
 
 async def commit(asking: Asking) -> Any:
     outcome, epoch = await asking.client.compare_and_swap(
-        {"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"], RequestPriority.USER, {"a/b": 7}
+        Transaction({"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"]), RequestPriority.USER, leases={"a/b": 7}
     )
     return [outcome.value, epoch]
 
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -9,6 +9,7 @@
 from sloeswitch import wire
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
+from sloeswitch.core.transaction import Transaction
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import World, status_code, store_done, submit
 
@@ -62,9 +63,9 @@
     # The row's own answer is lost, four parts before it are stored.
     commit = world.client.compare_and_swap
 
-    async def lose_the_row(conditions: dict[str, int], writes: dict[str, Any], *rest: Any, **more: Any) -> Any:
-        world.client.lose_answers = int(keys.job_key("wk-100001") in writes)
-        return await commit(conditions, writes, *rest, **more)
+    async def lose_the_row(transaction: Transaction, *rest: Any, **more: Any) -> Any:
+        world.client.lose_answers = int(keys.job_key("wk-100001") in transaction.writes)
+        return await commit(transaction, *rest, **more)
 
     world.client.compare_and_swap = lose_the_row  # type: ignore[method-assign]
     assert submit(world, "wk-100001", *names) == 503
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -13,6 +13,7 @@
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import TaskUpdates
 from sloeswitch.core import keys, taskset
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.settings import SettingsError, parse
 from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, spec
@@ -155,7 +156,7 @@
     client.call = call  # type: ignore[method-assign]
 
     async def commit() -> None:
-        await client.compare_and_swap({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}, [], t_urgency())
+        await client.compare_and_swap(Transaction({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}), t_urgency())
 
     anyio.run(commit)
     assert client.write_tokens.tokens <= 0.0 and client.txn_ops == 4
