--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -50,7 +50,7 @@
         # What this controller stored and has not read yet: key -> epoch.
         self._own_writes: dict[str, int] = {}
         # Watching again at once after each change would use up the request rate.
-        self.gap_s = 8.0 / client.settings.state_rps * client.settings.count / 2
+        self.watch_pause_s = 8.0 / client.settings.state_rps * client.settings.count / 2
 
     def start(self, group: TaskGroup) -> None:
         group.start_soon(self._watch)
@@ -121,7 +121,7 @@
             listener()
 
     @property
-    def read_gap_s(self) -> float:
+    def read_pause_s(self) -> float:
         """Fresh reads take at most half of the requests: with hundreds of jobs asked about there is always
         one wanted, and the claims' own requests waited for seconds behind them (found on the bench)."""
         return 2.0 / self.client.request_tokens.rate
@@ -139,11 +139,11 @@
                     self._read = self._sent
                     self.linearizable_at = max(self.linearizable_at, sent)
             except NoAnswerError:
-                await anyio.sleep(self.gap_s / 4)
+                await anyio.sleep(self.watch_pause_s / 4)
             finally:
                 if waiter is not None:
                     waiter.set()
-            await anyio.sleep(self.read_gap_s)
+            await anyio.sleep(self.read_pause_s)
 
     async def _watch(self) -> None:
         while True:
@@ -151,12 +151,12 @@
                 if not self.loaded:
                     await self._load()
                 await self._read_changes(self.client.settings.lease_s)
-                await anyio.sleep(self.gap_s)
-                while (wait := self.linearizable_at + self.gap_s - self.now()) > 0:
+                await anyio.sleep(self.watch_pause_s)
+                while (wait := self.linearizable_at + self.watch_pause_s - self.now()) > 0:
                     await anyio.sleep(wait)  # fresh reads bring the same
             except NoAnswerError as error:
                 log.debug("watch: %s", error)
-                await anyio.sleep(self.gap_s)
+                await anyio.sleep(self.watch_pause_s)
 
     async def _read_changes(self, hold_s: float) -> None:
         path = f"/changes?starts={KEY_PREFIX}&after={self.applied_revision}&holdMs={int(hold_s * 1000)}"
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -12,7 +12,7 @@
 from sloeswitch import wire
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.http import Client, NoAnswerError, Reply
-from sloeswitch.rate_budget import RESERVED_SHARE, RequestPriority, TokenBucket
+from sloeswitch.rate_budget import RESERVED_FRACTION, RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
 
 log = logging.getLogger("state")
@@ -36,12 +36,12 @@
 class StateClient:
     """Requests to the state service within this controller's part of the rates."""
 
-    def __init__(self, settings: Settings, share: Callable[[], int], now: Callable[[], float]) -> None:
+    def __init__(self, settings: Settings, controller_count: Callable[[], int], now: Callable[[], float]) -> None:
         self.settings = settings
         self.http = Client(settings.state, most_idle=4)
         self.watch_http = Client(settings.state, most_idle=1)
         self.now = now
-        self.controllers = share
+        self.controller_count = controller_count
         # Most answers take under 10 ms, some a few hundred; a lease must outlive two of these waits.
         self.timeout_s = settings.controller_lease_s / 4
         self.request_tokens = TokenBucket(settings.state_rps, now())
@@ -49,39 +49,39 @@
         # What the state service takes; lowered should it take less than the settings tell.
         self.txn_ops = settings.txn_ops
         self.value_bytes = settings.value_bytes
-        self.last_ok = float("-inf")
+        self.last_answer_at = float("-inf")
         self.failing_since: float | None = None
 
     def _update_rates(self) -> None:
-        parts = max(1, self.controllers())
+        parts = max(1, self.controller_count())
         self.request_tokens.rate = 0.9 * self.settings.state_rps / parts
         self.write_tokens.rate = 0.9 * self.settings.state_write_rps / parts
 
-    async def _acquire(self, bucket: TokenBucket, cost: float, urgency: RequestPriority) -> None:
+    async def _acquire(self, bucket: TokenBucket, cost: float, priority: RequestPriority) -> None:
         self._update_rates()
-        while (wait := bucket.acquire(cost, urgency, self.now())) > 0:
+        while (wait := bucket.acquire(cost, priority, self.now())) > 0:
             await anyio.sleep(wait)
 
-    def available_changes(self, urgency: RequestPriority) -> int:
+    def available_changes(self, priority: RequestPriority) -> int:
         """How many changes may go into one transaction. More than the bucket holds above what is kept for
         the more urgent would leave a debt, and users' submissions waited a second or two for it (found on
         the bench). A job that ends takes two, and a team's allowance may go with it."""
         self._update_rates()
-        return min(self.txn_ops, max(3, int(self.write_tokens.rate * (1 - RESERVED_SHARE[urgency]))))
+        return min(self.txn_ops, max(3, int(self.write_tokens.rate * (1 - RESERVED_FRACTION[priority]))))
 
-    async def acquire_changes(self, changes: int, urgency: RequestPriority) -> None:
+    async def acquire_changes(self, changes: int, priority: RequestPriority) -> None:
         """Waits for the right to make so many changes, for a commit whose content follows."""
-        await self._acquire(self.write_tokens, changes, urgency)
+        await self._acquire(self.write_tokens, changes, priority)
 
     def refund_changes(self, changes: int) -> None:
         """What was paid for came to nothing."""
         self.write_tokens.tokens += changes
 
     async def call(
-        self, method: str, path: str, body: bytes | None, urgency: RequestPriority, hold_s: float = 0.0
+        self, method: str, path: str, body: bytes | None, priority: RequestPriority, hold_s: float = 0.0
     ) -> Reply:
         """One request; NoAnswerError when its result is unknown."""
-        await self._acquire(self.request_tokens, 1, urgency)
+        await self._acquire(self.request_tokens, 1, priority)
         client = self.watch_http if hold_s else self.http
         try:
             reply = await client.request(method, path, body, self.timeout_s + hold_s)
@@ -92,9 +92,9 @@
             if reply.status == 503:
                 self._record_failure()
         else:
-            self.last_ok = self.now()
+            self.last_answer_at = self.now()
             if self.failing_since is not None:
-                log.info("state service answers again after %.1f s", self.last_ok - self.failing_since)
+                log.info("state service answers again after %.1f s", self.last_answer_at - self.failing_since)
                 self.failing_since = None
         return reply
 
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -97,7 +97,7 @@
     )
     store.upgraded()
     world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -15,7 +15,7 @@
 def test_the_largest_round_of_claims_leaves_no_debt_for_a_submission(store: Store) -> None:
     """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
     client = World(store).client
-    client.controllers = lambda: 3
+    client.controller_count = lambda: 3
     for urgency in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
         most = client.available_changes(urgency)
         bucket = TokenBucket(client.write_tokens.rate, 0.0)
@@ -26,7 +26,7 @@
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
     """Failure found on the bench: after a round of claims the last of them waited for half a second."""
     client = World(store, NARROW).client
-    client.controllers = lambda: 3
+    client.controller_count = lambda: 3
     bucket = TokenBucket(client.write_tokens.rate, 0.0)
     while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
         pass
@@ -40,9 +40,9 @@
     """Failure found on the bench: polls for hundreds of jobs starved the claims for seconds."""
     world = World(store)
     for members in (1, 3):
-        world.client.controllers = lambda members=members: members  # type: ignore[misc]
+        world.client.controller_count = lambda members=members: members  # type: ignore[misc]
         world.client.available_changes(RequestPriority.CLAIM)  # reckons the rates anew
-        assert 1.0 / world.replica.read_gap_s <= world.client.request_tokens.rate / 2
+        assert 1.0 / world.replica.read_pause_s <= world.client.request_tokens.rate / 2
 
 
 def test_adoptions_and_claims_take_turns(store: Store) -> None:
@@ -62,7 +62,7 @@
     for number in range(1, 4):
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
     world.round()
     moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -251,7 +251,7 @@
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
     """Failure found by reasoning: claims alone would fill each round of three changes."""
     world = World(store, NARROW)
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
         store.progress(f"wk-00000{number}", c0_1=1)
