--- a/sloeswitch/rate_budget.py
+++ b/sloeswitch/rate_budget.py
@@ -1,4 +1,8 @@
-"""The rate budget of a client: a token bucket that serves the more urgent requests first."""
+"""The rate budget of a client: a token bucket that serves requests of higher priority first.
+
+A bucket belongs to one controller and one limit of a remote service (requests per second, changes per second, calls to
+the cloud). Only the client of that service takes tokens from it.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 
 
 class RequestPriority(enum.IntEnum):
-    """Who goes first when the state service's rates are short."""
+    """Which requests go first when the rate of a service is short; the lowest number goes first."""
 
     LEASE = 0
     USER = 1
@@ -14,19 +18,27 @@
     PROGRESS = 3
 
 
-# Share of a full bucket that a request of each priority must leave for the more urgent ones. Users' requests may
-# borrow half a bucket: the jobs of a pipeline are submitted one right after another, and found a bucket that claims
-# had taken to its reserve, so that the last of them waited for half a second (found on the bench).
+# The fraction of a full bucket that a request must leave behind for requests of higher priority. Users' requests may
+# overdraw the bucket by half: the jobs of a pipeline are submitted one right after another, and found a bucket that
+# claims had taken down to its reserve, so that the last of them waited for half a second (found on the bench).
 RESERVED_FRACTION = {
     RequestPriority.LEASE: 0.0,
     RequestPriority.USER: -0.5,
     RequestPriority.CLAIM: 0.25,
     RequestPriority.PROGRESS: 0.4,
 }
+# Tokens are a sum of floats, so that a bucket refilled to exactly the needed level may hold this much less.
+ROUNDING_TOLERANCE_TOKENS = 1e-9
 
 
 class TokenBucket:
-    """A token bucket holding one second's worth, spent by priority."""
+    """A token bucket that holds at most one second's worth of tokens.
+
+    Attributes:
+        rate: Tokens added per second, and the capacity of the bucket. The owner may change it at any time.
+        tokens: Tokens held at `refilled_at`; negative while the bucket is overdrawn.
+        refilled_at: When tokens were last added, in seconds of the owner's monotonic clock.
+    """
 
     def __init__(self, rate: float, now: float) -> None:
         self.rate = rate
@@ -34,12 +46,19 @@
         self.refilled_at = now
 
     def acquire(self, cost: float, priority: RequestPriority, now: float) -> float:
-        """0 after taking the cost; else how long until it can be taken."""
+        """Takes `cost` tokens if the priority allows it.
+
+        Requests of priority LEASE are always served and may overdraw the bucket without bound: a lease that is renewed
+        late costs this controller its shard.
+
+        Returns:
+            0 if the tokens were taken; otherwise the seconds until they can be, and nothing is taken.
+        """
         self.tokens = min(self.rate, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
         # A full bucket always serves, or a cost near its size would wait for ever.
-        need = min(self.rate, cost + RESERVED_FRACTION[priority] * self.rate)
-        if priority is RequestPriority.LEASE or self.tokens >= need - 1e-9:
+        needed = min(self.rate, cost + RESERVED_FRACTION[priority] * self.rate)
+        if priority is RequestPriority.LEASE or self.tokens >= needed - ROUNDING_TOLERANCE_TOKENS:
             self.tokens -= cost
             return 0.0
-        return (need - self.tokens) / self.rate
+        return (needed - self.tokens) / self.rate
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -189,7 +189,6 @@
 
 def ask(world: World, method: str, path: str, body: Any = None) -> Answer:
     users = Users(world.context, world.jobs, world.machines)
-    world.client.last_answer_at = world.clock.time
 
     async def handle() -> Answer:
         return await users.handle(Request(method, path, wire.encode(body) if body is not None else b""))
