--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -12,7 +12,7 @@
 
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import MAX_BODY, TYPE_IDLE_ROOM_REQUEST, FrameError
+from sloeswitch.mesh_frames import MAX_BODY, TYPE_IDLE_ROOM_REQUEST, FrameError
 
 COUNT = struct.Struct("!H")
 ENTRY = struct.Struct("!BB?df")
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -13,7 +13,7 @@
 
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
 from sloeswitch.cells.summary import Summary
-from sloeswitch.mesh import MAX_BODY, FrameError
+from sloeswitch.mesh_frames import MAX_BODY, FrameError
 from sloeswitch.wire import JobSpec
 
 REQUEST = struct.Struct("!QQQBBBH")
--- a/sloeswitch/cells/link.py
+++ b/sloeswitch/cells/link.py
@@ -7,7 +7,7 @@
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError
+from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError
 
 
 class MeshLink:
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -22,7 +22,8 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
-from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_IDLE_ROOM_REQUEST, TYPE_SUMMARY_REQUEST, Mesh
+from sloeswitch.mesh import Mesh
+from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_IDLE_ROOM_REQUEST, TYPE_SUMMARY_REQUEST
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
 from sloeswitch.state_client import StateClient
--- a/sloeswitch/frame_link.py
+++ b/sloeswitch/frame_link.py
@@ -5,7 +5,7 @@
 import anyio
 from anyio.abc import SocketStream
 
-from sloeswitch.mesh import ANSWER_TYPES, HEADER, MAGIC, VERSION, FrameError, FrameReader, check_header
+from sloeswitch.mesh_frames import ANSWER_TYPES, HEADER, MAGIC, VERSION, FrameError, FrameReader, check_header
 from sloeswitch.settings import Address
 
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -26,7 +26,8 @@
 from sloeswitch.core.machine_registry import Machine
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
+from sloeswitch.mesh import Mesh
+from sloeswitch.mesh_frames import HEADER, StatusFrame, pack_inquire
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.lowlevel
 
-from sloeswitch import mesh, wire
+from sloeswitch import mesh_frames, wire
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
@@ -19,7 +19,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.records import JobState
 from sloeswitch.http import Answer, Request
-from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
+from sloeswitch.mesh import Mesh, PeerStatus
+from sloeswitch.mesh_frames import StatusFrame
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState
@@ -163,11 +164,11 @@
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
     sibling = Mesh((), 1.0, world.clock.now, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = mesh.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
-    frame = sibling.status_for(question[mesh.HEADER.size :]).pack()
-    length = mesh.check_header(frame[: mesh.HEADER.size], mesh.TYPE_INFORM)
-    answer = StatusFrame.unpack(frame[mesh.HEADER.size :])
-    assert length == len(frame) - mesh.HEADER.size
+    question = mesh_frames.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(question[mesh_frames.HEADER.size :]).pack()
+    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_INFORM)
+    answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
+    assert length == len(frame) - mesh_frames.HEADER.size
     assert world.leadership.mesh is not None
     world.leadership.mesh.apply_status(peer, world.clock.time, answer)
     return answer
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -14,7 +14,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import TYPE_IDLE_ROOM_REQUEST, FrameError, Mesh, PeerStatus
+from sloeswitch.mesh import Mesh, PeerStatus
+from sloeswitch.mesh_frames import TYPE_IDLE_ROOM_REQUEST, FrameError
 from sloeswitch.settings import Address
 from tests.conftest import MACHINE_TYPE, Store
 from tests.support.admission_cluster import ScriptedLink, overloaded_world
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -11,7 +11,7 @@
 import anyio
 import pytest
 
-from sloeswitch import mesh, wire
+from sloeswitch import mesh_frames, wire
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.users import Users
@@ -20,7 +20,8 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Request
-from sloeswitch.mesh import Mesh, StatusFrame
+from sloeswitch.mesh import Mesh
+from sloeswitch.mesh_frames import StatusFrame
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
@@ -84,7 +85,7 @@
 
 
 def test_a_confirmation_counts_only_with_all_that_comes_with_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mesh, "MOST_ENTRIES", 2)
+    monkeypatch.setattr("sloeswitch.mesh.MOST_ENTRIES", 2)
     log = CancellationLog(100, 9)
     for number in range(5):
         log.add(f"wk-{number}", world.replica.applied_revision + 1)
@@ -186,7 +187,7 @@
 def test_whoever_may_answer_knows_all_that_was_told_a_lease_ago(monkeypatch: pytest.MonkeyPatch) -> None:
     """Cancellations, lost answers, readings, refusals by the state service, frames under way, ends and quick
     returns in any order. A former process may have told what its successor has forgotten."""
-    monkeypatch.setattr(mesh, "MOST_ENTRIES", 2)
+    monkeypatch.setattr("sloeswitch.mesh.MOST_ENTRIES", 2)
     # The spell that this is about comes about: somebody answers on its siblings' word alone.
     assert sum(play_spells(random.Random(seed)) for seed in range(40)) > 1000
 
@@ -235,15 +236,15 @@
         else:
             other = rng.choice([other for other in members if other != name])
             peer = member.mesh.peers[other]
-            question = mesh.pack_inquire(3, member.replica.applied_revision, peer.log_id, peer.log_position)[
-                mesh.HEADER.size :
+            question = mesh_frames.pack_inquire(3, member.replica.applied_revision, peer.log_id, peer.log_position)[
+                mesh_frames.HEADER.size :
             ]
             frames.append((member, other, clock.time, members[other].mesh.status_for(question)))
         # One question at a time between two of them; its answer takes a while.
         while frames and (rng.random() < 0.6 or any(frame[:2] == frames[-1][:2] for frame in frames[:-1])):
             asker, other, asked, answer = frames.pop(0)
             asker.mesh.apply_status(
-                asker.mesh.peers[other], asked, StatusFrame.unpack(answer.pack()[mesh.HEADER.size :])
+                asker.mesh.peers[other], asked, StatusFrame.unpack(answer.pack()[mesh_frames.HEADER.size :])
             )
         for member in members.values():
             if not member.leadership.may_answer_workers:
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -15,7 +15,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
-from sloeswitch.mesh import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError, Mesh, PeerStatus
+from sloeswitch.mesh import Mesh, PeerStatus
+from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError
 from sloeswitch.settings import Address
 from tests.conftest import spec
 from tests.support.cells import CellWorld
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -13,7 +13,7 @@
 import anyio
 import pytest
 
-from sloeswitch import frame_link, mesh
+from sloeswitch import frame_link, mesh, mesh_frames
 from sloeswitch.admission import frames as admission_frames
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.cells import frames as cell_frames
@@ -72,9 +72,13 @@
 )
 
 
-def inform(answer: mesh.StatusFrame) -> Form:
+def inform(answer: mesh_frames.StatusFrame) -> Form:
     """An answer between controllers, with its header."""
-    return Form(answer, mesh.StatusFrame.pack, lambda frame: mesh.StatusFrame.unpack(frame[mesh.HEADER.size :]))
+    return Form(
+        answer,
+        mesh_frames.StatusFrame.pack,
+        lambda frame: mesh_frames.StatusFrame.unpack(frame[mesh_frames.HEADER.size :]),
+    )
 
 
 def cell_request(request: Request, offer: cell_frames.Offer | None = None) -> Form:
@@ -102,24 +106,30 @@
     """A frame of a fixed length."""
 
     def read(frame: bytes) -> Any:
-        assert mesh.check_header(frame[: mesh.HEADER.size], kind, body.size) == body.size
-        return body.unpack(frame[mesh.HEADER.size :])
+        assert mesh_frames.check_header(frame[: mesh_frames.HEADER.size], kind, body.size) == body.size
+        return body.unpack(frame[mesh_frames.HEADER.size :])
 
     return Form(value, lambda each: write(*each), read)
 
 
 FORMS: dict[str, Form] = {
-    "ask": fixed(mesh.ASK, mesh.TYPE_ASK, (0x0102030405060708,), mesh.pack_ask),
-    "tell": fixed(mesh.TELL, mesh.TYPE_TELL, (9, True), mesh.pack_tell),
-    "tell without state service": fixed(mesh.TELL, mesh.TYPE_TELL, (9, False), mesh.pack_tell),
-    "tell that confirms nothing": fixed(mesh.TELL, mesh.TYPE_TELL, (mesh.NO_CONFIRMATION, True), mesh.pack_tell),
-    "inquire": fixed(mesh.INQUIRE, mesh.TYPE_INQUIRE, (1, 2, 3, 0x0102030405060708), mesh.pack_inquire),
-    "inform of nothing": inform(mesh.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
-    "inform with state service": inform(mesh.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
-    "inform by a whole reader": inform(mesh.StatusFrame(3, False, True, 7, CancellationDelta([], 9))),
-    "inform with more to come": inform(mesh.StatusFrame(3, False, False, 7, CancellationDelta(CANCELLED, 9, True))),
+    "ask": fixed(mesh_frames.ASK, mesh_frames.TYPE_ASK, (0x0102030405060708,), mesh_frames.pack_ask),
+    "tell": fixed(mesh_frames.TELL, mesh_frames.TYPE_TELL, (9, True), mesh_frames.pack_tell),
+    "tell without state service": fixed(mesh_frames.TELL, mesh_frames.TYPE_TELL, (9, False), mesh_frames.pack_tell),
+    "tell that confirms nothing": fixed(
+        mesh_frames.TELL, mesh_frames.TYPE_TELL, (mesh_frames.NO_CONFIRMATION, True), mesh_frames.pack_tell
+    ),
+    "inquire": fixed(
+        mesh_frames.INQUIRE, mesh_frames.TYPE_INQUIRE, (1, 2, 3, 0x0102030405060708), mesh_frames.pack_inquire
+    ),
+    "inform of nothing": inform(mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
+    "inform with state service": inform(mesh_frames.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
+    "inform by a whole reader": inform(mesh_frames.StatusFrame(3, False, True, 7, CancellationDelta([], 9))),
+    "inform with more to come": inform(
+        mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta(CANCELLED, 9, True))
+    ),
     "inform with all": inform(
-        mesh.StatusFrame(1 << 63, True, True, (1 << 63) + 7, CancellationDelta(CANCELLED, 1 << 40, True))
+        mesh_frames.StatusFrame(1 << 63, True, True, (1 << 63) + 7, CancellationDelta(CANCELLED, 1 << 40, True))
     ),
     "offer": cell_request(Request.OFFER, cell_frames.Offer(SPEC, 1_700_000_000_123)),
     "query": cell_request(Request.QUERY),
@@ -145,22 +155,27 @@
 }
 
 CONSTANTS: dict[str, Callable[[], Any]] = {
-    "header": lambda: [mesh.HEADER.format, mesh.MAGIC.decode(), mesh.VERSION],
+    "header": lambda: [mesh_frames.HEADER.format, mesh_frames.MAGIC.decode(), mesh_frames.VERSION],
     "types": lambda: [
-        mesh.TYPE_ASK,
-        mesh.TYPE_TELL,
-        mesh.TYPE_INQUIRE,
-        mesh.TYPE_INFORM,
-        mesh.TYPE_CELL_REQUEST,
-        mesh.TYPE_CELL_ANSWER,
-        mesh.TYPE_SUMMARY_REQUEST,
-        mesh.TYPE_SUMMARY,
-        mesh.TYPE_IDLE_ROOM_REQUEST,
-        mesh.TYPE_IDLE_ROOM,
+        mesh_frames.TYPE_ASK,
+        mesh_frames.TYPE_TELL,
+        mesh_frames.TYPE_INQUIRE,
+        mesh_frames.TYPE_INFORM,
+        mesh_frames.TYPE_CELL_REQUEST,
+        mesh_frames.TYPE_CELL_ANSWER,
+        mesh_frames.TYPE_SUMMARY_REQUEST,
+        mesh_frames.TYPE_SUMMARY,
+        mesh_frames.TYPE_IDLE_ROOM_REQUEST,
+        mesh_frames.TYPE_IDLE_ROOM,
+    ],
+    "types of answers": lambda: {str(asked): answer for asked, answer in mesh_frames.ANSWER_TYPES.items()},
+    "flags": lambda: [mesh_frames.FLAG_STATE_REACHABLE, mesh_frames.FLAG_COMPLETE, mesh_frames.FLAG_MORE],
+    "limits": lambda: [
+        mesh_frames.MAX_BODY,
+        mesh_frames.MOST_ENTRIES,
+        cell_frames.MOST_SPEC_BYTES,
+        admission_frames.MOST_ENTRIES,
     ],
-    "types of answers": lambda: {str(asked): answer for asked, answer in mesh.ANSWER_TYPES.items()},
-    "flags": lambda: [mesh.FLAG_STATE_REACHABLE, mesh.FLAG_COMPLETE, mesh.FLAG_MORE],
-    "limits": lambda: [mesh.MAX_BODY, mesh.MOST_ENTRIES, cell_frames.MOST_SPEC_BYTES, admission_frames.MOST_ENTRIES],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
     "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
 }
@@ -179,7 +194,9 @@
 
 
 def test_every_type_number_is_frozen() -> None:
-    numbers = {value for name, value in vars(mesh).items() if isinstance(value, int) and name.startswith("TYPE_")}
+    numbers = {
+        value for name, value in vars(mesh_frames).items() if isinstance(value, int) and name.startswith("TYPE_")
+    }
     assert numbers == set(FROZEN["constants"]["types"])
 
 
@@ -200,7 +217,7 @@
 @pytest.mark.parametrize("name", FROZEN["refused"])
 def test_what_is_cut_off_or_too_long_or_of_an_unknown_code_is_refused(name: str) -> None:
     frame = bytes.fromhex(FROZEN["refused"][name])
-    with pytest.raises(mesh.FrameError):
+    with pytest.raises(mesh_frames.FrameError):
         FORMS[name.partition(":")[0]].read(frame)
 
 
@@ -235,7 +252,7 @@
 
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     link = frame_link.FrameLink("south", (Address("127.0.0.1", 9081),), 60.0)
-    assert anyio.run(link.exchange, int(kind), question[mesh.HEADER.size :]) == answer[mesh.HEADER.size :]
+    assert anyio.run(link.exchange, int(kind), question[mesh_frames.HEADER.size :]) == answer[mesh_frames.HEADER.size :]
     assert far.sent.hex() == question.hex()
 
 
@@ -246,13 +263,13 @@
 
     async def handle(number: int, body: bytes) -> bytes:
         asked.append((number, body))
-        return answer[mesh.HEADER.size :]
+        return answer[mesh_frames.HEADER.size :]
 
     serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, CancellationLog(9, 7), lambda _found: None)
     serving.handlers[int(kind)] = handle
     near: Any = ScriptedStream(question)
     anyio.run(serving.serve, near)
-    assert asked == [(int(kind), question[mesh.HEADER.size :])] and near.sent.hex() == answer.hex()
+    assert asked == [(int(kind), question[mesh_frames.HEADER.size :])] and near.sent.hex() == answer.hex()
 
 
 @pytest.mark.parametrize(("asked", "told"), [("ask", "tell that confirms nothing"), ("inquire", "inform served")])
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from sloeswitch import cli, mesh, wire
+from sloeswitch import cli, mesh_frames, wire
 from sloeswitch.settings import SettingsError, parse
 from tests.conftest import SETTINGS, submission
 
@@ -57,14 +57,14 @@
     [b"sloX\x01\x01\x00\x08", b"sloe\x02\x01\x00\x08", b"sloe\x01\x02\x00\x08", b"sloe\x01\x01\xff\xff"],
 )
 def test_frames_of_another_kind_are_refused(header: bytes) -> None:
-    with pytest.raises(mesh.FrameError):
-        mesh.check_header(header, mesh.TYPE_ASK, mesh.ASK.size)
+    with pytest.raises(mesh_frames.FrameError):
+        mesh_frames.check_header(header, mesh_frames.TYPE_ASK, mesh_frames.ASK.size)
 
 
 def test_frame_is_what_it_says() -> None:
-    frame = mesh.pack_tell(7, True)
-    mesh.check_header(frame[: mesh.HEADER.size], mesh.TYPE_TELL, mesh.TELL.size)
-    assert mesh.TELL.unpack(frame[mesh.HEADER.size :]) == (7, 1)
+    frame = mesh_frames.pack_tell(7, True)
+    mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_TELL, mesh_frames.TELL.size)
+    assert mesh_frames.TELL.unpack(frame[mesh_frames.HEADER.size :]) == (7, 1)
 
 
 def test_every_fault_of_a_settings_file_is_named() -> None:
