--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -12,13 +12,13 @@
 
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh_frames import MAX_BODY, TYPE_IDLE_ROOM_REQUEST, FrameError
+from sloeswitch.mesh_frames import MAX_BODY_BYTES, TYPE_IDLE_CAPACITY_REQUEST, FrameError
 
 COUNT = struct.Struct("!H")
 ENTRY = struct.Struct("!BB?df")
 # Names have one byte for their length.
 LONGEST_NAME = 255
-MOST_ENTRIES = (MAX_BODY - COUNT.size) // (ENTRY.size + 2 * LONGEST_NAME)
+MOST_ENTRIES = (MAX_BODY_BYTES - COUNT.size) // (ENTRY.size + 2 * LONGEST_NAME)
 
 
 class IdleCapacityLink(Protocol):
@@ -71,6 +71,6 @@
     async def idle_room(self) -> list[IdleCapacity]:
         """Its idle room; NoAnswerError when there is no answer."""
         try:
-            return unpack_idle_room(await self.frames.exchange(TYPE_IDLE_ROOM_REQUEST, b""))
+            return unpack_idle_room(await self.frames.exchange(TYPE_IDLE_CAPACITY_REQUEST, b""))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -13,7 +13,7 @@
 
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
 from sloeswitch.cells.summary import Summary
-from sloeswitch.mesh_frames import MAX_BODY, FrameError
+from sloeswitch.mesh_frames import MAX_BODY_BYTES, FrameError
 from sloeswitch.wire import JobSpec
 
 REQUEST = struct.Struct("!QQQBBBH")
@@ -27,7 +27,7 @@
 # Names of cells and jobs are told with one byte for their length.
 LONGEST_NAME = 255
 # An offer's job must leave place for the rest of the frame.
-MOST_SPEC_BYTES = MAX_BODY - REQUEST.size - 2 * LONGEST_NAME
+MOST_SPEC_BYTES = MAX_BODY_BYTES - REQUEST.size - 2 * LONGEST_NAME
 
 
 @dataclass(frozen=True)
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -23,7 +23,7 @@
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
 from sloeswitch.mesh import Mesh
-from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_IDLE_ROOM_REQUEST, TYPE_SUMMARY_REQUEST
+from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_IDLE_CAPACITY_REQUEST, TYPE_SUMMARY_REQUEST
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
 from sloeswitch.state_client import StateClient
@@ -149,7 +149,7 @@
     )
     machines.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
-    mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
+    mesh.handlers[TYPE_IDLE_CAPACITY_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
         group.start_soon(coordinator.ask_forever, sibling.member)
--- a/sloeswitch/frame_link.py
+++ b/sloeswitch/frame_link.py
@@ -32,8 +32,8 @@
                     await self._connect()
                 assert self._stream is not None and self._reader is not None
                 await self._stream.send(HEADER.pack(MAGIC, VERSION, kind, len(body)) + body)
-                length = check_header(await self._reader.exactly(HEADER.size), ANSWER_TYPES[kind])
-                return await self._reader.exactly(length)
+                length = check_header(await self._reader.read_exactly(HEADER.size), ANSWER_TYPES[kind])
+                return await self._reader.read_exactly(length)
         except (
             OSError,
             TimeoutError,
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -12,26 +12,26 @@
 from sloeswitch.core.cancellation_log import Cancellation, CancellationLog
 from sloeswitch.mesh_frames import (
     ANSWER_TYPES,
-    ASK,
     HEADER,
-    INQUIRE,
     MAGIC,
-    MAX_BODY,
-    MOST_ENTRIES,
-    NO_CONFIRMATION,
-    TELL,
-    TYPE_ASK,
-    TYPE_INFORM,
-    TYPE_INQUIRE,
-    TYPE_TELL,
+    MAX_BODY_BYTES,
+    MAX_CANCELLATIONS,
+    STATUS_REQUEST,
+    TYPE_STATUS,
+    TYPE_STATUS_REQUEST,
+    TYPE_VIEW,
+    TYPE_VIEW_REQUEST,
+    UNCONFIRMING_VIEW_NUMBER,
     VERSION,
+    VIEW,
+    VIEW_REQUEST,
     FrameError,
     FrameReader,
     StatusFrame,
     check_header,
-    pack_ask,
-    pack_inquire,
-    pack_tell,
+    pack_status_request,
+    pack_view,
+    pack_view_request,
 )
 from sloeswitch.settings import Sibling
 
@@ -97,21 +97,21 @@
         try:
             while True:
                 with anyio.fail_after(20 * self.pause_s):
-                    header = await reader.exactly(HEADER.size)
+                    header = await reader.read_exactly(HEADER.size)
                     kind = HEADER.unpack(header)[2]
                     if kind in self.handlers:
-                        body = await reader.exactly(check_header(header, kind))
+                        body = await reader.read_exactly(check_header(header, kind))
                         answer = await self.handlers[kind](kind, body)
-                        if answer is None or len(answer) > MAX_BODY:
+                        if answer is None or len(answer) > MAX_BODY_BYTES:
                             raise FrameError(f"no answer to a frame of type {kind}")
                         reply = HEADER.pack(MAGIC, VERSION, ANSWER_TYPES[kind], len(answer)) + answer
-                    elif kind == TYPE_ASK:
-                        check_header(header, TYPE_ASK, ASK.size)
-                        await reader.exactly(ASK.size)
-                        reply = pack_tell(NO_CONFIRMATION, self.status().state_reachable)
+                    elif kind == TYPE_VIEW_REQUEST:
+                        check_header(header, TYPE_VIEW_REQUEST, VIEW_REQUEST.size)
+                        await reader.read_exactly(VIEW_REQUEST.size)
+                        reply = pack_view(UNCONFIRMING_VIEW_NUMBER, self.status().state_reachable)
                     else:
-                        check_header(header, TYPE_INQUIRE, INQUIRE.size)
-                        reply = self.status_for(await reader.exactly(INQUIRE.size)).pack()
+                        check_header(header, TYPE_STATUS_REQUEST, STATUS_REQUEST.size)
+                        reply = self.status_for(await reader.read_exactly(STATUS_REQUEST.size)).pack()
                     await stream.send(reply)
         except FrameError as error:
             log.error("%s", error)
@@ -121,9 +121,9 @@
             await anyio.aclose_forcefully(stream)
 
     def status_for(self, question: bytes) -> StatusFrame:
-        _view, epoch, name, place = INQUIRE.unpack(question)
+        _view, epoch, name, place = STATUS_REQUEST.unpack(question)
         known = self.status()
-        extract = self.cancellations.since(epoch, name, place, MOST_ENTRIES)
+        extract = self.cancellations.since(epoch, name, place, MAX_CANCELLATIONS)
         return StatusFrame(
             known.view_number, known.state_reachable, known.fully_read, self.cancellations.log_id, extract
         )
@@ -138,7 +138,7 @@
 
     async def poll_forever(self, sibling: Sibling) -> None:
         peer = self.peers[sibling.member]
-        # Whether it closed the connection on an INQUIRE, as an earlier version does.
+        # Whether it closed the connection on a status request, as an earlier version does.
         earlier = False
         while True:
             stream = None
@@ -150,7 +150,7 @@
                 earlier = earlier or not self.status().layout_complete
                 while not (earlier and answered and self.status().layout_complete):
                     with anyio.fail_after(2 * self.pause_s):
-                        again = await (self._ask if earlier else self._inquire)(peer, stream, reader)
+                        again = await (self._request_view if earlier else self._request_status)(peer, stream, reader)
                     answered = True
                     if not again:
                         await anyio.sleep(self.pause_s)
@@ -166,21 +166,21 @@
                     await anyio.aclose_forcefully(stream)
             await anyio.sleep(self.pause_s)
 
-    async def _inquire(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
+    async def _request_status(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         """Whether there is more to be asked for at once."""
         asked = self.now()
         known = self.status()
-        await stream.send(pack_inquire(known.view_number, known.read_revision, peer.log_id, peer.log_position))
-        length = check_header(await reader.exactly(HEADER.size), TYPE_INFORM)
-        answer = StatusFrame.unpack(await reader.exactly(length))
+        await stream.send(pack_status_request(known.view_number, known.read_revision, peer.log_id, peer.log_position))
+        length = check_header(await reader.read_exactly(HEADER.size), TYPE_STATUS)
+        answer = StatusFrame.unpack(await reader.read_exactly(length))
         self.apply_status(peer, asked, answer)
         return answer.delta.more and bool(answer.delta.cancellations)
 
-    async def _ask(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
+    async def _request_view(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         asked = self.now()
-        await stream.send(pack_ask(self.status().view_number))
-        check_header(await reader.exactly(HEADER.size), TYPE_TELL, TELL.size)
-        view, state_ok = TELL.unpack(await reader.exactly(TELL.size))
+        await stream.send(pack_view_request(self.status().view_number))
+        check_header(await reader.read_exactly(HEADER.size), TYPE_VIEW, VIEW.size)
+        view, state_ok = VIEW.unpack(await reader.read_exactly(VIEW.size))
         peer.asked_at, peer.view_number, peer.state_reachable, peer.cancellations_complete = (
             asked,
             view,
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -27,7 +27,7 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.mesh import Mesh
-from sloeswitch.mesh_frames import HEADER, StatusFrame, pack_inquire
+from sloeswitch.mesh_frames import HEADER, StatusFrame, pack_status_request
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
@@ -313,7 +313,7 @@
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
         peer = node.mesh.peers[other.settings.member]
-        question = pack_inquire(1, node.replica.applied_revision, peer.log_id, peer.log_position)[HEADER.size :]
+        question = pack_status_request(1, node.replica.applied_revision, peer.log_id, peer.log_position)[HEADER.size :]
         frame = other.mesh.status_for(question).pack()
         self.recorder.record("frames", node.settings.member, question, other.settings.member, frame)
         answer = StatusFrame.unpack(frame[HEADER.size :])
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -164,9 +164,9 @@
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
     sibling = Mesh((), 1.0, world.clock.now, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = mesh_frames.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    question = mesh_frames.pack_status_request(3, world.replica.applied_revision, peer.log_id, peer.log_position)
     frame = sibling.status_for(question[mesh_frames.HEADER.size :]).pack()
-    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_INFORM)
+    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_STATUS)
     answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
     assert length == len(frame) - mesh_frames.HEADER.size
     assert world.leadership.mesh is not None
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -15,7 +15,7 @@
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
 from sloeswitch.mesh import Mesh, PeerStatus
-from sloeswitch.mesh_frames import TYPE_IDLE_ROOM_REQUEST, FrameError
+from sloeswitch.mesh_frames import TYPE_IDLE_CAPACITY_REQUEST, FrameError
 from sloeswitch.settings import Address
 from tests.conftest import MACHINE_TYPE, Store
 from tests.support.admission_cluster import ScriptedLink, overloaded_world
@@ -73,7 +73,7 @@
             link = MeshIdleCapacityLink(FrameLink("c1", (Address("peer", 1),), 5.0))
             with pytest.raises(NoAnswerError):
                 await link.idle_room()
-            mesh.handlers[TYPE_IDLE_ROOM_REQUEST] = answer
+            mesh.handlers[TYPE_IDLE_CAPACITY_REQUEST] = answer
             assert await link.idle_room() == told
             group.cancel_scope.cancel()
 
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -85,7 +85,7 @@
 
 
 def test_a_confirmation_counts_only_with_all_that_comes_with_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("sloeswitch.mesh.MOST_ENTRIES", 2)
+    monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
     log = CancellationLog(100, 9)
     for number in range(5):
         log.add(f"wk-{number}", world.replica.applied_revision + 1)
@@ -187,7 +187,7 @@
 def test_whoever_may_answer_knows_all_that_was_told_a_lease_ago(monkeypatch: pytest.MonkeyPatch) -> None:
     """Cancellations, lost answers, readings, refusals by the state service, frames under way, ends and quick
     returns in any order. A former process may have told what its successor has forgotten."""
-    monkeypatch.setattr("sloeswitch.mesh.MOST_ENTRIES", 2)
+    monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
     # The spell that this is about comes about: somebody answers on its siblings' word alone.
     assert sum(play_spells(random.Random(seed)) for seed in range(40)) > 1000
 
@@ -236,9 +236,9 @@
         else:
             other = rng.choice([other for other in members if other != name])
             peer = member.mesh.peers[other]
-            question = mesh_frames.pack_inquire(3, member.replica.applied_revision, peer.log_id, peer.log_position)[
-                mesh_frames.HEADER.size :
-            ]
+            question = mesh_frames.pack_status_request(
+                3, member.replica.applied_revision, peer.log_id, peer.log_position
+            )[mesh_frames.HEADER.size :]
             frames.append((member, other, clock.time, members[other].mesh.status_for(question)))
         # One question at a time between two of them; its answer takes a while.
         while frames and (rng.random() < 0.6 or any(frame[:2] == frames[-1][:2] for frame in frames[:-1])):
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -113,14 +113,19 @@
 
 
 FORMS: dict[str, Form] = {
-    "ask": fixed(mesh_frames.ASK, mesh_frames.TYPE_ASK, (0x0102030405060708,), mesh_frames.pack_ask),
-    "tell": fixed(mesh_frames.TELL, mesh_frames.TYPE_TELL, (9, True), mesh_frames.pack_tell),
-    "tell without state service": fixed(mesh_frames.TELL, mesh_frames.TYPE_TELL, (9, False), mesh_frames.pack_tell),
+    "ask": fixed(
+        mesh_frames.VIEW_REQUEST, mesh_frames.TYPE_VIEW_REQUEST, (0x0102030405060708,), mesh_frames.pack_view_request
+    ),
+    "tell": fixed(mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (9, True), mesh_frames.pack_view),
+    "tell without state service": fixed(mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (9, False), mesh_frames.pack_view),
     "tell that confirms nothing": fixed(
-        mesh_frames.TELL, mesh_frames.TYPE_TELL, (mesh_frames.NO_CONFIRMATION, True), mesh_frames.pack_tell
+        mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (mesh_frames.UNCONFIRMING_VIEW_NUMBER, True), mesh_frames.pack_view
     ),
     "inquire": fixed(
-        mesh_frames.INQUIRE, mesh_frames.TYPE_INQUIRE, (1, 2, 3, 0x0102030405060708), mesh_frames.pack_inquire
+        mesh_frames.STATUS_REQUEST,
+        mesh_frames.TYPE_STATUS_REQUEST,
+        (1, 2, 3, 0x0102030405060708),
+        mesh_frames.pack_status_request,
     ),
     "inform of nothing": inform(mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
     "inform with state service": inform(mesh_frames.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
@@ -157,22 +162,22 @@
 CONSTANTS: dict[str, Callable[[], Any]] = {
     "header": lambda: [mesh_frames.HEADER.format, mesh_frames.MAGIC.decode(), mesh_frames.VERSION],
     "types": lambda: [
-        mesh_frames.TYPE_ASK,
-        mesh_frames.TYPE_TELL,
-        mesh_frames.TYPE_INQUIRE,
-        mesh_frames.TYPE_INFORM,
+        mesh_frames.TYPE_VIEW_REQUEST,
+        mesh_frames.TYPE_VIEW,
+        mesh_frames.TYPE_STATUS_REQUEST,
+        mesh_frames.TYPE_STATUS,
         mesh_frames.TYPE_CELL_REQUEST,
         mesh_frames.TYPE_CELL_ANSWER,
         mesh_frames.TYPE_SUMMARY_REQUEST,
         mesh_frames.TYPE_SUMMARY,
-        mesh_frames.TYPE_IDLE_ROOM_REQUEST,
-        mesh_frames.TYPE_IDLE_ROOM,
+        mesh_frames.TYPE_IDLE_CAPACITY_REQUEST,
+        mesh_frames.TYPE_IDLE_CAPACITY,
     ],
     "types of answers": lambda: {str(asked): answer for asked, answer in mesh_frames.ANSWER_TYPES.items()},
     "flags": lambda: [mesh_frames.FLAG_STATE_REACHABLE, mesh_frames.FLAG_COMPLETE, mesh_frames.FLAG_MORE],
     "limits": lambda: [
-        mesh_frames.MAX_BODY,
-        mesh_frames.MOST_ENTRIES,
+        mesh_frames.MAX_BODY_BYTES,
+        mesh_frames.MAX_CANCELLATIONS,
         cell_frames.MOST_SPEC_BYTES,
         admission_frames.MOST_ENTRIES,
     ],
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -58,13 +58,13 @@
 )
 def test_frames_of_another_kind_are_refused(header: bytes) -> None:
     with pytest.raises(mesh_frames.FrameError):
-        mesh_frames.check_header(header, mesh_frames.TYPE_ASK, mesh_frames.ASK.size)
+        mesh_frames.check_header(header, mesh_frames.TYPE_VIEW_REQUEST, mesh_frames.VIEW_REQUEST.size)
 
 
 def test_frame_is_what_it_says() -> None:
-    frame = mesh_frames.pack_tell(7, True)
-    mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_TELL, mesh_frames.TELL.size)
-    assert mesh_frames.TELL.unpack(frame[mesh_frames.HEADER.size :]) == (7, 1)
+    frame = mesh_frames.pack_view(7, True)
+    mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_VIEW, mesh_frames.VIEW.size)
+    assert mesh_frames.VIEW.unpack(frame[mesh_frames.HEADER.size :]) == (7, 1)
 
 
 def test_every_fault_of_a_settings_file_is_named() -> None:
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -40,13 +40,13 @@
             pass
 
     async def play() -> None:
-        await own.serve(Stream(mesh_frames.pack_ask(3)))  # type: ignore[arg-type]
-        stream = Stream(mesh_frames.pack_tell(3, False))
-        await own._ask(own.peers["c1"], stream, mesh_frames.FrameReader(stream))  # type: ignore[arg-type]
+        await own.serve(Stream(mesh_frames.pack_view_request(3)))  # type: ignore[arg-type]
+        stream = Stream(mesh_frames.pack_view(3, False))
+        await own._request_view(own.peers["c1"], stream, mesh_frames.FrameReader(stream))  # type: ignore[arg-type]
 
     state_outage(world)
     anyio.run(play)
-    assert answers[0] == mesh_frames.pack_tell(mesh_frames.NO_CONFIRMATION, False)
+    assert answers[0] == mesh_frames.pack_view(mesh_frames.UNCONFIRMING_VIEW_NUMBER, False)
     assert own.peers["c1"].view_number == 3 and not leadership.may_answer_workers
 
 
@@ -68,7 +68,7 @@
             asked.append(kind)
             if len(asked) == 5:
                 raise KeyboardInterrupt  # enough is seen
-            self.reply = mesh_frames.pack_tell(3, True) if kind == mesh_frames.TYPE_ASK else b""
+            self.reply = mesh_frames.pack_view(3, True) if kind == mesh_frames.TYPE_VIEW_REQUEST else b""
 
         async def receive(self) -> bytes:
             if not self.reply:
@@ -87,5 +87,5 @@
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
         anyio.run(own.poll_forever, world.settings.siblings[0])
-    inquire, ask = mesh_frames.TYPE_INQUIRE, mesh_frames.TYPE_ASK
+    inquire, ask = mesh_frames.TYPE_STATUS_REQUEST, mesh_frames.TYPE_VIEW_REQUEST
     assert asked == ([inquire, ask, inquire, ask, inquire] if upgraded else [ask] * 5)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -113,8 +113,8 @@
 
 
 def test_frames_between_the_versions_are_those_of_production() -> None:
-    assert mesh_frames.pack_ask(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
-    assert mesh_frames.pack_tell(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
+    assert mesh_frames.pack_view_request(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
+    assert mesh_frames.pack_view(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
 
 
 def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
