--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -12,7 +12,7 @@
 
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh_frames import MAX_BODY_BYTES, TYPE_IDLE_CAPACITY_REQUEST, FrameError
+from sloeswitch.mesh_frames import MAX_BODY_BYTES, FrameError, FrameType
 
 COUNT = struct.Struct("!H")
 ENTRY = struct.Struct("!BB?df")
@@ -71,6 +71,6 @@
     async def idle_room(self) -> list[IdleCapacity]:
         """Its idle room; NoAnswerError when there is no answer."""
         try:
-            return unpack_idle_room(await self.frames.exchange(TYPE_IDLE_CAPACITY_REQUEST, b""))
+            return unpack_idle_room(await self.frames.exchange(FrameType.IDLE_CAPACITY_REQUEST, b""))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
--- a/sloeswitch/cells/link.py
+++ b/sloeswitch/cells/link.py
@@ -7,7 +7,7 @@
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError
+from sloeswitch.mesh_frames import FrameError, FrameType
 
 
 class MeshLink:
@@ -20,21 +20,21 @@
     async def request(self, request: CellRequest) -> CellAnswer:
         """Asks about a handoff; NoAnswerError when there is no answer."""
         try:
-            return CellAnswer.unpack(await self.frames.exchange(TYPE_CELL_REQUEST, request.pack()))
+            return CellAnswer.unpack(await self.frames.exchange(FrameType.CELL_REQUEST, request.pack()))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
 
     async def summary(self) -> Summary | None:
         """The peer's summary, None if it tells none; NoAnswerError when there is no answer."""
         try:
-            return unpack_summary(await self.frames.exchange(TYPE_SUMMARY_REQUEST, self.own_name.encode()))
+            return unpack_summary(await self.frames.exchange(FrameType.SUMMARY_REQUEST, self.own_name.encode()))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
 
 
 async def answer_frame(target: CellTarget, kind: int, body: bytes) -> bytes | None:
     """The body of the answer to another cell's frame; FrameError for what is none."""
-    if kind == TYPE_SUMMARY_REQUEST:
+    if kind == FrameType.SUMMARY_REQUEST:
         return pack_summary(target.summary(body.decode(errors="replace")))
     answer = await target.answer(CellRequest.unpack(body))
     return CellAnswer(target.features.incarnation, answer).pack()
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -22,8 +22,8 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.features import AdmissionFeatures, CellFeatures, Features
 from sloeswitch.http import Server, listener_socket
-from sloeswitch.mesh import Mesh
-from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_IDLE_CAPACITY_REQUEST, TYPE_SUMMARY_REQUEST
+from sloeswitch.mesh import Mesh, MeshCallbacks
+from sloeswitch.mesh_frames import FrameType
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
 from sloeswitch.state_client import StateClient
@@ -45,9 +45,8 @@
         settings.siblings,
         settings.controller_lease_s / 4,
         CLOCK.now,
-        leadership.peer_status,
+        MeshCallbacks(leadership.peer_status, leadership.apply_peer_cancellations),
         cancellations,
-        leadership.apply_peer_cancellations,
     )
     context = ControllerContext(settings, client, replica, leadership, CLOCK)
     membership = Membership(context)
@@ -105,7 +104,7 @@
 
     client, replica, leadership = machines.client, machines.replica, machines.leadership
     target = CellTarget(settings, features, client, replica, leadership, machines.jobs)
-    for kind in (TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST):
+    for kind in (FrameType.CELL_REQUEST, FrameType.SUMMARY_REQUEST):
         mesh.handlers[kind] = partial(answer_frame, target)
     links: dict[str, Link] = {
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
@@ -149,7 +148,7 @@
     )
     machines.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
-    mesh.handlers[TYPE_IDLE_CAPACITY_REQUEST] = answer
+    mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
         group.start_soon(coordinator.ask_forever, sibling.member)
--- a/sloeswitch/frame_link.py
+++ b/sloeswitch/frame_link.py
@@ -1,11 +1,14 @@
-"""Questions to other controllers by frames of the mesh, over one connection that is kept while it answers."""
+"""Requests to other controllers by frames of the mesh, over one connection that is kept while it answers.
+
+Used for frames of features: `cells.link` asks the controllers of another cell, `admission.frames` asks a sibling.
+"""
 
 from __future__ import annotations
 
 import anyio
 from anyio.abc import SocketStream
 
-from sloeswitch.mesh_frames import ANSWER_TYPES, HEADER, MAGIC, VERSION, FrameError, FrameReader, check_header
+from sloeswitch.mesh_frames import ANSWER_TYPES, CONNECTION_ERRORS, FrameError, FrameReader, pack_frame
 from sloeswitch.settings import Address
 
 
@@ -14,34 +17,36 @@
 
 
 class FrameLink:
-    """Asks one of several addresses after the other."""
+    """Sends frames to one of several addresses at a time, and goes to the next one when it does not answer.
+
+    Attributes:
+        name: Whose addresses they are, for error messages.
+        addresses: Mesh addresses of controllers that can answer.
+        timeout_s: How long a connection and an answer are waited for together.
+    """
 
     def __init__(self, name: str, addresses: tuple[Address, ...], timeout_s: float) -> None:
         self.name = name
         self.addresses = addresses
         self.timeout_s = timeout_s
-        self._next = 0
+        self._next_address = 0
         self._stream: SocketStream | None = None
         self._reader: FrameReader | None = None
 
-    async def exchange(self, kind: int, body: bytes) -> bytes:
-        """The body of the answer to a frame; NoAnswerError when there is none."""
+    async def exchange(self, frame_type: int, body: bytes) -> bytes:
+        """Sends a frame and returns the body of the answer.
+
+        Raises:
+            NoAnswerError: There is no answer of the right type in time.
+        """
         try:
             with anyio.fail_after(self.timeout_s):
                 if self._stream is None or self._reader is None:
-                    await self._connect()
-                assert self._stream is not None and self._reader is not None
-                await self._stream.send(HEADER.pack(MAGIC, VERSION, kind, len(body)) + body)
-                length = check_header(await self._reader.read_exactly(HEADER.size), ANSWER_TYPES[kind])
-                return await self._reader.read_exactly(length)
-        except (
-            OSError,
-            TimeoutError,
-            anyio.EndOfStream,
-            anyio.BrokenResourceError,
-            anyio.ClosedResourceError,
-            FrameError,
-        ) as error:
+                    self._stream = await self._connect()
+                    self._reader = FrameReader(self._stream)
+                await self._stream.send(pack_frame(frame_type, body))
+                return await self._reader.read_body(await self._reader.read_header(), ANSWER_TYPES[frame_type])
+        except (*CONNECTION_ERRORS, FrameError) as error:
             await self._close()
             raise NoAnswerError(f"{self.name}: {error!r}") from None
         except BaseException:
@@ -49,12 +54,11 @@
                 await self._close()
             raise
 
-    async def _connect(self) -> None:
-        address = self.addresses[self._next % len(self.addresses)]
+    async def _connect(self) -> SocketStream:
+        address = self.addresses[self._next_address % len(self.addresses)]
         # The next controller is tried if this one does not answer.
-        self._next += 1
-        self._stream = await anyio.connect_tcp(address.host, address.port)
-        self._reader = FrameReader(self._stream)
+        self._next_address += 1
+        return await anyio.connect_tcp(address.host, address.port)
 
     async def _close(self) -> None:
         if self._stream is not None:
--- a/sloeswitch/mesh_frames.py
+++ b/sloeswitch/mesh_frames.py
@@ -16,54 +16,111 @@
 
 import struct
 from dataclasses import dataclass
+from enum import IntEnum, IntFlag
 
+import anyio
 from anyio.abc import SocketStream
 
 from sloeswitch.core.cancellation_log import Cancellation, CancellationDelta
 
+MAGIC = b"sloe"
+VERSION = 1
+
+
+class FrameType(IntEnum):
+    """The type byte of a frame. Bodies of cells' frames: cells.frames; of idle capacity: admission.frames."""
+
+    VIEW_REQUEST = 1
+    VIEW = 2
+    STATUS_REQUEST = 3
+    STATUS = 4
+    CELL_REQUEST = 5
+    CELL_ANSWER = 6
+    SUMMARY_REQUEST = 7
+    SUMMARY = 8
+    IDLE_CAPACITY_REQUEST = 9
+    IDLE_CAPACITY = 10
+
+
+# The types of requests that are served only where a feature is on, and the types of their answers.
+ANSWER_TYPES: dict[int, FrameType] = {
+    FrameType.CELL_REQUEST: FrameType.CELL_ANSWER,
+    FrameType.SUMMARY_REQUEST: FrameType.SUMMARY,
+    FrameType.IDLE_CAPACITY_REQUEST: FrameType.IDLE_CAPACITY,
+}
+
+
+class StatusFlag(IntFlag):
+    """The flags of a status."""
+
+    STATE_REACHABLE = 1
+    FULLY_READ = 2
+    MORE_CANCELLATIONS = 4
+
+
+# Magic, version, type, length of the body.
 HEADER = struct.Struct("!4sBBH")
+# The requester's view number.
 VIEW_REQUEST = struct.Struct("!Q")
+# The answerer's view number, and whether it reaches the state service.
 VIEW = struct.Struct("!QB")
+# View number, applied revision, log identifier, log position.
 STATUS_REQUEST = struct.Struct("!QQQQ")
+# View number, flags, log identifier, log position, number of cancellations that follow.
 STATUS = struct.Struct("!QBQQH")
+# Revision and length of the job's name, which follows.
 CANCELLATION = struct.Struct("!QB")
-MAGIC, VERSION = b"sloe", 1
-TYPE_VIEW_REQUEST, TYPE_VIEW, TYPE_STATUS_REQUEST, TYPE_STATUS = 1, 2, 3, 4
-# Between cells (see cells.frames): requests, and the types of their answers.
-TYPE_CELL_REQUEST, TYPE_CELL_ANSWER, TYPE_SUMMARY_REQUEST, TYPE_SUMMARY = 5, 6, 7, 8
-# Room that no admitted job could take (see admission.frames).
-TYPE_IDLE_CAPACITY_REQUEST, TYPE_IDLE_CAPACITY = 9, 10
-# Frames of features, which are served only where the feature is on, and the types of their answers.
-ANSWER_TYPES = {
-    TYPE_CELL_REQUEST: TYPE_CELL_ANSWER,
-    TYPE_SUMMARY_REQUEST: TYPE_SUMMARY,
-    TYPE_IDLE_CAPACITY_REQUEST: TYPE_IDLE_CAPACITY,
-}
+
 MAX_BODY_BYTES = 0xFFFF
-FLAG_STATE_REACHABLE, FLAG_COMPLETE, FLAG_MORE = 1, 2, 4
+MAX_NAME_BYTES = 255
+# The most cancellations in one frame, so that it keeps within its length whatever the jobs are called.
+MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + MAX_NAME_BYTES)
 # Later than any view: an earlier version takes it for a reason to stop.
 UNCONFIRMING_VIEW_NUMBER = (1 << 64) - 1
-# Cancellations in one frame, so that it keeps within its length whatever they are called.
-MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + 255)
 
 
 class FrameError(Exception):
     """The bytes are not a frame that may come here; the connection is to be closed."""
 
 
-def pack_view_request(view: int) -> bytes:
-    """The whole frame by which an earlier version asks for a view number."""
-    return HEADER.pack(MAGIC, VERSION, TYPE_VIEW_REQUEST, VIEW_REQUEST.size) + VIEW_REQUEST.pack(view)
+@dataclass(frozen=True)
+class StatusRequest:
+    """Asks a sibling for its status and for the cancellations that this controller lacks.
 
+    Attributes:
+        view_number: The view under which the requester acts.
+        applied_revision: Up to where the requester has read everything.
+        log_id: The log of cancellations that the requester last read from the sibling; 0: none.
+        log_position: Up to where the requester has that log.
+    """
 
-def pack_view(view: int, state_ok: bool) -> bytes:
-    """The whole frame by which an earlier version answers with its view number."""
-    return HEADER.pack(MAGIC, VERSION, TYPE_VIEW, VIEW.size) + VIEW.pack(view, state_ok)
+    view_number: int
+    applied_revision: int
+    log_id: int
+    log_position: int
+
+    def pack(self) -> bytes:
+        """The whole frame."""
+        body = STATUS_REQUEST.pack(self.view_number, self.applied_revision, self.log_id, self.log_position)
+        return pack_frame(FrameType.STATUS_REQUEST, body)
+
+    @staticmethod
+    def unpack(body: bytes) -> StatusRequest:
+        """The request in a body, whose length was checked with its header."""
+        return StatusRequest(*STATUS_REQUEST.unpack(body))
 
 
 @dataclass(frozen=True)
 class StatusFrame:
-    """A status."""
+    """A controller's status, and the cancellations that the requester lacks.
+
+    Attributes:
+        view_number: The highest view number that the answerer knows; 0: none yet.
+        state_reachable: Whether it reaches the state service.
+        fully_read: Whether it has read the tables since it started.
+        log_id: Identifies its log of cancellations.
+        delta: The cancellations, and the position in the log up to which the requester then has it.
+    """
 
     view_number: int
     state_reachable: bool
@@ -74,53 +131,88 @@
     def pack(self) -> bytes:
         """The whole frame."""
         flags = (
-            FLAG_STATE_REACHABLE * self.state_reachable | FLAG_COMPLETE * self.fully_read | FLAG_MORE * self.delta.more
+            StatusFlag.STATE_REACHABLE * self.state_reachable
+            | StatusFlag.FULLY_READ * self.fully_read
+            | StatusFlag.MORE_CANCELLATIONS * self.delta.more
         )
         entries = self.delta.cancellations
         body = STATUS.pack(self.view_number, flags, self.log_id, self.delta.position, len(entries))
         for entry in entries:
             name = entry.job.encode()
             body += CANCELLATION.pack(entry.revision, len(name)) + name
-        return HEADER.pack(MAGIC, VERSION, TYPE_STATUS, len(body)) + body
+        return pack_frame(FrameType.STATUS, body)
 
     @staticmethod
     def unpack(body: bytes) -> StatusFrame:
-        """The status in a body; raises FrameError."""
+        """The status in a body.
+
+        Raises:
+            FrameError: The body is cut off, goes on after its end, or a name is not UTF-8.
+        """
         try:
-            view, flags, log, upto, count = STATUS.unpack_from(body)
-            entries: list[Cancellation] = []
-            at = STATUS.size
-            for _ in range(count):
-                stamp, length = CANCELLATION.unpack_from(body, at)
-                at += CANCELLATION.size
-                if at + length > len(body):
-                    raise FrameError("a name is cut off")
-                entries.append(Cancellation(body[at : at + length].decode(), stamp))
-                at += length
+            view_number, flags, log_id, position, count = STATUS.unpack_from(body)
+            cancellations, end = _unpack_cancellations(body, STATUS.size, count)
         except (struct.error, UnicodeDecodeError) as error:
             raise FrameError(str(error)) from None
-        if at != len(body):
-            raise FrameError(f"{len(body) - at} bytes too many")
+        if end != len(body):
+            raise FrameError(f"{len(body) - end} bytes too many")
         return StatusFrame(
-            view,
-            bool(flags & FLAG_STATE_REACHABLE),
-            bool(flags & FLAG_COMPLETE),
-            log,
-            CancellationDelta(entries, upto, bool(flags & FLAG_MORE)),
+            view_number,
+            bool(flags & StatusFlag.STATE_REACHABLE),
+            bool(flags & StatusFlag.FULLY_READ),
+            log_id,
+            CancellationDelta(cancellations, position, bool(flags & StatusFlag.MORE_CANCELLATIONS)),
         )
 
 
-def pack_status_request(view: int, epoch: int, log: int, place: int) -> bytes:
-    """The whole frame by which a status is asked for."""
-    return HEADER.pack(MAGIC, VERSION, TYPE_STATUS_REQUEST, STATUS_REQUEST.size) + STATUS_REQUEST.pack(
-        view, epoch, log, place
-    )
+def _unpack_cancellations(body: bytes, offset: int, count: int) -> tuple[list[Cancellation], int]:
+    """The cancellations from an offset on, and the offset of their end."""
+    cancellations: list[Cancellation] = []
+    for _ in range(count):
+        revision, length = CANCELLATION.unpack_from(body, offset)
+        offset += CANCELLATION.size
+        if offset + length > len(body):
+            raise FrameError("a name is cut off")
+        cancellations.append(Cancellation(body[offset : offset + length].decode(), revision))
+        offset += length
+    return cancellations, offset
+
+
+def pack_frame(frame_type: int, body: bytes) -> bytes:
+    """A header and the body."""
+    return HEADER.pack(MAGIC, VERSION, frame_type, len(body)) + body
+
+
+def pack_view_request(view_number: int) -> bytes:
+    """The whole frame by which an earlier version asks for a view number."""
+    return pack_frame(FrameType.VIEW_REQUEST, VIEW_REQUEST.pack(view_number))
+
+
+def pack_view(view_number: int, state_reachable: bool) -> bytes:
+    """The whole frame by which an earlier version answers with its view number."""
+    return pack_frame(FrameType.VIEW, VIEW.pack(view_number, state_reachable))
 
 
-def check_header(header: bytes, kind: int, size: int | None = None) -> int:
-    """The length of the body that follows."""
-    magic, version, got, length = HEADER.unpack(header)
-    if magic != MAGIC or version != VERSION or got != kind or (size is not None and length != size):
+def frame_type_of(header: bytes) -> int:
+    """The type byte of a header, which need not be a known type."""
+    return int(HEADER.unpack(header)[2])
+
+
+def check_header(header: bytes, frame_type: int, body_bytes: int | None = None) -> int:
+    """The length of the body that follows, in bytes.
+
+    Args:
+        header: The header of a frame.
+        frame_type: The type that it must have.
+        body_bytes: The length that its body must have; None: any.
+
+    Raises:
+        FrameError: It is a frame of another kind, or none.
+    """
+    magic, version, actual_type, length = HEADER.unpack(header)
+    if (magic, version, actual_type) != (MAGIC, VERSION, frame_type):
+        raise FrameError(f"frame {header!r}")
+    if body_bytes is not None and length != body_bytes:
         raise FrameError(f"frame {header!r}")
     return int(length)
 
@@ -130,11 +222,33 @@
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        self.data = b""
+        self._received = b""
 
-    async def read_exactly(self, size: int) -> bytes:
-        """The next bytes of the stream, exactly so many."""
-        while len(self.data) < size:
-            self.data += await self.stream.receive()
-        part, self.data = self.data[:size], self.data[size:]
+    async def read_exactly(self, size_bytes: int) -> bytes:
+        """The next bytes of the stream, exactly so many.
+
+        Raises:
+            anyio.EndOfStream: The stream ends before.
+        """
+        while len(self._received) < size_bytes:
+            self._received += await self.stream.receive()
+        part, self._received = self._received[:size_bytes], self._received[size_bytes:]
         return part
+
+    async def read_header(self) -> bytes:
+        """The header of the next frame."""
+        return await self.read_exactly(HEADER.size)
+
+    async def read_body(self, header: bytes, frame_type: int, body_bytes: int | None = None) -> bytes:
+        """The body that follows a header, which must have the given type and length; see check_header()."""
+        return await self.read_exactly(check_header(header, frame_type, body_bytes))
+
+
+# What ends a connection without anything being wrong with the frames on it.
+CONNECTION_ERRORS = (
+    OSError,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+)
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -26,8 +26,8 @@
 from sloeswitch.core.machine_registry import Machine
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.mesh import Mesh
-from sloeswitch.mesh_frames import HEADER, StatusFrame, pack_status_request
+from sloeswitch.mesh import Mesh, MeshCallbacks
+from sloeswitch.mesh_frames import HEADER, StatusFrame, StatusRequest
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
@@ -313,9 +313,10 @@
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
         peer = node.mesh.peers[other.settings.member]
-        question = pack_status_request(1, node.replica.applied_revision, peer.log_id, peer.log_position)[HEADER.size :]
+        question = StatusRequest(1, node.replica.applied_revision, peer.log_id, peer.log_position)
         frame = other.mesh.status_for(question).pack()
-        self.recorder.record("frames", node.settings.member, question, other.settings.member, frame)
+        body = question.pack()[HEADER.size :]
+        self.recorder.record("frames", node.settings.member, body, other.settings.member, frame)
         answer = StatusFrame.unpack(frame[HEADER.size :])
         node.mesh.apply_status(peer, self.clock.time, answer)
 
@@ -498,9 +499,8 @@
             self.settings.siblings,
             1.0,
             clock.now,
-            self.leadership.peer_status,
+            MeshCallbacks(self.leadership.peer_status, self.leadership.apply_peer_cancellations),
             self.tables.cancellations,
-            self.leadership.apply_peer_cancellations,
         )
         self.leadership.mesh = self.mesh
         self.context = ControllerContext(self.settings, self.client, self.replica, self.leadership, clock)
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -19,8 +19,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.records import JobState
 from sloeswitch.http import Answer, Request
-from sloeswitch.mesh import Mesh, PeerStatus
-from sloeswitch.mesh_frames import StatusFrame
+from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState
@@ -99,9 +99,8 @@
         world.settings.siblings,
         1.0,
         world.clock.now,
-        world.leadership.peer_status,
+        MeshCallbacks(world.leadership.peer_status, world.leadership.apply_peer_cancellations),
         world.store.tables.cancellations,
-        world.leadership.apply_peer_cancellations,
     )
     return world.leadership.mesh
 
@@ -162,11 +161,17 @@
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
-    sibling = Mesh((), 1.0, world.clock.now, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
+    sibling = Mesh(
+        (),
+        1.0,
+        world.clock.now,
+        MeshCallbacks(lambda: PeerStatus(view, False, 0, whole, True), lambda entries: None),
+        log,
+    )
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = mesh_frames.pack_status_request(3, world.replica.applied_revision, peer.log_id, peer.log_position)
-    frame = sibling.status_for(question[mesh_frames.HEADER.size :]).pack()
-    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_STATUS)
+    question = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(question).pack()
+    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.STATUS)
     answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
     assert length == len(frame) - mesh_frames.HEADER.size
     assert world.leadership.mesh is not None
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -14,8 +14,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import Mesh, PeerStatus
-from sloeswitch.mesh_frames import TYPE_IDLE_CAPACITY_REQUEST, FrameError
+from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh_frames import FrameError, FrameType
 from sloeswitch.settings import Address
 from tests.conftest import MACHINE_TYPE, Store
 from tests.support.admission_cluster import ScriptedLink, overloaded_world
@@ -62,7 +62,11 @@
 
     async def run() -> None:
         mesh = Mesh(
-            (), 1.0, lambda: 0.0, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
+            (),
+            1.0,
+            lambda: 0.0,
+            MeshCallbacks(lambda: PeerStatus(1, True, 1, True, True), lambda _: None),
+            CancellationLog(1, 1),
         )
         async with anyio.create_task_group() as group:
 
@@ -73,7 +77,7 @@
             link = MeshIdleCapacityLink(FrameLink("c1", (Address("peer", 1),), 5.0))
             with pytest.raises(NoAnswerError):
                 await link.idle_room()
-            mesh.handlers[TYPE_IDLE_CAPACITY_REQUEST] = answer
+            mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
             assert await link.idle_room() == told
             group.cancel_scope.cancel()
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -13,7 +13,7 @@
 from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState, Progress
-from sloeswitch.mesh import Mesh
+from sloeswitch.mesh import Mesh, MeshCallbacks
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
 from tests.support.single_controller import JOB, Cloud, World, deletions
@@ -101,9 +101,8 @@
             world.settings.siblings,
             1.0,
             world.clock.now,
-            world.leadership.peer_status,
+            MeshCallbacks(world.leadership.peer_status, lambda _: None),
             store.tables.cancellations,
-            lambda _: None,
         )
         self.peer = world.leadership.mesh.peers["c1"]
         self.started: list[str] = []
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -20,8 +20,8 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
 from sloeswitch.http import Request
-from sloeswitch.mesh import Mesh
-from sloeswitch.mesh_frames import StatusFrame
+from sloeswitch.mesh import Mesh, MeshCallbacks
+from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
@@ -158,9 +158,8 @@
             self.settings.siblings,
             1.0,
             clock.now,
-            self.leadership.peer_status,
+            MeshCallbacks(self.leadership.peer_status, self.leadership.apply_peer_cancellations),
             log,
-            self.leadership.apply_peer_cancellations,
         )
         self.leadership.mesh = self.mesh
         self.knows: set[str] = set()
@@ -236,9 +235,7 @@
         else:
             other = rng.choice([other for other in members if other != name])
             peer = member.mesh.peers[other]
-            question = mesh_frames.pack_status_request(
-                3, member.replica.applied_revision, peer.log_id, peer.log_position
-            )[mesh_frames.HEADER.size :]
+            question = StatusRequest(3, member.replica.applied_revision, peer.log_id, peer.log_position)
             frames.append((member, other, clock.time, members[other].mesh.status_for(question)))
         # One question at a time between two of them; its answer takes a while.
         while frames and (rng.random() < 0.6 or any(frame[:2] == frames[-1][:2] for frame in frames[:-1])):
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -15,8 +15,8 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
-from sloeswitch.mesh import Mesh, PeerStatus
-from sloeswitch.mesh_frames import TYPE_CELL_REQUEST, TYPE_SUMMARY_REQUEST, FrameError
+from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh_frames import FrameError, FrameType
 from sloeswitch.settings import Address
 from tests.conftest import spec
 from tests.support.cells import CellWorld
@@ -37,7 +37,11 @@
         for controller in south.controllers.values():
             await controller.origin.mark()
         mesh = Mesh(
-            (), 1.0, world.clock.now, lambda: PeerStatus(1, True, 1, True, True), CancellationLog(1, 1), lambda _: None
+            (),
+            1.0,
+            world.clock.now,
+            MeshCallbacks(lambda: PeerStatus(1, True, 1, True, True), lambda _: None),
+            CancellationLog(1, 1),
         )
         async with anyio.create_task_group() as group:
 
@@ -53,7 +57,9 @@
                 await link.summary()
             with pytest.raises(NoAnswerError):
                 await link.summary()  # the feature is off there: the mesh closes the connection
-            mesh.handlers[TYPE_SUMMARY_REQUEST] = mesh.handlers[TYPE_CELL_REQUEST] = partial(answer_frame, target)
+            mesh.handlers[FrameType.SUMMARY_REQUEST] = mesh.handlers[FrameType.CELL_REQUEST] = partial(
+                answer_frame, target
+            )
             with pytest.raises(NoAnswerError):
                 await link.summary()
             summary = await link.summary()
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -59,6 +59,7 @@
 )
 HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
 KNOWN = mesh.PeerStatus(3, True, 9, True, True)
+CALLBACKS = mesh.MeshCallbacks(lambda: KNOWN, lambda _found: None)
 CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
 SUMMARY = Summary(
     "north",
@@ -114,18 +115,26 @@
 
 FORMS: dict[str, Form] = {
     "ask": fixed(
-        mesh_frames.VIEW_REQUEST, mesh_frames.TYPE_VIEW_REQUEST, (0x0102030405060708,), mesh_frames.pack_view_request
+        mesh_frames.VIEW_REQUEST,
+        mesh_frames.FrameType.VIEW_REQUEST,
+        (0x0102030405060708,),
+        mesh_frames.pack_view_request,
+    ),
+    "tell": fixed(mesh_frames.VIEW, mesh_frames.FrameType.VIEW, (9, True), mesh_frames.pack_view),
+    "tell without state service": fixed(
+        mesh_frames.VIEW, mesh_frames.FrameType.VIEW, (9, False), mesh_frames.pack_view
     ),
-    "tell": fixed(mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (9, True), mesh_frames.pack_view),
-    "tell without state service": fixed(mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (9, False), mesh_frames.pack_view),
     "tell that confirms nothing": fixed(
-        mesh_frames.VIEW, mesh_frames.TYPE_VIEW, (mesh_frames.UNCONFIRMING_VIEW_NUMBER, True), mesh_frames.pack_view
+        mesh_frames.VIEW,
+        mesh_frames.FrameType.VIEW,
+        (mesh_frames.UNCONFIRMING_VIEW_NUMBER, True),
+        mesh_frames.pack_view,
     ),
     "inquire": fixed(
         mesh_frames.STATUS_REQUEST,
-        mesh_frames.TYPE_STATUS_REQUEST,
+        mesh_frames.FrameType.STATUS_REQUEST,
         (1, 2, 3, 0x0102030405060708),
-        mesh_frames.pack_status_request,
+        lambda *fields: mesh_frames.StatusRequest(*fields).pack(),
     ),
     "inform of nothing": inform(mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
     "inform with state service": inform(mesh_frames.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
@@ -162,19 +171,23 @@
 CONSTANTS: dict[str, Callable[[], Any]] = {
     "header": lambda: [mesh_frames.HEADER.format, mesh_frames.MAGIC.decode(), mesh_frames.VERSION],
     "types": lambda: [
-        mesh_frames.TYPE_VIEW_REQUEST,
-        mesh_frames.TYPE_VIEW,
-        mesh_frames.TYPE_STATUS_REQUEST,
-        mesh_frames.TYPE_STATUS,
-        mesh_frames.TYPE_CELL_REQUEST,
-        mesh_frames.TYPE_CELL_ANSWER,
-        mesh_frames.TYPE_SUMMARY_REQUEST,
-        mesh_frames.TYPE_SUMMARY,
-        mesh_frames.TYPE_IDLE_CAPACITY_REQUEST,
-        mesh_frames.TYPE_IDLE_CAPACITY,
+        mesh_frames.FrameType.VIEW_REQUEST,
+        mesh_frames.FrameType.VIEW,
+        mesh_frames.FrameType.STATUS_REQUEST,
+        mesh_frames.FrameType.STATUS,
+        mesh_frames.FrameType.CELL_REQUEST,
+        mesh_frames.FrameType.CELL_ANSWER,
+        mesh_frames.FrameType.SUMMARY_REQUEST,
+        mesh_frames.FrameType.SUMMARY,
+        mesh_frames.FrameType.IDLE_CAPACITY_REQUEST,
+        mesh_frames.FrameType.IDLE_CAPACITY,
     ],
     "types of answers": lambda: {str(asked): answer for asked, answer in mesh_frames.ANSWER_TYPES.items()},
-    "flags": lambda: [mesh_frames.FLAG_STATE_REACHABLE, mesh_frames.FLAG_COMPLETE, mesh_frames.FLAG_MORE],
+    "flags": lambda: [
+        mesh_frames.StatusFlag.STATE_REACHABLE,
+        mesh_frames.StatusFlag.FULLY_READ,
+        mesh_frames.StatusFlag.MORE_CANCELLATIONS,
+    ],
     "limits": lambda: [
         mesh_frames.MAX_BODY_BYTES,
         mesh_frames.MAX_CANCELLATIONS,
@@ -199,9 +212,7 @@
 
 
 def test_every_type_number_is_frozen() -> None:
-    numbers = {
-        value for name, value in vars(mesh_frames).items() if isinstance(value, int) and name.startswith("TYPE_")
-    }
+    numbers = {frame_type.value for frame_type in mesh_frames.FrameType}
     assert numbers == set(FROZEN["constants"]["types"])
 
 
@@ -270,7 +281,7 @@
         asked.append((number, body))
         return answer[mesh_frames.HEADER.size :]
 
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, CancellationLog(9, 7), lambda _found: None)
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
     serving.handlers[int(kind)] = handle
     near: Any = ScriptedStream(question)
     anyio.run(serving.serve, near)
@@ -281,6 +292,6 @@
 def test_a_mesh_answers_controllers_as_ever(asked: str, told: str) -> None:
     literals = FROZEN["frames"] | FROZEN["served"]
     near: Any = ScriptedStream(bytes.fromhex(literals[asked]))
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, lambda: KNOWN, CancellationLog(9, 7), lambda _found: None)
+    serving = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
     anyio.run(serving.serve, near)
     assert near.sent.hex() == literals[told]
--- a/tests/test_input.py
+++ b/tests/test_input.py
@@ -58,12 +58,12 @@
 )
 def test_frames_of_another_kind_are_refused(header: bytes) -> None:
     with pytest.raises(mesh_frames.FrameError):
-        mesh_frames.check_header(header, mesh_frames.TYPE_VIEW_REQUEST, mesh_frames.VIEW_REQUEST.size)
+        mesh_frames.check_header(header, mesh_frames.FrameType.VIEW_REQUEST, mesh_frames.VIEW_REQUEST.size)
 
 
 def test_frame_is_what_it_says() -> None:
     frame = mesh_frames.pack_view(7, True)
-    mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.TYPE_VIEW, mesh_frames.VIEW.size)
+    mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.VIEW, mesh_frames.VIEW.size)
     assert mesh_frames.VIEW.unpack(frame[mesh_frames.HEADER.size :]) == (7, 1)
 
 
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -68,7 +68,7 @@
             asked.append(kind)
             if len(asked) == 5:
                 raise KeyboardInterrupt  # enough is seen
-            self.reply = mesh_frames.pack_view(3, True) if kind == mesh_frames.TYPE_VIEW_REQUEST else b""
+            self.reply = mesh_frames.pack_view(3, True) if kind == mesh_frames.FrameType.VIEW_REQUEST else b""
 
         async def receive(self) -> bytes:
             if not self.reply:
@@ -87,5 +87,5 @@
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
         anyio.run(own.poll_forever, world.settings.siblings[0])
-    inquire, ask = mesh_frames.TYPE_STATUS_REQUEST, mesh_frames.TYPE_VIEW_REQUEST
+    inquire, ask = mesh_frames.FrameType.STATUS_REQUEST, mesh_frames.FrameType.VIEW_REQUEST
     assert asked == ([inquire, ask, inquire, ask, inquire] if upgraded else [ask] * 5)
