--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -18,7 +18,7 @@
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core.machine_registry import Machine, MachineRegistry
 from sloeswitch.core.tables import Tables
-from sloeswitch.http import Client, NoAnswerError
+from sloeswitch.http_client import Client, NoAnswerError
 from sloeswitch.settings import Address, Settings
 
 log = logging.getLogger("machines")
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -18,7 +18,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.records import MemberRow
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http import NoAnswerError
+from sloeswitch.http_client import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -8,7 +8,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.http import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, NoAnswerError, Reply
 from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
 
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over anyio streams, parsed by h11: a small server and a client that keeps connections."""
+"""An HTTP/1.1 server over anyio streams, parsed by h11."""
 
 from __future__ import annotations
 
@@ -288,82 +288,3 @@
         if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         await stream.send(write(parser, Answer(400, b'{"error":"broken HTTP"}', close=True)))
-
-
-class NoAnswerError(Exception):
-    """The request may or may not have been carried out."""
-
-
-@dataclass
-class Reply:
-    status: int
-    body: bytes
-
-
-class Client:
-    """Talks to one address over kept connections, each used by one request at a time."""
-
-    def __init__(self, address: Address, most_idle: int = 4) -> None:
-        self.address = address
-        self.most_idle = most_idle
-        self.idle: list[tuple[SocketStream, h11.Connection]] = []
-
-    async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Reply:
-        """One exchange; NoAnswerError when it fails in any way. Never sent twice by itself."""
-        stream: SocketStream | None = None
-        try:
-            with anyio.fail_after(timeout_s):
-                if self.idle:
-                    stream, connection = self.idle.pop()
-                else:
-                    stream = await anyio.connect_tcp(self.address.host, self.address.port)
-                    connection = h11.Connection(h11.CLIENT)
-                reply = await self._exchange(stream, connection, method, path, body)
-        except (
-            OSError,
-            TimeoutError,
-            anyio.BrokenResourceError,
-            anyio.ClosedResourceError,
-            anyio.EndOfStream,
-            h11.ProtocolError,
-        ) as error:
-            if stream is not None:
-                await anyio.aclose_forcefully(stream)
-            raise NoAnswerError(f"{type(error).__name__} {error}") from None
-        except BaseException:
-            if stream is not None:
-                with anyio.CancelScope(shield=True):
-                    await anyio.aclose_forcefully(stream)
-            raise
-        if connection.our_state is h11.DONE and connection.their_state is h11.DONE and len(self.idle) < self.most_idle:
-            connection.start_next_cycle()
-            self.idle.append((stream, connection))
-        else:
-            await anyio.aclose_forcefully(stream)
-        return reply
-
-    async def _exchange(
-        self, stream: SocketStream, connection: h11.Connection, method: str, path: str, body: bytes | None
-    ) -> Reply:
-        headers = [("Host", f"{self.address.host}:{self.address.port}")]
-        if body is not None:
-            headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        data = connection.send(h11.Request(method=method, target=path, headers=headers)) or b""
-        if body is not None:
-            data += connection.send(h11.Data(data=body)) or b""
-        data += connection.send(h11.EndOfMessage()) or b""
-        await stream.send(data)
-        status = 0
-        parts: list[bytes] = []
-        while True:
-            event = connection.next_event()
-            if event is h11.NEED_DATA:
-                connection.receive_data(await stream.receive())
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-            elif isinstance(event, h11.Data):
-                parts.append(bytes(event.data))
-            elif isinstance(event, h11.EndOfMessage):
-                return Reply(status, b"".join(parts))
-            elif isinstance(event, h11.ConnectionClosed):
-                raise anyio.EndOfStream
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -15,7 +15,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core.tables import Tables
-from sloeswitch.http import NoAnswerError
+from sloeswitch.http_client import NoAnswerError
 from sloeswitch.linearizable_reads import LinearizableReads
 from sloeswitch.own_writes import OwnWrites
 from sloeswitch.state_client import StateClient
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -17,7 +17,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, NoAnswerError, Reply
 from sloeswitch.rate_budget import RESERVED_FRACTION, RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
 
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -10,7 +10,7 @@
 from sloeswitch import wire
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,7 +12,7 @@
 from sloeswitch.core import keys, scaling
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from sloeswitch.replica import Replica, StaleReplicaError
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.single_controller import (
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from sloeswitch.core import keys, placement
 from sloeswitch.core.claim_planner import ClaimPlanner, PlanLimits
 from sloeswitch.core.rendezvous import owner
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from tests.conftest import MACHINE_TYPE, spec
 from tests.support.cluster import Clock
 from tests.support.fleet import FleetWorld, machine_name
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from sloeswitch.http import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, NoAnswerError, Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.settings import Address, parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult, transaction_result
--- a/tests/test_state_reads.py
+++ b/tests/test_state_reads.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
 from sloeswitch.state_reads import (
