--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -18,7 +18,7 @@
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core.machine_registry import Machine, MachineRegistry
 from sloeswitch.core.tables import Tables
-from sloeswitch.http_client import Client, NoAnswerError
+from sloeswitch.http_client import Client, HttpTransportError
 from sloeswitch.settings import Address, Settings
 
 log = logging.getLogger("machines")
@@ -122,7 +122,7 @@
             async with self._sockets:
                 self.record_begun(machine)
                 await self._send_commands(machine)
-        except NoAnswerError:
+        except HttpTransportError:
             self.record_failure(machine)
         except (wire.MalformedError, ValueError, InboxFullError) as error:
             log.error("%s answered a command with %s", machine.name, error)
@@ -153,7 +153,7 @@
                 reply = await self._client(address).request("GET", "/inspect", None, self.timeout_s)
             if reply.status == 200:
                 report = wire.decode(reply.body, wire.WorkerReport)
-        except NoAnswerError:
+        except HttpTransportError:
             pass
         except (wire.MalformedError, ValueError) as error:
             log.error("%s answered an inspection with %s", name, error)
@@ -166,4 +166,4 @@
     def _client(address: str) -> Client:
         """Raises ValueError for what is no address."""
         host, _, port = address.rpartition(":")
-        return Client(Address(host, int(port)), most_idle=0)
+        return Client(Address(host, int(port)), max_idle_connections=0)
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -18,7 +18,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.records import MemberRow
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http_client import NoAnswerError
+from sloeswitch.http_client import HttpTransportError
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
@@ -62,7 +62,7 @@
                     await self._write_member()
                 if self.leadership.is_leader and not self.replica.tables.layout_complete:
                     await self._record_layout()
-            except (NoAnswerError, StaleReplicaError):
+            except (HttpTransportError, StaleReplicaError):
                 pass
             pause = self.settings.controller_lease_s / 4 - (self.client.now() - started)
             await anyio.sleep(max(pause, self.settings.controller_lease_s / 16))
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -201,10 +201,12 @@
             return fault(400, str(error))
         # A report on the same connection, as soon as the next one is due, shows that the last answer was
         # received. One that was held up on the way shows nothing of the kind.
-        received = self.client.now() - request.talk.get(report.machine, -math.inf) < 2 * self.settings.report_s
+        received = (
+            self.client.now() - request.connection_state.get(report.machine, -math.inf) < 2 * self.settings.report_s
+        )
         answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, last_answer_received=received))
         if answer is None:
             return refuse(self.retry_s)
         if answer.status == 200:
-            request.talk[report.machine] = self.client.now()
+            request.connection_state[report.machine] = self.client.now()
         return answer
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -8,7 +8,7 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.http_client import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, HttpTransportError, Reply
 from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
 
@@ -24,7 +24,7 @@
     lists and rents; the others only give machines back, many in a call."""
 
     def __init__(self, settings: Settings, coordinating: Callable[[], bool], now: Callable[[], float]) -> None:
-        self.http = Client(settings.cloud, most_idle=2)
+        self.http = Client(settings.cloud, max_idle_connections=2)
         self.now = now
         self.coordinating = coordinating
         self.rps = 0.9 * settings.cloud_rps
@@ -40,7 +40,7 @@
             await anyio.sleep(-self.bucket.tokens / self.bucket.rate)
         try:
             return await self.http.request(method, path, body, self.timeout_s)
-        except NoAnswerError as error:
+        except HttpTransportError as error:
             raise CloudError(str(error)) from None
 
     async def read_catalog(self) -> wire.MachineTypeCatalog:
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -60,7 +60,7 @@
         users.handle,
         idle_s=6 * settings.lease_s,
         request_s=settings.lease_s / 2,
-        most_connections=int(0.7 * settings.fd_limit),
+        max_connections=int(0.7 * settings.fd_limit),
         now=CLOCK.now,
     )
     listener = await SocketListener.from_socket(listener_socket(settings.bind, settings.fd_limit))
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -39,7 +39,7 @@
     body: bytes
     # What the handler keeps with the connection. Requests are never pipelined (protocol), so that one
     # that comes after an answer on the same connection shows that the answer was received.
-    talk: dict[str, float] = field(default_factory=dict)
+    connection_state: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass
@@ -130,7 +130,7 @@
 
     stream: SocketStream
     closes_at: float
-    talk: dict[str, float] = field(default_factory=dict)
+    connection_state: dict[str, float] = field(default_factory=dict)
     # Received and not yet read as a request.
     pending: bytes = b""
 
@@ -144,12 +144,12 @@
     was over half of what a report costs: what h11 made of a plain head is remembered, byte for byte."""
 
     def __init__(
-        self, handler: Handler, idle_s: float, request_s: float, most_connections: int, now: Callable[[], float]
+        self, handler: Handler, idle_s: float, request_s: float, max_connections: int, now: Callable[[], float]
     ) -> None:
         self.handler = handler
         self.idle_s = idle_s
         self.request_s = request_s
-        self.most_connections = most_connections
+        self.max_connections = max_connections
         self.now = now
         self.open: dict[Connection, None] = {}
         # Connections between requests, the longest idle first.
@@ -157,7 +157,7 @@
         self.heads: dict[bytes, Head] = {}
 
     async def serve(self, stream: SocketStream) -> None:
-        if len(self.open) >= self.most_connections:
+        if len(self.open) >= self.max_connections:
             oldest = next(iter(self.idle), None)
             if oldest is None:
                 await anyio.aclose_forcefully(stream)
@@ -240,14 +240,14 @@
         while len(data) < stop:
             data += await connection.stream.receive()
         connection.pending = data[stop:]
-        return Request(head.method, head.path, data[start:stop], connection.talk)
+        return Request(head.method, head.path, data[start:stop], connection.connection_state)
 
     def _remember(self, data: bytes, request: h11.Request, body: bytes) -> None:
         end = END_OF_HEAD.search(data, 0, LONGEST_KNOWN)
         head = plain(request)
         if end is None or head is None or len(body) != head.length or not data[end.end() :].startswith(body):
             return
-        if len(self.heads) >= 4 * self.most_connections:
+        if len(self.heads) >= 4 * self.max_connections:
             del self.heads[next(iter(self.heads))]
         self.heads[data[: end.end()]] = head
 
@@ -281,7 +281,7 @@
         if head is None:
             return None
         self._remember(data, head, body)
-        return Request(head.method.decode(), head.target.decode(), bytes(body), connection.talk)
+        return Request(head.method.decode(), head.target.decode(), bytes(body), connection.connection_state)
 
     @staticmethod
     async def _broken(parser: h11.Connection, stream: SocketStream) -> None:
--- a/sloeswitch/http_client.py
+++ b/sloeswitch/http_client.py
@@ -11,7 +11,7 @@
 from sloeswitch.settings import Address
 
 
-class NoAnswerError(Exception):
+class HttpTransportError(Exception):
     """The request may or may not have been carried out."""
 
 
@@ -26,13 +26,13 @@
 class Client:
     """Talks to one address over kept connections, each used by one request at a time."""
 
-    def __init__(self, address: Address, most_idle: int = 4) -> None:
+    def __init__(self, address: Address, max_idle_connections: int = 4) -> None:
         self.address = address
-        self.most_idle = most_idle
+        self.max_idle_connections = max_idle_connections
         self.idle: list[tuple[SocketStream, h11.Connection]] = []
 
     async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Reply:
-        """One exchange; NoAnswerError when it fails in any way. Never sent twice by itself."""
+        """One exchange; HttpTransportError when it fails in any way. Never sent twice by itself."""
         stream: SocketStream | None = None
         try:
             with anyio.fail_after(timeout_s):
@@ -52,13 +52,17 @@
         ) as error:
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
-            raise NoAnswerError(f"{type(error).__name__} {error}") from None
+            raise HttpTransportError(f"{type(error).__name__} {error}") from None
         except BaseException:
             if stream is not None:
                 with anyio.CancelScope(shield=True):
                     await anyio.aclose_forcefully(stream)
             raise
-        if connection.our_state is h11.DONE and connection.their_state is h11.DONE and len(self.idle) < self.most_idle:
+        if (
+            connection.our_state is h11.DONE
+            and connection.their_state is h11.DONE
+            and len(self.idle) < self.max_idle_connections
+        ):
             connection.start_next_cycle()
             self.idle.append((stream, connection))
         else:
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -15,7 +15,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core.tables import Tables
-from sloeswitch.http_client import NoAnswerError
+from sloeswitch.http_client import HttpTransportError
 from sloeswitch.linearizable_reads import LinearizableReads
 from sloeswitch.own_writes import OwnWrites
 from sloeswitch.state_client import StateClient
@@ -128,7 +128,7 @@
             attempt_over = await self._reads.wait_request()
             try:
                 await self._serve_read()
-            except (NoAnswerError, StateReadError):
+            except (HttpTransportError, StateReadError):
                 await anyio.sleep(self.watch_pause_s / 4)
             finally:
                 attempt_over.set()
@@ -183,7 +183,7 @@
                 await anyio.sleep(self.watch_pause_s)
                 while (wait_s := self.linearizable_at + self.watch_pause_s - self.now()) > 0:
                     await anyio.sleep(wait_s)  # linearizable reads bring the same
-            except (NoAnswerError, StateReadError) as error:
+            except (HttpTransportError, StateReadError) as error:
                 log.debug("change feed interrupted: error=%s", error)
                 await anyio.sleep(self.watch_pause_s)
 
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -17,7 +17,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http_client import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, HttpTransportError, Reply
 from sloeswitch.rate_budget import RESERVED_FRACTION, RequestPriority, TokenBucket
 from sloeswitch.settings import Settings
 
@@ -94,8 +94,8 @@
 
     def __init__(self, settings: Settings, controller_count: Callable[[], int], now: Callable[[], float]) -> None:
         self.settings = settings
-        self.http = Client(settings.state, most_idle=MAX_IDLE_CONNECTIONS)
-        self.watch_http = Client(settings.state, most_idle=1)
+        self.http = Client(settings.state, max_idle_connections=MAX_IDLE_CONNECTIONS)
+        self.watch_http = Client(settings.state, max_idle_connections=1)
         self.now = now
         self.controller_count = controller_count
         self.timeout_s = settings.controller_lease_s / 4
@@ -150,13 +150,13 @@
             hold_s: How long the state service may hold the answer back (a watch), in seconds.
 
         Raises:
-            NoAnswerError: There is no answer; the request may have been carried out, or may yet be.
+            HttpTransportError: There is no answer; the request may have been carried out, or may yet be.
         """
         await self._acquire(self.request_tokens, 1, priority)
         client = self.watch_http if hold_s else self.http
         try:
             reply = await client.request(method, path, body, self.timeout_s + hold_s)
-        except NoAnswerError:
+        except HttpTransportError:
             self._record_failure()
             raise
         self._record_status(reply.status)
@@ -211,7 +211,7 @@
         try:
             reply = await self.call("POST", "/multi", body, priority)
             result = transaction_result(reply)
-        except NoAnswerError as error:
+        except HttpTransportError as error:
             log.debug("transaction without answer: error=%s", error)
             return TransactionResult(TransactionOutcome.UNKNOWN)
         except wire.MalformedError as error:
--- a/sloeswitch/state_reads.py
+++ b/sloeswitch/state_reads.py
@@ -1,7 +1,7 @@
 """Reads of the state service, each a request and the decoding of its answer; `replica` alone uses them.
 
 What an answer cannot be used for is raised as a subclass of StateReadError. A request without an answer raises
-`http_client.NoAnswerError` instead.
+`http_client.HttpTransportError` instead.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
     """Reads all rows, page by page.
 
     Raises:
-        http_client.NoAnswerError: A request had no answer.
+        http_client.HttpTransportError: A request had no answer.
         StateReadError: An answer cannot be used.
     """
     page = await _read_page(client, after_key="")
@@ -89,7 +89,7 @@
         hold_s: How long the state service may wait for a change, in seconds; 0: it answers at once.
 
     Raises:
-        http_client.NoAnswerError: The request had no answer.
+        http_client.HttpTransportError: The request had no answer.
         ChangesDiscardedError: The revision is too old.
         StateReadError: The answer cannot be used.
     """
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -36,7 +36,7 @@
 
 def talk(*chunks: bytes) -> bytes:
     pipe: Any = Pipe(*chunks)
-    server = Server(echo, idle_s=60, request_s=60, most_connections=4, now=lambda: 0.0)
+    server = Server(echo, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
     anyio.run(server.serve, pipe)
     assert pipe.closed and not server.open and not server.idle
     sent: bytes = pipe.sent
@@ -70,7 +70,7 @@
 
 
 def test_a_new_connection_takes_the_place_of_the_longest_idle_one() -> None:
-    server = Server(echo, idle_s=60, request_s=60, most_connections=1, now=lambda: 0.0)
+    server = Server(echo, idle_s=60, request_s=60, max_connections=1, now=lambda: 0.0)
     old: Any = Pipe()
     connection = Connection(old, closes_at=60.0)
     server.open, server.idle = {connection: None}, {connection: None}
@@ -102,7 +102,7 @@
     ],
 )
 def test_a_head_that_says_more_is_never_known(head: bytes) -> None:
-    server = Server(echo, idle_s=60, request_s=60, most_connections=4, now=lambda: 0.0)
+    server = Server(echo, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
     for _ in range(2):
         pipe: Any = Pipe(head + b"hi", *[b"x" * 20_000] * 4)
         anyio.run(server.serve, pipe)
@@ -110,7 +110,7 @@
 
 
 def test_known_heads_are_bounded() -> None:
-    server = Server(echo, idle_s=60, request_s=60, most_connections=1, now=lambda: 0.0)
+    server = Server(echo, idle_s=60, request_s=60, max_connections=1, now=lambda: 0.0)
     for number in range(9):
         pipe: Any = Pipe(b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
         anyio.run(server.serve, pipe)
@@ -125,7 +125,7 @@
     async def fail(request: Request) -> Answer:
         raise RuntimeError
 
-    server = Server(fail, idle_s=60, request_s=60, most_connections=4, now=lambda: 0.0)
+    server = Server(fail, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
     pipe: Any = Pipe(POST + b"hi")
     anyio.run(server.serve, pipe)
     assert pipe.closed and not server.open
@@ -171,7 +171,7 @@
         await anyio.wait_all_tasks_blocked()
 
     monkeypatch.setattr("sloeswitch.http.anyio.sleep", pause)
-    server = Server(echo, idle_s=60, request_s=10, most_connections=3, now=lambda: clock[0])
+    server = Server(echo, idle_s=60, request_s=10, max_connections=3, now=lambda: clock[0])
     server.heads[POST] = Head("POST", "/b", 2)
 
     async def run() -> None:
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from sloeswitch.http_client import Client, NoAnswerError, Reply
+from sloeswitch.http_client import Client, HttpTransportError, Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.settings import Address, parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult, transaction_result
@@ -47,7 +47,7 @@
     async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Reply:
         status = self.statuses.pop(0)
         if status is None:
-            raise NoAnswerError("lost")
+            raise HttpTransportError("lost")
         return Reply(status, b"")
 
 
@@ -60,7 +60,7 @@
         http.statuses.append(status)
         try:
             anyio.run(client.call, "GET", "/kv/a", None, RequestPriority.LEASE)
-        except NoAnswerError:
+        except HttpTransportError:
             assert status is None
         return client.is_reachable
 
