--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -1,4 +1,8 @@
-"""An HTTP/1.1 server over anyio streams, parsed by h11."""
+"""An HTTP/1.1 server over anyio streams, parsed by h11, for users and workers.
+
+A worker sends the same head with every heartbeat of a length, and parsing and writing heads was over half of what a
+heartbeat costs: what h11 made of a plain head is remembered, byte for byte, in both directions.
+"""
 
 from __future__ import annotations
 
@@ -34,16 +38,26 @@
 
 @dataclass
 class Request:
+    """A received request.
+
+    Attributes:
+        method: The HTTP method.
+        path: The path with its query.
+        body: The body, empty if there is none.
+        connection_state: What the handler keeps with the connection. Requests are never pipelined (protocol), so that
+            one that comes after an answer on the same connection shows that the answer was received.
+    """
+
     method: str
     path: str
     body: bytes
-    # What the handler keeps with the connection. Requests are never pipelined (protocol), so that one
-    # that comes after an answer on the same connection shows that the answer was received.
     connection_state: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass
 class Answer:
+    """A response to send; `close` has the connection closed after it."""
+
     status: int
     body: bytes = b"{}"
     headers: list[tuple[str, str]] = field(default_factory=list)
@@ -51,7 +65,7 @@
 
 
 def refuse(retry_s: float) -> Answer:
-    """Says at once that the request cannot be taken now, and when to come back."""
+    """The answer that a request cannot be taken now, and may come again after so many seconds."""
     return Answer(503, b'{"error":"not now"}', [("Retry-After", str(max(1, round(retry_s))))])
 
 
@@ -59,8 +73,16 @@
 
 
 def listener_socket(address: Address, backlog: int) -> socket.socket:
-    """A listening socket without a name look-up, which the machines do not offer. All workers may connect at
-    once, when the other controllers are gone."""
+    """A listening socket, made without a name look-up, which the machines do not offer.
+
+    Args:
+        address: Where to listen.
+        backlog: How many connections may wait to be accepted. All workers may connect at once, when the other
+            controllers are gone.
+
+    Raises:
+        OSError: The address cannot be bound.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
@@ -69,11 +91,15 @@
     return sock
 
 
-# Where h11 sees a head end, and the longest head worth remembering.
-END_OF_HEAD = re.compile(rb"\n\r?\n")
-LONGEST_KNOWN = 1024
+# -- heads that are remembered
+
+# Where h11 sees a head end.
+HEAD_END = re.compile(rb"\n\r?\n")
+MAX_REMEMBERED_HEAD_BYTES = 1024
+REMEMBERED_HEADS_PER_CONNECTION = 4
+REMEMBERED_ANSWER_HEADS = 1024
 # Headers that bear on more than the one request's body.
-SPECIAL = {b"connection", b"expect", b"transfer-encoding", b"upgrade"}
+CONNECTION_HEADERS = {b"connection", b"expect", b"transfer-encoding", b"upgrade"}
 
 
 class Head(NamedTuple):
@@ -81,67 +107,86 @@
 
     method: str
     path: str
-    length: int
+    body_bytes: int
 
 
-def plain(request: h11.Request) -> Head | None:
+def plain_head(request: h11.Request) -> Head | None:
     """The head of a request that says nothing of the connection and has a body of known length, or None."""
     headers = dict(request.headers)
-    if request.http_version != b"1.1" or request.method not in (b"GET", b"POST") or not SPECIAL.isdisjoint(headers):
+    if request.http_version != b"1.1" or request.method not in (b"GET", b"POST"):
+        return None
+    if not CONNECTION_HEADERS.isdisjoint(headers):
         return None
-    length = int(headers.get(b"content-length", b"0"))
-    return Head(request.method.decode(), request.target.decode(), length) if length <= MAX_BODY else None
+    body_bytes = int(headers.get(b"content-length", b"0"))
+    return Head(request.method.decode(), request.target.decode(), body_bytes) if body_bytes <= MAX_BODY else None
 
 
-def write_head(parser: h11.Connection, answer: Answer) -> bytes:
+def encode_head(parser: h11.Connection, answer: Answer) -> bytes:
+    """The status line and headers of an answer."""
     headers = [("Content-Type", "application/json"), ("Content-Length", str(len(answer.body))), *answer.headers]
     if answer.close:
         headers.append(("Connection", "close"))
-    return (
-        parser.send(h11.Response(status_code=answer.status, headers=headers, reason=REASONS.get(answer.status, b"")))
-        or b""
-    )
+    reason = REASONS.get(answer.status, b"")
+    return parser.send(h11.Response(status_code=answer.status, headers=headers, reason=reason)) or b""
 
 
-def write(parser: h11.Connection, answer: Answer, bodiless: bool = False) -> bytes:
-    data = write_head(parser, answer)
+def encode_answer(parser: h11.Connection, answer: Answer, bodiless: bool = False) -> bytes:
+    """A whole answer; `bodiless`: without the body that its head describes."""
+    data = encode_head(parser, answer)
     if not bodiless:
         data += parser.send(h11.Data(data=answer.body)) or b""
     return data + (parser.send(h11.EndOfMessage()) or b"")
 
 
-@functools.lru_cache(maxsize=1024)
-def _plain_head(status: int, length: int, headers: tuple[tuple[str, str], ...]) -> bytes:
+@functools.lru_cache(maxsize=REMEMBERED_ANSWER_HEADS)
+def _encode_plain_head(status: int, body_bytes: int, headers: tuple[tuple[str, str], ...]) -> bytes:
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(b"GET / HTTP/1.1\r\nHost: any\r\n\r\n")
     parser.next_event()
     parser.next_event()
-    return write_head(parser, Answer(status, bytes(length), list(headers)))
+    return encode_head(parser, Answer(status, bytes(body_bytes), list(headers)))
 
 
-def write_plain(answer: Answer) -> bytes:
-    """The answer to a plain request, with the head that h11 wrote for the first one like it."""
-    return _plain_head(answer.status, len(answer.body), tuple(answer.headers)) + answer.body
+def encode_plain_answer(answer: Answer) -> bytes:
+    """The answer to a request with a plain head, with the head that h11 wrote for the first answer like it."""
+    return _encode_plain_head(answer.status, len(answer.body), tuple(answer.headers)) + answer.body
+
+
+# -- connections
 
 
 @dataclass(eq=False)
 class Connection:
-    """One accepted connection, and when it is closed if nothing comes or goes on it."""
+    """One accepted connection.
+
+    Attributes:
+        stream: Its stream.
+        closes_at: When it is closed if nothing comes or goes on it, in seconds of the server's clock.
+        connection_state: What the handler keeps with the connection.
+        pending: Bytes that were received and not yet read as a request.
+    """
 
     stream: SocketStream
     closes_at: float
     connection_state: dict[str, float] = field(default_factory=dict)
-    # Received and not yet read as a request.
     pending: bytes = b""
 
 
 class Server:
-    """Serves one address. A connection may be idle for `idle_s`; a request, once begun, must be whole within
-    `request_s`. When all connections are taken, a new one takes the place of the one idle longest.
+    """Serves one address.
+
+    When all connections are taken, a new one takes the place of the one idle longest. The times are watched by one
+    sweep for all connections: a timer for each request took a tenth of what a heartbeat costs.
 
-    The times are watched by one sweep for all connections: a timer for each request took a tenth of what
-    a report costs. A worker sends the same head with every report of a length, and parsing and writing heads
-    was over half of what a report costs: what h11 made of a plain head is remembered, byte for byte."""
+    Attributes:
+        handler: Answers a request.
+        idle_s: How long a connection may be idle.
+        request_s: Within how long a request, once begun, must be whole, and an answer be taken.
+        max_connections: How many connections are open at once.
+        open: All open connections.
+        idle: The connections between requests, the longest idle first.
+        heads: What h11 made of plain heads, by their bytes; the oldest is forgotten first.
+    """
 
     def __init__(
         self, handler: Handler, idle_s: float, request_s: float, max_connections: int, now: Callable[[], float]
@@ -152,76 +197,84 @@
         self.max_connections = max_connections
         self.now = now
         self.open: dict[Connection, None] = {}
-        # Connections between requests, the longest idle first.
         self.idle: dict[Connection, None] = {}
         self.heads: dict[bytes, Head] = {}
 
     async def serve(self, stream: SocketStream) -> None:
+        """Serves one accepted connection until it ends, and closes it."""
         if len(self.open) >= self.max_connections:
-            oldest = next(iter(self.idle), None)
-            if oldest is None:
+            longest_idle = next(iter(self.idle), None)
+            if longest_idle is None:
                 await anyio.aclose_forcefully(stream)
                 return
-            await self._drop(oldest)
+            await self._close(longest_idle)
         connection = Connection(stream, self.now() + self.idle_s)
         self.open[connection] = None
         try:
-            await self._serve(connection)
+            await self._serve_requests(connection)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError):
-            pass
+            pass  # the client connects again
         except Exception:
-            # A fault in one connection must not end the others.
-            log.exception("while serving a connection")
+            # Guards against a fault in one connection that would end the others.
+            log.exception("connection failed")
         finally:
-            await self._drop(connection)
-
-    async def _drop(self, connection: Connection) -> None:
-        self.open.pop(connection, None)
-        self.idle.pop(connection, None)
-        await anyio.aclose_forcefully(connection.stream)
+            await self._close(connection)
 
     async def sweep_forever(self) -> None:
+        """Closes connections whose time is over."""
         while True:
             await anyio.sleep(self.request_s / 4)
             now = self.now()
             for connection in [connection for connection in self.open if connection.closes_at < now]:
-                await self._drop(connection)
+                await self._close(connection)
+
+    async def _close(self, connection: Connection) -> None:
+        self.open.pop(connection, None)
+        self.idle.pop(connection, None)
+        await anyio.aclose_forcefully(connection.stream)
 
-    async def _serve(self, connection: Connection) -> None:
-        stream = connection.stream
+    async def _serve_requests(self, connection: Connection) -> None:
         while True:
             if not connection.pending:
-                await self._wait(connection)
+                await self._wait_request(connection)
             connection.closes_at = self.now() + self.request_s
-            parser: h11.Connection | None = None
-            request = await self._read_known(connection)
-            if request is None:
-                parser = h11.Connection(h11.SERVER)
-                try:
-                    request = await self._read(connection, parser)
-                except h11.RemoteProtocolError as error:
-                    log.debug("broken request: %s", error)
-                    await self._broken(parser, stream)
-                    return
-                if request is None:
-                    return
-            if len(request.body) > MAX_BODY:
-                answer = Answer(400, b'{"error":"body over 64 KiB"}', close=True)
-            else:
+            request = await self._read_remembered(connection)
+            if request is not None:
+                # Not a function of its own, since most heartbeats come this way. The handler may take any time.
                 connection.closes_at = math.inf
                 answer = await self.handler(request)
-            # An answer to HEAD has no body. Found by a test: h11 refused to write one, and the fault ended the
-            # whole controller.
-            data = write_plain(answer) if parser is None else write(parser, answer, request.method == "HEAD")
-            connection.closes_at = self.now() + self.request_s
-            await stream.send(data)
-            if parser is not None:
-                if answer.close or parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
-                    return
-                connection.pending = parser.trailing_data[0]
-
-    async def _wait(self, connection: Connection) -> None:
-        """The first bytes of a request; EndOfStream when none comes any more."""
+                connection.closes_at = self.now() + self.request_s
+                await connection.stream.send(encode_plain_answer(answer))
+            elif not await self._serve_parsed(connection):
+                return
+
+    async def _serve_parsed(self, connection: Connection) -> bool:
+        """Serves a request whose head is not remembered; returns whether the connection may serve another one."""
+        parser = h11.Connection(h11.SERVER)
+        try:
+            request = await self._read_parsed(connection, parser)
+        except h11.RemoteProtocolError as error:
+            log.debug("request is not HTTP: error=%s", error)
+            await self._answer_malformed(parser, connection.stream)
+            return False
+        if request is None:
+            return False
+        if len(request.body) > MAX_BODY:
+            answer = Answer(400, b'{"error":"body over 64 KiB"}', close=True)
+        else:
+            connection.closes_at = math.inf
+            answer = await self.handler(request)
+        connection.closes_at = self.now() + self.request_s
+        # Guards against h11's refusal to write a body in an answer to HEAD: the fault ended the whole controller
+        # (found by a test).
+        await connection.stream.send(encode_answer(parser, answer, bodiless=request.method == "HEAD"))
+        if answer.close or parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
+            return False
+        connection.pending = parser.trailing_data[0]
+        return True
+
+    async def _wait_request(self, connection: Connection) -> None:
+        """Waits for the first bytes of a request; raises EndOfStream when none comes any more."""
         self.idle[connection] = None
         connection.closes_at = self.now() + self.idle_s
         try:
@@ -229,45 +282,42 @@
         finally:
             self.idle.pop(connection, None)
 
-    async def _read_known(self, connection: Connection) -> Request | None:
-        """The request, if its head is known. Else None, and nothing is read."""
+    async def _read_remembered(self, connection: Connection) -> Request | None:
+        """The request, if its head is remembered. Else None, and nothing is read."""
         data = connection.pending
-        end = END_OF_HEAD.search(data, 0, LONGEST_KNOWN)
+        end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
         head = self.heads.get(data[: end.end()]) if end is not None else None
         if head is None or end is None:
             return None
-        start, stop = end.end(), end.end() + head.length
+        start, stop = end.end(), end.end() + head.body_bytes
         while len(data) < stop:
             data += await connection.stream.receive()
         connection.pending = data[stop:]
         return Request(head.method, head.path, data[start:stop], connection.connection_state)
 
     def _remember(self, data: bytes, request: h11.Request, body: bytes) -> None:
-        end = END_OF_HEAD.search(data, 0, LONGEST_KNOWN)
-        head = plain(request)
-        if end is None or head is None or len(body) != head.length or not data[end.end() :].startswith(body):
+        """Remembers the head of a request, if it is plain and its body follows it as it is."""
+        end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
+        head = plain_head(request)
+        if end is None or head is None or len(body) != head.body_bytes or not data[end.end() :].startswith(body):
             return
-        if len(self.heads) >= 4 * self.max_connections:
+        if len(self.heads) >= REMEMBERED_HEADS_PER_CONNECTION * self.max_connections:
             del self.heads[next(iter(self.heads))]
         self.heads[data[: end.end()]] = head
 
-    async def _read(self, connection: Connection, parser: h11.Connection) -> Request | None:
-        stream = connection.stream
+    async def _read_parsed(self, connection: Connection, parser: h11.Connection) -> Request | None:
+        """The request as h11 parses it; None when the connection ends before.
+
+        Raises:
+            h11.RemoteProtocolError: It is not HTTP.
+        """
         head: h11.Request | None = None
         data, body = connection.pending, b""
         parser.receive_data(data)
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                if parser.they_are_waiting_for_100_continue:
-                    note = h11.InformationalResponse(status_code=100, headers=[])
-                    await stream.send(parser.send(note) or b"")
-                try:
-                    chunk = await stream.receive()
-                except anyio.EndOfStream:
-                    chunk = b""
-                parser.receive_data(chunk)
-                data += chunk
+                data += await self._receive_into(parser, connection.stream)
             elif isinstance(event, h11.Request):
                 head = event
             elif isinstance(event, h11.Data):
@@ -284,7 +334,19 @@
         return Request(head.method.decode(), head.target.decode(), bytes(body), connection.connection_state)
 
     @staticmethod
-    async def _broken(parser: h11.Connection, stream: SocketStream) -> None:
-        if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return
-        await stream.send(write(parser, Answer(400, b'{"error":"broken HTTP"}', close=True)))
+    async def _receive_into(parser: h11.Connection, stream: SocketStream) -> bytes:
+        """Passes the next bytes to the parser and returns them; empty at the end of the stream."""
+        if parser.they_are_waiting_for_100_continue:
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            await stream.send(parser.send(response) or b"")
+        try:
+            chunk = await stream.receive()
+        except anyio.EndOfStream:
+            chunk = b""
+        parser.receive_data(chunk)
+        return chunk
+
+    @staticmethod
+    async def _answer_malformed(parser: h11.Connection, stream: SocketStream) -> None:
+        if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
+            await stream.send(encode_answer(parser, Answer(400, b'{"error":"broken HTTP"}', close=True)))
--- a/sloeswitch/http_client.py
+++ b/sloeswitch/http_client.py
@@ -1,4 +1,7 @@
-"""An HTTP/1.1 client over anyio streams, parsed by h11, that keeps connections."""
+"""An HTTP/1.1 client over anyio streams, parsed by h11, that keeps connections.
+
+The clients of the state service and of the cloud, and the direct commands to workers, send their requests through it.
+"""
 
 from __future__ import annotations
 
@@ -12,36 +15,63 @@
 
 
 class HttpTransportError(Exception):
-    """The request may or may not have been carried out."""
+    """There is no whole response; the request may or may not have been carried out, or may yet be.
+
+    The message names the cause: the connection failed, the response was broken or did not come in time.
+    """
 
 
 @dataclass
 class Reply:
-    """An answer."""
+    """A response: its status and its body."""
 
     status: int
     body: bytes
 
 
+@dataclass(frozen=True)
+class _Connection:
+    """A connection and the state of its parser."""
+
+    stream: SocketStream
+    parser: h11.Connection
+
+    @property
+    def is_reusable(self) -> bool:
+        """Whether both sides are done with an exchange, and neither asked to close the connection."""
+        return self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
+
+
 class Client:
-    """Talks to one address over kept connections, each used by one request at a time."""
+    """Sends requests to one address over kept connections, each used by one request at a time.
+
+    Attributes:
+        address: Where requests go.
+        max_idle_connections: How many connections are kept between requests.
+    """
 
     def __init__(self, address: Address, max_idle_connections: int = 4) -> None:
         self.address = address
         self.max_idle_connections = max_idle_connections
-        self.idle: list[tuple[SocketStream, h11.Connection]] = []
+        self._idle: list[_Connection] = []
 
     async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Reply:
-        """One exchange; HttpTransportError when it fails in any way. Never sent twice by itself."""
-        stream: SocketStream | None = None
+        """Sends one request, once, and returns the response.
+
+        Args:
+            method: The HTTP method.
+            path: The path with its query.
+            body: The JSON body; None: no body.
+            timeout_s: How long the connection and the response are waited for together.
+
+        Raises:
+            HttpTransportError: There is no whole response in time.
+        """
+        connection: _Connection | None = None
         try:
             with anyio.fail_after(timeout_s):
-                if self.idle:
-                    stream, connection = self.idle.pop()
-                else:
-                    stream = await anyio.connect_tcp(self.address.host, self.address.port)
-                    connection = h11.Connection(h11.CLIENT)
-                reply = await self._exchange(stream, connection, method, path, body)
+                connection = self._idle.pop() if self._idle else await self._connect()
+                reply = await self._exchange(connection, method, path, body)
         except (
             OSError,
             TimeoutError,
@@ -50,42 +80,36 @@
             anyio.EndOfStream,
             h11.ProtocolError,
         ) as error:
-            if stream is not None:
-                await anyio.aclose_forcefully(stream)
+            if connection is not None:
+                await anyio.aclose_forcefully(connection.stream)
             raise HttpTransportError(f"{type(error).__name__} {error}") from None
         except BaseException:
-            if stream is not None:
+            if connection is not None:
                 with anyio.CancelScope(shield=True):
-                    await anyio.aclose_forcefully(stream)
+                    await anyio.aclose_forcefully(connection.stream)
             raise
-        if (
-            connection.our_state is h11.DONE
-            and connection.their_state is h11.DONE
-            and len(self.idle) < self.max_idle_connections
-        ):
-            connection.start_next_cycle()
-            self.idle.append((stream, connection))
-        else:
-            await anyio.aclose_forcefully(stream)
+        await self._keep_or_close(connection)
         return reply
 
-    async def _exchange(
-        self, stream: SocketStream, connection: h11.Connection, method: str, path: str, body: bytes | None
-    ) -> Reply:
-        headers = [("Host", f"{self.address.host}:{self.address.port}")]
-        if body is not None:
-            headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
-        data = connection.send(h11.Request(method=method, target=path, headers=headers)) or b""
-        if body is not None:
-            data += connection.send(h11.Data(data=body)) or b""
-        data += connection.send(h11.EndOfMessage()) or b""
-        await stream.send(data)
+    async def _connect(self) -> _Connection:
+        stream = await anyio.connect_tcp(self.address.host, self.address.port)
+        return _Connection(stream, h11.Connection(h11.CLIENT))
+
+    async def _keep_or_close(self, connection: _Connection) -> None:
+        if connection.is_reusable and len(self._idle) < self.max_idle_connections:
+            connection.parser.start_next_cycle()
+            self._idle.append(connection)
+        else:
+            await anyio.aclose_forcefully(connection.stream)
+
+    async def _exchange(self, connection: _Connection, method: str, path: str, body: bytes | None) -> Reply:
+        await connection.stream.send(self._encode_request(connection.parser, method, path, body))
         status = 0
         parts: list[bytes] = []
         while True:
-            event = connection.next_event()
+            event = connection.parser.next_event()
             if event is h11.NEED_DATA:
-                connection.receive_data(await stream.receive())
+                connection.parser.receive_data(await connection.stream.receive())
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
@@ -94,3 +118,12 @@
                 return Reply(status, b"".join(parts))
             elif isinstance(event, h11.ConnectionClosed):
                 raise anyio.EndOfStream
+
+    def _encode_request(self, parser: h11.Connection, method: str, path: str, body: bytes | None) -> bytes:
+        headers = [("Host", f"{self.address.host}:{self.address.port}")]
+        if body is not None:
+            headers += [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
+        data = parser.send(h11.Request(method=method, target=path, headers=headers)) or b""
+        if body is not None:
+            data += parser.send(h11.Data(data=body)) or b""
+        return data + (parser.send(h11.EndOfMessage()) or b"")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -138,7 +138,7 @@
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
-    monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
+    monkeypatch.setattr(cloud.call_tokens, "acquire", lambda *_: 0.0)
     renting = Autoscaler(fleet.context, cloud)
     renting.types = {"small": MACHINE_TYPE}
     fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
