--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -73,7 +73,7 @@
     most_changes_now: int | None = None
     most_bytes_now: int | None = None
 
-    async def acquire_changes(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
 
     async def compare_and_swap(
@@ -359,7 +359,7 @@
     def is_reachable(self) -> bool:
         return self.node.reaches
 
-    async def acquire_changes(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
 
     async def compare_and_swap(
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The state service's rates: who goes first, and what no one may use up."""
+"""The rates of the state service: which requests go first, and what each priority must leave to others."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tests.support.single_controller import NARROW, World, machine_up
 
 
-def test_the_largest_round_of_claims_leaves_no_debt_for_a_submission(store: Store) -> None:
+def test_the_largest_round_of_claims_does_not_overdraw_the_bucket_for_a_submission(store: Store) -> None:
     """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
     client = World(store).client
     client.controller_count = lambda: 3
-    for urgency in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
-        most = client.available_changes(urgency)
+    for priority in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
+        changes = client.available_changes(priority)
         bucket = TokenBucket(client.write_tokens.rate, 0.0)
-        assert bucket.acquire(most, urgency, 0.0) == 0.0
+        assert bucket.acquire(changes, priority, 0.0) == 0.0
         assert bucket.acquire(1, RequestPriority.USER, 0.0) == 0.0
 
 
@@ -36,12 +36,12 @@
     assert bucket.acquire(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
-def test_fresh_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
+def test_linearizable_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
     """Failure found on the bench: polls for hundreds of jobs starved the claims for seconds."""
     world = World(store)
     for members in (1, 3):
         world.client.controller_count = lambda members=members: members  # type: ignore[misc]
-        world.client.available_changes(RequestPriority.CLAIM)  # reckons the rates anew
+        world.client.available_changes(RequestPriority.CLAIM)  # sets the rates anew
         assert 1.0 / world.replica.read_pause_s <= world.client.request_tokens.rate / 2
 
 
@@ -57,7 +57,7 @@
 
 
 def test_adoptions_of_one_team_share_its_change(store: Store) -> None:
-    """Failure found on the bench: each adoption was reckoned as three changes, so that a round held one."""
+    """Failure found on the bench: each adoption was counted as three changes, so that a round held one."""
     world = World(store)
     for number in range(1, 4):
         store.job(spec(f"wk-00000{number}"))
@@ -116,7 +116,7 @@
     assert world.claim_requests()[0].task_counts and len(looked) < 20
 
 
-def test_a_round_that_comes_to_nothing_is_not_paid_for(store: Store) -> None:
+def test_a_round_without_changes_takes_nothing_from_the_write_rate(store: Store) -> None:
     """Failure found by reasoning: what is due and needs no change took its part of the rate each time."""
     world = World(store)
     store.job(spec())
@@ -126,10 +126,10 @@
     world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
-    async def pay(changes: int, urgency: RequestPriority) -> None:
+    async def acquire(changes: int, priority: RequestPriority) -> None:
         world.client.write_tokens.tokens -= changes
 
-    world.client.acquire_changes = pay  # type: ignore[method-assign]
+    world.client.acquire_changes = acquire  # type: ignore[method-assign]
     epoch = store.epoch
     world.round()
     assert store.epoch == epoch and world.client.write_tokens.tokens == before
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server, spoken to over a stream in memory."""
+"""The HTTP server, over streams in memory."""
 
 from __future__ import annotations
 
@@ -82,13 +82,13 @@
 POST = b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n"
 
 
-def test_a_known_head_gets_what_an_unknown_one_gets() -> None:
+def test_a_remembered_head_is_answered_like_any_other() -> None:
     """Guards the memory of heads: the first request is h11's, the others come from memory, in one chunk, in
     halves and glued to the next one; all are answered alike."""
-    known = talk(POST + b"hi", POST + b"ho", POST + b"h", b"a" + POST + b"he")
-    heads = {part.partition(b"POST")[0] for part in known.split(b"HTTP/1.1 ")[1:]}
-    assert known.count(b"HTTP/1.1 200") == 4 and len(heads) == 1
-    assert [part[-2:] for part in known.split(b"POST /b ")[1:]] != [b"hi"] * 4 and known.endswith(b"POST /b he")
+    sent = talk(POST + b"hi", POST + b"ho", POST + b"h", b"a" + POST + b"he")
+    heads = {part.partition(b"POST")[0] for part in sent.split(b"HTTP/1.1 ")[1:]}
+    assert sent.count(b"HTTP/1.1 200") == 4 and len(heads) == 1
+    assert [part[-2:] for part in sent.split(b"POST /b ")[1:]] != [b"hi"] * 4 and sent.endswith(b"POST /b he")
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
         b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1000000\r\n\r\n",
     ],
 )
-def test_a_head_that_says_more_is_never_known(head: bytes) -> None:
+def test_a_head_that_bears_on_the_connection_is_never_remembered(head: bytes) -> None:
     server = Server(echo, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
     for _ in range(2):
         pipe: Any = Pipe(head + b"hi", *[b"x" * 20_000] * 4)
@@ -109,7 +109,7 @@
         assert not server.heads
 
 
-def test_known_heads_are_bounded() -> None:
+def test_remembered_heads_are_bounded() -> None:
     server = Server(echo, idle_s=60, request_s=60, max_connections=1, now=lambda: 0.0)
     for number in range(9):
         pipe: Any = Pipe(b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
@@ -117,7 +117,7 @@
     assert len(server.heads) == 4
 
 
-def test_half_a_request_with_a_known_head_is_closed() -> None:
+def test_half_a_request_with_a_remembered_head_is_closed() -> None:
     assert talk(POST + b"hi", POST + b"h").count(b"HTTP/1.1 200") == 1
 
 
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_read_does_not_serve_who_asks_after_it_was_sent(store: Store, answered: bool) -> None:
     """Whether it is still under way or answered by then. The clock stands still meanwhile, as one that goes in steps
-    does: what another node told in between must be in the answer."""
+    does: what another node stored in between must be in the answer."""
     settings = parse(SETTINGS)
     clock = Clock()
     answers: list[wire.ChangeFeed] = []
@@ -30,7 +30,7 @@
     class Slow(StateClient):
         reads = 0
 
-        async def call(self, method: str, path: str, body: Any, urgency: Any, hold_s: float = 0.0) -> Reply:
+        async def call(self, method: str, path: str, body: Any, priority: Any, hold_s: float = 0.0) -> Reply:
             self.reads += 1
             answer = wire.ChangeFeed(self.reads, list(answers[-1].events) if answers else [])
             await anyio.sleep(0)
@@ -51,7 +51,7 @@
                 await anyio.sleep(0)
             if answered:
                 await replica.read_linearizable(1.0)
-            # Another node stores and tells a cancellation now.
+            # Another node stores a cancellation and answers its user now.
             row = dict(store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
             answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=keys.job_key(JOB), value=row)]))
             await replica.read_linearizable(1.0)
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -57,18 +57,18 @@
     """It closes the connection on a frame that it does not know; none is sent before the mark."""
     if upgraded:
         world.store.upgraded()
-    asked: list[int] = []
+    frame_types: list[int] = []
 
     class Earlier:
         def __init__(self) -> None:
             self.reply = b""
 
         async def send(self, data: bytes) -> None:
-            kind = mesh_frames.HEADER.unpack(data[: mesh_frames.HEADER.size])[2]
-            asked.append(kind)
-            if len(asked) == 5:
+            frame_type = mesh_frames.frame_type_of(data[: mesh_frames.HEADER.size])
+            frame_types.append(frame_type)
+            if len(frame_types) == 5:
                 raise KeyboardInterrupt  # enough is seen
-            self.reply = mesh_frames.pack_view(3, True) if kind == mesh_frames.FrameType.VIEW_REQUEST else b""
+            self.reply = mesh_frames.pack_view(3, True) if frame_type == mesh_frames.FrameType.VIEW_REQUEST else b""
 
         async def receive(self) -> bytes:
             if not self.reply:
@@ -87,5 +87,5 @@
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
         anyio.run(own.poll_forever, world.settings.siblings[0])
-    inquire, ask = mesh_frames.FrameType.STATUS_REQUEST, mesh_frames.FrameType.VIEW_REQUEST
-    assert asked == ([inquire, ask, inquire, ask, inquire] if upgraded else [ask] * 5)
+    status, view = mesh_frames.FrameType.STATUS_REQUEST, mesh_frames.FrameType.VIEW_REQUEST
+    assert frame_types == ([status, view, status, view, status] if upgraded else [view] * 5)
