--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -19,7 +19,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core.machine import Attempt, Machine
 from sloeswitch.core.machine_registry import MachineRegistry
-from sloeswitch.http import Client, NoAnswerError
+from sloeswitch.http_client import Client, HttpTransportError
 from sloeswitch.settings import Address
 
 log = logging.getLogger("machines")
@@ -138,7 +138,7 @@
             async with self._sockets:
                 self.record_begun(machine)
                 await self._send_commands(machine)
-        except NoAnswerError:
+        except HttpTransportError:
             self.record_failure(machine)
         except (wire.MalformedError, ValueError, InboxFullError) as error:
             log.error("invalid answer to a command: machine=%s error=%s", machine.name, error)
@@ -174,7 +174,7 @@
                 reply = await self._client(address).request("GET", "/inspect", None, self.timeout_s)
             if reply.status == 200:
                 report = wire.decode(reply.body, wire.WorkerReport)
-        except NoAnswerError:
+        except HttpTransportError:
             pass
         except (wire.MalformedError, ValueError) as error:
             log.error("invalid answer to an inspection: machine=%s error=%s", name, error)
@@ -191,4 +191,4 @@
             ValueError: The address is not HOST:PORT.
         """
         host, _, port = address.rpartition(":")
-        return Client(Address(host, int(port)), most_idle=0)
+        return Client(Address(host, int(port)), max_idle_connections=0)
--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -47,9 +47,7 @@
         {row.key: context.tables.mod_revision(row.key), **context.leadership.view_conditions()},
         {row.key: {"seen": list(status.seen), "complete": status.complete}},
     )
-    outcome, _revision = await context.client.compare_and_swap(
-        change.conditions, change.writes, change.deletes, row.priority
-    )
+    outcome, _revision = await context.client.compare_and_swap(change, row.priority)
     context.replica.request_read()
     return status if outcome is TransactionOutcome.COMMITTED else None
 
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -174,9 +174,7 @@
 
     async def _commit(self, transaction: Transaction) -> TransactionOutcome:
         """Commits a transaction; the tables have its rows at once."""
-        outcome, revision = await self._client.compare_and_swap(
-            transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.USER
-        )
+        outcome, revision = await self._client.compare_and_swap(transaction, RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
             self._replica.apply_own_write(revision, transaction.writes)
         return outcome
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -167,9 +167,7 @@
     async def _commit(self, plan: CommitPlan, priority: RequestPriority, acquired_changes: int) -> TransactionOutcome:
         """Commits the plan's transaction, and brings the tables to the state after it."""
         transaction = plan.transaction
-        outcome, revision = await self.client.compare_and_swap(
-            transaction.conditions, transaction.writes, transaction.deletes, priority, paid=acquired_changes
-        )
+        outcome, revision = await self.client.compare_and_swap(transaction, priority, acquired_changes=acquired_changes)
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(revision, transaction.writes)
         else:
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -70,9 +70,7 @@
             batch = dict(chunks[-batch_size:])
             del chunks[-batch_size:]
             transaction = Transaction(dict.fromkeys(batch, 0), dict(batch))
-            outcome, _revision = await self._client.compare_and_swap(
-                transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.USER
-            )
+            outcome, _revision = await self._client.compare_and_swap(transaction, RequestPriority.USER)
             if outcome is not TransactionOutcome.COMMITTED:
                 return False
         return True
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -281,11 +281,11 @@
             return bad_request(str(error))
         # A report on the same connection, as soon as the next one is due, shows that the last answer was
         # received. One that was held up on the way shows nothing of the kind.
-        answered_at_s = request.talk.get(report.machine, -math.inf)
+        answered_at_s = request.connection_state.get(report.machine, -math.inf)
         received = self.client.now() - answered_at_s < ANSWER_RECEIVED_INTERVALS * self.settings.report_s
         answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, last_answer_received=received))
         if answer is None:
             return unavailable()
         if answer.status == 200:
-            request.talk[report.machine] = self.client.now()
+            request.connection_state[report.machine] = self.client.now()
         return answer
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -26,7 +26,9 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.tables import Tables
-from sloeswitch.mesh import HEADER, Mesh, StatusFrame, pack_inquire
+from sloeswitch.core.transaction import Transaction
+from sloeswitch.mesh import Mesh, MeshCallbacks
+from sloeswitch.mesh_frames import HEADER, StatusFrame, StatusRequest
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
@@ -72,18 +74,18 @@
     most_changes_now: int | None = None
     most_bytes_now: int | None = None
 
-    async def acquire_changes(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         if self.lose_answers:
             self.lose_answers -= 1
             self.late.append((conditions, writes, drops))
@@ -92,7 +94,7 @@
         if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
-            self._lower_limits(writes, len(writes) + len(drops))
+            self._lower_limits(transaction)
             return TransactionResult(TransactionOutcome.REJECTED, 0)
         return self.apply(conditions, writes, drops)
 
@@ -312,9 +314,10 @@
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
         peer = node.mesh.peers[other.settings.member]
-        question = pack_inquire(1, node.replica.applied_revision, peer.log_id, peer.log_position)[HEADER.size :]
+        question = StatusRequest(1, node.replica.applied_revision, peer.log_id, peer.log_position)
         frame = other.mesh.status_for(question).pack()
-        self.recorder.record("frames", node.settings.member, question, other.settings.member, frame)
+        body = question.pack()[HEADER.size :]
+        self.recorder.record("frames", node.settings.member, body, other.settings.member, frame)
         answer = StatusFrame.unpack(frame[HEADER.size :])
         node.mesh.apply_status(peer, self.clock.time, answer)
 
@@ -357,20 +360,20 @@
     def is_reachable(self) -> bool:
         return self.node.reaches
 
-    async def acquire_changes(self, changes: int, urgency: Any) -> None:
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         world = self.node.world
-        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, lease)
+        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, leases)
         if not self.node.reaches:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
 
@@ -497,9 +500,8 @@
             self.settings.siblings,
             1.0,
             clock.now,
-            self.leadership.peer_status,
+            MeshCallbacks(self.leadership.peer_status, self.leadership.apply_peer_cancellations),
             self.tables.cancellations,
-            self.leadership.apply_peer_cancellations,
         )
         self.leadership.mesh = self.mesh
         self.context = ControllerContext(self.settings, self.client, self.replica, self.leadership, clock)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The state service's rates: who goes first, and what no one may use up."""
+"""The rates of the state service: which requests go first, and what each priority must leave to others."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from tests.support.single_controller import NARROW, World, machine_up
 
 
-def test_the_largest_round_of_claims_leaves_no_debt_for_a_submission(store: Store) -> None:
+def test_the_largest_round_of_claims_does_not_overdraw_the_bucket_for_a_submission(store: Store) -> None:
     """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
     client = World(store).client
-    client.controllers = lambda: 3
-    for urgency in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
-        most = client.available_changes(urgency)
+    client.controller_count = lambda: 3
+    for priority in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
+        changes = client.available_changes(priority)
         bucket = TokenBucket(client.write_tokens.rate, 0.0)
-        assert bucket.acquire(most, urgency, 0.0) == 0.0
+        assert bucket.acquire(changes, priority, 0.0) == 0.0
         assert bucket.acquire(1, RequestPriority.USER, 0.0) == 0.0
 
 
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
     """Failure found on the bench: after a round of claims the last of them waited for half a second."""
     client = World(store, NARROW).client
-    client.controllers = lambda: 3
+    client.controller_count = lambda: 3
     bucket = TokenBucket(client.write_tokens.rate, 0.0)
     while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
         pass
@@ -37,13 +37,13 @@
     assert bucket.acquire(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
-def test_fresh_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
+def test_linearizable_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
     """Failure found on the bench: polls for hundreds of jobs starved the claims for seconds."""
     world = World(store)
     for members in (1, 3):
-        world.client.controllers = lambda members=members: members  # type: ignore[misc]
-        world.client.available_changes(RequestPriority.CLAIM)  # reckons the rates anew
-        assert 1.0 / world.replica.read_gap_s <= world.client.request_tokens.rate / 2
+        world.client.controller_count = lambda members=members: members  # type: ignore[misc]
+        world.client.available_changes(RequestPriority.CLAIM)  # sets the rates anew
+        assert 1.0 / world.replica.read_pause_s <= world.client.request_tokens.rate / 2
 
 
 def test_adoptions_and_claims_take_turns(store: Store) -> None:
@@ -58,12 +58,12 @@
 
 
 def test_adoptions_of_one_team_share_its_change(store: Store) -> None:
-    """Failure found on the bench: each adoption was reckoned as three changes, so that a round held one."""
+    """Failure found on the bench: each adoption was counted as three changes, so that a round held one."""
     world = World(store)
     for number in range(1, 4):
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
     world.round()
     moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
@@ -117,7 +117,7 @@
     assert world.claim_requests()[0].task_counts and len(looked) < 20
 
 
-def test_a_round_that_comes_to_nothing_is_not_paid_for(store: Store) -> None:
+def test_a_round_without_changes_takes_nothing_from_the_write_rate(store: Store) -> None:
     """Failure found by reasoning: what is due and needs no change took its part of the rate each time."""
     world = World(store)
     store.job(spec())
@@ -127,10 +127,10 @@
     world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
-    async def pay(changes: int, urgency: RequestPriority) -> None:
+    async def acquire(changes: int, priority: RequestPriority) -> None:
         world.client.write_tokens.tokens -= changes
 
-    world.client.acquire_changes = pay  # type: ignore[method-assign]
+    world.client.acquire_changes = acquire  # type: ignore[method-assign]
     epoch = store.epoch
     world.round()
     assert store.epoch == epoch and world.client.write_tokens.tokens == before
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -17,7 +17,8 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import View
 from sloeswitch.core.rendezvous import owner
-from sloeswitch.http import Reply, Request
+from sloeswitch.http import Request
+from sloeswitch.http_client import Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report, spec, submission
