--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -12,7 +12,7 @@
 from sloeswitch.actors.commands import CommandSender, InspectionReply
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.machine_termination import TerminationReason
-from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, overdue_job
+from sloeswitch.core.cancellation_guard import OVERDUE_SHARE, CancellationGuard, is_cancellation_overdue
 from sloeswitch.core.machine_registry import MachineRegistry
 
 log = logging.getLogger("machines")
@@ -56,7 +56,7 @@
             return
         suspects = self.guard.suspects(self.tables, self.leadership.incarnation_id, now, wall_time_ms)
         suspects |= self._own_suspects(now, wall_time_ms)
-        for name in self.guard.due(suspects, now):
+        for name in self.guard.begin_inspections(suspects, now):
             self.commands.inspect(name, self._address(name))
         if self._all_machines_silent(now):
             return
@@ -78,7 +78,9 @@
 
     def has_overdue(self, wall_time_ms: int) -> bool:
         """Whether a job that was cancelled longer ago than a part of the time allowed still has claims."""
-        return any(overdue_job(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values())
+        return any(
+            is_cancellation_overdue(job, self.settings.cancel_s, wall_time_ms) for job in self.tables.jobs.values()
+        )
 
     def _own_suspects(self, now: float, wall_time_ms: int) -> set[str]:
         """Machines of this controller that may hold tasks cancelled some time ago, or are known to."""
--- a/sloeswitch/actors/cancelled_tasks.py
+++ b/sloeswitch/actors/cancelled_tasks.py
@@ -7,7 +7,7 @@
 
 from sloeswitch.actors.commands import CommandSender
 from sloeswitch.actors.shard_state import ShardState
-from sloeswitch.core.machine_registry import Attempt, Machine
+from sloeswitch.core.machine import Attempt, Machine
 from sloeswitch.core.records import Job
 
 
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -17,7 +17,8 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.context import ControllerContext
-from sloeswitch.core.machine_registry import Attempt, Machine, MachineRegistry
+from sloeswitch.core.machine import Attempt, Machine
+from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.http import Client, NoAnswerError
 from sloeswitch.settings import Address
 
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -8,32 +8,16 @@
 
 import logging
 from collections.abc import Callable, Iterator
-from typing import NamedTuple
 
 from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.core import placement, preemption, quota
-from sloeswitch.core.machine_registry import Attempt, Machine
+from sloeswitch.core.machine import Attempt, Machine
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job
 
 log = logging.getLogger("machines")
 
 
-class Reservation(NamedTuple):
-    """A machine that is kept for a job."""
-
-    job: str
-    # By the clock, in seconds.
-    expires_at: float
-
-
-class ReservedUsage(NamedTuple):
-    """What a job with a reservation will take of its team's quota once it is placed."""
-
-    team: str
-    usage: quota.ResourceUsage
-
-
 class GangPreemption:
     """Makes free capacity for gangs of one task, and reserves it until they are placed."""
 
@@ -49,7 +33,7 @@
         self.tick_interval_s = shard.tick_interval_s
         self.kill = kill
         # By machine.
-        self.reservations: dict[str, Reservation] = {}
+        self.reservations: dict[str, placement.Reservation] = {}
 
     def preempt_for_gangs(self, now: float) -> None:
         """Stops tasks of lower priority for each gang of one task that fits nowhere.
@@ -80,7 +64,7 @@
             more = self._preempt_within_team(job, chosen, shortfall, order) if at_limit else []
             if more is None:
                 continue
-            self.reservations[chosen.machine] = Reservation(job.spec.id, now + self.settings.lease_s)
+            self.reservations[chosen.machine] = placement.Reservation(job.spec.id, now + self.settings.lease_s)
             del capacities[chosen.machine]
             log.info(
                 "tasks preempted for a gang: job=%s machine=%s tasks=%d",
@@ -124,16 +108,16 @@
                 if attempt.key in keys:
                     self.kill(machine, attempt, attempt.spec.save_s)
 
-    def reserved_usage(self) -> dict[str, ReservedUsage]:
+    def reserved_usage(self) -> dict[str, quota.ReservedQuota]:
         """What gangs with a reservation, and which are not placed, will take of their teams' quotas, by job.
 
         Guards against small tasks of the team that take one by one what was freed for a gang.
         """
-        reserved: dict[str, ReservedUsage] = {}
+        reserved: dict[str, quota.ReservedQuota] = {}
         for reservation in self.reservations.values():
             job = self.tables.jobs.get(reservation.job)
             if job is not None and not self.registry.placed_tasks.get(reservation.job):
-                reserved[reservation.job] = ReservedUsage(
+                reserved[reservation.job] = quota.ReservedQuota(
                     job.spec.team, quota.ResourceUsage(job.spec.cores, job.spec.gpus)
                 )
         return reserved
@@ -152,7 +136,7 @@
         for name, reservation in list(self.reservations.items()):
             job = self.tables.jobs.get(reservation.job)
             if (
-                now >= reservation.expires_at
+                now >= reservation.until
                 or job is None
                 or not job.is_runnable
                 or not self.tables.unclaimed_tasks(job, recovered)
--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -13,7 +13,8 @@
 from sloeswitch.actors.machine_ownership import MachineOwnership
 from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.actors.task_placement import TaskPlacement
-from sloeswitch.core.machine_registry import Machine, ReconcileResult
+from sloeswitch.core.machine import Machine
+from sloeswitch.core.reconciliation import ReceivedReport, ReconcileResult, is_outdated, reconcile
 from sloeswitch.http import Answer, refuse
 
 log = logging.getLogger("machines")
@@ -61,13 +62,14 @@
         machine = self.registry.machines.get(report.machine)
         if machine is None:
             machine = self._add_machine(report, now)
-        elif self.registry.is_outdated(machine, report):
+        elif is_outdated(machine, report):
             # Neither a sign of life nor worth an answer that could renew the machine's lease: the registry
             # goes by newer reports. Were it the machine's last report after all, its next one is newer.
             return refuse(1)
         was_reconciled = machine.reconciled
         try:
-            result = self.registry.reconcile(machine, report, True, now, view_number, self.tables)
+            received = ReceivedReport(report, True, now, view_number)
+            result = reconcile(self.registry, machine, received, self.tables)
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return Answer(400)
@@ -107,7 +109,8 @@
         if machine is None or followed_view != self.leadership.view.number:
             return
         try:
-            result = self.registry.reconcile(machine, report, False, self.now(), followed_view, self.tables)
+            received = ReceivedReport(report, False, self.now(), followed_view)
+            result = reconcile(self.registry, machine, received, self.tables)
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return
@@ -119,13 +122,15 @@
     def _add_machine(self, report: wire.WorkerReport, now: float) -> Machine:
         """A machine that was never registered, so that nobody can have started anything on it."""
         machine = self.registry.add_machine(
-            report.machine,
-            report.address,
-            report.type,
-            report.zone,
-            report.spot,
-            self.leadership.view.number,
-            now + self.settings.worker_gone_s,
+            Machine(
+                report.machine,
+                report.address,
+                report.type,
+                report.zone,
+                report.spot,
+                owned_since_token=self.leadership.view.number,
+                lease_expires_at=now + self.settings.worker_gone_s,
+            )
         )
         machine.accounted_for = True
         types = self.tables.machine_types
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -15,7 +15,7 @@
 from sloeswitch.actors.machine_termination import MachineTermination, TerminationReason
 from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
-from sloeswitch.core.machine_registry import RUNNING, Machine
+from sloeswitch.core.machine import AttemptState, Machine
 
 log = logging.getLogger("machines")
 
@@ -97,7 +97,7 @@
         self._terminate_if_lost(machine, loss, now)
         if machine.preemption_notice_s is not None:
             for attempt in list(machine.attempts.values()):
-                if attempt.spec.checkpoint_s > 0 and attempt.state == RUNNING:
+                if attempt.spec.checkpoint_s > 0 and attempt.state == AttemptState.RUNNING:
                     self.commands.kill(machine, attempt, attempt.spec.save_s)
 
     def _contact_loss(self, machine: Machine, now: float) -> ContactLoss:
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -8,6 +8,8 @@
 import logging
 
 from sloeswitch.actors.shard_state import ShardState
+from sloeswitch.core.machine import Machine
+from sloeswitch.core.records import MachineRow
 
 log = logging.getLogger("machines")
 
@@ -59,7 +61,7 @@
                 self.registry.mark_unreconciled(machine, view.number, gone_at)
         for name, row in self.tables.machines.items():
             if self.leadership.owner_of(name) == member and name not in self.registry.machines:
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, view.number, gone_at)
+                self._add_machine(name, row, gone_at)
         self.followed_view = view.number
         self.quota.update_handed_off_usage()
         self.task_updates.begin_view(view.number)
@@ -82,4 +84,18 @@
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
                 log.info("missing machine added: machine=%s", name)
-                self.registry.add_machine(name, row.address, row.type, row.zone, row.spot, self.followed_view, gone_at)
+                self._add_machine(name, row, gone_at)
+
+    def _add_machine(self, name: str, row: MachineRow, gone_at: float) -> None:
+        """Adds a stored machine that is owned from the current view on; by `gone_at` its lease is surely over."""
+        self.registry.add_machine(
+            Machine(
+                name,
+                row.address,
+                row.type,
+                row.zone,
+                row.spot,
+                owned_since_token=self.leadership.view.number,
+                lease_expires_at=gone_at,
+            )
+        )
--- a/sloeswitch/actors/machine_termination.py
+++ b/sloeswitch/actors/machine_termination.py
@@ -12,7 +12,7 @@
 from sloeswitch.actors.machine_messages import InstanceTerminator
 from sloeswitch.actors.registration import Registration
 from sloeswitch.actors.shard_state import ShardState
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Machine
 
 log = logging.getLogger("machines")
 
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -99,8 +99,8 @@
         usage = self.usage(spec.team)
         cores, gpus = self.available(self.settings.teams[spec.team], usage)
         return quota.ResourceUsage(
-            max(0.0, usage.cores + spec.cores - cores - quota.SLACK),
-            max(0.0, usage.gpus + spec.gpus - gpus - quota.SLACK),
+            max(0.0, usage.cores + spec.cores - cores - quota.ROUNDING_TOLERANCE),
+            max(0.0, usage.gpus + spec.gpus - gpus - quota.ROUNDING_TOLERANCE),
         )
 
     def request_allocations(
--- a/sloeswitch/actors/shard_summary.py
+++ b/sloeswitch/actors/shard_summary.py
@@ -5,7 +5,7 @@
 import logging
 
 from sloeswitch.actors.shard_state import ShardState
-from sloeswitch.core.machine_registry import FETCHING
+from sloeswitch.core.machine import AttemptState
 from sloeswitch.core.records import JobState
 
 log = logging.getLogger("machines")
@@ -24,7 +24,7 @@
         sum(m.usage.cores for m in machines),
         sum(tables.machine_types[m.type].cores for m in machines),
         sum(len(m.attempts) for m in machines),
-        sum(attempt.state == FETCHING for m in machines for attempt in m.attempts.values()),
+        sum(attempt.state == AttemptState.FETCHING for m in machines for attempt in m.attempts.values()),
         len(live),
         sum(not job.is_runnable for job in live),
         sum(job.is_runnable and bool(tables.unclaimed_tasks(job, tables.recovery_complete())) for job in live),
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -11,7 +11,7 @@
 from sloeswitch.actors.gang_preemption import GangPreemption
 from sloeswitch.actors.shard_state import ShardState
 from sloeswitch.core import job_queue, placement, quota, taskset
-from sloeswitch.core.machine_registry import Machine
+from sloeswitch.core.machine import Attempt, Machine
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job
 
@@ -108,7 +108,7 @@
         machine_type = self.tables.machine_types.get(machine.type)
         if (
             machine_type is None
-            or self.registry.free_cores(machine, machine_type) + quota.SLACK < self.queue.least_cores
+            or self.registry.free_cores(machine, machine_type) + quota.ROUNDING_TOLERANCE < self.queue.least_cores
             or not self.registry.is_schedulable(machine)
             # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
             # report: it got tasks again and again, which were removed again when no report came to be answered.
@@ -146,7 +146,9 @@
         self.unplaced_since[name] = now
         number = self._next_attempt_number()
         for index, capacity in placed:
-            self.registry.add_attempt(self.registry.machines[capacity.machine], name, index, number, job.spec, now)
+            self.registry.add_attempt(
+                self.registry.machines[capacity.machine], Attempt(name, index, number, job.spec, placed_at=now)
+            )
         if log.isEnabledFor(logging.DEBUG):
             self._log_placed(job, [capacity.machine for _, capacity in placed])
         return True
