--- a/sloeswitch/actors/machine_messages.py
+++ b/sloeswitch/actors/machine_messages.py
@@ -8,10 +8,11 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import ActorRequest
 from sloeswitch.actors.commands import CommandReply, InspectionReply
+from sloeswitch.http import Answer
 
 
 @dataclass
-class HeartbeatRequest(ActorRequest):
+class HeartbeatRequest(ActorRequest[Answer]):
     """A machine's heartbeat; the reply is the HTTP answer to it."""
 
     report: wire.WorkerReport = field(kw_only=True)
@@ -20,7 +21,7 @@
 
 
 @dataclass
-class TickRequest(ActorRequest):
+class TickRequest(ActorRequest[None]):
     """Run the periodic work: what no heartbeat brings up. The reply is None."""
 
 
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -61,7 +61,7 @@
                 self.registry.mark_unreconciled(machine, view.number, gone_at)
         for name, row in self.tables.machines.items():
             if self.leadership.owner_of(name) == member and name not in self.registry.machines:
-                self._add_machine(name, row, gone_at)
+                self._add_machine(name, row, view.number, gone_at)
         self.followed_view = view.number
         self.quota.update_handed_off_usage()
         self.task_updates.begin_view(view.number)
@@ -84,10 +84,10 @@
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
                 log.info("missing machine added: machine=%s", name)
-                self._add_machine(name, row, gone_at)
+                self._add_machine(name, row, self.followed_view, gone_at)
 
-    def _add_machine(self, name: str, row: MachineRow, gone_at: float) -> None:
-        """Adds a stored machine that is owned from the current view on; by `gone_at` its lease is surely over."""
+    def _add_machine(self, name: str, row: MachineRow, view_number: int, lease_expires_at: float) -> None:
+        """Adds a stored machine, of which nothing is known until it is reconciled or its lease is surely over."""
         self.registry.add_machine(
             Machine(
                 name,
@@ -95,7 +95,7 @@
                 row.type,
                 row.zone,
                 row.spot,
-                owned_since_token=self.leadership.view.number,
-                lease_expires_at=gone_at,
+                owned_since_token=view_number,
+                lease_expires_at=lease_expires_at,
             )
         )
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -46,7 +46,7 @@
 log = logging.getLogger("machines")
 
 
-class Machines(Actor):
+class Machines(Actor[MachinesMessage]):
     """Takes heartbeats, ticks, replies of machines and confirmed deletions, one at a time.
 
     Before `run`, `group` is set; `termination.autoscaler`, `queue.admission` and `claims.on_remaining_capacities` may
@@ -76,9 +76,7 @@
         self.commands = CommandSender(context, self.registry, self._spawn, self.tell)
         self.wake = anyio.Event()
         self.tick_interval_s = shard.tick_interval_s
-        self.registration = Registration(
-            context.settings, context.client, context.replica, context.leadership, self.tick_interval_s, self._wake
-        )
+        self.registration = Registration(context, self.tick_interval_s, self._wake)
         self.termination = MachineTermination(shard, self.commands, self.registration)
         self.cancellations = CancellationWatch(
             context, self.registry, self.commands, self.termination.scale_in_urgently
@@ -183,7 +181,7 @@
 
     def _register(self) -> None:
         """Stores machines before anything is started on them, so that a later owner knows of them."""
-        names, writes = self.registration.rows_to_store(list(self.registry.machines.values()))
-        if writes and self.group is not None:
-            self.registration.pending_registrations |= names
-            self.group.start_soon(self.registration.store, names, writes, self.ownership.followed_view)
+        new = self.registration.machines_to_store(list(self.registry.machines.values()))
+        if new.writes and self.group is not None:
+            self.registration.pending_registrations |= new.names
+            self.group.start_soon(self.registration.store, new, self.ownership.followed_view)
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -137,7 +137,7 @@
         if job.spec.gang:
             if tasks != job.all_tasks:
                 return False
-            trial = [capacity.trial() for capacity in usable]
+            trial = [placement.FreeCapacity(**vars(capacity)) for capacity in usable]
             if len(placement.pack_tasks(job, tasks, trial)) < job.spec.tasks:
                 return False
         placed = placement.pack_tasks(job, tasks, usable)
@@ -146,9 +146,8 @@
         self.unplaced_since[name] = now
         number = self._next_attempt_number()
         for index, capacity in placed:
-            self.registry.add_attempt(
-                self.registry.machines[capacity.machine], Attempt(name, index, number, job.spec, placed_at=now)
-            )
+            attempt = Attempt(name, index, number, job.spec, placed_at=now)
+            self.registry.add_attempt(self.registry.machines[capacity.machine], attempt)
         if log.isEnabledFor(logging.DEBUG):
             self._log_placed(job, [capacity.machine for _, capacity in placed])
         return True
