--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -63,8 +63,8 @@
         if machine is None:
             machine = self._add_machine(report, now)
         elif is_outdated(machine, report):
-            # Neither a sign of life nor worth an answer that could renew the machine's lease: our own books
-            # go by newer reports. Were it the machine's last report after all, its next one is newer.
+            # Neither a sign of life nor worth an answer that could renew the machine's lease: the registry
+            # goes by newer reports. Were it the machine's last report after all, its next one is newer.
             return refuse(1)
         was_reconciled = machine.reconciled
         try:
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -137,7 +137,7 @@
         if job.spec.gang:
             if tasks != job.all_tasks:
                 return False
-            trial = [placement.FreeCapacity(**vars(capacity)) for capacity in usable]
+            trial = [capacity.trial() for capacity in usable]
             if len(placement.pack_tasks(job, tasks, trial)) < job.spec.tasks:
                 return False
         placed = placement.pack_tasks(job, tasks, usable)
