--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -21,7 +21,14 @@
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.core import keys, quota, taskset
 from sloeswitch.core.records import Job, JobState, Progress
-from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links, split_spec
+from sloeswitch.core.row_codec import (
+    encode_finished_job,
+    encode_handoff,
+    encode_job,
+    encode_job_links,
+    encode_progress,
+    split_spec,
+)
 from sloeswitch.core.tables import Tables
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
@@ -450,8 +457,8 @@
             writes[job_key] = self._finished_row(job, JobState.CANCELLED)
         else:
             dense = self.tables.layout_complete
-            value = progress.stored(dense)
-            if value == job.progress.stored(dense):
+            value = encode_progress(progress, dense)
+            if value == encode_progress(job.progress, dense):
                 return 0
             if self.tables.adoption_keys:
                 # Right after a first reading the job's row may be newer than all that is surely known.
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -11,7 +11,7 @@
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.core import keys
 from sloeswitch.core.machine_registry import Machine
-from sloeswitch.core.row_codec import split_machine_groups
+from sloeswitch.core.row_codec import encode_machine, split_machine_groups
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
@@ -139,7 +139,7 @@
             for name in self.tables.machine_groups.get(keys.group_name(key), ())
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
-        rows = {name: self.tables.machines[name].stored() for name in names}
+        rows = {name: encode_machine(self.tables.machines[name]) for name in names}
         return split_machine_groups(rows, self.client.value_bytes)
 
     def _split_group(self, key: str, groups: list[dict[str, list[Any]]]) -> Transaction:
--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 from functools import cached_property
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from sloeswitch.cells.handoff import OriginRow
 from sloeswitch.core import taskset
@@ -69,29 +69,6 @@
             taken |= mask
         return taken
 
-    def stored(self, dense: bool = False) -> dict[str, Any]:
-        """As it is stored; `dense` once no controller of an earlier layout can come back."""
-        pack = taskset.pack_dense if dense else taskset.pack
-        value: dict[str, Any] = {
-            "d": pack(self.done),
-            "c": {tag: pack(mask) for tag, mask in self.claims.items() if mask},
-        }
-        if self.zone is not None:
-            value["z"] = self.zone
-        if self.attempt:
-            value["a"] = self.attempt
-        return value
-
-    @staticmethod
-    def from_stored(value: dict[str, Any]) -> Progress:
-        return Progress(
-            taskset.unpack(value["d"]),
-            {tag: taskset.unpack(runs) for tag, runs in value["c"].items()},
-            value.get("z"),
-            value.get("a", 0),
-            value.get("e", 0),
-        )
-
 
 class DelegationOrigin(NamedTuple):
     """Which handoff of another cell a job came with."""
@@ -202,9 +179,6 @@
     # The key that holds it.
     key: str
 
-    def stored(self) -> list[Any]:
-        return [self.address, self.type, self.zone, self.spot]
-
 
 @dataclass
 class MemberRow:
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -9,7 +9,8 @@
 
 from sloeswitch.cells.handoff import OriginRow, Placement
 from sloeswitch.cells.policy import MovePolicy
-from sloeswitch.core.records import Job
+from sloeswitch.core import taskset
+from sloeswitch.core.records import Job, MachineRow, Progress
 from sloeswitch.wire import JobSpec
 
 
@@ -59,6 +60,36 @@
     return OriginRow("", job, MovePolicy(value["p"]), away, recalls, cancelling=value.get("c", False))
 
 
+def encode_progress(progress: Progress, dense: bool = False) -> dict[str, Any]:
+    """As it is stored; `dense` once no controller of an earlier layout can come back."""
+    pack = taskset.pack_dense if dense else taskset.pack
+    value: dict[str, Any] = {
+        "d": pack(progress.done),
+        "c": {tag: pack(mask) for tag, mask in progress.claims.items() if mask},
+    }
+    if progress.zone is not None:
+        value["z"] = progress.zone
+    if progress.attempt:
+        value["a"] = progress.attempt
+    return value
+
+
+def decode_progress(value: dict[str, Any]) -> Progress:
+    """Progress from its stored value."""
+    return Progress(
+        taskset.unpack(value["d"]),
+        {tag: taskset.unpack(runs) for tag, runs in value["c"].items()},
+        value.get("z"),
+        value.get("a", 0),
+        value.get("e", 0),
+    )
+
+
+def encode_machine(row: MachineRow) -> list[Any]:
+    """A machine as it stands in its group."""
+    return [row.address, row.type, row.zone, row.spot]
+
+
 def split_spec(spec: JobSpec, most_bytes: int) -> list[str]:
     """A spec as texts, each of which is a value within the limit."""
     text = b64encode(msgspec.json.encode(spec)).decode()
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -23,7 +23,7 @@
     Progress,
     View,
 )
-from sloeswitch.core.row_codec import decode_handoff, join_spec
+from sloeswitch.core.row_codec import decode_handoff, decode_progress, join_spec
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType, MachineTypeCatalog
 
@@ -299,7 +299,7 @@
             if value is not None:
                 self.leftover_progress.add(name)
             return
-        progress = Progress() if value is None else Progress.from_stored(value)
+        progress = Progress() if value is None else decode_progress(value)
         for since, tag, tasks in self.adoptions.get(name, ()):
             if since > progress.adoption_revision:
                 progress.adopt(tag, tasks)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,6 +11,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, parse
 
@@ -132,7 +133,7 @@
     def progress(self, name: str, done: int = 0, **claims: int) -> None:
         """Claims are given as c0_1=mask for the tag "c0.1"."""
         held = {tag.replace("_", "."): mask for tag, mask in claims.items()}
-        self.put(keys.progress_key(name), Progress(done, held).stored())
+        self.put(keys.progress_key(name), encode_progress(Progress(done, held)))
 
     def view(self, number: int, *members: tuple[str, int]) -> None:
         self.put(keys.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -11,6 +11,7 @@
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, spec
@@ -71,7 +72,7 @@
     adopt(world, 3)
     # c2.4, composed before it read the adoption and carried out after: without the epoch of it.
     row = Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
-    world.store.put(keys.progress_key(JOB), row.stored(dense=True))
+    world.store.put(keys.progress_key(JOB), encode_progress(row, dense=True))
     for tables in (world.store.tables, world.store.read_again()):
         assert tables.jobs[JOB].progress.claims["c0.1"] == HALF
         assert tables.jobs[JOB].progress.done == 0b11
@@ -149,7 +150,7 @@
         log.append((key, value, store.put(key, value)))
 
     put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(spec(JOB, visits=30))})
-    put(keys.progress_key(JOB), Progress(0, {"c1.9": taskset.full(10)}).stored())
+    put(keys.progress_key(JOB), encode_progress(Progress(0, {"c1.9": taskset.full(10)})))
     truth = dict.fromkeys(range(10), "c1.9")
     writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
     made = 0
@@ -187,7 +188,7 @@
             continue  # its condition fails
         progress.done |= ended
         progress.claims[writer.tag] = (own & ~release & ~ended) | claim
-        value = progress.stored(dense=True) | {"e": max(writer.applied, job.progress.adoption_revision)}
+        value = encode_progress(progress, dense=True) | {"e": max(writer.applied, job.progress.adoption_revision)}
         put(keys.progress_key(JOB), value)
         for task in taskset.members(release):
             truth.pop(task)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -13,6 +13,7 @@
 from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.mesh import Mesh
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
@@ -26,7 +27,7 @@
 def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
     """A cancelled job of which a controller's run holds a claim."""
     store.job(spec(JOB))
-    store.put(keys.progress_key(JOB), Progress(0, {tag: 1}).stored())
+    store.put(keys.progress_key(JOB), encode_progress(Progress(0, {tag: 1})))
     row = store.rows[keys.job_key(JOB)][0]
     store.put(keys.job_key(JOB), {**row, "s": JobState.CANCELLED, "x": cancelled_ms})
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -4,6 +4,7 @@
 
 from sloeswitch.core import job_queue, keys, quota, scaling, taskset
 from sloeswitch.core.records import JobState, Progress
+from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
 
@@ -28,7 +29,7 @@
 def test_an_older_change_is_ignored(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, done=0b11)
-    store.tables.apply(keys.progress_key(JOB), Progress(0b1).stored(), 1)
+    store.tables.apply(keys.progress_key(JOB), encode_progress(Progress(0b1)), 1)
     assert store.tables.jobs[JOB].progress.done == 0b11
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,6 +13,7 @@
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.records import JobState, MemberRow, Progress
+from sloeswitch.core.row_codec import decode_progress, encode_progress
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
     JOB,
@@ -213,8 +214,8 @@
     done = sum(1 << index for index in range(600) if shuffle.random() < 0.5)
     masks = [sum(1 << index for index in range(600) if not done >> index & 1 and index % 3 == n) for n in range(3)]
     progress = Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
-    assert len(wire.encode(progress.stored())) > 2048 > len(wire.encode(progress.stored(dense=True)))
-    assert Progress.from_stored(progress.stored(dense=True)) == progress
+    assert len(wire.encode(encode_progress(progress))) > 2048 > len(wire.encode(encode_progress(progress, dense=True)))
+    assert decode_progress(encode_progress(progress, dense=True)) == progress
     assert taskset.pack_dense(taskset.full(100_000)) == [0, 100_000]
 
 
