--- a/sloeswitch/core/cancellation_log.py
+++ b/sloeswitch/core/cancellation_log.py
@@ -1,9 +1,9 @@
-"""Stored cancellations in the order in which this process learnt them: what it tells its siblings.
+"""Stored cancellations in the order in which this process learnt of them, for its siblings (see `mesh`).
 
-A sibling that is refused by the state service has not read what others stored since. Whoever lets it go on
-answering machines tells it the cancellations among that. Each of them is stored, so it is final, and telling
-it twice does no harm. The order of learning is this process's own (its stamps may come in another, since own
-writes are known before what was stored earlier), so a sibling's place in it is told with the log's name.
+A sibling that is refused by the state service has not read what others stored since. Whoever lets it go on answering
+machines sends it the cancellations among that. Each of them is stored, so it is final, and sending it twice does no
+harm. The order of learning is this process's own (revisions may come in another, since own writes are known before what
+was stored earlier), so a position in the log means something only together with the log's id.
 """
 
 from __future__ import annotations
@@ -15,51 +15,70 @@
 
 
 class Cancellation(NamedTuple):
+    """A cancellation that is stored."""
+
     job: str
+    # The revision of the job's row that says so.
     revision: int
 
 
 @dataclass
 class CancellationDelta:
-    """What a sibling that had read everything up to some epoch, and this log up to some place, lacks."""
+    """The cancellations that a sibling lacks, as far as they go into one answer."""
 
     cancellations: list[Cancellation]
-    # The place in the log up to which the sibling then knows all.
+    # The position in the log up to which the sibling then knows all.
     position: int
     # Whether more is to come, or some was dropped that the sibling may lack.
     more: bool = False
 
 
 class CancellationLog:
-    def __init__(self, most: int, name: int) -> None:
-        self.max_entries = most
+    """A bounded log; filled as rows are applied, read by the mesh for siblings.
+
+    Positions count all entries since the start of the process, the dropped ones included.
+    """
+
+    def __init__(self, max_entries: int, log_id: int) -> None:
+        self.max_entries = max_entries
         # Tells the logs of two processes apart; 0 is nobody's.
-        self.log_id = name
-        self._kept: deque[Cancellation] = deque()
+        self.log_id = log_id
+        self._entries: deque[Cancellation] = deque()
         self._dropped = 0
-        # Whoever has read up to here lacks nothing that was dropped.
-        self._dropped_stamp = 0
+        # Whoever has read all rows up to this revision lacks nothing that was dropped.
+        self._dropped_revision = 0
 
-    def add(self, job: str, stamp: int) -> None:
-        self._kept.append(Cancellation(job, stamp))
-        if len(self._kept) > self.max_entries:
+    def add(self, job: str, revision: int) -> None:
+        """Adds a cancellation; beyond the limit, the one learnt first is dropped."""
+        self._entries.append(Cancellation(job, revision))
+        if len(self._entries) > self.max_entries:
             self._dropped += 1
-            self._dropped_stamp = max(self._dropped_stamp, self._kept.popleft().revision)
-
-    def since(self, epoch: int, name: int, place: int, most: int) -> CancellationDelta:
-        """What a sibling lacks that has read up to `epoch`, and the log `name` up to `place`: at most so many."""
-        last = self._dropped + len(self._kept)
-        if name != self.log_id or place > last:
-            place = 0
-        if place < self._dropped:
-            if epoch < self._dropped_stamp:
-                return CancellationDelta([], place, True)
-            place = self._dropped
+            self._dropped_revision = max(self._dropped_revision, self._entries.popleft().revision)
+
+    def since(self, revision: int, log_id: int, position: int, max_entries: int) -> CancellationDelta:
+        """What a sibling lacks.
+
+        Where entries were dropped that the sibling may lack, nothing is sent and `more` is set, so that it does not
+        take itself for informed; it has to read the rows.
+
+        Args:
+            revision: The revision up to which the sibling has read all rows.
+            log_id: The log that the sibling's position is of.
+            position: The position up to which the sibling knows that log; one in another log counts as none.
+            max_entries: How many cancellations an answer holds at most.
+        """
+        end = self._dropped + len(self._entries)
+        if log_id != self.log_id or position > end:
+            position = 0
+        if position < self._dropped:
+            if revision < self._dropped_revision:
+                return CancellationDelta([], position, True)
+            position = self._dropped
         found: list[Cancellation] = []
-        for entry in islice(self._kept, place - self._dropped, None):
-            if entry.revision > epoch:
-                if len(found) == most:
-                    return CancellationDelta(found, place, True)
+        for entry in islice(self._entries, position - self._dropped, None):
+            if entry.revision > revision:
+                if len(found) == max_entries:
+                    return CancellationDelta(found, position, True)
                 found.append(entry)
-            place += 1
-        return CancellationDelta(found, place)
+            position += 1
+        return CancellationDelta(found, position)
