--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -14,7 +14,7 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
-from sloeswitch.core.records import View
+from sloeswitch.core.records import MemberIncarnation, View
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http import Request
 from sloeswitch.state_client import TransactionOutcome
@@ -87,7 +87,7 @@
     anyio.run(world.membership._coordinate)
     assert world.store.tables.coordinator == ("c0", 7)
     anyio.run(world.membership._coordinate)
-    assert world.store.tables.view == View(4, (("c0", 7),))
+    assert world.store.tables.view == View(4, (MemberIncarnation("c0", 7),))
 
 
 def test_the_former_runs_claims_are_nobodys_only_once_all_is_settled(world: World) -> None:
