--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -163,8 +163,8 @@
         if not fits and not self.tables.layout_complete:
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
-        writes = together if fits else {keys.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
-        stored = {keys.CATALOG_KEY, *(keys.type_key(name) for name in self.tables.machine_types)}
+        writes = together if fits else {keys.machine_type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
+        stored = {keys.CATALOG_KEY, *(keys.machine_type_key(name) for name in self.tables.machine_types)}
         drops = [key for key in stored if key not in writes and self.tables.mod_revision(key)]
         # Written before the others are dropped, so that no type is missing in between.
         changes = [*writes, *drops]
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -164,7 +164,7 @@
             unclaimed = request.message.request is Request.WITHDRAW
             return await self.jobs.cancel(name, only_unclaimed=unclaimed) is not None
         origin = request.message.handoff.origin
-        floor, job = keys.floor_key(origin), keys.job_key(name)
+        floor, job = keys.handoff_floor_key(origin), keys.job_key(name)
         conditions = {floor: self.tables.mod_revision(floor), **self.leadership.view_conditions()}
         writes: dict[str, Any] = {}
         drops: list[str] = []
--- a/sloeswitch/core/keys.py
+++ b/sloeswitch/core/keys.py
@@ -123,7 +123,7 @@
     return f"{_ADMISSION_PREFIX}{path}"
 
 
-def floor_key(cell: str) -> str:
+def handoff_floor_key(cell: str) -> str:
     """The key of the number up to which another cell's unrecorded handoffs are refused."""
     return f"{_HANDOFF_FLOOR_PREFIX}{cell}"
 
@@ -138,7 +138,7 @@
     return f"{_MACHINE_PREFIX}{machine}"
 
 
-def type_key(machine_type: str) -> str:
+def machine_type_key(machine_type: str) -> str:
     """The key of one machine type, where the catalog exceeds the limit of a value."""
     return f"{_MACHINE_TYPE_PREFIX}{machine_type}"
 
--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -4,8 +4,8 @@
 order, since a first reading goes by key; an overlapping read may bring a row twice.
 
 Each function takes the state, the key's part after its kind, the row's value (None when the key was deleted) and the
-revision of the change. A row that cannot be decoded raises one of `UNREADABLE`; what was applied of it
-until then stays.
+revision of the change. A row that cannot be decoded raises one of `UNREADABLE`; what was applied
+of it until then stays.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 def _record_cancellation(state: StoredState, job_id: str, revision: int) -> None:
-    """A job's row says that it is cancelled: siblings are told, once."""
+    """A job's row says that it is cancelled: it is logged for siblings, unless it was known."""
     known = state.jobs.get(job_id)
     if known is None or known.status != _CANCELLED:
         state.cancellations.add(job_id, revision)
@@ -119,10 +119,10 @@
 
 
 def _effective_status(state: StoredState, job_id: str, row: JobRow) -> JobState | str:
-    """The state that a job's row names, unless a sibling has told of a cancellation that the row does not show.
+    """The state that a job's row names, unless a sibling knows a cancellation that the row does not show.
 
-    Guards against a reading that was under way when the sibling told: what it brings is older than the cancellation,
-    and must not bring the job back to life.
+    Guards against a reading that was under way when the sibling sent it: what it brings is older than the
+    cancellation, and must not bring the job back to life.
     """
     return _CANCELLED if job_id in state.peer_cancellations else row.status
 
--- a/sloeswitch/core/stored_state.py
+++ b/sloeswitch/core/stored_state.py
@@ -39,8 +39,8 @@
     """The decoded rows of the state service."""
 
     def __init__(self, cancellations: CancellationLog | None = None) -> None:
-        # The stored cancellations as siblings are told them, and those that a sibling told and whose row is not read
-        # yet, with their revisions. Both outlast a reading of everything.
+        # The stored cancellations as they are sent to siblings, and those that came from siblings and whose rows are
+        # not read yet, with their revisions. Both outlast a reading of everything.
         self.cancellations = cancellations or CancellationLog(1, 0)
         self.peer_cancellations: dict[str, int] = {}
         self.clear()
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -114,11 +114,11 @@
 
 def test_single_machine_types_stand_beside_the_catalog(store: Store) -> None:
     large = msgspec.structs.replace(MACHINE_TYPE, name="large")
-    store.put(keys.type_key("large"), msgspec.to_builtins(large))
+    store.put(keys.machine_type_key("large"), msgspec.to_builtins(large))
     assert set(store.tables.machine_types) == {"small", "large"}
     store.put(keys.CATALOG_KEY, None)
     assert set(store.tables.machine_types) == {"large"}
-    store.put(keys.type_key("large"), None)
+    store.put(keys.machine_type_key("large"), None)
     assert not store.tables.machine_types
 
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -24,7 +24,7 @@
     assert store.tables.jobs[JOB].progress.done == 0b11
 
 
-def test_a_final_state_never_goes_back(store: Store) -> None:
+def test_a_finished_job_is_never_brought_back_by_an_older_read(store: Store) -> None:
     store.job(spec())
     store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
     store.job(spec())  # an overlapping read brings what was before
@@ -38,7 +38,7 @@
     assert list(store.tables.jobs) == ["wk-000002"]
 
 
-def test_claims_of_a_departed_controller_stand_until_all_is_settled(store: Store) -> None:
+def test_claims_of_a_departed_controller_stand_until_recovery_is_complete(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b1, c1_2=0b10)
     store.view(2, ("c0", 1))
@@ -52,15 +52,14 @@
     assert store.tables.void_claim_holders(job) == ["c1.2"]
 
 
-def test_settled_by_an_earlier_run_of_a_member_does_not_count(store: Store) -> None:
+def test_recovery_by_an_earlier_incarnation_does_not_count(store: Store) -> None:
     store.view(2, ("c0", 5))
     store.member("c0", 1, settled=2)
     assert not store.tables.recovery_complete()
 
 
-def test_allowances_of_departed_controllers_are_free_once_all_is_settled(store: Store) -> None:
+def test_allocations_of_departed_controllers_are_free_once_recovery_is_complete(store: Store) -> None:
     """Failure found on the bench: a team stood still after all controllers had crashed."""
-
     red = parse(SETTINGS).teams["red"]
     store.put(keys.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
