--- a/tests/test_cancellation_log.py
+++ b/tests/test_cancellation_log.py
@@ -1,11 +1,11 @@
-"""The log of cancellations that controllers tell each other."""
+"""The log of cancellations that controllers send each other."""
 
 from __future__ import annotations
 
 from sloeswitch.core.cancellation_log import CancellationLog
 
 
-def test_what_was_learnt_later_is_told_later_whatever_its_stamp() -> None:
+def test_what_was_learnt_later_is_sent_later_whatever_its_revision() -> None:
     """Own writes are known before what others stored earlier."""
     log = CancellationLog(100, 9)
     log.add("wk-2", 50)
@@ -14,15 +14,32 @@
     log.add("wk-1", 45)
     assert log.since(40, 9, first.position, 10).cancellations == [("wk-1", 45)]
     assert log.since(47, 9, first.position, 10).cancellations == []
-    # The place in another process's log says nothing.
+    # The position in another process's log says nothing.
     assert len(log.since(40, 8, first.position, 10).cancellations) == 2
 
 
 def test_who_may_lack_what_was_dropped_is_not_confirmed() -> None:
     log = CancellationLog(2, 9)
-    for stamp in (10, 20, 30):
-        log.add(f"wk-{stamp}", stamp)
+    for revision in (10, 20, 30):
+        log.add(f"wk-{revision}", revision)
     assert log.since(5, 0, 0, 10).more
     assert not log.since(5, 0, 0, 10).cancellations
     assert [entry.revision for entry in log.since(10, 0, 0, 10).cancellations] == [20, 30]
     assert [entry.revision for entry in log.since(5, 9, 1, 10).cancellations] == [20, 30]
+
+
+def test_an_answer_is_bounded_and_the_next_one_goes_on_from_its_position() -> None:
+    log = CancellationLog(100, 9)
+    for revision in (10, 20, 30, 40, 50):
+        log.add(f"wk-{revision}", revision)
+    first = log.since(10, 0, 0, 2)
+    assert [entry.revision for entry in first.cancellations] == [20, 30] and first.more and first.position == 3
+    rest = log.since(10, 9, first.position, 2)
+    assert [entry.revision for entry in rest.cancellations] == [40, 50] and not rest.more and rest.position == 5
+
+
+def test_a_position_beyond_the_log_counts_as_none() -> None:
+    """Guards against a log id that two processes drew: nothing must be taken for known."""
+    log = CancellationLog(100, 9)
+    log.add("wk-10", 10)
+    assert len(log.since(0, 9, 7, 10).cancellations) == 1
--- /dev/null
+++ b/tests/test_dependency_graph.py
@@ -0,0 +1,69 @@
+"""Join counters and cancellations, whatever order the rows come in."""
+
+from __future__ import annotations
+
+import itertools
+from typing import Any
+
+import pytest
+
+from sloeswitch.core import keys
+from sloeswitch.core.records import JobState
+from tests.conftest import Store, spec
+
+A, B, C = "wk-000001", "wk-000002", "wk-000003"
+
+
+def chain(store: Store, order: tuple[str, ...]) -> None:
+    """C needs B, which needs A; read in this order."""
+    needs: dict[str, list[str]] = {A: [], B: [A], C: [B]}
+    for name in order:
+        store.job(spec(name, awaits=needs[name]))
+
+
+def finish(store: Store, name: str, state: JobState, finished_ms: int = 0) -> None:
+    """The job is stored as over."""
+    row: dict[str, Any] = {"s": state, "n": 4, "t": finished_ms}
+    store.put(keys.job_key(name), row)
+
+
+@pytest.mark.parametrize("order", list(itertools.permutations((A, B, C))))
+def test_an_end_releases_its_successors_once(store: Store, order: tuple[str, ...]) -> None:
+    chain(store, order)
+    jobs = store.tables.jobs
+    assert [jobs[name].unfinished_prerequisites for name in (A, B, C)] == [0, 1, 1]
+    finish(store, A, JobState.DONE, 5000)
+    finish(store, A, JobState.DONE, 5000)
+    assert jobs[B].is_runnable and jobs[B].ready_ms == 5000 and not jobs[C].is_runnable
+    assert jobs[B].ready_revision > jobs[B].mod_revision
+
+
+@pytest.mark.parametrize("order", list(itertools.permutations((A, B, C))))
+def test_a_cancellation_reaches_all_that_need_the_job(store: Store, order: tuple[str, ...]) -> None:
+    chain(store, order)
+    finish(store, A, JobState.CANCELLED)
+    assert all(store.tables.jobs[name].is_cancelled for name in (B, C))
+    assert not store.tables.graph.successors and store.tables.graph.priorities_stale
+
+
+def test_a_job_read_after_the_end_or_cancellation_of_what_it_needs(store: Store) -> None:
+    finish(store, A, JobState.DONE, 5000)
+    store.job(spec(B, awaits=[A]))
+    assert store.tables.jobs[B].is_runnable and store.tables.jobs[B].ready_ms == 5000
+    store.job(spec(B, awaits=[A]), JobState.CANCELLED)
+    store.job(spec(C, awaits=[B]))
+    assert store.tables.jobs[C].prerequisite_cancelled and not store.tables.jobs[C].is_runnable
+
+
+def test_an_end_without_a_stored_time_leaves_the_submission(store: Store) -> None:
+    store.job(spec(B, awaits=[A]))
+    finish(store, A, JobState.DONE)
+    assert store.tables.jobs[B].ready_ms == store.tables.jobs[B].submitted_ms
+
+
+def test_a_long_chain_is_cancelled_without_recursion(store: Store) -> None:
+    names = [f"wk-{number:06d}" for number in range(3000)]
+    for before, name in itertools.pairwise(names):
+        store.job(spec(name, awaits=[before]))
+    finish(store, names[0], JobState.CANCELLED)
+    assert store.tables.jobs[names[-1]].is_cancelled
--- a/tests/test_taskset.py
+++ b/tests/test_taskset.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import pytest
+
 from sloeswitch.core import taskset
 
 
@@ -12,3 +14,13 @@
 
 def test_lowest_takes_the_oldest_tasks() -> None:
     assert taskset.lowest(0b110110, 3) == 0b010110
+
+
+def test_members_are_the_task_numbers_lowest_first() -> None:
+    assert list(taskset.members(0b110101)) == [0, 2, 4, 5] and list(taskset.members(0)) == []
+
+
+@pytest.mark.parametrize("runs", [["a", 1], [0], [0, "%"], [0, 1, 2]])
+def test_a_malformed_set_is_refused(runs: list[int | str]) -> None:
+    with pytest.raises(ValueError):
+        taskset.unpack(runs)
