--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -20,7 +20,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.core import keys, quota, taskset
-from sloeswitch.core.records import Job, JobState, Progress
+from sloeswitch.core.records import Job, JobState, Progress, SpecChunks
 from sloeswitch.core.row_codec import (
     encode_finished_job,
     encode_handoff,
@@ -508,7 +508,7 @@
             if head is None:
                 return None
             attempt, count, stamp = head
-            value = encode_job(JobState.LIVE, spec, now_ms, (attempt, count))
+            value = encode_job(JobState.LIVE, spec, now_ms, SpecChunks(attempt, count))
             conditions[keys.chunk_key(spec.id, attempt, 0)] = stamp
         outcome, epoch = await self.client.compare_and_swap(conditions, {key: value}, [], RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
@@ -587,7 +587,7 @@
             job = self.tables.jobs.get(name)
             over = name in self.tables.finished_jobs
             for attempt, texts in attempts.items():
-                if job is not None and job.spec_chunks is not None and job.spec_chunks[0] == attempt:
+                if job is not None and job.spec_chunks is not None and job.spec_chunks.attempt == attempt:
                     continue
                 since = lone[name, attempt] = self.lone_since.get((name, attempt), now)
                 if len(drops) >= most or not (over or now - since > 4 * self.settings.lease_s):
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -11,7 +11,7 @@
 from itertools import compress, takewhile
 
 from sloeswitch.core.quota import within_guarantee
-from sloeswitch.core.records import Job
+from sloeswitch.core.records import InheritedDeadlines, Job
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Objective, Settings
 from sloeswitch.wire import PRIORITIES, JobSpec
@@ -95,7 +95,7 @@
             if ends:
                 first, last = min(ends) - lead_ms, max(ends) - lead_ms
                 known = earlier.inherited_ms or (first, last)
-                earlier.inherited_ms = (min(first, known[0]), min(last, known[1]))
+                earlier.inherited_ms = InheritedDeadlines(min(first, known[0]), min(last, known[1]))
             waitings.discard(name)
             if not waitings and earlier.unfinished_prerequisites:
                 walk.append(before)
--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -123,6 +123,14 @@
     number: int
 
 
+class InheritedDeadlines(NamedTuple):
+    """The times by which a job must be done for the first and for the last target of those that need it."""
+
+    # Milliseconds since 1970.
+    first_ms: float
+    last_ms: float
+
+
 class FinishedJob(NamedTuple):
     """A job that is over, kept for good."""
 
@@ -181,8 +189,8 @@
     # What follows from the jobs that need it, and what it aims at (kept by core.job_queue).
     # The highest priority among those that need it, as a rank; the smallest rank goes first.
     inherited_rank: int | None = None
-    # The times by which it must be done for the first and for the last of their targets.
-    inherited_ms: tuple[float, float] | None = None
+    # When it must be done for their targets; None when they have none.
+    inherited_ms: InheritedDeadlines | None = None
     # When it should be done, in seconds from submission, the earliest first; None until computed.
     targets: list[float] | None = None
 
--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -37,7 +37,7 @@
 RowFunction = Callable[[StoredState, str, Any, int], None]
 
 
-# -- jobs
+# -- jobs and their specs
 
 
 def apply_job(state: StoredState, job_id: str, value: StoredRow | None, revision: int) -> None:
@@ -67,6 +67,7 @@
 
 
 def _finish_job(state: StoredState, job_id: str, row: JobRow) -> None:
+    """A job is over: of what was known of it, the number of its tasks and how it ended are kept."""
     state.jobs.pop(job_id, None)
     state.unmatched_progress.pop(job_id, None)
     state.unmatched_job_rows.pop(job_id, None)
@@ -87,6 +88,7 @@
 
 
 def _update_job(state: StoredState, job_id: str, row: JobRow) -> None:
+    """The row of a known job changed; its spec and its times of submission and readiness stay."""
     job = state.jobs[job_id]
     job.status = _effective_status(state, job_id, row)
     job.mod_revision = row.mod_revision
@@ -97,6 +99,7 @@
 
 
 def _add_job(state: StoredState, job_id: str, row: JobRow) -> None:
+    """A job that is not over was read for the first time; it waits where chunks of its spec are missing."""
     chunks = row_codec.decode_spec_chunks(row)
     spec = row_codec.decode_spec(row) if chunks is None else _join_chunks(state, job_id, chunks)
     if spec is None:
@@ -194,6 +197,7 @@
 
 
 def _forget_adoptions(state: StoredState, incarnation_id: str) -> None:
+    """All adoptions of a controller's run are deleted; what is in the jobs' progress stays there."""
     kept = {
         job_id: [adoption for adoption in adoptions if adoption.incarnation_id != incarnation_id]
         for job_id, adoptions in state.adoptions.items()
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -42,16 +42,14 @@
 # -- jobs
 
 
-def encode_job(
-    status: JobState | str, spec: JobSpec, submitted_ms: int, chunks: tuple[str, int] | None = None
-) -> StoredRow:
+def encode_job(status: JobState | str, spec: JobSpec, submitted_ms: int, chunks: SpecChunks | None = None) -> StoredRow:
     """A job that is not over, as it is stored.
 
     Args:
         status: Its state; a word that this version does not know is written as it was read.
         spec: What its user asked for.
         submitted_ms: When it was submitted, in milliseconds since 1970.
-        chunks: Where its spec is stored, when that is in chunks (see `SpecChunks`).
+        chunks: Where its spec is stored, when that is in chunks.
     """
     value: StoredRow = {"s": status, "n": spec.tasks, "t": submitted_ms}
     if chunks is not None:
--- a/sloeswitch/core/stored_state.py
+++ b/sloeswitch/core/stored_state.py
@@ -54,6 +54,7 @@
         self._clear_machines()
 
     def _clear_controllers(self) -> None:
+        """Controllers, what they agree on, and how they share quotas."""
         self.members: dict[str, MemberRow] = {}
         self.coordinator: MemberIncarnation | None = None
         self.view: View = NO_VIEW
@@ -69,6 +70,7 @@
         self.quota_allocations: dict[str, dict[str, ResourceAmount]] = {}
 
     def _clear_jobs(self) -> None:
+        """Jobs, their progress, and the rows that belong to them."""
         # Jobs that are not over, and those that are.
         self.jobs: dict[str, Job] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
@@ -88,6 +90,7 @@
         self.unmatched_job_rows: dict[str, JobRow] = {}
 
     def _clear_machines(self) -> None:
+        """Machines and machine types."""
         self.machines: dict[str, MachineRow] = {}
         # The machines of each group's row.
         self.machine_groups: dict[str, set[str]] = {}
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -9,7 +9,7 @@
 
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.keys import RowKind
-from sloeswitch.core.records import JobState, MemberIncarnation
+from sloeswitch.core.records import JobState, MemberIncarnation, SpecChunks
 from sloeswitch.core.row_application import ROW_FUNCTIONS
 from sloeswitch.core.row_codec import encode_job, split_spec
 from tests.conftest import MACHINE_TYPE, Store, spec
@@ -36,7 +36,7 @@
 
 def test_a_job_waits_for_the_last_chunk_of_its_spec(store: Store) -> None:
     texts = split_spec(spec(JOB), 100)
-    store.put(keys.job_key(JOB), encode_job(JobState.LIVE, spec(JOB), 5, ("c0.1.1", len(texts))))
+    store.put(keys.job_key(JOB), encode_job(JobState.LIVE, spec(JOB), 5, SpecChunks("c0.1.1", len(texts))))
     for number in reversed(range(len(texts))):
         assert JOB not in store.tables.jobs
         store.put(keys.chunk_key(JOB, "c0.1.1", number), texts[number])
@@ -48,7 +48,7 @@
 
 def test_chunks_of_another_attempt_do_not_count(store: Store) -> None:
     texts = split_spec(spec(JOB), 100)
-    store.put(keys.job_key(JOB), encode_job(JobState.LIVE, spec(JOB), 5, ("c0.1.2", len(texts))))
+    store.put(keys.job_key(JOB), encode_job(JobState.LIVE, spec(JOB), 5, SpecChunks("c0.1.2", len(texts))))
     for number, text in enumerate(texts):
         store.put(keys.chunk_key(JOB, "c0.1.1", number), text)
     assert JOB not in store.tables.jobs
