--- a/tests/test_parallel_tasks.py
+++ b/tests/test_parallel_tasks.py
@@ -8,7 +8,6 @@
 
 
 def test_the_fleet_is_sized_for_the_time_left(store: Store) -> None:
-
     store.job(spec("wk-000001", dueS=400.0, visits=10))
     job = store.tables.jobs["wk-000001"]
     settings = parse(SETTINGS)
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -22,7 +22,6 @@
 
 
 def test_impossible_jobs_are_told_why(store: Store) -> None:
-
     teams = parse(SETTINGS).teams
     types = store.tables.machine_types
     assert quota.unschedulable_reason(spec(), teams, types) is None
