--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -200,7 +200,7 @@
         row = tables.members.get(own.member)
         if row is None or row.incarnation != own.lease_id:
             return
-        if tables.coordinator is None or self._is_former_run(Incarnation(*tables.coordinator)):
+        if tables.coordinator is None or self._is_former_run(tables.coordinator):
             await self._stand_for_election()
         elif tables.coordinator == own:
             await self._write_view()
--- a/sloeswitch/core/commit_planner.py
+++ b/sloeswitch/core/commit_planner.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.quota_changes import QuotaChanges, QuotaDecrease
 from sloeswitch.core.records import Job, JobState, Progress
-from sloeswitch.core.row_codec import encode_finished_job, encode_job_links
+from sloeswitch.core.row_codec import encode_finished_job, encode_job_links, encode_progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.core.uncommitted_updates import JobUpdates
@@ -335,8 +335,8 @@
     def _encode_changed_progress(self, job: Job, progress: Progress) -> dict[str, Any] | None:
         """The value of the job's progress row; None if it stays the same."""
         dense = self._tables.layout_complete
-        value = progress.stored(dense)
-        if value == job.progress.stored(dense):
+        value = encode_progress(progress, dense)
+        if value == encode_progress(job.progress, dense):
             return None
         if self._tables.adoption_keys:
             # Right after a first reading the job's row may be newer than all that is surely known.
