--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -698,7 +698,7 @@
             self.unplaced_jobs,
             key=lambda job: (
                 not job.starved,
-                min(job_queue.effective_priority(job), job_queue.STANDARD_RANK),
+                min(job_queue.effective_priority(job), job_queue.PriorityRank.STANDARD),
                 job.spec.image not in room.images,
             ),
         ):
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sloeswitch.core import job_queue
-from sloeswitch.core.job_queue import STARVATION_LEASES
+from sloeswitch.core.job_queue import PRIORITY_RANKS, STARVATION_LEASES, GuaranteeLedger, QueueKey, StarvationRank
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import JOB, World, machine_up
@@ -75,3 +75,43 @@
     assert not world.machines._has_begun(world.store.tables.jobs[JOB])
     world.store.progress(JOB, c1_2=0b1)
     assert world.machines._has_begun(world.store.tables.jobs[JOB])
+
+
+def test_ranks_by_age_and_by_what_has_begun() -> None:
+    first_s, last_s = STARVATION_LEASES * LEASE_S, 2 * STARVATION_LEASES * LEASE_S
+    rank = job_queue.starvation_rank
+    assert rank(False, first_s - 0.1, LEASE_S) is rank(True, first_s, LEASE_S) is StarvationRank.ORDINARY
+    assert rank(False, first_s, LEASE_S) is rank(False, 2 * last_s, LEASE_S) is StarvationRank.NOT_BEGUN
+    assert rank(True, last_s, LEASE_S) is StarvationRank.ORDINARY
+    assert rank(True, last_s + 0.1, LEASE_S) is StarvationRank.NOT_DONE
+
+
+def test_jobs_of_equal_rank_differ_by_age_alone(store: Store) -> None:
+    store.job(spec("wk-000001", visits=1))
+    store.job(spec("wk-000002", visits=1))
+    store.job(spec("wk-000003", visits=1, urgency="best_effort"))
+    names(store, 1.0)
+    jobs = store.tables.jobs
+    assert jobs["wk-000001"].queue_rank == jobs["wk-000002"].queue_rank != jobs["wk-000003"].queue_rank
+    key = QueueKey(StarvationRank.ORDINARY, False, True, 2, 0, 7.5)
+    assert key == (2, False, True, 2, 0, 7.5) and key.rank == (2, False, True, 2, 0)
+    assert not job_queue.is_ordered_by_age(jobs["wk-000001"])
+    names(store, 2 * STARVATION_LEASES * LEASE_S + 1)
+    assert not job_queue.is_ordered_by_age(jobs["wk-000001"])  # nothing begun: part of it goes first
+    store.progress("wk-000001", done=0b1)
+    names(store, 2 * STARVATION_LEASES * LEASE_S + 1)
+    assert job_queue.is_ordered_by_age(jobs["wk-000001"])
+
+
+def test_urgent_work_counts_against_its_like_only_and_other_work_against_all(store: Store) -> None:
+    """A team of 8 guaranteed cores: its urgent job is promised its place whatever came before, the others the rest."""
+    ledger = GuaranteeLedger(parse(SETTINGS))
+    for number, urgency in enumerate(("standard", "critical", "standard")):
+        store.job(spec(f"wk-00000{number}", urgency=urgency, visits=4, cores=1.0))
+    first, urgent, second = store.tables.jobs.values()
+    found = [
+        (demand.cores, ledger.covers(job, demand))
+        for job in (first, urgent, second)
+        for demand in [ledger.add_demand(job, PRIORITY_RANKS[job.spec.priority])]
+    ]
+    assert found == [(4.0, True), (4.0, True), (12.0, False)]
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -120,7 +120,9 @@
     assert [job.spec.image for job in dealt[:6]] == ["img-1"] * 3 + ["img-0"] * 3
     assert {job.spec.priority for job in dealt[:6]} == {"critical"}
     # Nobody's turn moves by more than the window.
-    assert all(abs(line.index(job) - place) < job_queue.DEAL_WINDOW * 2 for place, job in enumerate(dealt))
+    assert all(
+        abs(line.index(job) - place) < job_queue.AFFINITY_WINDOW_PER_CONTROLLER * 2 for place, job in enumerate(dealt)
+    )
 
 
 def test_allowances_never_pass_the_limit() -> None:
