--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -25,7 +25,7 @@
 from sloeswitch.actors.membership import Membership, ShardRecovered
 from sloeswitch.actors.quota_ledger import QuotaLedger
 from sloeswitch.actors.registration import Registration
-from sloeswitch.core import job_queue, placement, preemption, quota, taskset
+from sloeswitch.core import job_priority, job_queue, placement, preemption, quota, taskset
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.claim_planner import CapacitySnapshot, ClaimPlanner, PlanLimits
 from sloeswitch.core.health import Health
@@ -698,7 +698,7 @@
             self.unplaced_jobs,
             key=lambda job: (
                 not job.starved,
-                min(job_queue.effective_priority(job), job_queue.PriorityRank.STANDARD),
+                min(job_priority.effective_priority(job), job_priority.STANDARD),
                 job.spec.image not in room.images,
             ),
         ):
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -9,7 +9,7 @@
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decisions import Decision, ancestors, lane_of, ticket_of
 from sloeswitch.core import scaling
-from sloeswitch.core.job_queue import PRIORITY_RANKS
+from sloeswitch.core.job_priority import PRIORITY_RANKS
 from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.tables import Tables
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 
 from sloeswitch.cells.summary import Resources, Summary, task_resources
-from sloeswitch.core.job_queue import next_target
 from sloeswitch.core.records import Job
+from sloeswitch.core.slo_targets import next_target
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from sloeswitch.core import job_queue, placement, quota, taskset
+from sloeswitch.core import claim_order, job_queue, placement, quota, taskset
 from sloeswitch.core.health import Health
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
@@ -115,7 +115,7 @@
 
     def plan(self, line: list[Job], controllers: int, turn: int) -> ClaimPlan:
         """The claims to ask for. `turn`: this controller's place among them, so that not all claim the same job."""
-        for job in job_queue.deal(line, controllers, turn, self.picture.has_image_affinity):
+        for job in claim_order.deal(line, controllers, turn, self.picture.has_image_affinity):
             if not self.capacities and self.ahead_cores < self.picture.least_cores:
                 self.claims.remaining_capacities = []
                 break  # nobody further back can get anything: with a backlog the line is long, and looked at often
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from sloeswitch.core import job_queue
-from sloeswitch.core.job_queue import PRIORITY_RANKS, effective_priority
+from sloeswitch.core.job_priority import PRIORITY_RANKS, effective_priority
 from sloeswitch.core.machine_registry import RUNNING, Attempt
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -6,9 +6,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from sloeswitch.core.job_queue import is_begun, slo_targets
+from sloeswitch.core.job_queue import is_begun
 from sloeswitch.core.quota import ResourceUsage, fits_type, tasks_within_quota
 from sloeswitch.core.records import Job
+from sloeswitch.core.slo_targets import slo_targets
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
--- /dev/null
+++ b/sloeswitch/core/slo_targets.py
@@ -0,0 +1,64 @@
+"""Targets of jobs: when a job should be done, by the service level objectives of its class and by its deadline.
+
+All targets are in seconds from the job's submission.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from sloeswitch.core.records import Job
+from sloeswitch.settings import Objective
+from sloeswitch.wire import JobSpec
+
+
+def deadlines(spec: JobSpec, objectives: tuple[Objective, ...]) -> set[float]:
+    """Seconds from submission by which the job is due, by the objectives that its class has for deadlines."""
+    if spec.deadline_s is None:
+        return set()
+    times = {aim.times for aim in objectives if aim.kind == "deadline" and aim.job_class == spec.job_class}
+    return {each * spec.deadline_s for each in times}
+
+
+def slo_targets(job: Job, objectives: tuple[Objective, ...]) -> list[float]:
+    """Seconds from submission by which the job should be done, the earliest first; kept in the job until it changes.
+
+    Deadlines count from the submission, the other times from when the last job that it needs was done.
+    """
+    if job.targets is not None:
+        return job.targets
+    spec = job.spec
+    found = deadlines(spec, objectives)
+    waited_s = (job.ready_ms - job.submitted_ms) / 1000
+    for objective in objectives:
+        if objective.job_class != spec.job_class or objective.within_s is None:
+            continue
+        if objective.kind == "finished":
+            found.add(waited_s + objective.within_s)
+        elif objective.kind == "wait":
+            found.add(waited_s + objective.within_s + spec.estimate_s)
+    if spec.deadline_s is not None and not found:
+        found.add(spec.deadline_s)
+    if job.inherited_ms is not None:
+        found.update((by_ms - job.submitted_ms) / 1000 for by_ms in job.inherited_ms)
+    job.targets = sorted(found)
+    return job.targets
+
+
+class NextTarget(NamedTuple):
+    """Where a job stands in the list of its targets."""
+
+    # How many are missed for certain.
+    missed: int
+    # The age of the job, in seconds, by which its last tasks must start to meet the next one; None if none is left.
+    start_by_s: float | None
+
+
+def next_target(job: Job, objectives: tuple[Objective, ...], age_s: float) -> NextTarget:
+    """How many targets of the job are missed for certain at this age, and when it must start for the next one."""
+    targets = slo_targets(job, objectives)
+    needed_s = job.spec.estimate_s if job.has_unclaimed_tasks else 0.0
+    for missed, target in enumerate(targets):
+        if target >= age_s + needed_s:
+            return NextTarget(missed, target - needed_s)
+    return NextTarget(len(targets), None)
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sloeswitch.core import job_queue, keys
+from sloeswitch.core import job_priority, job_queue, keys, slo_targets
 from sloeswitch.core.records import JobState
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec, submission
@@ -47,8 +47,8 @@
     store.job(spec(C, roster="publish", awaits=[A], dueS=200.0))
     store_done(store, A, at_ms=100_000)
     aims = parse(AIMS).objectives
-    assert job_queue.slo_targets(store.tables.jobs[B], aims) == [160.0]
-    assert job_queue.slo_targets(store.tables.jobs[C], aims) == [200.0, 300.0]
+    assert slo_targets.slo_targets(store.tables.jobs[B], aims) == [160.0]
+    assert slo_targets.slo_targets(store.tables.jobs[C], aims) == [200.0, 300.0]
     # Its patience too: it has not waited in the line yet, and is not first for having nothing begun.
     store.job(spec(D, urgency="critical"))
     assert queued_names(store, 130_000, AIMS)[0] != B
@@ -70,8 +70,10 @@
     jobs = store.tables.jobs
     # 200 s less 10 s, a report and 1 GB at 0.5 GB/s; less 30 s, a report and 2 GB.
     assert jobs[B].inherited_ms == (187_000, 287_000)
-    assert jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_queue.PRIORITY_RANKS["urgent"]
-    assert job_queue.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
+    assert (
+        jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_priority.PRIORITY_RANKS["urgent"]
+    )
+    assert slo_targets.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # With the last job cancelled nothing needs the others any more.
     store.put(keys.job_key(C), {"s": JobState.CANCELLED, "n": 4})
     assert queued_names(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_ms is None
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -7,7 +7,8 @@
 import pytest
 
 from sloeswitch.core import job_queue
-from sloeswitch.core.job_queue import PRIORITY_RANKS, STARVATION_LEASES, GuaranteeLedger, QueueKey, StarvationRank
+from sloeswitch.core.job_priority import PRIORITY_RANKS
+from sloeswitch.core.job_queue import STARVATION_LEASES, GuaranteeLedger, QueueKey, StarvationRank
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import JOB, World, machine_up
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sloeswitch.core import job_queue, keys, quota, scaling, taskset
+from sloeswitch.core import claim_order, job_queue, keys, quota, scaling, taskset
 from sloeswitch.core.records import JobState, Progress
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
@@ -106,8 +106,8 @@
         store.job(spec(f"wk-00000{number}"))
     jobs = list(store.tables.jobs.values())
     for turn in range(3):
-        assert {job.spec.id for job in job_queue.rotate(jobs, 3, turn)} == {job.spec.id for job in jobs}
-    assert job_queue.rotate(jobs, 3, 1)[0] is jobs[1]
+        assert {job.spec.id for job in claim_order.rotate(jobs, 3, turn)} == {job.spec.id for job in jobs}
+    assert claim_order.rotate(jobs, 3, 1)[0] is jobs[1]
 
 
 def test_jobs_whose_image_is_at_home_come_first_among_equals_only(store: Store) -> None:
@@ -115,13 +115,13 @@
         urgency = "critical" if number < 6 else "standard"
         store.job(spec(f"wk-{number:06d}", urgency=urgency, kit=f"img-{number % 2}", cores=0.01))
     line = job_queue.queue_order(store.tables, parse(SETTINGS), 1000)
-    dealt = list(job_queue.deal(line, 2, 0, lambda job: job.spec.image == "img-1"))
+    dealt = list(claim_order.deal(line, 2, 0, lambda job: job.spec.image == "img-1"))
     assert {job.spec.id for job in dealt} == {job.spec.id for job in line} and len(dealt) == 30
     assert [job.spec.image for job in dealt[:6]] == ["img-1"] * 3 + ["img-0"] * 3
     assert {job.spec.priority for job in dealt[:6]} == {"critical"}
     # Nobody's turn moves by more than the window.
     assert all(
-        abs(line.index(job) - place) < job_queue.AFFINITY_WINDOW_PER_CONTROLLER * 2 for place, job in enumerate(dealt)
+        abs(line.index(job) - place) < claim_order.AFFINITY_WINDOW_PER_CONTROLLER * 2 for place, job in enumerate(dealt)
     )
 
 
