--- a/tests/test_fleet.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""Renting and letting go."""
+"""What the autoscaler demands, rents and returns."""
 
 from __future__ import annotations
 
