--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -9,12 +9,13 @@
 import anyio
 from anyio.abc import SocketListener, TaskGroup
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.actors.users import Users
 from sloeswitch.clock import SystemClock
 from sloeswitch.cloud import CloudClient
@@ -52,8 +53,10 @@
     membership = Membership(context)
     jobs = Jobs(context)
     machines = Machines(context, jobs, membership)
-    autoscaler = Autoscaler(context, CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now))
-    machines.autoscaler, autoscaler.machines = autoscaler, machines
+    cloud = CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now)
+    scale_in = ScaleIn(context, cloud)
+    scale_out = ScaleOut(context, cloud, scale_in)
+    machines.autoscaler, scale_in.machines = scale_in, machines
     users = Users(context, jobs, machines)
     # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
     server = Server(
@@ -81,9 +84,9 @@
             machines.run,
             machines.tick_forever,
             machines.registration.unregister_forever,
-            autoscaler.terminate_forever,
-            autoscaler.scale_out_forever,
-            autoscaler.scale_in_idle_forever,
+            scale_in.terminate_forever,
+            scale_out.scale_out_forever,
+            scale_in.scale_in_idle_forever,
             server.sweep_forever,
         ):
             group.start_soon(loop)
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -7,7 +7,8 @@
 import anyio
 
 from sloeswitch import wire
-from sloeswitch.actors.autoscaler import Autoscaler
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import keys
 from tests.conftest import MACHINE_TYPE, spec
@@ -79,20 +80,21 @@
         super().__init__(world, name)
         cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock.now)
         cloud.node = self
-        self.fleet = Autoscaler(self.context, cloud)
-        self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
+        self.scale_in = ScaleIn(self.context, cloud)
+        self.scale_out = ScaleOut(self.context, cloud, self.scale_in)
+        self.machines.autoscaler, self.scale_in.machines = self.scale_in, self.machines
 
     def scale(self) -> None:
-        """What the loops of the fleet actor do in about a report's time."""
+        """What the loops of scaling do in about a report's time."""
         anyio.run(self._scale)
 
     async def _scale(self) -> None:
         if self.leadership.is_coordinator and self.replica.loaded:
             await self._scale_out()
-        self.fleet.scale_in_idle()
-        if self.fleet.terminating:
+        self.scale_in.scale_in_idle()
+        if self.scale_in.terminating:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.fleet.terminate_forever)
+                group.start_soon(self.scale_in.terminate_forever)
                 for _ in range(TURNS):
                     await anyio.lowlevel.checkpoint()
                 group.cancel_scope.cancel()
@@ -101,9 +103,9 @@
 
     async def _scale_out(self) -> None:
         try:
-            await self.fleet._read_catalog()
-            await self.fleet._list_instances()
-            while await self.fleet._scale_out():
+            await self.scale_out._read_catalog()
+            await self.scale_out._list_instances()
+            while await self.scale_out._scale_out():
                 pass
         except CloudError:
             return
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -8,12 +8,12 @@
 import anyio.lowlevel
 
 from sloeswitch import mesh, wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machines import HeartbeatRequest, Machines
 from sloeswitch.actors.membership import Membership
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -146,17 +146,17 @@
         self.deleted += machines
 
 
-def deletions(world: World, fleet: Autoscaler) -> list[str]:
+def deletions(world: World, scale_in: ScaleIn) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(fleet.terminate_forever)
+                group.start_soon(scale_in.terminate_forever)
                 await anyio.wait_all_tasks_blocked()
                 scope.cancel()
 
     anyio.run(run)
-    assert isinstance(fleet.cloud, Cloud)
-    return fleet.cloud.deleted
+    assert isinstance(scale_in.cloud, Cloud)
+    return scale_in.cloud.deleted
 
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -7,8 +7,8 @@
 import anyio
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import MOST_FAILURES, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
@@ -165,16 +165,16 @@
     outage = Outage(store, monkeypatch)
     cloud: Any = Cloud()
     world = outage.world
-    fleet = Autoscaler(world.context, cloud)
-    fleet.machines = world.machines
+    scale_in = ScaleIn(world.context, cloud)
+    scale_in.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
-    fleet.scale_in(pressing, pressing=True)
-    fleet.scale_in(other)
+    scale_in.scale_in(pressing, pressing=True)
+    scale_in.scale_in(other)
     outage.sibling_tells(5, True)
-    assert deletions(world, fleet) == []
+    assert deletions(world, scale_in) == []
     outage.sibling_tells(0, False)
-    fleet.wake = anyio.Event()  # of the next event loop
-    assert deletions(world, fleet) == [pressing]
+    scale_in.wake = anyio.Event()  # of the next event loop
+    assert deletions(world, scale_in) == [pressing]
 
 
 def test_nothing_is_deleted_by_a_controller_that_hears_no_machine_at_all(
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -15,9 +15,10 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.admission.coordinator import AdmissionCoordinator
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket
 from sloeswitch.cells.frames import CellAnswer, CellRequest, Offer
@@ -104,14 +105,14 @@
 
 def catalog(world: Recorder) -> None:
     cloud: Any = None
-    fleet = Autoscaler(world.context, cloud)
+    scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
     other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
-    world.run(fleet._store_catalog, [MACHINE_TYPE, other])
+    world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
     world.given("layout mark, complete")
     world.client.value_bytes = 200
-    world.run(fleet._store_catalog, [MACHINE_TYPE, other])
+    world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
     world.client.value_bytes = 400
-    world.run(fleet._store_catalog, [MACHINE_TYPE])
+    world.run(scale_out._store_catalog, [MACHINE_TYPE])
 
 
 def register(world: Recorder) -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -10,8 +10,8 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
 from sloeswitch.core.records import View
@@ -115,20 +115,20 @@
 
 def test_after_a_freeze_no_machine_is_deleted_on_what_was_known_before(world: World) -> None:
     cloud: Any = Cloud()
-    fleet = Autoscaler(world.context, cloud)
-    fleet.machines = world.machines
+    scale_in = ScaleIn(world.context, cloud)
+    scale_in.machines = world.machines
     both = (("c0", 1), ("c1", 2))
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
-    fleet.scale_in(name)
+    scale_in.scale_in(name)
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert deletions(world, fleet) == []  # its lease is over
+    assert deletions(world, scale_in) == []  # its lease is over
     # Awake again, it learns that the machine has another owner.
     world.store.view(4, *both)
     later(world, 0.0)
-    assert deletions(world, fleet) == [] and not fleet.terminating
+    assert deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
-    fleet.scale_in(name)
-    assert deletions(world, fleet) == [name]
+    scale_in.scale_in(name)
+    assert deletions(world, scale_in) == [name]
 
 
 def test_after_a_freeze_nothing_is_answered_claimed_or_settled_on_what_was_known_before(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,8 +9,9 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.cloud import CloudClient
 from sloeswitch.core import keys, placement
 from sloeswitch.core.claim_planner import ClaimPlanner, PlanLimits
@@ -139,7 +140,7 @@
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
     monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
-    renting = Autoscaler(fleet.context, cloud)
+    renting = ScaleOut(fleet.context, cloud, ScaleIn(fleet.context, cloud))
     renting.types = {"small": MACHINE_TYPE}
     fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
--- /dev/null
+++ b/tests/test_scale_out.py
@@ -0,0 +1,114 @@
+"""Scaling: what the cloud's list tells, what is pending, and what is returned first."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import anyio
+import pytest
+
+from sloeswitch import wire
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
+from sloeswitch.core import keys
+from sloeswitch.core.scaling import InstanceKind
+from tests.conftest import MACHINE_TYPE, Store, spec
+from tests.support.single_controller import World, machine_up
+
+SPOT = InstanceKind("small", "a", True)
+
+
+class ListingCloud:
+    """A cloud with a list of instances, which creates what is asked for as far as it has it."""
+
+    def __init__(self) -> None:
+        self.instances: list[wire.Instance] = []
+        self.available = 0
+        self.requested: list[wire.InstanceRequest] = []
+
+    async def list_instances(self) -> list[wire.Instance]:
+        return self.instances
+
+    async def create_instances(self, request: wire.InstanceRequest) -> list[str] | None:
+        self.requested.append(request)
+        count = min(self.available, request.count)
+        self.available -= count
+        return [f"vm-{request.name}-{number}" for number in range(count)] or None
+
+
+def instance(name: str, state: str = "booting", age_s: float = 1.0) -> wire.Instance:
+    return wire.Instance(id=name, address="127.0.0.1:9000", type="small", zone="a", spot=True, state=state, age_s=age_s)
+
+
+@pytest.fixture
+def world(store: Store) -> World:
+    world = World(store)
+    machine_up(world)
+    store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
+    return world
+
+
+@pytest.fixture
+def cloud() -> ListingCloud:
+    return ListingCloud()
+
+
+@pytest.fixture
+def scale_out(world: World, cloud: Any) -> ScaleOut:
+    scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
+    scale_out.types = {"small": MACHINE_TYPE}
+    return scale_out
+
+
+def test_an_instance_of_a_former_coordinator_is_pending_and_a_failed_one_is_returned(
+    world: World, cloud: ListingCloud, scale_out: ScaleOut
+) -> None:
+    cloud.instances = [instance("vm-1"), instance("vm-2", age_s=3.0), instance("vm-3", "failed")]
+    anyio.run(scale_out._list_instances)
+    assert scale_out.pending_instances.keys() == {"vm-2"}  # vm-1 is registered
+    assert scale_out.pending_instances["vm-2"].kind == SPOT
+    assert scale_out.pending_instances["vm-2"].requested_at == world.clock.time - 3.0
+    assert scale_out.scale_in.terminating.keys() == {"vm-3"} and scale_out.scale_in.terminating["vm-3"].listed
+
+
+def test_a_pending_instance_that_does_not_come_up_is_returned_and_its_kind_refused(
+    world: World, cloud: ListingCloud, scale_out: ScaleOut
+) -> None:
+    cloud.instances = [instance("vm-2", age_s=3 * MACHINE_TYPE.boot_s + 1)]
+    anyio.run(scale_out._list_instances)
+    assert scale_out.scale_in.terminating.keys() == {"vm-2"}
+    assert scale_out.refused_until == {SPOT: world.clock.time + world.settings.list_lag_s}
+    # Once it is deleted it counts as supply no more.
+    scale_out.scale_in.on_deleted(["vm-2"])
+    assert not scale_out.pending_instances
+
+
+def test_a_kind_that_the_cloud_does_not_have_is_refused_for_a_while(
+    world: World, cloud: ListingCloud, scale_out: ScaleOut
+) -> None:
+    world.store.job(spec(visits=40, dueS=None))
+    assert not anyio.run(scale_out._scale_out)
+    (request,) = cloud.requested
+    assert request.name == "3-c0.1-1" and not scale_out.pending_instances
+    assert scale_out.refused_until == {
+        InstanceKind(request.type, request.zone, request.spot): world.clock.time + 2 * world.settings.list_lag_s
+    }
+    cloud.available = 1
+    anyio.run(scale_out._scale_out)
+    assert len(scale_out.pending_instances) == 1
+    other = cloud.requested[1]
+    assert other.name == "3-c0.1-2" and (other.type, other.zone, other.spot) != (
+        request.type,
+        request.zone,
+        request.spot,
+    )
+
+
+def test_a_machine_is_returned_once_and_urgently_before_others(world: World, cloud: Any) -> None:
+    scale_in = ScaleIn(world.context, cloud)
+    assert scale_in.scale_in("vm-5") and not scale_in.scale_in("vm-5")
+    assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", pressing=True)
+    assert not scale_in.scale_in("vm-6", pressing=True) and not scale_in.scale_in("vm-6")
+    assert scale_in._next_batch() == ["vm-6", "vm-5"]
+    world.clock.time += 2 * world.settings.controller_lease_s
+    assert scale_in._next_batch() == []  # no leader, and siblings may be
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -24,7 +24,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.autoscaler = ScaleIn(world.context, cloud)
     world.machines.autoscaler.machines = world.machines
     yield world
 
@@ -51,7 +51,7 @@
 
 
 def deleted(world: World) -> list[str]:
-    assert isinstance(world.machines.autoscaler, Autoscaler)
+    assert isinstance(world.machines.autoscaler, ScaleIn)
     world.machines.autoscaler.wake = anyio.Event()  # of this event loop
     return deletions(world, world.machines.autoscaler)
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -10,8 +10,9 @@
 import pytest
 
 from sloeswitch import wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import TaskUpdates
+from sloeswitch.actors.scale_in import ScaleIn
+from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.core import keys, taskset
 from sloeswitch.settings import SettingsError, parse
 from sloeswitch.state_client import StateClient
@@ -104,16 +105,16 @@
 def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
     world = World(store, NARROW)
     cloud: Any = None
-    fleet = Autoscaler(world.context, cloud)
+    scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
     kinds = [
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
-    anyio.run(fleet._store_catalog, kinds)
+    anyio.run(scale_out._store_catalog, kinds)
     assert store.tables.machine_types.keys() == {"small"}  # an earlier layout would not find them
     store.upgraded()
-    anyio.run(fleet._store_catalog, kinds)
+    anyio.run(scale_out._store_catalog, kinds)
     assert store.tables.machine_types == {kind.name: kind for kind in kinds}
-    anyio.run(fleet._store_catalog, kinds[:2])
+    anyio.run(scale_out._store_catalog, kinds[:2])
     assert store.tables.machine_types == {kind.name: kind for kind in kinds[:2]}
 
 
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
+from sloeswitch.actors.scale_in import ScaleIn
 from tests.conftest import Store, submission
 from tests.support.single_controller import JOB, Cloud, World, machine_up, submit
 
@@ -17,7 +17,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.autoscaler = ScaleIn(world.context, cloud)
     world.machines.autoscaler.machines = world.machines
     yield world
 
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys, placement
 from sloeswitch.core.machine_registry import Machine
 from tests.conftest import Store, spec
@@ -20,7 +20,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.autoscaler = ScaleIn(world.context, cloud)
     world.machines.autoscaler.machines = world.machines
     yield world
 
