--- a/sloeswitch/core/claim_order.py
+++ b/sloeswitch/core/claim_order.py
@@ -1,6 +1,6 @@
 """In which order each of several controllers claims: the queue, dealt out so that they do not all write the same job.
 
-Nobody's place in the queue moves by more than a few times the number of controllers, and no job by what it waits for.
+No job's place moves by more than a few times the number of controllers.
 """
 
 from __future__ import annotations
@@ -39,9 +39,9 @@
     while start < len(jobs):
         window = _window(jobs, start, AFFINITY_WINDOW_PER_CONTROLLER * controllers)
         start += len(window)
-        is_near = [has_image_affinity(job) for job in window]
-        yield from compress(window, is_near)
-        yield from rotate([job for job, near in zip(window, is_near, strict=True) if not near], controllers, turn)
+        near = [has_image_affinity(job) for job in window]
+        yield from compress(window, near)
+        yield from rotate([job for job, is_near in zip(window, near, strict=True) if not is_near], controllers, turn)
 
 
 def _window(jobs: list[Job], start: int, limit: int) -> list[Job]:
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -67,8 +67,8 @@
         )
         # By job: those that need it, are not cancelled and were not visited yet.
         self.unvisited_successors = {
-            name: {waiting for waiting in waitings if waiting in self.jobs and not self.jobs[waiting].is_cancelled}
-            for name, waitings in tables.graph.successors.items()
+            name: {each for each in successors if each in self.jobs and not self.jobs[each].is_cancelled}
+            for name, successors in tables.graph.successors.items()
             if name in self.jobs
         }
 
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -1,9 +1,8 @@
 """The queue of runnable jobs: in which order jobs get free capacity.
 
-A job is runnable when its
-join counter is zero (`core/dependency_graph.py`). The queue is built anew at every tick from the stored tables; nothing
-of it is stored. A job's targets are in `core/slo_targets.py`, its priority and what passes upstream in
-`core/job_priority.py`, and the order in which each of several controllers claims in `core/claim_order.py`.
+A job is runnable when its join counter is zero (`core/dependency_graph.py`). The queue is built anew at every tick from
+the stored tables; nothing of it is stored. A job's targets are in `core/slo_targets.py`, its priority and what passes
+upstream in `core/job_priority.py`, and the order in which each of several controllers claims in `core/claim_order.py`.
 
 Oldest first, where a job that has time to its next target counts as younger by the time that it can wait: short jobs
 have little, and were late behind long ones (found on the bench). Before that, in this order:
@@ -46,6 +45,7 @@
     NOT_BEGUN = 0
     # It is not done after twice as long: its age alone decides.
     NOT_DONE = 1
+    # All other jobs.
     ORDINARY = 2
 
 
@@ -134,8 +134,9 @@
 class GuaranteeLedger:
     """What each team's jobs want so far, the oldest first, against what the team is guaranteed.
 
-    It is decided once for each job, when the job first comes: of a team that has more work than its guarantee the
-    oldest is promised nothing; counted as guaranteed it kept urgent jobs waiting (found on the bench).
+    Whether a job is guaranteed is decided once, when it first comes. Decided anew at every tick, the oldest work of a
+    team with more than its guarantee would always count as guaranteed; that kept urgent jobs waiting (found on the
+    bench).
 
     Work more urgent than standard counts only against its like, as a team's urgent work has the guarantee first: a
     small stage of a pipeline waited for two minutes behind what had come within other guarantees (found on a recorded
