--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -91,7 +91,7 @@
     assert world.store.tables.view == View(4, (("c0", 7),))
 
 
-def test_the_former_runs_claims_are_nobodys_only_once_all_is_settled(world: World) -> None:
+def test_the_former_runs_claims_are_unclaimed_only_once_recovery_is_complete(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1111)
     job = world.store.tables.jobs[JOB]
@@ -102,8 +102,8 @@
     assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0b1111
 
 
-def test_a_settled_view_whose_telling_was_lost_is_told_again(world: World) -> None:
-    """An unsettled view would leave the claims of a departed controller standing for ever."""
+def test_a_recovered_view_whose_write_was_lost_is_stored_again(world: World) -> None:
+    """A view that never counts as recovered would leave the claims of a departed controller standing for ever."""
     world.store.member("c0", 1, settled=0)
     world.membership.recovered_view = 3
     world.client.lose_answers = 3
@@ -131,7 +131,7 @@
     assert deletions(world, scale_in) == [name]
 
 
-def test_after_a_freeze_nothing_is_answered_claimed_or_settled_on_what_was_known_before(world: World) -> None:
+def test_after_a_freeze_nothing_is_answered_or_claimed_on_what_was_known_before(world: World) -> None:
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
     assert heartbeat(world, report(3, 3)).status == 503
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -12,11 +12,11 @@
 
 
 def test_the_cheapest_kind_is_rented_first_and_the_refused_one_passed_over() -> None:
-    need = [scaling.Demand(spec(), 10)]
-    spot = scaling.plan_scale_out(need, {}, TYPES, set(), 50)
+    demand = [scaling.Demand(spec(), 10)]
+    spot = scaling.plan_scale_out(demand, {}, TYPES, set(), 50)
     assert spot == scaling.ScaleOutPlan(SPOT, 2)
     refused = {SPOT, InstanceKind("small", "b", True)}
-    assert scaling.plan_scale_out(need, {}, TYPES, refused, 50) == scaling.ScaleOutPlan(ORDINARY, 2)
+    assert scaling.plan_scale_out(demand, {}, TYPES, refused, 50) == scaling.ScaleOutPlan(ORDINARY, 2)
 
 
 def test_nothing_is_rented_for_what_fits_already() -> None:
@@ -28,12 +28,12 @@
     assert plan == scaling.ScaleOutPlan(ORDINARY, 1)
 
 
-def test_the_dearest_machines_are_let_go_with_a_margin_of_one() -> None:
-    need = [scaling.Demand(spec(), 8)]
-    assert scaling.plan_scale_in(need, {SPOT: 2, ORDINARY: 1}, TYPES) == {}
-    assert scaling.plan_scale_in(need, {SPOT: 2, ORDINARY: 3}, TYPES) == {ORDINARY: 2}
-    assert scaling.plan_scale_in(need, {SPOT: 4, ORDINARY: 3}, TYPES) == {SPOT: 1, ORDINARY: 3}
-    assert scaling.plan_scale_in(need, {SPOT: 1}, TYPES) == {}
+def test_the_dearest_machines_are_returned_with_a_margin_of_one() -> None:
+    demand = [scaling.Demand(spec(), 8)]
+    assert scaling.plan_scale_in(demand, {SPOT: 2, ORDINARY: 1}, TYPES) == {}
+    assert scaling.plan_scale_in(demand, {SPOT: 2, ORDINARY: 3}, TYPES) == {ORDINARY: 2}
+    assert scaling.plan_scale_in(demand, {SPOT: 4, ORDINARY: 3}, TYPES) == {SPOT: 1, ORDINARY: 3}
+    assert scaling.plan_scale_in(demand, {SPOT: 1}, TYPES) == {}
 
 
 def test_a_job_too_small_to_be_worth_a_machine_gets_one_if_there_is_none_for_it() -> None:
@@ -49,7 +49,7 @@
     store.job(spec(together=True, visits=8, dueS=None))
     store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
     wanted = scaling.current_demand(store.tables, settings, 0, 1.0)
-    assert [need.bound_zone for need in wanted] == ["b"]
+    assert [demand.bound_zone for demand in wanted] == ["b"]
     in_b = InstanceKind("small", "b", True)
     assert scaling.plan_scale_in(wanted, {SPOT: 3, in_b: 1}, TYPES) == {SPOT: 2}
     plan = scaling.plan_scale_out(wanted, {SPOT: 3}, TYPES, set(), 50)
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -38,7 +38,7 @@
     assert names(store, 2 * STARVATION_LEASES * LEASE_S + 1) == ["wk-000001", "wk-000002"]
 
 
-def test_a_hopeless_job_stands_back_for_a_bounded_time(store: Store) -> None:
+def test_a_job_past_all_targets_goes_behind_others_for_a_bounded_time(store: Store) -> None:
     store.job(spec("wk-000001", dueS=20.0))
     store.progress("wk-000001", done=0b1)
     store.job(spec("wk-000002", dueS=500.0))
