--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -10,7 +10,8 @@
 
 from sloeswitch.actors.gang_preemption import GangPreemption
 from sloeswitch.actors.shard_state import ShardState
-from sloeswitch.core import job_queue, placement, quota, taskset
+from sloeswitch.core import placement, quota, taskset
+from sloeswitch.core.job_priority import STANDARD, effective_priority
 from sloeswitch.core.machine import Attempt, Machine
 from sloeswitch.core.quota import fits_type
 from sloeswitch.core.records import Job
@@ -88,7 +89,7 @@
             self.unplaced_jobs,
             key=lambda job: (
                 not job.starved,
-                min(job_queue.effective_priority(job), job_queue.STANDARD_RANK),
+                min(effective_priority(job), STANDARD),
                 job.spec.image not in capacity.images,
             ),
         ):
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from sloeswitch.core import job_queue, placement, quota, taskset
+from sloeswitch.core import claim_order, job_queue, placement, quota, taskset
 from sloeswitch.core.health import Health
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
@@ -159,7 +159,7 @@
             controller_count: How many controllers claim.
             position: This controller's place among them, so that not all claim the same job.
         """
-        for job in job_queue.deal(queue, controller_count, position, self.snapshot.has_image_affinity):
+        for job in claim_order.deal(queue, controller_count, position, self.snapshot.has_image_affinity):
             if not self.capacities and self.ahead_cores < self.snapshot.least_cores:
                 self.claims.remaining_capacities = []
                 break  # nobody further back can get anything: with a backlog the queue is long, and scanned often
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from sloeswitch.core import job_queue
-from sloeswitch.core.job_queue import PRIORITY_RANKS, effective_priority
+from sloeswitch.core.job_priority import PRIORITY_RANKS, effective_priority
 from sloeswitch.core.machine import Attempt, AttemptState
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -8,13 +8,13 @@
 import anyio.lowlevel
 
 from sloeswitch import mesh_frames, wire
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
 from sloeswitch.actors.leadership import Leadership
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.machines import Machines
 from sloeswitch.actors.membership import Membership
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.actors.users import Users
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -148,7 +148,7 @@
         self.deleted += machines
 
 
-def deletions(world: World, fleet: Autoscaler) -> list[str]:
+def deletions(world: World, fleet: ScaleIn) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -7,8 +7,8 @@
 import anyio
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.commands import InspectionReply
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
@@ -165,7 +165,7 @@
     outage = Outage(store, monkeypatch)
     cloud: Any = Cloud()
     world = outage.world
-    autoscaler = Autoscaler(world.context, cloud)
+    autoscaler = ScaleIn(world.context, cloud)
     autoscaler.machines = world.machines
     pressing, other = sorted(owned_by(store, "c1"))[:2]
     autoscaler.scale_in(pressing, pressing=True)
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -25,7 +25,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.termination.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.termination.autoscaler = ScaleIn(world.context, cloud)
     world.machines.termination.autoscaler.machines = world.machines
     yield world
 
@@ -52,7 +52,7 @@
 
 
 def deleted(world: World) -> list[str]:
-    assert isinstance(world.machines.termination.autoscaler, Autoscaler)
+    assert isinstance(world.machines.termination.autoscaler, ScaleIn)
     world.machines.termination.autoscaler.wake = anyio.Event()  # of this event loop
     return deletions(world, world.machines.termination.autoscaler)
 
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
+from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys, placement
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.quota import ResourceAmount
@@ -21,7 +21,7 @@
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
-    world.machines.termination.autoscaler = Autoscaler(world.context, cloud)
+    world.machines.termination.autoscaler = ScaleIn(world.context, cloud)
     world.machines.termination.autoscaler.machines = world.machines
     yield world
 
