--- a/sloeswitch/actors/base.py
+++ b/sloeswitch/actors/base.py
@@ -42,7 +42,7 @@
             self.answered.set()
 
     def fail(self) -> None:
-        """Lets go of whoever waits, without an answer; ignored if there is one already."""
+        """Releases the task that waits, without an answer; ignored if there is one already."""
         self.answered.set()
 
     @property
--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -45,7 +45,7 @@
         self.incarnation = 0
         # When the last renewal that was granted had been sent.
         self.lease_renewed_at = float("-inf")
-        # Set once the mesh is there; the mesh tells siblings `peer_status`.
+        # Set once the mesh is there; the mesh sends `peer_status` to siblings.
         self.mesh: Mesh | None = None
         # How long a lease or a confirmation may be relied on here, however our clock drifts from its giver's.
         self.lease_span_s = settings.controller_lease_s * (1 - settings.clock_drift)
@@ -88,7 +88,7 @@
         """Whether this run may answer reports, which keeps workers and their tasks alive.
 
         A leader may. So may a member whose siblings all confirm, within the span of a lease, that they know of no newer
-        view and have passed on every cancellation that their users may have been told of. That keeps workers alive
+        view and have passed on every cancellation that their users may know of. That keeps workers alive
         through an outage of the state service.
         """
         if self.is_leader:
@@ -107,7 +107,7 @@
     def is_leaderless(self) -> bool:
         """Whether, as far as can be known here, no controller may answer machines.
 
-        That is so while the state service does not answer, some sibling confirms nothing, and none tells that it
+        That is so while the state service does not answer, some sibling confirms nothing, and none reports that it
         reaches the state service or knows of a newer view. A controller that has not read all tables cannot tell.
         """
         if self.may_answer_workers or not self.replica.fully_read or self.replica.client.is_reachable:
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -75,7 +75,7 @@
     # -- new machines
 
     def machines_to_store(self, machines: list[Machine]) -> NewMachines:
-        """As many as one transaction takes of those that were heard and are neither stored nor about to be."""
+        """As many as one transaction takes of the reconciled machines that are neither stored nor about to be."""
         unstored = [
             machine
             for machine in machines
@@ -104,7 +104,7 @@
         )
 
     async def store(self, new: NewMachines, view_number: int) -> None:
-        """Stores new machines on condition of the view under which they were heard.
+        """Stores new machines on condition of the view under which they were reconciled.
 
         They count as pending until the write has ended, whatever came of it; the next tick tries again what is not
         stored then.
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -52,7 +52,7 @@
         self.tables = context.tables
         self.leadership = context.leadership
         self.clock = context.clock
-        # Set once the machines actor is there; it is told what was deleted.
+        # Set once the machines actor is there; it receives what was deleted.
         self.machines: Machines | None = None
         self.on_deleted: Callable[[list[str]], None] = lambda _names: None
         self.terminating: dict[str, Termination] = {}
@@ -158,7 +158,7 @@
     def _mark_surplus(self, machines: Machines) -> None:
         """Marks machines that are not needed, the dearest first, so that nothing new is placed on them.
 
-        Every controller decides by the same tables and chooses by name, so that together they mark the right number.
+        Every controller decides by the same tables and chooses by name, so that together they choose the right number.
         """
         demand = scaling.current_demand(self.tables, self.settings, self.clock.wall_clock_ms(), scaling.SCALE_IN_SPREAD)
         surplus = scaling.plan_scale_in(demand, registered_supply(self.tables), self.tables.machine_types)
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -59,7 +59,7 @@
         self.now = context.clock.now
         self.scale_in = scale_in
         scale_in.on_deleted = self._forget
-        # The catalog as the cloud last told it.
+        # The catalog as last read from the cloud.
         self.types: dict[str, wire.MachineType] = {}
         self.pending_instances: dict[str, PendingInstance] = {}
         # All times are seconds of the monotonic clock.
