--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -28,7 +28,12 @@
     RUNNING = wire.RUNNING
     DONE = wire.DONE
     CANCELLED = wire.CANCELLED
-    # No job of that name was ever accepted. Never sent.
+
+
+class CancelFailure(StrEnum):
+    """Why a job can never be cancelled. Not sent to users as it is."""
+
+    # No job of that name was ever accepted.
     NOT_FOUND = ""
 
 
@@ -43,9 +48,9 @@
 
 
 class _CancelAttempt(NamedTuple):
-    """The result of one attempt: the job's status, or None if it is not cancelled; whether to try again."""
+    """The result of one attempt to cancel a job (see `JobRequests.cancel`), and whether to try again."""
 
-    status: JobStatus | None = None
+    result: JobStatus | CancelFailure | None = None
     is_conflict: bool = False
 
 
@@ -109,7 +114,7 @@
 
     # -- cancel
 
-    async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | None:
+    async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | CancelFailure | None:
         """Cancels a job.
 
         Args:
@@ -117,13 +122,13 @@
             only_unclaimed: Not if a task of it was ever claimed.
 
         Returns:
-            The job's final status, or NOT_FOUND. None if the cancellation cannot be stored now, or another cell may
-            still start or hold a task of the job.
+            The job's final status, or why it can never be cancelled. None if the cancellation cannot be stored now, or
+            another cell may still start or hold a task of the job.
         """
         for _ in range(MAX_CANCEL_ATTEMPTS):
             attempt = await self._attempt_cancel(name, only_unclaimed)
             if not attempt.is_conflict:
-                return attempt.status
+                return attempt.result
         return None
 
     async def _attempt_cancel(self, name: str, only_unclaimed: bool) -> _CancelAttempt:
@@ -133,7 +138,8 @@
         if job is None:
             if not await self._read_linearizable():
                 return _CancelAttempt()
-            return _CancelAttempt(JobStatus.NOT_FOUND, is_conflict=self.status(name) is not None)
+            is_known = self.status(name) is not None
+            return _CancelAttempt(None if is_known else CancelFailure.NOT_FOUND, is_conflict=is_known)
         if job.is_cancelled:
             return _CancelAttempt(JobStatus.CANCELLED)
         if only_unclaimed and job.progress_revision:
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -16,7 +16,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.garbage_collection import GarbageCollector
 from sloeswitch.actors.job_messages import ClaimRequest
-from sloeswitch.actors.job_requests import JobRequests, JobStatus, Submission
+from sloeswitch.actors.job_requests import CancelFailure, JobRequests, JobStatus, Submission
 from sloeswitch.actors.spec_chunks import transaction_values_bytes
 from sloeswitch.core.commit_planner import CommitLimits, CommitPlan, CommitSnapshot, plan_commit
 from sloeswitch.core.commit_schedule import CommitDelays, CommitSchedule
@@ -48,6 +48,7 @@
         self.leadership = context.leadership
         self.clock = context.clock
         self.uncommitted = UncommittedUpdates()
+        # The claim request for the next transaction, and the event that a message arrived.
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
         # How long the last updates of a job wait for others, in seconds; see CommitDelays.
@@ -208,7 +209,7 @@
         """Accepts a job; None if it cannot be stored now."""
         return await self.requests.submit(spec)
 
-    async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | None:
+    async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | CancelFailure | None:
         """Cancels a job; see `JobRequests.cancel`."""
         return await self.requests.cancel(name, only_unclaimed)
 
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -15,7 +15,7 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.context import ControllerContext
-from sloeswitch.actors.job_requests import FINAL_STATUSES, JobStatus
+from sloeswitch.actors.job_requests import FINAL_STATUSES, CancelFailure, JobStatus
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.machines import Machines
@@ -228,10 +228,10 @@
             return unavailable()
         if self._is_delegated(name):
             return not_found("no such job")
-        status = await self.jobs.cancel(name)
-        if status is None:
+        result = await self.jobs.cancel(name)
+        if result is None:
             return unavailable()
-        return not_found("no such job") if status is JobStatus.NOT_FOUND else job_answer(name, status)
+        return not_found("no such job") if isinstance(result, CancelFailure) else job_answer(name, result)
 
     # -- what is known of a job
 
