--- /dev/null
+++ b/tests/support/commit_plans.py
@@ -0,0 +1,58 @@
+"""Snapshots that the commit planner plans from, and what its plans write."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+from sloeswitch.core import keys, taskset
+from sloeswitch.core.commit_planner import CommitLimits, CommitPlan, CommitSnapshot, RequestedClaims
+from sloeswitch.core.uncommitted_updates import JobUpdates
+from sloeswitch.settings import Team
+from tests.conftest import Store
+
+JOB, OTHER, THIRD = "wk-000001", "wk-000002", "wk-000003"
+OWN, SIBLING, DEPARTED = "c0.1", "c1.2", "c1.1"
+NOW_MS = 1_700_000_000_000
+ROOMY = CommitLimits(changes=12, transaction_changes=12, value_bytes=16_000, total_bytes=100_000)
+TEAMS = {"red": Team("red", 8.0, 20.0, 0.0, 0.0), "blue": Team("blue", 8.0, 20.0, 0.0, 0.0)}
+
+
+def recovered(store: Store) -> None:
+    """View 3 of this controller and a sibling, both recovered."""
+    store.view(3, ("c0", 1), ("c1", 2))
+    store.member("c0", 1, settled=3)
+    store.member("c1", 2, settled=3)
+
+
+def snapshot(store: Store, updates: dict[str, JobUpdates] | None = None, **changes: Any) -> CommitSnapshot:
+    """What the leader c0.1 plans from."""
+    tables = store.tables
+    base = CommitSnapshot(
+        tables=tables,
+        teams=TEAMS,
+        incarnation_id=OWN,
+        updates=updates or {},
+        limits=ROOMY,
+        is_leader=True,
+        recovery_complete=tables.recovery_complete(),
+        view_conditions={keys.VIEW_KEY: tables.mod_revision(keys.VIEW_KEY)},
+        applied_revision=store.epoch,
+        wall_clock_ms=NOW_MS,
+    )
+    return replace(base, **changes)
+
+
+def claim(count: int, job: str = JOB, **changes: Any) -> RequestedClaims:
+    return RequestedClaims(task_counts={job: count}, **changes)
+
+
+def stored_claims(plan: CommitPlan, name: str = JOB) -> dict[str, int]:
+    """The claims in the progress that a plan writes."""
+    packed = plan.transaction.writes[keys.progress_key(name)]["c"]
+    return {holder: taskset.unpack(tasks) for holder, tasks in packed.items()}
+
+
+def row_conditions(store: Store, name: str = JOB) -> dict[str, int]:
+    job = store.tables.jobs[name]
+    return {keys.job_key(name): job.mod_revision, keys.progress_key(name): job.progress_revision}
--- /dev/null
+++ b/tests/test_commit_adoptions.py
@@ -0,0 +1,172 @@
+"""Adoptions in the commit planner's transactions: with a job's own row, or those of many jobs as one row."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from sloeswitch import wire
+from sloeswitch.core import keys, taskset
+from sloeswitch.core.commit_planner import RequestedClaims, plan_commit
+from sloeswitch.core.quota import ResourceAmount
+from sloeswitch.core.quota_changes import QuotaDecrease
+from sloeswitch.core.uncommitted_updates import JobUpdates
+from tests.conftest import Store, spec
+from tests.support.commit_plans import (
+    JOB,
+    OTHER,
+    OWN,
+    ROOMY,
+    SIBLING,
+    THIRD,
+    recovered,
+    snapshot,
+    stored_claims,
+)
+
+
+@pytest.fixture
+def store(store: Store) -> Store:
+    """View 3 of this controller and a sibling, both recovered."""
+    recovered(store)
+    return store
+
+
+def test_a_single_adoption_takes_the_claim_and_its_part_of_the_quota_along(store: Store) -> None:
+    store.job(spec(cores=2.0))
+    store.progress(JOB, c1_2=0b0111)
+    store.put(keys.team_key("red"), {SIBLING: [7.0, 0.0]})
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [JOB])
+    assert stored_claims(plan) == {SIBLING: 0b0100, OWN: 0b0011} and plan.relies_on_view
+    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [3.0, 0.0], OWN: [4.0, 0.0]}
+    assert list(plan.transaction.conditions) == [
+        keys.job_key(JOB),
+        keys.progress_key(JOB),
+        keys.team_key("red"),
+        keys.VIEW_KEY,
+    ]
+
+
+def test_an_adoption_of_a_job_that_ends_moves_no_quota(store: Store) -> None:
+    store.job(spec())
+    store.progress(JOB, 0b0111, c1_2=0b1000)
+    store.put(keys.team_key("red"), {SIBLING: [7.0, 0.0]})
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b1000, adopted=0b1000, adopted_view=3)}), [JOB])
+    assert list(plan.transaction.writes) == [keys.job_key(JOB)] and not plan.relies_on_view
+
+
+def test_a_done_task_is_not_adopted(store: Store) -> None:
+    store.job(spec())
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001, adopted=0b0011, adopted_view=3)}), [JOB])
+    assert stored_claims(plan) == {OWN: 0b0010}
+
+
+def test_an_adoption_from_nobody_moves_no_quota_and_relies_on_the_view(store: Store) -> None:
+    store.job(spec())
+    store.progress(JOB, c0_1=0b0001)
+    store.put(keys.team_key("red"), {OWN: [4.0, 0.0]})
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [JOB])
+    assert list(plan.transaction.writes) == [keys.progress_key(JOB)] and stored_claims(plan) == {OWN: 0b0011}
+    assert plan.relies_on_view and keys.VIEW_KEY in plan.transaction.conditions
+
+
+def two_adopted_jobs(store: Store) -> dict[str, JobUpdates]:
+    """Adoptions of two teams' jobs, for controllers that all have this layout."""
+    store.upgraded()
+    for name, team in ((JOB, "red"), (OTHER, "blue")):
+        store.job(spec(name, crew=team))
+        store.progress(name, c1_2=0b0011)
+        store.put(keys.team_key(team), {SIBLING: [4.0, 0.0]})
+    return {name: JobUpdates(adopted=0b0001, adopted_view=3) for name in (JOB, OTHER)}
+
+
+def test_adoptions_of_many_jobs_are_one_row_sorted_by_team(store: Store) -> None:
+    plan = plan_commit(snapshot(store, two_adopted_jobs(store)), [])
+    key = keys.adoption_key(OWN, 0)
+    assert plan.transaction.writes[key] == {"m": {OTHER: [0, 1], JOB: [0, 1]}} and plan.transaction.conditions[key] == 0
+    assert list(plan.transaction.writes) == [key, keys.team_key("blue"), keys.team_key("red")]
+    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
+    assert plan.relies_on_view and list(plan.transaction.conditions)[-1] == keys.VIEW_KEY
+
+
+def test_a_row_of_adoptions_is_written_once_under_its_number(store: Store) -> None:
+    updates = two_adopted_jobs(store)
+    assert plan_commit(snapshot(store, updates), []).adoption_number == 0
+    store.put(keys.adoption_key(OWN, 0), {"m": {THIRD: [0, 1]}})
+    plan = plan_commit(snapshot(store, updates), [])
+    assert plan.adoption_number == 1 and next(iter(plan.transaction.writes)) == keys.adoption_key(OWN, 1)
+
+
+def test_grouped_adoptions_from_nobody_rely_on_the_view(store: Store) -> None:
+    store.upgraded()
+    store.job(spec())
+    store.progress(JOB, 0b0001)
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [])
+    assert plan.transaction.writes == {keys.adoption_key(OWN, 0): {"m": {JOB: [1, 1]}}}  # not the task that is done
+    assert plan.relies_on_view and keys.VIEW_KEY in plan.transaction.conditions
+
+
+def test_the_quota_of_grouped_adoptions_moves_once_though_their_jobs_are_due(store: Store) -> None:
+    plan = plan_commit(snapshot(store, two_adopted_jobs(store)), [JOB, OTHER])
+    assert stored_claims(plan) == {SIBLING: 0b0010, OWN: 0b0001}
+    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
+
+
+def test_an_increase_beside_grouped_adoptions_needs_a_change_of_its_own(store: Store) -> None:
+    updates = two_adopted_jobs(store)
+    del updates[OTHER]
+    claims = RequestedClaims(quota_increases={"blue": ResourceAmount(8.0, 0.0)})
+    red, blue = keys.team_key("red"), keys.team_key("blue")
+    for changes, teams in ((3, [red, blue]), (2, [red])):
+        limits = replace(ROOMY, changes=changes)
+        plan = plan_commit(snapshot(store, updates, claims=claims, limits=limits), [])
+        assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), *teams]
+
+
+def test_a_row_of_adoptions_is_no_larger_than_a_value(store: Store) -> None:
+    updates = two_adopted_jobs(store)
+    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, value_bytes=40)), [])
+    assert plan.transaction.writes[keys.adoption_key(OWN, 0)] == {"m": {OTHER: [0, 1]}}
+    assert keys.team_key("red") not in plan.transaction.writes
+
+
+def test_progress_tells_up_to_which_revision_it_contains_adoptions(store: Store) -> None:
+    two_adopted_jobs(store)
+    store.put(keys.adoption_key(OWN, 0), {"m": {JOB: [0, 1]}})
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001)}), [JOB])
+    assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == store.epoch
+
+
+def test_progress_never_tells_an_earlier_revision_than_it_did(store: Store) -> None:
+    two_adopted_jobs(store)
+    store.put(keys.adoption_key(OWN, 0), {"m": {JOB: [0, 1]}})
+    store.put(keys.progress_key(JOB), {"d": [], "c": {OWN: [0, 2]}, "e": 99})
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001)}, applied_revision=5), [JOB])
+    assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == 99
+
+
+def test_grouped_adoptions_keep_within_the_changes_and_leave_the_rest_for_later(store: Store) -> None:
+    updates = two_adopted_jobs(store)
+    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=2, transaction_changes=2)), [])
+    assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), keys.team_key("blue")]
+
+
+def test_a_first_adoption_too_large_for_a_row_is_parted(store: Store) -> None:
+    store.upgraded()
+    store.job(spec(visits=400))
+    scattered = sum(1 << number for number in range(0, 400, 3))
+    store.progress(JOB, c1_2=scattered)
+    limits = replace(ROOMY, value_bytes=60)
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=scattered, adopted_view=3)}, limits=limits), [])
+    value = plan.transaction.writes[keys.adoption_key(OWN, 0)]
+    tasks = taskset.unpack(value["m"][JOB])
+    assert len(wire.encode(value)) <= 60 and tasks and tasks == taskset.lowest(scattered, tasks.bit_count())
+
+
+def test_adoptions_are_not_grouped_where_decreases_take_the_transaction(store: Store) -> None:
+    updates = two_adopted_jobs(store)
+    claims = RequestedClaims(quota_decreases={"red": QuotaDecrease(0, 1.0, 0.0)})
+    limits = replace(ROOMY, transaction_changes=2)
+    assert not snapshot(store, updates, claims=claims, limits=limits).groups_adoptions
+    assert snapshot(store, updates, limits=limits).groups_adoptions
--- a/tests/test_commit_schedule.py
+++ b/tests/test_commit_schedule.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from sloeswitch.core import keys
 from sloeswitch.core.commit_schedule import CommitDelays, CommitSchedule
 from sloeswitch.core.records import JobState
 from sloeswitch.core.uncommitted_updates import TaskUpdates, UncommittedUpdates
@@ -82,3 +83,55 @@
     updates.merge(TaskUpdates(done={JOB: 0b1000}, released={JOB: 0b0010}), now_s=0.0)
     updates.reset_claims()
     assert updates.by_job[JOB].done == 0b1000 and updates.by_job[JOB].released == 0
+
+
+def test_what_other_jobs_depend_on_does_not_wait(store: Store) -> None:
+    store.job(spec(visits=1))
+    store.progress(JOB, c0_1=0b1)
+    store.job(spec(OTHER, awaits=[JOB]))
+    updates = UncommittedUpdates()
+    updates.merge(TaskUpdates(done={JOB: 0b1}), now_s=100.0)
+    assert schedule(store, updates, 100.0).due_jobs(()) == [JOB]
+
+
+def test_a_release_is_urgent_though_other_claims_are_left(store: Store) -> None:
+    store.job(spec())
+    store.progress(JOB, c0_1=0b0011)
+    updates = UncommittedUpdates()
+    updates.merge(TaskUpdates(released={JOB: 0b0001}), now_s=100.0)
+    assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.4).due_jobs(()) == [JOB]
+
+
+def test_adoptions_are_urgent_and_are_due_by_job_only_until_the_layout_is_complete(store: Store) -> None:
+    store.job(spec())
+    store.progress(JOB, c0_1=0b1000, c1_2=0b0001)
+    updates = UncommittedUpdates()
+    updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=100.0)
+    assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.0).due_jobs(()) == [JOB]
+    store.upgraded()
+    assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.0).due_jobs(()) == []
+
+
+def test_claims_on_cancelled_jobs_stand_until_recovery_is_complete(store: Store) -> None:
+    store.job(spec(), JobState.CANCELLED)
+    store.progress(JOB, c1_1=0b0001)
+    store.member("c1", 2, settled=2)
+    assert schedule(store, UncommittedUpdates(), 0.0, is_coordinator=True).due_jobs(()) == []
+
+
+def test_whoever_left_the_view_has_no_adoptions(store: Store) -> None:
+    updates = UncommittedUpdates()
+    updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=0.0)
+    updates.expire_adoptions(3, is_member=False)
+    assert updates.by_job[JOB].adopted == 0
+
+
+def test_updates_go_once_adopted_or_over_and_stay_for_a_job_not_read_yet(store: Store) -> None:
+    store.job(spec())
+    store.progress(JOB, c0_1=0b0001)
+    store.job(spec(OTHER))
+    store.put(keys.job_key(OTHER), {"s": JobState.DONE, "n": 4, "t": 0})
+    updates = UncommittedUpdates()
+    updates.merge(TaskUpdates(done={OTHER: 0b1, THIRD: 0b1}, adopted={JOB: 0b0001}, view_number=3), now_s=0.0)
+    updates.prune_committed(store.tables, OWN)
+    assert list(updates.by_job) == [THIRD]
