--- a/sloeswitch/actors/autoscaler.py
+++ b/sloeswitch/actors/autoscaler.py
@@ -21,6 +21,7 @@
 from sloeswitch.core import scaling as plan
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 
@@ -165,8 +166,8 @@
         if not fits and not self.tables.layout_complete:
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
-        writes = together if fits else {keys.type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
-        stored = {keys.CATALOG_KEY, *(keys.type_key(name) for name in self.tables.machine_types)}
+        writes = together if fits else {keys.machine_type_key(kind.name): msgspec.to_builtins(kind) for kind in kinds}
+        stored = {keys.CATALOG_KEY, *(keys.machine_type_key(name) for name in self.tables.machine_types)}
         drops = [key for key in stored if key not in writes and self.tables.mod_revision(key)]
         # Written before the others are dropped, so that no type is missing in between.
         changes = [*writes, *drops]
@@ -174,9 +175,11 @@
             batch = set(changes[: self.client.txn_ops])
             del changes[: self.client.txn_ops]
             outcome, _ = await self.client.compare_and_swap(
-                {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
-                {key: value for key, value in writes.items() if key in batch},
-                [key for key in drops if key in batch],
+                Transaction(
+                    {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
+                    {key: value for key, value in writes.items() if key in batch},
+                    [key for key in drops if key in batch],
+                ),
                 RequestPriority.CLAIM,
             )
             self.replica.request_read()
--- a/sloeswitch/actors/garbage_collection.py
+++ b/sloeswitch/actors/garbage_collection.py
@@ -63,9 +63,7 @@
         self._add_orphaned_chunks(transaction, max_changes)
         if transaction.deletes:
             transaction.conditions.update({key: self._tables.mod_revision(key) for key in transaction.deletes})
-            await self._client.compare_and_swap(
-                transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.PROGRESS
-            )
+            await self._client.compare_and_swap(transaction, RequestPriority.PROGRESS)
             self._replica.request_read()
 
     def _add_progress(self, transaction: Transaction, max_changes: int) -> None:
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -10,7 +10,7 @@
 from sloeswitch.actors.spec_chunks import SpecChunkStore
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.core import keys
-from sloeswitch.core.records import Job, JobState
+from sloeswitch.core.records import Job, JobState, SpecChunks
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
@@ -103,7 +103,7 @@
         stored = await self._spec_chunks.store(spec) if self._tables.layout_complete else None
         if stored is None:
             return None
-        value = encode_job(JobState.LIVE, spec, submitted_ms, (stored.attempt, stored.chunk_count))
+        value = encode_job(JobState.LIVE, spec, submitted_ms, SpecChunks(stored.attempt, stored.chunk_count))
         first_chunk = keys.chunk_key(spec.id, stored.attempt, 0)
         return Transaction({key: 0, first_chunk: stored.first_chunk_revision}, {key: value})
 
@@ -180,9 +180,7 @@
 
     async def _commit(self, transaction: Transaction) -> TransactionOutcome:
         """Commits a transaction; the tables have its rows at once."""
-        outcome, revision = await self._client.compare_and_swap(
-            transaction.conditions, transaction.writes, transaction.deletes, RequestPriority.USER
-        )
+        outcome, revision = await self._client.compare_and_swap(transaction, RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
             self._replica.apply_own_write(revision, transaction.writes)
         return outcome
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -15,7 +15,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.core import keys
 from sloeswitch.core.machine import Machine
-from sloeswitch.core.row_codec import split_machine_groups
+from sloeswitch.core.row_codec import encode_machine, split_machine_groups
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 
@@ -112,9 +112,7 @@
         change = Transaction(self.leadership.view_conditions(), dict(new.writes))
         try:
             if self.leadership.view.number == view_number:
-                await self.client.compare_and_swap(
-                    change.conditions, change.writes, change.deletes, RequestPriority.CLAIM
-                )
+                await self.client.compare_and_swap(change, RequestPriority.CLAIM)
                 self.replica.request_read()
                 await anyio.sleep(self.pace_s)
         finally:
@@ -129,9 +127,7 @@
             await self.sleep(2 * self.settings.report_s)
             change = self._removals()
             if change:
-                await self.client.compare_and_swap(
-                    change.conditions, change.writes, change.deletes, RequestPriority.PROGRESS
-                )
+                await self.client.compare_and_swap(change, RequestPriority.PROGRESS)
                 self.replica.request_read()
 
     def _removals(self) -> Transaction:
@@ -167,7 +163,7 @@
             for name in self.tables.machine_groups.get(keys.group_name(key), ())
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
-        rows = {name: self.tables.machines[name].stored() for name in names}
+        rows = {name: encode_machine(self.tables.machines[name]) for name in names}
         return split_machine_groups(rows, self.client.value_bytes)
 
     def _replace_group(self, removals: Transaction, key: str, groups: list[MachineGroup]) -> None:
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.lowlevel
 
-from sloeswitch import mesh, wire
+from sloeswitch import mesh_frames, wire
 from sloeswitch.actors.autoscaler import Autoscaler
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
@@ -21,7 +21,8 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.http import Answer, Request
-from sloeswitch.mesh import Mesh, PeerStatus, StatusFrame
+from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.cluster import Clock, ScriptedReplica, ScriptedState
@@ -100,9 +101,8 @@
         world.settings.siblings,
         1.0,
         world.clock.now,
-        world.leadership.peer_status,
+        MeshCallbacks(world.leadership.peer_status, world.leadership.apply_peer_cancellations),
         world.store.tables.cancellations,
-        world.leadership.apply_peer_cancellations,
     )
     return world.leadership.mesh
 
@@ -163,13 +163,19 @@
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
     """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
-    sibling = Mesh((), 1.0, world.clock.now, lambda: PeerStatus(view, False, 0, whole, True), log, lambda entries: None)
+    sibling = Mesh(
+        (),
+        1.0,
+        world.clock.now,
+        MeshCallbacks(lambda: PeerStatus(view, False, 0, whole, True), lambda entries: None),
+        log,
+    )
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = mesh.pack_inquire(3, world.replica.applied_revision, peer.log_id, peer.log_position)
-    frame = sibling.status_for(question[mesh.HEADER.size :]).pack()
-    length = mesh.check_header(frame[: mesh.HEADER.size], mesh.TYPE_INFORM)
-    answer = StatusFrame.unpack(frame[mesh.HEADER.size :])
-    assert length == len(frame) - mesh.HEADER.size
+    question = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(question).pack()
+    length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.STATUS)
+    answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
+    assert length == len(frame) - mesh_frames.HEADER.size
     assert world.leadership.mesh is not None
     world.leadership.mesh.apply_status(peer, world.clock.time, answer)
     return answer
@@ -191,7 +197,6 @@
 
 def ask(world: World, method: str, path: str, body: Any = None) -> Answer:
     users = Users(world.context, world.jobs, world.machines)
-    world.client.last_ok = world.clock.time
 
     async def handle() -> Answer:
         return await users.handle(Request(method, path, wire.encode(body) if body is not None else b""))
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -12,6 +12,7 @@
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import Job, JobState, Progress
+from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, spec
@@ -72,7 +73,7 @@
     adopt(world, 3)
     # c2.4, composed before it read the adoption and carried out after: without the epoch of it.
     row = Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
-    world.store.put(keys.progress_key(JOB), row.stored(dense=True))
+    world.store.put(keys.progress_key(JOB), encode_progress(row, dense=True))
     for tables in (world.store.tables, world.store.read_again()):
         assert tables.jobs[JOB].progress.claims["c0.1"] == HALF
         assert tables.jobs[JOB].progress.done == 0b11
@@ -98,7 +99,7 @@
     )
     store.upgraded()
     world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
@@ -147,7 +148,7 @@
         self.log: list[tuple[str, object, int]] = []
         job = spec(JOB, visits=30)
         self.put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(job)})
-        self.put(keys.progress_key(JOB), Progress(0, {"c1.9": taskset.full(10)}).stored())
+        self.put(keys.progress_key(JOB), encode_progress(Progress(0, {"c1.9": taskset.full(10)})))
         # The holder of each task, or "done".
         self.truth = dict.fromkeys(range(10), "c1.9")
         self.writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
@@ -202,7 +203,9 @@
             return  # its condition fails
         progress.done |= ended
         progress.claims[writer.incarnation_id] = (own & ~release & ~ended) | claim
-        value = progress.stored(dense=True) | {"e": max(writer.applied_revision, job.progress.adoption_revision)}
+        value = encode_progress(progress, dense=True) | {
+            "e": max(writer.applied_revision, job.progress.adoption_revision)
+        }
         self.put(keys.progress_key(JOB), value)
         for task in taskset.members(release):
             self.truth.pop(task)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -13,7 +13,8 @@
 from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, CancellationGuard
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState, Progress
-from sloeswitch.mesh import Mesh
+from sloeswitch.core.row_codec import encode_progress
+from sloeswitch.mesh import Mesh, MeshCallbacks
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
 from tests.support.single_controller import JOB, Cloud, World, deletions
@@ -26,7 +27,7 @@
 def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
     """A cancelled job of which an incarnation of a controller holds a claim."""
     store.job(spec(JOB))
-    store.put(keys.progress_key(JOB), Progress(0, {tag: 1}).stored())
+    store.put(keys.progress_key(JOB), encode_progress(Progress(0, {tag: 1})))
     row = store.rows[keys.job_key(JOB)][0]
     store.put(keys.job_key(JOB), {**row, "s": JobState.CANCELLED, "x": cancelled_ms})
 
@@ -101,9 +102,8 @@
             world.settings.siblings,
             1.0,
             world.clock.now,
-            world.leadership.peer_status,
+            MeshCallbacks(world.leadership.peer_status, lambda _: None),
             store.tables.cancellations,
-            lambda _: None,
         )
         self.peer = world.leadership.mesh.peers["c1"]
         self.started: list[str] = []
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from sloeswitch.core import keys, placement
 from sloeswitch.core.claim_planner import ClaimPlanner, PlanLimits
 from sloeswitch.core.rendezvous import owner
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from tests.conftest import MACHINE_TYPE, spec
 from tests.support.cluster import Clock
 from tests.support.fleet import FleetWorld, machine_name
@@ -140,7 +140,7 @@
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
-    monkeypatch.setattr(cloud.bucket, "acquire", lambda *_: 0.0)
+    monkeypatch.setattr(cloud.call_tokens, "acquire", lambda *_: 0.0)
     renting = Autoscaler(fleet.context, cloud)
     renting.types = {"small": MACHINE_TYPE}
     fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,11 +9,12 @@
 import anyio
 import anyio.lowlevel
 
-from sloeswitch import mesh, wire
+from sloeswitch import mesh_frames, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState, MemberRow, Progress
+from sloeswitch.core.row_codec import decode_progress, encode_progress
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
     JOB,
@@ -114,8 +115,8 @@
 
 
 def test_frames_between_the_versions_are_those_of_production() -> None:
-    assert mesh.pack_ask(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
-    assert mesh.pack_tell(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
+    assert mesh_frames.pack_view_request(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
+    assert mesh_frames.pack_view(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
 
 
 def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
@@ -214,8 +215,8 @@
     done = sum(1 << index for index in range(600) if shuffle.random() < 0.5)
     masks = [sum(1 << index for index in range(600) if not done >> index & 1 and index % 3 == n) for n in range(3)]
     progress = Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
-    assert len(wire.encode(progress.stored())) > 2048 > len(wire.encode(progress.stored(dense=True)))
-    assert Progress.from_stored(progress.stored(dense=True)) == progress
+    assert len(wire.encode(encode_progress(progress))) > 2048 > len(wire.encode(encode_progress(progress, dense=True)))
+    assert decode_progress(encode_progress(progress, dense=True)) == progress
     assert taskset.pack_dense(taskset.full(100_000)) == [0, 100_000]
 
 
