--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -8,7 +8,6 @@
 
 import logging
 from collections.abc import Callable
-from typing import NamedTuple
 
 from sloeswitch.actors.cancellation_watch import CancellationWatch
 from sloeswitch.actors.commands import CommandSender
@@ -26,17 +25,6 @@
 DELETE_AFTER_FAILED_COMMANDS = 2
 
 
-class ContactLoss(NamedTuple):
-    """For how long a machine has been out of contact, in seconds; 0 where that is not known."""
-
-    # It neither reported nor was answered.
-    silent_s: float
-    # No heartbeat came; it may answer commands all the same.
-    no_report_s: float
-    # Nothing that was sent is seen to have arrived.
-    unreachable_s: float
-
-
 class MachineMonitor:
     """Expires leases, probes machines that are out of contact, and has those deleted that do not recover."""
 
@@ -58,6 +46,9 @@
         self.cancellations = cancellations
         self.termination = termination
         self.wake = wake
+        # For so long a machine may be silent, or messages arrive in one direction only, before it is deleted.
+        self.max_silence_s = max(3.5 * context.settings.report_s, 0.35 * context.settings.lease_s)
+        self.max_one_way_s = 2 * context.settings.lease_s
         self.next_check_at = 0.0
         self.ticked_at = float("-inf")
         # Since when heartbeats have been answered without a break: a machine that is out of contact for longer than
@@ -87,33 +78,38 @@
         if now >= machine.lease_expires_at and (machine.reconciled or not machine.accounted_for):
             lost = self.registry.expire_lease(machine)
             log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
-        loss = self._contact_loss(machine, now)
+        # It neither reported nor was answered for so long.
+        silent_s = now - max(
+            machine.last_heard_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
+        )
         late_s = self.settings.late_s
-        if (machine.reconciled and loss.silent_s > late_s) or not machine.is_recovered:
+        if (machine.reconciled and silent_s > late_s) or not machine.is_recovered:
             self.commands.probe(machine, now)
-        out_of_contact = max(loss.silent_s, loss.no_report_s) > late_s or not machine.reachable
+        # No heartbeat came, though it may answer commands; and nothing that was sent is seen to have arrived.
+        no_report_s = unreachable_s = 0.0
+        if machine.reported_at is not None:
+            no_report_s = now - max(machine.reported_at, self.answering_since)
+        if machine.reconciled:
+            unreachable_s = now - max(machine.reachable_at, self.answering_since)
+        out_of_contact = max(silent_s, no_report_s) > late_s or not machine.reachable
         if out_of_contact and self.registry.remove_unsent(machine):
             self.wake()
-        self._terminate_if_lost(machine, loss, now)
+        self._terminate_if_lost(machine, silent_s, max(no_report_s, unreachable_s), now)
         if machine.preemption_notice_s is not None:
             for attempt in list(machine.attempts.values()):
                 if attempt.spec.checkpoint_s > 0 and attempt.state == AttemptState.RUNNING:
                     self.commands.kill(machine, attempt, attempt.spec.save_s)
 
-    def _contact_loss(self, machine: Machine, now: float) -> ContactLoss:
-        silent_s = now - max(
-            machine.last_heard_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
-        )
-        no_report_s = unreachable_s = 0.0
-        if machine.reported_at is not None:
-            no_report_s = now - max(machine.reported_at, self.answering_since)
-        if machine.reconciled:
-            unreachable_s = now - max(machine.reachable_at, self.answering_since)
-        return ContactLoss(silent_s, no_report_s, unreachable_s)
+    def _terminate_if_lost(self, machine: Machine, silent_s: float, one_way_s: float, now: float) -> None:
+        """Has the machine deleted if that is called for.
 
-    def _terminate_if_lost(self, machine: Machine, loss: ContactLoss, now: float) -> None:
-        max_silence_s = max(3.5 * self.settings.report_s, 0.35 * self.settings.lease_s)
-        silent = loss.silent_s > max_silence_s
+        Args:
+            machine: The machine.
+            silent_s: For how long it has neither reported nor been answered.
+            one_way_s: For how long messages have arrived in one direction only, at most.
+            now: The clock's time in seconds.
+        """
+        silent = silent_s > self.max_silence_s
         if self._may_hold_cancelled(machine, now, silent) and self.leadership.may_answer_workers:
             # Whether it hangs, is cut off or receives nothing: its deletion ends what is on it in time, also while
             # the state service is down. Should it have got another owner after all, that one counts it as silent:
@@ -127,11 +123,7 @@
             and not self._most_machines_lost(now)
         ):
             self.termination.drain_and_scale_in(machine, TerminationReason.SILENT)
-        elif (
-            max(loss.no_report_s, loss.unreachable_s) > 2 * self.settings.lease_s
-            and self.leadership.is_leader
-            and not self._most_machines_lost(now)
-        ):
+        elif one_way_s > self.max_one_way_s and self.leadership.is_leader and not self._most_machines_lost(now):
             # Its reports come and nothing reaches it, or it answers commands and cannot report: by now its lease is
             # over and it has nothing on it, and it would be paid for in vain for as long as that lasts.
             self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHABLE)
