--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -24,7 +24,7 @@
 from sloeswitch.core.incarnation import Incarnation
 from sloeswitch.core.records import FeatureStatus, MemberRow
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http import NoAnswerError
+from sloeswitch.http_client import HttpTransportError
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
@@ -76,7 +76,7 @@
             while not self.replica.loaded:
                 await self.replica.wait_change(period_s)
             started = self.client.now()
-            with contextlib.suppress(NoAnswerError, StaleReplicaError):
+            with contextlib.suppress(HttpTransportError, StaleReplicaError):
                 await self._renew()
                 await self.replica.read_linearizable(self.client.timeout_s)
                 if self.leadership.incarnation and not self._row_is_current(self.leadership.incarnation):
@@ -239,9 +239,7 @@
 
     async def _commit(self, change: Transaction, leases: dict[str, int] | None = None) -> TransactionOutcome:
         """One transaction of the most urgent priority. `leases`: the lease that each key is bound to, by key."""
-        outcome, _revision = await self.client.compare_and_swap(
-            change.conditions, change.writes, change.deletes, RequestPriority.LEASE, leases
-        )
+        outcome, _revision = await self.client.compare_and_swap(change, RequestPriority.LEASE, leases=leases)
         return outcome
 
     async def _refresh_replica(self) -> None:
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -112,9 +112,7 @@
         change = Transaction(self.leadership.view_conditions(), dict(new.writes))
         try:
             if self.leadership.view.number == view_number:
-                await self.client.compare_and_swap(
-                    change.conditions, change.writes, change.deletes, RequestPriority.CLAIM
-                )
+                await self.client.compare_and_swap(change, RequestPriority.CLAIM)
                 self.replica.request_read()
                 await anyio.sleep(self.pace_s)
         finally:
@@ -129,9 +127,7 @@
             await self.sleep(2 * self.settings.report_s)
             change = self._removals()
             if change:
-                await self.client.compare_and_swap(
-                    change.conditions, change.writes, change.deletes, RequestPriority.PROGRESS
-                )
+                await self.client.compare_and_swap(change, RequestPriority.PROGRESS)
                 self.replica.request_read()
 
     def _removals(self) -> Transaction:
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -28,7 +28,9 @@
 from sloeswitch.cells.summary import Summary
 from sloeswitch.cells.target import CellTarget
 from sloeswitch.core import job_queue, keys
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import Job
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.replica import StaleReplicaError
@@ -66,15 +68,15 @@
 
     async def compare_and_swap(
         self,
-        conditions: dict[str, int],
-        writes: dict[str, Any],
-        drops: list[str],
-        urgency: Any,
-        lease: dict[str, int] | None = None,
-        paid: int = 0,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
     ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
         world, cell = self.cell.world, self.cell
-        world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, lease)
+        world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, leases)
         if cell.outage:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
         luck = world.rng.random() if world.troubled else 1.0
@@ -264,7 +266,7 @@
             used = sum(
                 self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
             )
-            want = (max(held, used + count * job.spec.cores), 0.0)
+            want = ResourceAmount(max(held, used + count * job.spec.cores))
             await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
             await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
@@ -382,7 +384,7 @@
         for name, home in self.home.items():
             cell = self.cells[home]
             status = cell.any_controller().jobs.status(name)
-            self.recorder.record("status", home, name, status)
+            self.recorder.record("status", home, name, None if status is None else str(status))
             if status is None and name in self.submitted_at:
                 raise RuleError(f"{name} is forgotten")
             if status in (wire.DONE, wire.CANCELLED):
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -11,8 +11,9 @@
 from sloeswitch import controller, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.actors.machine_messages import HeartbeatRequest
-from sloeswitch.actors.quota_ledger import QuotaDecrease
 from sloeswitch.core import keys
+from sloeswitch.core.quota import ResourceAmount
+from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
 from tests.support.single_controller import JOB, World, machine_up, meshed
@@ -27,7 +28,7 @@
     machine_up(world)
     world.store.job(spec())
     assert world.heartbeat(report(3, 3)).commands == []
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1111}
     assert world.store.tables.quota_allocations["red"] == {"c0.1": (8.0, 0.0)}
     assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
@@ -36,7 +37,7 @@
 def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (5.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
     assert len(world.heartbeat(report(3, 3)).commands) == 2
 
 
@@ -79,7 +80,7 @@
     machine_up(world)
     world.store.job(spec())
     world.client.lose_answers = 1
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.heartbeat(report(3, 3)).commands == []
     world.client.apply(*world.client.late[0])
     world.machines.task_placement.place_unplaced()
@@ -90,7 +91,7 @@
     """Failure found on the bench: a task that had ended looked like work handed back."""
     machine_up(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
     assert answer.commands == []  # neither a start nor, before it is stored, a clear
@@ -130,7 +131,7 @@
 def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
@@ -170,7 +171,7 @@
     stamp = world.store.tables.mod_revision(keys.team_key("red"))
     world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
-    world.round(ClaimRequest(quota_increases={"red": (12.0, 0.0)}, forced_rewrites={"red"}))
+    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
 
 
@@ -184,7 +185,7 @@
 def test_last_tasks_that_save_move_off_a_machine_that_is_not_needed(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     spared = world.machines.registry.machines["vm-1"]
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -25,8 +25,10 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine import AttemptKey, Machine
 from sloeswitch.core.machine_registry import MachineRegistry
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.reconciliation import ReceivedReport, reconcile
 from sloeswitch.core.tables import Tables
+from sloeswitch.core.transaction import Transaction
 from sloeswitch.http import Server
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import Replica
@@ -77,7 +79,7 @@
         world = self.world
         world.machines.ask = self.ask  # type: ignore[method-assign, assignment]
         users = Users(world.context, world.jobs, world.machines)
-        self.server = Server(users.handle, idle_s=60, request_s=60, most_connections=4, now=world.clock.now)
+        self.server = Server(users.handle, idle_s=60, request_s=60, max_connections=4, now=world.clock.now)
 
     async def ask(self, message: HeartbeatRequest) -> Any:
         """The machines' actor, in this turn; each report shows that the answer before it was received."""
@@ -95,7 +97,9 @@
 
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
-    "claim": lambda world: world.round(ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": (4.0, 0.0)})),
+    "claim": lambda world: world.round(
+        ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": ResourceAmount(4.0, 0.0)})
+    ),
     "stop what is cancelled": lambda world: world.machines.cancelled_tasks.stop_all(),
     "another controller": lambda world: world.store.view(4, ("c0", 1), ("c1", 2)),
     "nothing read": lambda world: setattr(world.replica, "loaded", False),
@@ -219,7 +223,7 @@
 
 async def commit(asking: Asking) -> Any:
     outcome, epoch = await asking.client.compare_and_swap(
-        {"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"], RequestPriority.USER, {"a/b": 7}
+        Transaction({"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"]), RequestPriority.USER, leases={"a/b": 7}
     )
     return [outcome.value, epoch]
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -14,9 +14,11 @@
 from sloeswitch.actors.jobs import ClaimRequest
 from sloeswitch.actors.users import Users
 from sloeswitch.core import keys
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import View
 from sloeswitch.core.rendezvous import owner
-from sloeswitch.http import Reply, Request
+from sloeswitch.http import Request
+from sloeswitch.http_client import Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report, spec, submission
@@ -56,9 +58,9 @@
     mesh = world.leadership.mesh
     assert mesh is not None
     mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
-    assert users._healthz().status == 200
+    assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 200
     mesh.peers["c1"].state_reachable = True
-    assert users._healthz().status == 503
+    assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 503
 
 
 def test_the_former_runs_late_write_does_not_take_the_member_row(world: World) -> None:
@@ -137,7 +139,7 @@
     assert heartbeat(world, report(3, 3)).status == 503
     assert not world.leadership.is_leader and not world.leadership.is_coordinator
     epoch = world.store.epoch
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.epoch == epoch
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -10,9 +10,10 @@
 from sloeswitch import wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, scaling
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
-from sloeswitch.http import Reply
+from sloeswitch.http_client import Reply
 from sloeswitch.replica import Replica, StaleReplicaError
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.single_controller import (
@@ -41,7 +42,7 @@
     world.store.job(spec(A, visits=1))
     world.store.job(spec(B, visits=1, awaits=[A]))
     assert queued_names(world.store) == [A]
-    world.round(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert not world.store.tables.jobs[B].progress.claims
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
@@ -253,7 +254,7 @@
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
     """Failure found by reasoning: claims alone would fill each round of three changes."""
     world = World(store, NARROW)
-    world.client.controllers = lambda: 3
+    world.client.controller_count = lambda: 3
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
         store.progress(f"wk-00000{number}", c0_1=1)
@@ -262,7 +263,7 @@
     store.job(spec("wk-000009"))
     world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
-    due = world.jobs._due(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
+    due = world.jobs._schedule().due_jobs({"wk-000008": 4, "wk-000009": 4})
     assert due[0] == "wk-000006" and set(due[1:6]) == {f"wk-00000{number}" for number in range(1, 6)}
     world.round(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
     assert "wk-000006" in store.tables.finished_jobs
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -105,9 +105,7 @@
         if not change:
             break
         assert len(change) <= 3
-        result = anyio.run(
-            world.client.compare_and_swap, change.conditions, change.writes, change.deletes, RequestPriority.PROGRESS
-        )
+        result = anyio.run(world.client.compare_and_swap, change, RequestPriority.PROGRESS)
         assert result.outcome is TransactionOutcome.COMMITTED
     assert store.tables.machines.keys() == rows.keys() - {"vm-000"}
 
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -14,6 +14,7 @@
 from sloeswitch.core.cancellation_guard import OVERDUE_SHARE
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.core.machine import Machine
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
 from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, running, told
@@ -152,7 +153,7 @@
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert JOB in world.machines.registry.placed_tasks
     serial = 10
     begun = world.clock.time
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,9 +9,10 @@
 import anyio
 import anyio.lowlevel
 
-from sloeswitch import mesh, wire
+from sloeswitch import mesh_frames, wire
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
 from sloeswitch.core import keys, taskset
+from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState, MemberRow, Progress
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
@@ -113,8 +114,8 @@
 
 
 def test_frames_between_the_versions_are_those_of_production() -> None:
-    assert mesh.pack_ask(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
-    assert mesh.pack_tell(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
+    assert mesh_frames.pack_view_request(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
+    assert mesh_frames.pack_view(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
 
 
 def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
@@ -127,7 +128,7 @@
     anyio.run(world.membership._record_layout)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
-    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": (8.0, 0.0)}))
+    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     scattered = sum(1 << index for index in range(0, 120, 3))
     world.tell_jobs(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
