--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -6,14 +6,13 @@
 
 from __future__ import annotations
 
-import tomllib
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
 
 from sloeswitch.cells.policy import MovePolicy
-from sloeswitch.settings import Address, Reader, Settings, SettingsError
+from sloeswitch.settings import Address, Settings, SettingsError, TableReader, read_file, read_toml
 
+FILE_TABLES = {"cells", "admission"}
 CELL_FIELDS = {"name", "incarnation", "moving", "most_under_way", "classes", "peers"}
 ADMISSION_FIELDS = {"deferring"}
 PEER_FIELDS = {"name", "addresses"}
@@ -39,11 +38,12 @@
     # How many jobs may be under way to one peer.
     most_under_way: int
     peers: tuple[PeerCell, ...]
+    # By job class; a class that is not named stays where it was submitted.
     policies: dict[str, MovePolicy] = field(default_factory=dict)
 
-    def policy(self, klass: str) -> MovePolicy:
+    def policy(self, job_class: str) -> MovePolicy:
         """How far jobs of a class may move."""
-        return self.policies.get(klass, MovePolicy.NEVER)
+        return self.policies.get(job_class, MovePolicy.NEVER)
 
 
 @dataclass(frozen=True)
@@ -64,91 +64,60 @@
 
 def parse(text: str, settings: Settings) -> Features:
     """Features from TOML text; raises SettingsError naming every fault."""
-    try:
-        top = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as error:
-        raise SettingsError([f"not TOML: {error}"]) from None
-    read = Reader()
-    _only(read, top, {"cells", "admission"}, "")
-    cells = _cells(read, read.table(top, "cells", ""), settings) if "cells" in top else None
-    admission = _admission(read, read.table(top, "admission", "")) if "admission" in top else None
-    if read.faults:
-        raise SettingsError(read.faults)
+    top = read_toml(text)
+    top.refuse_unknown(FILE_TABLES)
+    cells = _cells(top.table("cells"), settings) if "cells" in top else None
+    admission = _admission(top.table("admission")) if "admission" in top else None
+    if top.faults:
+        raise SettingsError(top.faults)
     return Features(cells, admission)
 
 
 def load(path: str, settings: Settings) -> Features:
     """Features from a file; raises SettingsError."""
-    try:
-        with open(path, "rb") as file:
-            return parse(file.read().decode(), settings)
-    except OSError as error:
-        raise SettingsError([f"cannot be read: {error.strerror}"]) from None
-    except UnicodeDecodeError:
-        raise SettingsError(["not UTF-8 text"]) from None
+    return parse(read_file(path), settings)
 
 
-def _only(read: Reader, table: dict[str, Any], known: set[str], where: str) -> None:
-    read.faults += [f"{where}{key}: unknown field" for key in table if key not in known]
+def _admission(table: TableReader) -> AdmissionFeatures:
+    table.refuse_unknown(ADMISSION_FIELDS)
+    return AdmissionFeatures(deferring=table.switch("deferring"))
 
 
-def _switch(read: Reader, table: dict[str, Any], key: str, where: str) -> bool:
-    """A field that is true if left out."""
-    value = table.get(key, True)
-    if not isinstance(value, bool):
-        read.faults.append(f"{where}{key}: must be true or false, is {value!r}")
-    return value is True
-
-
-def _admission(read: Reader, table: dict[str, Any]) -> AdmissionFeatures:
-    where = "admission."
-    _only(read, table, ADMISSION_FIELDS, where)
-    return AdmissionFeatures(deferring=_switch(read, table, "deferring", where))
-
-
-def _cells(read: Reader, table: dict[str, Any], settings: Settings) -> CellFeatures:
-    where = "cells."
-    _only(read, table, CELL_FIELDS, where)
-    name = read.text(table, "name", where)
-    peers = tuple(_peers(read, table, name))
+def _cells(table: TableReader, settings: Settings) -> CellFeatures:
+    table.refuse_unknown(CELL_FIELDS)
+    name = table.text("name")
+    peers = tuple(_peers(table.tables("peers"), name))
     return CellFeatures(
         name=name,
-        incarnation=read.whole(table, "incarnation", where),
-        moving=_switch(read, table, "moving", where),
-        most_under_way=read.whole(table, "most_under_way", where),
+        incarnation=table.integer("incarnation"),
+        moving=table.switch("moving"),
+        most_under_way=table.integer("most_under_way"),
         peers=peers,
-        policies=_policies(read, table, {objective.job_class for objective in settings.objectives}),
+        policies=_policies(table.optional_table("classes"), {objective.job_class for objective in settings.objectives}),
     )
 
 
-def _peers(read: Reader, table: dict[str, Any], own_name: str) -> Iterable[PeerCell]:
-    seen: set[str] = set()
-    for number, item in enumerate(read.tables(table, "peers", "cells.")):
-        where = f"cells.peers[{number}]."
-        _only(read, item, PEER_FIELDS, where)
-        name = read.text(item, "name", where)
+def _peers(tables: list[TableReader], own_name: str) -> Iterable[PeerCell]:
+    names: set[str] = set()
+    for table in tables:
+        table.refuse_unknown(PEER_FIELDS)
+        name = table.text("name")
         if name == own_name and name:
-            read.faults.append(f"{where}name: {name!r} is this cell itself")
-        if name in seen:
-            read.faults.append(f"{where}name: {name!r} appears twice")
-        seen.add(name)
-        addresses = item.get("addresses")
-        if not isinstance(addresses, list) or not addresses:
-            read.faults.append(f"{where}addresses: must be a list of HOST:PORT")
-            addresses = []
-        yield PeerCell(name, tuple(read.address({"addresses": each}, "addresses", where) for each in addresses))
-
-
-def _policies(read: Reader, table: dict[str, Any], known: set[str]) -> dict[str, MovePolicy]:
+            table.add_fault("name", f"{name!r} is this cell itself")
+        if name in names:
+            table.add_fault("name", f"{name!r} appears twice")
+        names.add(name)
+        yield PeerCell(name, table.addresses("addresses"))
+
+
+def _policies(table: TableReader, known_classes: set[str]) -> dict[str, MovePolicy]:
     policies: dict[str, MovePolicy] = {}
-    classes = read.table(table, "classes", "cells.") if "classes" in table else {}
     words = ", ".join(policy.value for policy in MovePolicy)
-    for klass, word in classes.items():
-        where = f"cells.classes.{klass}"
-        if klass not in known:
-            read.faults.append(f"{where}: no such class in the settings' objectives")
+    for job_class, word in table.values.items():
+        if job_class not in known_classes:
+            table.add_fault(job_class, "no such class in the settings' objectives")
         try:
-            policies[klass] = MovePolicy(word)
+            policies[job_class] = MovePolicy(word)
         except ValueError:
-            read.faults.append(f"{where}: must be one of {words}, is {word!r}")
+            table.add_fault(job_class, f"must be one of {words}, is {word!r}")
     return policies
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -1,15 +1,31 @@
-"""The settings file of a controller: read, checked, and the ratios that follow from it."""
+"""The settings file that the platform hands to every controller: read, checked, and the ratios that follow from it.
+
+The file's form is described in docs/DEPLOY; its fields keep their names there, and the tables below map them to the
+fields of `Settings`. Unknown fields are ignored, since later versions of the platform may add some.
+"""
 
 from __future__ import annotations
 
 import math
 import tomllib
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
+# Of the largest value that the state service takes, what is used; the rest is for what it may count besides the value.
+STORED_VALUE_SHARE = 0.9
+# A controller's lease is short beside the workers' leases, so that a crashed controller's machines are taken over
+# while their tasks still live.
+CONTROLLER_LEASE_SHARE = 0.3
+MIN_CONTROLLER_LEASE_S = 0.1
+# Report intervals after which a report was certainly missed: two, and the spread that the protocol allows them.
+MISSED_REPORT_INTERVALS = 2.2
+# Added to the end of a worker's lease before its tasks count as gone.
+LEASE_END_MARGIN_S = 0.1
+
 
 class SettingsError(Exception):
-    """Carries one line for each fault found in a settings file."""
+    """A file of settings or features is refused; `faults` has one line for each fault found in it."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -18,12 +34,16 @@
 
 @dataclass(frozen=True)
 class Address:
+    """Where a peer listens (IPv4)."""
+
     host: str
     port: int
 
 
 @dataclass(frozen=True)
 class Sibling:
+    """Another controller of this cluster, and its mesh address."""
+
     member: str
     zone: str
     address: Address
@@ -31,6 +51,8 @@
 
 @dataclass(frozen=True)
 class Team:
+    """A team's guarantees (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`), in cores and accelerators."""
+
     name: str
     cpus: float
     cpus_max: float
@@ -40,6 +62,12 @@
 
 @dataclass(frozen=True)
 class Objective:
+    """What is expected of one class of jobs.
+
+    `kind` is `deadline` (done by the job's deadline, its time stretched by the factor `times`), `wait` (begun within
+    `within_s` seconds) or `finished` (done within `within_s` seconds); `share` of the jobs, 0 to 1, must meet it.
+    """
+
     kind: str
     job_class: str
     within_s: float | None
@@ -49,31 +77,48 @@
 
 @dataclass(frozen=True)
 class Settings:
+    """One controller's settings. Durations are in seconds, rates in requests or changes a second."""
+
+    # This controller: its name, its zone, and where users, workers and siblings reach it.
     member: str
     zone: str
     bind: Address
     mesh: Address
     siblings: tuple[Sibling, ...]
+
+    # The services outside the cluster.
     cloud: Address
     state: Address
+
+    # The deployment: how many controllers it has, the machines' zones, the bound on the error of the time of day, the
+    # teams by name, and what is expected of the classes of jobs.
     count: int
     zones: tuple[str, ...]
     clock_error_s: float
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
+
+    # Workers: the interval of their reports, their lease, how long a gang's task waits for the others, after how long
+    # it notices that one is gone, and by when a cancelled job's tasks must be gone.
     report_s: float
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
     cancel_s: float
-    # Of the state service's limits now and those announced (`state.next`) the lesser: they fall without notice,
-    # and what is stored before must be writable after.
+
+    # The state service's limits: requests and changes a second, the largest value in KiB, and changes a transaction.
+    # Of the limits now and those announced (`state.next`) the lesser: they fall without notice, and what is stored
+    # before must be writable after.
     state_rps: float
     state_write_rps: float
     value_kb: float
     txn_ops: int
+
+    # The cloud: requests a second, and how long its list of machines lags behind.
     cloud_rps: float
     list_lag_s: float
+
+    # The machine that this controller runs on: its share of a core, its memory in MB, and its sockets.
     cores: float
     memory_mb: float
     fd_limit: int
@@ -88,24 +133,23 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value to be stored; a tenth is left for what the state service may count besides."""
-        return int(self.value_kb * 1024 * 0.9)
+        """The largest value to be stored."""
+        return int(self.value_kb * 1024 * STORED_VALUE_SHARE)
 
     @property
     def controller_lease_s(self) -> float:
-        """Lease of a controller in the state service; short beside the workers' own leases, so
-        that a crashed controller's machines are taken over while their tasks still live."""
-        return max(0.1, 0.3 * self.lease_s)
+        """Lease of a controller in the state service."""
+        return max(MIN_CONTROLLER_LEASE_S, CONTROLLER_LEASE_SHARE * self.lease_s)
 
     @property
     def late_s(self) -> float:
-        """A machine that was not heard for so long has missed a report, the spread of their interval allowed for."""
-        return 2.2 * self.report_s
+        """After this long without a report, one of the machine's reports was missed."""
+        return MISSED_REPORT_INTERVALS * self.report_s
 
     @property
     def worker_gone_s(self) -> float:
         """After this long without an answer a worker has certainly dropped its tasks."""
-        return self.lease_s * (1 + 2 * self.clock_drift) + 0.1
+        return self.lease_s * (1 + 2 * self.clock_drift) + LEASE_END_MARGIN_S
 
     @property
     def takeover_gone_s(self) -> float:
@@ -113,158 +157,239 @@
         return self.controller_lease_s * (1 + 2 * self.clock_drift) + self.worker_gone_s
 
 
-class Reader:
-    """Takes fields out of TOML tables and gathers what is wrong with them."""
+class TableReader:
+    """Takes checked fields out of one TOML table and adds a line to `faults` for each that is wrong.
+
+    A field that is wrong is replaced by a value of the right type, so that reading goes on and all faults of a file are
+    named at once. The readers of a file's tables share one list of faults.
+    """
+
+    def __init__(self, values: Mapping[str, Any], faults: list[str], path: str = "") -> None:
+        self.values = values
+        self.faults = faults
+        # What stands before a field's name in faults: empty, or the table's name with a dot.
+        self.path = path
 
-    def __init__(self) -> None:
-        self.faults: list[str] = []
+    def __contains__(self, key: str) -> bool:
+        return key in self.values
 
-    def text(self, table: dict[str, Any], key: str, where: str) -> str:
-        value = table.get(key)
+    def add_fault(self, key: str, fault: str) -> None:
+        """Says what is wrong with a field of this table."""
+        self.faults.append(f"{self.path}{key}: {fault}")
+
+    def refuse_unknown(self, known: set[str]) -> None:
+        """Adds a fault for each field that is not known."""
+        for key in self.values:
+            if key not in known:
+                self.add_fault(key, "unknown field")
+
+    def text(self, key: str) -> str:
+        """A text that is not empty."""
+        value = self.values.get(key)
         if isinstance(value, str) and value:
             return value
-        self.faults.append(f"{where}{key}: must be a non-empty string, is {value!r}")
+        self.add_fault(key, f"must be a non-empty string, is {value!r}")
         return ""
 
-    def number(self, table: dict[str, Any], key: str, where: str, least: float = 0.0) -> float:
-        value = table.get(key)
+    def number(self, key: str, least: float = 0.0) -> float:
+        """A finite number of at least `least`."""
+        value = self.values.get(key)
         if isinstance(value, (int, float)) and not isinstance(value, bool) and least <= value < math.inf:
             return float(value)
-        self.faults.append(f"{where}{key}: must be a number of at least {least:g}, is {value!r}")
+        self.add_fault(key, f"must be a number of at least {least:g}, is {value!r}")
         return max(least, 1.0)
 
-    def whole(self, table: dict[str, Any], key: str, where: str, least: int = 1) -> int:
-        value = table.get(key)
+    def integer(self, key: str, least: int = 1) -> int:
+        """A whole number of at least `least`."""
+        value = self.values.get(key)
         if isinstance(value, int) and not isinstance(value, bool) and value >= least:
             return value
-        self.faults.append(f"{where}{key}: must be a whole number of at least {least}, is {value!r}")
+        self.add_fault(key, f"must be a whole number of at least {least}, is {value!r}")
         return least
 
-    def lesser(
-        self, state: dict[str, Any], coming: dict[str, Any], key: str, least: float, whole: bool = False
-    ) -> float:
-        """A limit of the state service: what holds now or what is announced, whichever is less."""
-
-        def read(table: dict[str, Any], where: str) -> float:
-            return self.whole(table, key, where, int(least)) if whole else self.number(table, key, where, least)
-
-        now = read(state, "deployment.state.")
-        return min(now, read(coming, "deployment.state.next.")) if key in coming else now
-
-    def address(self, table: dict[str, Any], key: str, where: str) -> Address:
-        value = table.get(key)
+    def switch(self, key: str) -> bool:
+        """True or false; true if left out."""
+        value = self.values.get(key, True)
+        if not isinstance(value, bool):
+            self.add_fault(key, f"must be true or false, is {value!r}")
+        return value is True
+
+    def texts(self, key: str) -> tuple[str, ...]:
+        """A list of texts; empty if left out."""
+        value = self.values.get(key, [])
+        if isinstance(value, list) and all(isinstance(item, str) for item in value):
+            return tuple(value)
+        self.add_fault(key, "must be a list of strings")
+        return ()
+
+    def address(self, key: str) -> Address:
+        """An address as HOST:PORT."""
+        return self._address(key, self.values.get(key))
+
+    def addresses(self, key: str) -> tuple[Address, ...]:
+        """A list of addresses that is not empty."""
+        value = self.values.get(key)
+        if not isinstance(value, list) or not value:
+            self.add_fault(key, "must be a list of HOST:PORT")
+            return ()
+        return tuple(self._address(key, item) for item in value)
+
+    def _address(self, key: str, value: object) -> Address:
         if isinstance(value, str):
             host, colon, port = value.rpartition(":")
             if colon and host and port.isdigit() and 0 < int(port) < 65536:
                 return Address(host, int(port))
-        self.faults.append(f"{where}{key}: must be HOST:PORT, is {value!r}")
+        self.add_fault(key, f"must be HOST:PORT, is {value!r}")
         return Address("", 0)
 
-    def table(self, table: dict[str, Any], key: str, where: str) -> dict[str, Any]:
-        value = table.get(key)
+    def table(self, key: str) -> TableReader:
+        """A table within this one. Within a table that is missing itself, it is not named as missing again."""
+        value = self.values.get(key)
+        path = f"{self.path}{key}."
         if isinstance(value, dict):
-            return value
-        self.faults.append(f"{where}{key}: table is missing")
-        return {}
-
-    def tables(self, table: dict[str, Any], key: str, where: str) -> list[dict[str, Any]]:
-        value = table.get(key, [])
+            return TableReader(value, self.faults, path)
+        if self.values or not self.path:
+            self.add_fault(key, "table is missing")
+        return TableReader({}, self.faults, path)
+
+    def optional_table(self, key: str) -> TableReader:
+        """The same for a table that may be left out."""
+        return self.table(key) if key in self.values else TableReader({}, self.faults, f"{self.path}{key}.")
+
+    def tables(self, key: str) -> list[TableReader]:
+        """A list of tables; empty if left out."""
+        value = self.values.get(key, [])
         if isinstance(value, list) and all(isinstance(item, dict) for item in value):
-            return value
-        self.faults.append(f"{where}{key}: must be a list of tables")
+            return [TableReader(item, self.faults, f"{self.path}{key}[{index}].") for index, item in enumerate(value)]
+        self.add_fault(key, "must be a list of tables")
         return []
 
 
-def parse(text: str) -> Settings:
-    """Settings from TOML text; raises SettingsError naming every fault."""
+def read_toml(text: str) -> TableReader:
+    """The top table of a TOML text; raises SettingsError if it is not TOML."""
     try:
-        top = tomllib.loads(text)
+        return TableReader(tomllib.loads(text), [])
     except tomllib.TOMLDecodeError as error:
         raise SettingsError([f"not TOML: {error}"]) from None
-    read = Reader()
-    outside = read.table(top, "outside", "")
-    deployment = read.table(top, "deployment", "")
-    workers = read.table(deployment, "workers", "deployment.") if deployment else {}
-    state = read.table(deployment, "state", "deployment.") if deployment else {}
-    coming = read.table(state, "next", "deployment.state.") if "next" in state else {}
-    cloud = read.table(deployment, "cloud", "deployment.") if deployment else {}
-    limits = read.table(deployment, "machine_limits", "deployment.") if deployment else {}
-    siblings = []
-    for number, item in enumerate(read.tables(top, "siblings", "")):
-        where = f"siblings[{number}]."
-        siblings.append(
-            Sibling(
-                read.text(item, "member", where),
-                read.text(item, "zone", where),
-                read.address(item, "address", where),
-            )
-        )
-    teams = {}
-    for number, item in enumerate(read.tables(deployment, "teams", "deployment.")):
-        where = f"deployment.teams[{number}]."
+
+
+def read_file(path: str) -> str:
+    """The text of a file; raises SettingsError if it cannot be read."""
+    try:
+        with open(path, "rb") as file:
+            return file.read().decode()
+    except OSError as error:
+        raise SettingsError([f"cannot be read: {error.strerror}"]) from None
+    except UnicodeDecodeError:
+        raise SettingsError(["not UTF-8 text"]) from None
+
+
+class _Tables:
+    """The tables of a settings file. Those that are missing are named in the order of this list."""
+
+    def __init__(self, top: TableReader) -> None:
+        self.top = top
+        self.outside = top.table("outside")
+        self.deployment = top.table("deployment")
+        self.workers = self.deployment.table("workers")
+        self.state = self.deployment.table("state")
+        self.announced_state = self.state.optional_table("next")
+        self.cloud = self.deployment.table("cloud")
+        self.machine_limits = self.deployment.table("machine_limits")
+
+
+def _siblings(top: TableReader) -> tuple[Sibling, ...]:
+    return tuple(
+        Sibling(table.text("member"), table.text("zone"), table.address("address")) for table in top.tables("siblings")
+    )
+
+
+def _teams(deployment: TableReader) -> dict[str, Team]:
+    teams: dict[str, Team] = {}
+    for table in deployment.tables("teams"):
+        name = table.text("name")
         team = Team(
-            read.text(item, "name", where),
-            *(read.number(item, key, where) for key in ("cpus", "cpus_max", "gpus", "gpus_max")),
-        )
-        if team.name in teams:
-            read.faults.append(f"{where}name: {team.name!r} appears twice")
-        teams[team.name] = team
-    objectives = []
-    for number, item in enumerate(read.tables(deployment, "objectives", "deployment.")):
-        where = f"deployment.objectives[{number}]."
-        klass = item.get("class")
-        objectives.append(
-            Objective(
-                read.text(item, "kind", where),
-                klass if isinstance(klass, str) else "",
-                read.number(item, "within_s", where) if "within_s" in item else None,
-                read.number(item, "share", where) if "share" in item else 0.0,
-                read.number(item, "times", where) if "times" in item else 1.0,
-            )
+            name,
+            cpus=table.number("cpus"),
+            cpus_max=table.number("cpus_max"),
+            gpus=table.number("gpus"),
+            gpus_max=table.number("gpus_max"),
         )
-    zones = deployment.get("zones", [])
-    if not isinstance(zones, list) or not all(isinstance(zone, str) for zone in zones):
-        read.faults.append("deployment.zones: must be a list of strings")
-        zones = []
+        if name in teams:
+            table.add_fault("name", f"{name!r} appears twice")
+        teams[name] = team
+    return teams
+
+
+def _objectives(deployment: TableReader) -> tuple[Objective, ...]:
+    return tuple(_objective(table) for table in deployment.tables("objectives"))
+
+
+def _objective(table: TableReader) -> Objective:
+    job_class = table.values.get("class")
+    return Objective(
+        table.text("kind"),
+        job_class if isinstance(job_class, str) else "",
+        within_s=table.number("within_s") if "within_s" in table else None,
+        share=table.number("share") if "share" in table else 0.0,
+        times=table.number("times") if "times" in table else 1.0,
+    )
+
+
+def _lesser_limit(tables: _Tables, key: str) -> float:
+    """A limit of the state service: what holds now or what is announced, whichever is less."""
+    limit = tables.state.number(key, 0.1)
+    return min(limit, tables.announced_state.number(key, 0.1)) if key in tables.announced_state else limit
+
+
+def _lesser_transaction_size(tables: _Tables) -> int:
+    """The same for the number of changes in a transaction. Two is the least with which a job can be accepted."""
+    changes = tables.state.integer("txn_ops", 2)
+    return (
+        min(changes, tables.announced_state.integer("txn_ops", 2)) if "txn_ops" in tables.announced_state else changes
+    )
+
+
+def parse(text: str) -> Settings:
+    """Settings from TOML text; raises SettingsError naming every fault."""
+    tables = _Tables(read_toml(text))
+    top, deployment, workers = tables.top, tables.deployment, tables.workers
+    # Read first, since faults are named in the order of reading.
+    siblings, teams, objectives = _siblings(top), _teams(deployment), _objectives(deployment)
+    zones = deployment.texts("zones")
     settings = Settings(
-        member=read.text(top, "member", ""),
-        zone=read.text(top, "zone", ""),
-        bind=read.address(top, "bind", ""),
-        mesh=read.address(top, "mesh_addr", ""),
-        siblings=tuple(siblings),
-        cloud=read.address(outside, "cloud", "outside."),
-        state=read.address(outside, "state", "outside."),
-        count=read.whole(deployment, "count", "deployment."),
-        zones=tuple(zones),
-        clock_error_s=read.number(deployment, "clock_error_ms", "deployment.") / 1000,
+        member=top.text("member"),
+        zone=top.text("zone"),
+        bind=top.address("bind"),
+        mesh=top.address("mesh_addr"),
+        siblings=siblings,
+        cloud=tables.outside.address("cloud"),
+        state=tables.outside.address("state"),
+        count=deployment.integer("count"),
+        zones=zones,
+        clock_error_s=deployment.number("clock_error_ms") / 1000,
         teams=teams,
-        objectives=tuple(objectives),
-        report_s=read.number(workers, "report_s", "deployment.workers.", 0.01),
-        lease_s=read.number(workers, "lease_s", "deployment.workers.", 0.1),
-        gang_wait_s=read.number(workers, "gang_wait_s", "deployment.workers."),
-        gang_peer_s=read.number(workers, "gang_peer_s", "deployment.workers."),
-        cancel_s=read.number(workers, "cancel_s", "deployment.workers."),
-        state_rps=read.lesser(state, coming, "rps", 0.1),
-        state_write_rps=read.lesser(state, coming, "write_rps", 0.1),
-        value_kb=read.lesser(state, coming, "value_kb", 0.1),
-        txn_ops=int(read.lesser(state, coming, "txn_ops", 2, whole=True)),
-        cloud_rps=read.number(cloud, "rps", "deployment.cloud.", 0.01),
-        list_lag_s=read.number(cloud, "list_lag_s", "deployment.cloud."),
-        cores=read.number(limits, "cores", "deployment.machine_limits.", 0.01),
-        memory_mb=read.number(limits, "memory_mb", "deployment.machine_limits.", 1),
-        fd_limit=read.whole(limits, "fd_limit", "deployment.machine_limits.", 16),
+        objectives=objectives,
+        report_s=workers.number("report_s", 0.01),
+        lease_s=workers.number("lease_s", 0.1),
+        gang_wait_s=workers.number("gang_wait_s"),
+        gang_peer_s=workers.number("gang_peer_s"),
+        cancel_s=workers.number("cancel_s"),
+        state_rps=_lesser_limit(tables, "rps"),
+        state_write_rps=_lesser_limit(tables, "write_rps"),
+        value_kb=_lesser_limit(tables, "value_kb"),
+        txn_ops=_lesser_transaction_size(tables),
+        cloud_rps=tables.cloud.number("rps", 0.01),
+        list_lag_s=tables.cloud.number("list_lag_s"),
+        cores=tables.machine_limits.number("cores", 0.01),
+        memory_mb=tables.machine_limits.number("memory_mb", 1),
+        fd_limit=tables.machine_limits.integer("fd_limit", 16),
     )
-    if read.faults:
-        raise SettingsError(read.faults)
+    if top.faults:
+        raise SettingsError(top.faults)
     return settings
 
 
 def load(path: str) -> Settings:
     """Settings from a file; raises SettingsError."""
-    try:
-        with open(path, "rb") as file:
-            return parse(file.read().decode())
-    except OSError as error:
-        raise SettingsError([f"cannot be read: {error.strerror}"]) from None
-    except UnicodeDecodeError:
-        raise SettingsError(["not UTF-8 text"]) from None
+    return parse(read_file(path))
