--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -1,6 +1,9 @@
 """What a cell tells its peers about its room and its backlog, reckoned from its tables alone.
 
 Every controller of a cell reckons the same from the same tables, so that it does not matter which of them a peer asks.
+
+The names of the fields of `Resources`, `MachinePool` and `Summary` are the names in frames between cells (`frames.py`
+writes them without a map): renaming a field changes the wire.
 """
 
 from __future__ import annotations
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -23,7 +23,8 @@
         """Adds one message; `parts` say who sent it, to whom, and what."""
         self.counts[kind] += 1
         for part in (kind, *parts):
-            encoded = part if isinstance(part, bytes) else repr(part).encode()
+            # A word of an enumeration counts as the text that it is on the wire.
+            encoded = part if isinstance(part, bytes) else repr(str(part) if isinstance(part, str) else part).encode()
             self._hash.update(len(encoded).to_bytes(4, "big") + encoded + SEPARATOR)
 
     def transaction(
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -90,7 +90,7 @@
 
 WORDS: dict[str, Callable[[], Any]] = {
     "urgencies": lambda: list(wire.PRIORITIES),
-    "shapes": lambda: {"array": wire.ARRAY, "gang": wire.GANG},
+    "shapes": lambda: {"array": wire.JobShape.ARRAY, "gang": wire.JobShape.GANG},
     "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
     "task states": lambda: sorted(machine_registry.TASK_STATES),
     "task states acted on": lambda: [machine_registry.FETCHING, machine_registry.RUNNING, machine_registry.ENDED],
