--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -1,9 +1,13 @@
-"""Puts a controller together and runs it."""
+"""Puts a controller together from its parts and runs it.
+
+Only the command line calls `run`; no other module knows how the parts are connected.
+"""
 
 from __future__ import annotations
 
 import logging
 import secrets
+from dataclasses import dataclass
 from functools import partial
 
 import anyio
@@ -31,11 +35,75 @@
 
 CLOCK = SystemClock()
 
+# Worker leases for which the log of cancellations holds all that the state service can take: more than the longest
+# spell without it that machines outlive.
+CANCELLATION_LOG_WORKER_LEASES = 16
+# Worker leases after which a connection on which nothing arrives is closed.
+IDLE_CONNECTION_WORKER_LEASES = 6
+# Of all sockets, those for users and workers; the others are for the state service, the cloud, the siblings and direct
+# commands.
+SERVER_SOCKETS_SHARE = 0.7
+
+
+@dataclass(frozen=True)
+class Controller:
+    """The parts of one controller, connected to each other; none of them runs yet."""
+
+    settings: Settings
+    replica: Replica
+    mesh: Mesh
+    membership: Membership
+    jobs: Jobs
+    machines: Machines
+    autoscaler: Autoscaler
+    server: Server
+
+    def start_loops(self, group: TaskGroup) -> None:
+        """Starts the loops of all parts; they run until the group is cancelled."""
+        self.machines.group = group
+        self.replica.start(group)
+        for sibling in self.settings.siblings:
+            group.start_soon(self.mesh.poll_forever, sibling)
+        for loop in (
+            self.membership.run,
+            self.membership.keep_lease,
+            self.membership.coordinate,
+            self.jobs.run,
+            self.jobs.commit_forever,
+            self.jobs.collect_garbage_forever,
+            self.machines.run,
+            self.machines.tick_forever,
+            self.machines.registration.unregister_forever,
+            self.autoscaler.terminate_forever,
+            self.autoscaler.scale_out_forever,
+            self.autoscaler.scale_in_idle_forever,
+            self.server.sweep_forever,
+        ):
+            group.start_soon(loop)
 
-async def serve(settings: Settings, features: Features) -> None:
-    """Runs one controller until it is killed."""
-    # More than the state service takes in the longest spell that machines outlive.
-    cancellations = CancellationLog(int(16 * settings.lease_s * settings.state_write_rps), 1 + secrets.randbits(63))
+
+def build_controller(settings: Settings) -> Controller:
+    """Makes the parts of a controller, without any I/O."""
+    context, mesh = build_context(settings)
+    membership = Membership(context)
+    jobs = Jobs(context)
+    machines = Machines(context, jobs, membership)
+    autoscaler = Autoscaler(context, CloudClient(settings, lambda: context.leadership.is_coordinator, CLOCK.now))
+    machines.autoscaler, autoscaler.machines = autoscaler, machines
+    server = Server(
+        Users(context, jobs, machines).handle,
+        idle_s=IDLE_CONNECTION_WORKER_LEASES * settings.lease_s,
+        request_s=settings.lease_s / 2,
+        most_connections=int(SERVER_SOCKETS_SHARE * settings.fd_limit),
+        now=CLOCK.now,
+    )
+    return Controller(settings, context.replica, mesh, membership, jobs, machines, autoscaler, server)
+
+
+def build_context(settings: Settings) -> tuple[ControllerContext, Mesh]:
+    """Makes what all actors share, and the mesh by which the leadership learns what siblings know."""
+    log_size = int(CANCELLATION_LOG_WORKER_LEASES * settings.lease_s * settings.state_write_rps)
+    cancellations = CancellationLog(log_size, 1 + secrets.randbits(63))
     tables = Tables(cancellations)
     client = StateClient(settings, lambda: len(tables.view.members) or settings.count, CLOCK.now)
     replica = Replica(client, tables, CLOCK.now)
@@ -48,50 +116,29 @@
         cancellations,
         leadership.apply_peer_cancellations,
     )
-    context = ControllerContext(settings, client, replica, leadership, CLOCK)
-    membership = Membership(context)
-    jobs = Jobs(context)
-    machines = Machines(context, jobs, membership)
-    autoscaler = Autoscaler(context, CloudClient(settings, lambda: leadership.is_coordinator, CLOCK.now))
-    machines.autoscaler, autoscaler.machines = autoscaler, machines
-    users = Users(context, jobs, machines)
-    # Some sockets are kept for the state service, the cloud, the siblings and direct commands.
-    server = Server(
-        users.handle,
-        idle_s=6 * settings.lease_s,
-        request_s=settings.lease_s / 2,
-        most_connections=int(0.7 * settings.fd_limit),
-        now=CLOCK.now,
-    )
+    return ControllerContext(settings, client, replica, leadership, CLOCK), mesh
+
+
+async def serve(settings: Settings, features: Features) -> None:
+    """Runs one controller until it is killed."""
+    controller = build_controller(settings)
+    machines, mesh = controller.machines, controller.mesh
     listener = await SocketListener.from_socket(listener_socket(settings.bind, settings.fd_limit))
     mesh_listener = await SocketListener.from_socket(listener_socket(settings.mesh, 4 * settings.count))
-    log.info("%s in %s serves %s:%d", settings.member, settings.zone, settings.bind.host, settings.bind.port)
+    log.info(
+        "controller started: member=%s zone=%s address=%s:%d",
+        settings.member,
+        settings.zone,
+        settings.bind.host,
+        settings.bind.port,
+    )
     async with anyio.create_task_group() as group:
-        machines.group = group
-        replica.start(group)
-        for sibling in settings.siblings:
-            group.start_soon(mesh.poll_forever, sibling)
-        for loop in (
-            membership.run,
-            membership.keep_lease,
-            membership.coordinate,
-            jobs.run,
-            jobs.commit_forever,
-            jobs.collect_garbage_forever,
-            machines.run,
-            machines.tick_forever,
-            machines.registration.unregister_forever,
-            autoscaler.terminate_forever,
-            autoscaler.scale_out_forever,
-            autoscaler.scale_in_idle_forever,
-            server.sweep_forever,
-        ):
-            group.start_soon(loop)
+        controller.start_loops(group)
         if features.cells is not None:
             start_cells(group, settings, features.cells, machines, mesh)
         if features.admission is not None:
             start_admission(group, settings, features.admission, machines, mesh)
-        group.start_soon(listener.serve, server.serve)
+        group.start_soon(listener.serve, controller.server.serve)
         group.start_soon(mesh_listener.serve, mesh.serve)
 
 
@@ -155,5 +202,6 @@
 
 
 def run(settings: Settings, features: Features) -> None:
+    """Runs one controller in an event loop of its own."""
     # The event loop takes a third of what a report costs; uvloop's takes half of that.
     anyio.run(serve, settings, features, backend_options={"use_uvloop": True})
