--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -90,7 +90,7 @@
 }
 
 OTHERS: dict[str, Callable[[], Any]] = {
-    "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LEVELS.items()},
+    "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LOG_LEVELS.items()},
     "keys of cells": lambda: sorted(features.CELL_FIELDS),
     "keys of peers": lambda: sorted(features.PEER_FIELDS),
     "keys of admission": lambda: sorted(features.ADMISSION_FIELDS),
