--- /dev/null
+++ b/sloeswitch/wire/__init__.py
@@ -0,0 +1,112 @@
+"""The messages of the protocol (docs/PROTOCOL) over HTTP, to and from users, workers, the cloud and the state service.
+
+This package is the only place that knows the protocol's own words. The rest of the code uses the terms of the field,
+and each message maps its fields to the words on the wire in the table `rename` at its head; a field that is not in the
+table has the same name on the wire. Words that are values, such as the status of a job, are the values of enumerations.
+
+On the wire a machine is a `host`, a machine type a `build`, a task a `visit`, an attempt a `try`, an array a `sweep`, a
+gang a `group`, a class of jobs a `roster`, a team a `crew`, a priority an `urgency`, an image a `kit`, a spot machine
+a `loaner`, a zone a `district`, a fencing token a `baton`, the epoch of a worker's agent a `shift`, a command an
+`order`, a checkpoint a `snapshot`, a lease a `permit`, the revision of a key a `stamp`, that of the store an `epoch`.
+
+Units: durations (`_s`) are in seconds, `memory` and sizes of images (`_gb`) in GB, `cores` and `gpus` in processor
+cores and accelerators, whole or in part. Any field that may be None may be left out on the wire.
+"""
+
+from sloeswitch.wire.cloud import (
+    Instance,
+    InstancePage,
+    InstanceRequest,
+    InstancesCreated,
+    MachineType,
+    MachineTypeCatalog,
+    delete_body,
+)
+from sloeswitch.wire.codec import (
+    MAX_BODY,
+    MalformedError,
+    T,
+    decode,
+    encode,
+)
+from sloeswitch.wire.jobs import (
+    CANCELLED,
+    DONE,
+    ID_FORM,
+    MAX_TASKS,
+    PRIORITIES,
+    QUEUED,
+    RUNNING,
+    JobShape,
+    JobSpec,
+    JobStatus,
+    Priority,
+    check_spec,
+    poll_reply,
+    split_task,
+    submission_reply,
+    submitted_id,
+    task_name,
+)
+from sloeswitch.wire.state_service import (
+    ChangeEvent,
+    ChangeFeed,
+    LeaseGrant,
+    RevisionReply,
+    StoredRow,
+    StoredRowPage,
+    commit_body,
+)
+from sloeswitch.wire.workers import (
+    CommandVerb,
+    ReportedTask,
+    WorkerCommand,
+    WorkerCommands,
+    WorkerReport,
+    redirect_reply,
+)
+
+__all__ = [
+    "CANCELLED",
+    "DONE",
+    "ID_FORM",
+    "MAX_BODY",
+    "MAX_TASKS",
+    "PRIORITIES",
+    "QUEUED",
+    "RUNNING",
+    "ChangeEvent",
+    "ChangeFeed",
+    "CommandVerb",
+    "Instance",
+    "InstancePage",
+    "InstanceRequest",
+    "InstancesCreated",
+    "JobShape",
+    "JobSpec",
+    "JobStatus",
+    "LeaseGrant",
+    "MachineType",
+    "MachineTypeCatalog",
+    "MalformedError",
+    "Priority",
+    "ReportedTask",
+    "RevisionReply",
+    "StoredRow",
+    "StoredRowPage",
+    "T",
+    "WorkerCommand",
+    "WorkerCommands",
+    "WorkerReport",
+    "check_spec",
+    "commit_body",
+    "decode",
+    "delete_body",
+    "encode",
+    "poll_reply",
+    "redirect_reply",
+    "split_task",
+    "submission_reply",
+    "submitted_id",
+    "task_name",
+]
