--- /dev/null
+++ b/tests/test_controller.py
@@ -0,0 +1,59 @@
+"""A controller is put together from its parts, and each of their loops is started once."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from sloeswitch import controller
+from sloeswitch.settings import Address, Settings, parse
+from tests.conftest import SETTINGS
+
+
+class RecordingGroup:
+    """Keeps what is started instead of running it."""
+
+    def __init__(self) -> None:
+        self.started: list[tuple[Any, ...]] = []
+
+    def start_soon(self, call: Any, *arguments: Any) -> None:
+        self.started.append((call, *arguments))
+
+
+@pytest.fixture
+def built() -> controller.Controller:
+    return controller.build_controller(parse(SETTINGS))
+
+
+def test_parts_know_each_other(built: controller.Controller) -> None:
+    assert built.machines.autoscaler is built.autoscaler and built.autoscaler.machines is built.machines
+    assert built.machines.leadership.mesh is built.mesh
+    assert built.machines.replica is built.replica and built.machines.jobs is built.jobs
+
+
+def test_each_loop_is_started_once(built: controller.Controller) -> None:
+    group: Any = RecordingGroup()
+    built.start_loops(group)
+    loops = [call for call, *_ in group.started]
+    assert built.machines.group is group and len(loops) == len(set(loops))
+    for part in (built.membership, built.jobs, built.machines, built.autoscaler, built.server):
+        # Each part runs at least one loop; an actor's own is `run`.
+        assert any(getattr(loop, "__self__", None) is part for loop in loops), part
+    assert {built.membership.run, built.jobs.run, built.machines.run} <= set(loops)
+
+
+def test_each_sibling_is_polled(settings: Settings) -> None:
+    siblings = (*settings.siblings, replace(settings.siblings[0], member="c2", address=Address("127.0.0.1", 8083)))
+    built = controller.build_controller(replace(settings, siblings=siblings))
+    group: Any = RecordingGroup()
+    built.start_loops(group)
+    assert [arguments for call, *arguments in group.started if call == built.mesh.poll_forever] == [
+        [sibling] for sibling in siblings
+    ]
+
+
+def test_sockets_are_left_for_what_the_controller_asks(built: controller.Controller) -> None:
+    """The state service, the cloud, siblings and direct commands need some when users and workers take all others."""
+    assert built.server.most_connections == 350 < built.settings.fd_limit
