--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -21,9 +21,9 @@
 class ScriptedInstance:
     """One instance at the cloud."""
 
-    def __init__(self, name: str, booking: wire.InstanceRequest, created_at: float, up_at: float) -> None:
+    def __init__(self, name: str, request: wire.InstanceRequest, created_at: float, up_at: float) -> None:
         self.name = name
-        self.booking = booking
+        self.request = request
         self.created_at = created_at
         self.up_at = up_at
 
@@ -51,18 +51,18 @@
             wire.Instance(
                 each.name,
                 "127.0.0.1:9000",
-                each.booking.type,
-                each.booking.zone,
-                each.booking.spot,
+                each.request.type,
+                each.request.zone,
+                each.request.spot,
                 "up" if each.up_at <= world.clock.time else "pending",
                 world.clock.time - each.created_at,
             )
             for each in world.instances.values()
         ]
 
-    async def create_instances(self, booking: wire.InstanceRequest) -> list[str] | None:
-        self._sent("rent", wire.encode(booking))
-        return self.node.world.create(booking)
+    async def create_instances(self, request: wire.InstanceRequest) -> list[str] | None:
+        self._sent("rent", wire.encode(request))
+        return self.node.world.create(request)
 
     async def delete_instances(self, machines: list[str]) -> None:
         self._sent("delete", wire.delete_body(machines))
@@ -79,20 +79,20 @@
         super().__init__(world, name)
         cloud = RecordingCloud(self.settings, lambda: self.leadership.is_coordinator, world.clock.now)
         cloud.node = self
-        self.fleet = Autoscaler(self.context, cloud)
-        self.machines.autoscaler, self.fleet.machines = self.fleet, self.machines
+        self.autoscaler = Autoscaler(self.context, cloud)
+        self.machines.autoscaler, self.autoscaler.machines = self.autoscaler, self.machines
 
     def scale(self) -> None:
-        """What the loops of the fleet actor do in about a report's time."""
+        """What the loops of the autoscaler do in about a report's time."""
         anyio.run(self._scale)
 
     async def _scale(self) -> None:
         if self.leadership.is_coordinator and self.replica.loaded:
             await self._scale_out()
-        self.fleet.scale_in_idle()
-        if self.fleet.terminating:
+        self.autoscaler.scale_in_idle()
+        if self.autoscaler.terminating:
             async with anyio.create_task_group() as group:
-                group.start_soon(self.fleet.terminate_forever)
+                group.start_soon(self.autoscaler.terminate_forever)
                 for _ in range(TURNS):
                     await anyio.lowlevel.checkpoint()
                 group.cancel_scope.cancel()
@@ -101,9 +101,9 @@
 
     async def _scale_out(self) -> None:
         try:
-            await self.fleet._read_catalog()
-            await self.fleet._list_instances()
-            while await self.fleet._scale_out():
+            await self.autoscaler._read_catalog()
+            await self.autoscaler._list_instances()
+            while await self.autoscaler._scale_out():
                 pass
         except CloudError:
             return
@@ -131,8 +131,8 @@
             self.store.put(keys.COORDINATOR_KEY, None)
         present = [pair for pair in tables.view.members if pair in self.leases]
         if tables.coordinator is None and present:
-            member, boot = self.rng.choice(present)
-            self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
+            member, incarnation = self.rng.choice(present)
+            self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": incarnation})
 
     def happen(self, luck: float, node: Node) -> None:
         """Users submit large and small jobs now and then, besides what else happens."""
@@ -145,15 +145,15 @@
         else:
             super().happen(luck, node)
 
-    def create(self, booking: wire.InstanceRequest) -> list[str] | None:
+    def create(self, request: wire.InstanceRequest) -> list[str] | None:
         """Some of the instances asked for, or None if there is no capacity."""
         if self.rng.random() < 0.1:
             return None
         names = []
-        for number in range(max(1, booking.count - (self.rng.random() < 0.1))):
-            name = f"{booking.name}-{number}"
+        for number in range(max(1, request.count - (self.rng.random() < 0.1))):
+            name = f"{request.name}-{number}"
             delay = 8 * self.rng.random() if self.rng.random() < 0.95 else 1e9
-            self.instances[name] = ScriptedInstance(name, booking, self.clock.time, self.clock.time + delay)
+            self.instances[name] = ScriptedInstance(name, request, self.clock.time, self.clock.time + delay)
             names.append(name)
         return names
 
@@ -173,7 +173,7 @@
         for instance in list(self.instances.values()):
             if instance.up_at <= self.clock.time and self.worker(instance.name) is None:
                 self.workers.append(
-                    Worker(self, instance.name, instance.booking.type, instance.booking.zone, instance.booking.spot)
+                    Worker(self, instance.name, instance.request.type, instance.request.zone, instance.request.spot)
                 )
         super().step(calm)
         for node in self.nodes.values():
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -137,7 +137,7 @@
 class Controller:
     """One controller of a cell. A new one knows nothing but what is stored."""
 
-    def __init__(self, cell: Cell, member: str, boot: int) -> None:
+    def __init__(self, cell: Cell, member: str, incarnation: int) -> None:
         world = cell.world
         settings = settings_of(member)
         client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
@@ -146,7 +146,7 @@
         self.replica.cell = cell
         self.replica.loaded = self.replica.fully_read = True
         self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock.now)
-        self.leadership.incarnation = boot
+        self.leadership.incarnation = incarnation
         self.context = ControllerContext(settings, client, self.replica, self.leadership, world.clock)
         self.jobs = Jobs(self.context)
         self.jobs.batch_s = 0.0
@@ -329,7 +329,7 @@
     def started(self, cell: str, job: str) -> None:
         """A task starts."""
         status, _ = self.told.get(job, ("", 0.0))
-        if status == wire.CANCELLED:
+        if status == wire.JobStatus.CANCELLED:
             raise RuleError(f"{job} starts in {cell} after its cancellation was confirmed")
         where = self.starts.setdefault(job, Counter())
         where[cell] += 1
@@ -347,9 +347,9 @@
 
     # -- what users see
 
-    async def submit(self, cell: str, name: str, klass: str, **changes: Any) -> None:
+    async def submit(self, cell: str, name: str, job_class: str, **changes: Any) -> None:
         """A user submits a job; one that is refused is forgotten."""
-        job = spec(name, roster=klass, **changes)
+        job = spec(name, roster=job_class, **changes)
         self.specs[name], self.cores[name] = job, job.cores
         self.home[name] = cell
         accepted = await self.cells[cell].any_controller().jobs.submit(job)
@@ -362,7 +362,7 @@
         cell = self.cells[self.home[name]]
         if not cell.outage:
             status = await cell.any_controller().jobs.cancel(name)
-            if status in (wire.CANCELLED, wire.DONE):
+            if status in (wire.JobStatus.CANCELLED, wire.JobStatus.DONE):
                 self.tell(name, status)
 
     def tell(self, name: str, status: str) -> None:
@@ -374,7 +374,9 @@
         elif known[0] != status:
             raise RuleError(f"{name} was {known[0]} and is {status}")
         everything = set(range(self.specs[name].tasks))
-        if status == wire.DONE and not any(self.results.get((cell, name), set()) >= everything for cell in CELLS):
+        if status == wire.JobStatus.DONE and not any(
+            self.results.get((cell, name), set()) >= everything for cell in CELLS
+        ):
             raise RuleError(f"{name} is called done and no cell completed all of it")
 
     def poll_all(self) -> None:
@@ -385,7 +387,7 @@
             self.recorder.record("status", home, name, status)
             if status is None and name in self.submitted_at:
                 raise RuleError(f"{name} is forgotten")
-            if status in (wire.DONE, wire.CANCELLED):
+            if status in (wire.JobStatus.DONE, wire.JobStatus.CANCELLED):
                 self.tell(name, status)
 
     def check_gone(self) -> None:
@@ -393,7 +395,7 @@
         for cell in self.cells.values():
             for job, index, _tag in cell.running:
                 status, at = self.told.get(job, ("", 0.0))
-                if status == wire.CANCELLED and self.clock.time - at > settings_cache().cancel_s:
+                if status == wire.JobStatus.CANCELLED and self.clock.time - at > settings_cache().cancel_s:
                     raise RuleError(f"{job}/{index} is on a machine of {cell.name} long after its cancellation")
 
     # -- the network
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -102,7 +102,7 @@
         assert len(conditions) <= 4 * self.settings.txn_ops
         assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
-        if any(tables.mod_revision(key) != stamp for key, stamp in conditions.items()):
+        if any(tables.mod_revision(key) != revision for key, revision in conditions.items()):
             return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
         for key, value in writes.items():
             self.store.put(key, value)
@@ -162,7 +162,7 @@
         self.store.put = logged  # type: ignore[method-assign]
         self.outage = False
         self.late: list[tuple[float, Callable[[], object]]] = []
-        self.boots = 0
+        self.incarnations = 0
         self.nodes: dict[str, Node] = {name: self.new_node(name) for name in members}
         self.leases: dict[tuple[str, int], float] = {}
         self.workers = [Worker(self, f"vm-{number}") for number in range(machines)]
@@ -183,11 +183,11 @@
             self.leases = {key: self.clock.time for key in self.leases}
             return
         span = self.nodes[self.members[0]].settings.controller_lease_s
-        for (name, boot), at in list(self.leases.items()):
+        for (name, incarnation), at in list(self.leases.items()):
             if self.clock.time > at + span:
-                del self.leases[name, boot]
+                del self.leases[name, incarnation]
                 row = self.store.tables.members.get(name)
-                if row is not None and row.incarnation == boot:
+                if row is not None and row.incarnation == incarnation:
                     self.store.put(keys.member_key(name), None)
         members = tuple(sorted((name, row.incarnation) for name, row in self.store.tables.members.items()))
         if members and members != self.store.tables.view.members:
@@ -220,12 +220,12 @@
 
     def unfinished(self) -> set[str]:
         """Accepted jobs that no controller knows as done or cancelled."""
-        final = (wire.DONE, wire.CANCELLED)
+        final = (wire.JobStatus.DONE, wire.JobStatus.CANCELLED)
         return {job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())}
 
     def cancel(self, job: str, node: Node) -> None:
         """A user cancels a job at one of the controllers."""
-        if node.replica.loaded and anyio.run(node.jobs.cancel, job) == wire.CANCELLED:
+        if node.replica.loaded and anyio.run(node.jobs.cancel, job) == wire.JobStatus.CANCELLED:
             self.told.setdefault(job, self.clock.time)
 
     def trouble(self, node: Node) -> None:
@@ -266,11 +266,11 @@
         for node in self.nodes.values():
             for name, size in self.sizes.items():
                 status = node.jobs.status(name)
-                if status == wire.DONE:
+                if status == wire.JobStatus.DONE:
                     assert finished[name] == size, f"not_done: {name}"
                     assert name not in self.told, f"went_back: {name}"
                     self.done.add(name)
-                assert not (name in self.done and status == wire.CANCELLED), f"went_back: {name}"
+                assert not (name in self.done and status == wire.JobStatus.CANCELLED), f"went_back: {name}"
 
     # -- steps
 
@@ -347,7 +347,7 @@
         self.check()
 
 
-class Client(StateClient):
+class ClusterStateClient(StateClient):
     """Transactions against what is stored. Some answers are lost, and some of these are carried out late."""
 
     node: Node
@@ -375,7 +375,7 @@
 
         def carry_out() -> TransactionResult:
             stored = world.store.tables
-            if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
+            if any(stored.mod_revision(key) != revision for key, revision in conditions.items()):
                 return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
             # One transaction, one revision.
             world.store.epoch += 1
@@ -392,7 +392,7 @@
         return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.08 else outcome
 
 
-class Reading(Replica):
+class ClusterReplica(Replica):
     """Reads what is stored, in order, while the state service can be reached."""
 
     node: Node
@@ -401,7 +401,7 @@
         self.node.read()
 
 
-class Group:
+class ScriptedTaskGroup:
     """Registrations are stored at once; direct commands arrive in a troubled world only."""
 
     def __init__(self, node: Node) -> None:
@@ -485,11 +485,11 @@
         self.settings = parse(settings_text(name, world.members, world.text))
         clock = world.clock
         self.refused = False
-        self.place = 0
+        self.log_position = 0
         self.tables = Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
-        self.client = Client(self.settings, lambda: len(world.members), clock.now)
+        self.client = ClusterStateClient(self.settings, lambda: len(world.members), clock.now)
         self.client.node = self
-        self.replica = Reading(self.client, self.tables, clock.now)
+        self.replica = ClusterReplica(self.client, self.tables, clock.now)
         self.replica.node = self
         self.leadership = Leadership(self.settings, self.tables, self.replica, clock.now)
         self.mesh = Mesh(
@@ -510,9 +510,8 @@
         self.inbox: list[CommandReply | InstancesDeleted | InspectionReply] = []
         if world.troubled:
             self.machines.autoscaler = ScriptedCloud(self)
-        self.group = Group(self)
+        self.group = ScriptedTaskGroup(self)
         self.machines.group = self.group  # type: ignore[assignment]
-        self.asked: list[ClaimRequest] = []
 
         async def ask_for(request: ClaimRequest) -> None:
             raise AssertionError("taken from the group")
@@ -527,10 +526,10 @@
         """All changes since the last reading, sent now and answered at once; and the lease is renewed."""
         if not self.reaches:
             return
-        while self.place < len(self.world.log):
-            key, value, stamp = self.world.log[self.place]
-            self.tables.apply(key, value, stamp)
-            self.place += 1
+        while self.log_position < len(self.world.log):
+            key, value, revision = self.world.log[self.log_position]
+            self.tables.apply(key, value, revision)
+            self.log_position += 1
         self.replica.applied_revision = self.world.store.epoch
         self.replica.loaded = self.replica.fully_read = True
         self.replica.linearizable_at = self.world.clock.time
@@ -540,8 +539,8 @@
             return
         name, now = self.settings.member, self.world.clock.time
         if not self.leadership.incarnation or (name, self.leadership.incarnation) not in self.world.leases:
-            self.world.boots += 1
-            self.leadership.incarnation = self.world.boots
+            self.world.incarnations += 1
+            self.leadership.incarnation = self.world.incarnations
             self.membership.recovered_view = 0
             self.world.store.member(name, self.leadership.incarnation)
         self.world.leases[name, self.leadership.incarnation] = now
@@ -554,43 +553,50 @@
         for message in self.inbox:
             anyio.run(self.machines.handle, message)
         self.inbox.clear()
+        anyio.run(self._store, self._tick_machines())
+        self.machines.claim_in_flight = False
+
+    def _tick_machines(self) -> list[ClaimRequest]:
+        """A look round; the claims that it asks for."""
         group = self.group
         start_soon = group.start_soon
-        asked: list[ClaimRequest] = []
+        requests: list[ClaimRequest] = []
 
         def take(call: Any, *args: Any) -> None:
             if call is self.machines._await_claims:
-                asked.append(args[0])
+                requests.append(args[0])
             else:
                 start_soon(call, *args)
 
         group.start_soon = take  # type: ignore[method-assign]
         self.machines._tick()
         group.start_soon = start_soon  # type: ignore[method-assign]
-
-        async def follow() -> None:
-            for call, args in group.pending:
-                await call(*args)
-            group.pending.clear()
-            while self.membership._inbox:
-                message = self.membership._inbox.popleft()
-                assert isinstance(message, ShardRecovered)
-                await self.membership.handle(message)
-            while self.jobs._inbox:
-                message = self.jobs._inbox.popleft()
-                assert isinstance(message, TaskUpdates)
-                await self.jobs.handle(message)
-            for request in asked:
-                await self.jobs.handle(request)
-                await self.jobs._commit_round()
-                for name, tasks in request.granted.items():
-                    if name in self.machines.unstored_releases:
-                        self.machines.unstored_releases[name] &= ~tasks
-            if not asked:
-                await self.jobs._commit_round()
-
-        anyio.run(follow)
-        self.machines.claim_in_flight = False
+        return requests
+
+    async def _store(self, requests: list[ClaimRequest]) -> None:
+        """Registrations, what the actors were told, and the claims, each with a round of storing."""
+        for call, args in self.group.pending:
+            await call(*args)
+        self.group.pending.clear()
+        while self.membership._inbox:
+            message = self.membership._inbox.popleft()
+            assert isinstance(message, ShardRecovered)
+            await self.membership.handle(message)
+        while self.jobs._inbox:
+            message = self.jobs._inbox.popleft()
+            assert isinstance(message, TaskUpdates)
+            await self.jobs.handle(message)
+        for request in requests:
+            await self._claim(request)
+        if not requests:
+            await self.jobs._commit_round()
+
+    async def _claim(self, request: ClaimRequest) -> None:
+        await self.jobs.handle(request)
+        await self.jobs._commit_round()
+        for name, tasks in request.granted.items():
+            if name in self.machines.unstored_releases:
+                self.machines.unstored_releases[name] &= ~tasks
 
 
 class Worker:
@@ -603,13 +609,13 @@
         self.zone = zone
         self.spot = spot
         self.target = world.members[0]
-        self.session, self.serial, self.token = 1, 0, 0
+        self.agent_epoch, self.report_sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], tuple[str, str | None]] = {}
         self.finished: set[str] = set()
         self.renewed_at = world.clock.time
-        self.flight: list[tuple[float, float, int, bytes]] = []
-        self.heard_answer = False
-        self.copies: list[wire.WorkerReport] = []
+        self.answers_in_flight: list[tuple[float, float, int, bytes]] = []
+        self.last_answer_received = False
+        self.report_copies: list[wire.WorkerReport] = []
         self.hung_until = self.deaf_until = self.mute_until = float("-inf")
 
     @property
@@ -628,13 +634,13 @@
         return self.world.clock.time < self.mute_until
 
     def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
-        """A direct command: carried out if token and session still match."""
-        if self.hung or message.fencing_token < self.token or message.agent_epoch != self.session:
+        """A direct command: carried out if its token and the epoch of the agent still match."""
+        if self.hung or message.fencing_token < self.fencing_token or message.agent_epoch != self.agent_epoch:
             return
-        self.token = message.fencing_token
+        self.fencing_token = message.fencing_token
         self.world.happened["late command" if late else "command"] += 1
-        for order in message.commands:
-            self.carry_out(order)
+        for command in message.commands:
+            self.execute(command)
 
     @property
     def lease_over(self) -> bool:
@@ -643,38 +649,46 @@
     def expire(self) -> None:
         if self.lease_over:
             self.tasks.clear()
-            self.session += 1
+            self.agent_epoch += 1
             self.renewed_at = self.world.clock.time
 
     def report(self) -> wire.WorkerReport:
-        self.serial += 1
+        self.report_sequence += 1
         items = [wire.ReportedTask(task, number, state, cause) for (task, number), (state, cause) in self.tasks.items()]
         return wire.WorkerReport(
-            self.name, "127.0.0.1:9000", self.kind, self.zone, self.spot, self.session, self.serial, self.token, items
+            self.name,
+            "127.0.0.1:9000",
+            self.kind,
+            self.zone,
+            self.spot,
+            self.agent_epoch,
+            self.report_sequence,
+            self.fencing_token,
+            items,
         )
 
     def heartbeat(self) -> None:
         """A report to the controller of which the worker thinks, or to the next one; the answer may be late or lost."""
         world, rng, sent = self.world, self.world.rng, self.world.clock.time
-        if any(sent - earlier <= 4.0 for _, earlier, _, _ in self.flight):
+        if any(sent - earlier <= 4.0 for _, earlier, _, _ in self.answers_in_flight):
             return  # one report in flight at a time; an answer is waited for so long
-        self.flight.clear()
+        self.answers_in_flight.clear()
         report = self.report()
         if self.mute:
             self.target = rng.choice(world.members)
             return
         if rng.random() < 0.1:
-            self.copies.append(report)
-        if self.copies and rng.random() < 0.1:
-            copy = self.copies.pop(rng.randrange(len(self.copies)))
+            self.report_copies.append(report)
+        if self.report_copies and rng.random() < 0.1:
+            copy = self.report_copies.pop(rng.randrange(len(self.report_copies)))
             message = HeartbeatRequest(report=copy, last_answer_received=False)
             anyio.run(world.nodes[rng.choice(world.members)].machines.handle, message)
             world.recorder.record("heartbeat copy", self.name, message.answer.status, message.answer.body)
         if rng.random() < 0.05:
             return  # never arrives
-        message = HeartbeatRequest(report=report, last_answer_received=self.heard_answer)
+        message = HeartbeatRequest(report=report, last_answer_received=self.last_answer_received)
         anyio.run(world.nodes[self.target].machines.handle, message)
-        answer, self.heard_answer = message.answer, False
+        answer, self.last_answer_received = message.answer, False
         world.answered[str(answer.status)] += 1
         world.recorder.record("heartbeat", self.name, self.target, answer.status, answer.body)
         if answer.status == 421:
@@ -684,35 +698,35 @@
             self.target = rng.choice(world.members)
         elif rng.random() > 0.05 and not self.deaf:
             delay = 0.0 if rng.random() < 0.8 else 5 * rng.random()
-            self.flight.append((world.clock.time + delay, sent, self.session, answer.body))
+            self.answers_in_flight.append((world.clock.time + delay, sent, self.agent_epoch, answer.body))
 
     def receive(self) -> None:
         now = self.world.clock.time
-        for at, sent, session, body in [item for item in self.flight if item[0] <= now]:
-            self.flight.remove((at, sent, session, body))
-            orders = wire.decode(body, wire.WorkerCommands)
-            if now - sent > 4.0 or session != self.session or orders.fencing_token < self.token:
+        for at, sent, agent_epoch, body in [item for item in self.answers_in_flight if item[0] <= now]:
+            self.answers_in_flight.remove((at, sent, agent_epoch, body))
+            answer = wire.decode(body, wire.WorkerCommands)
+            if now - sent > 4.0 or agent_epoch != self.agent_epoch or answer.fencing_token < self.fencing_token:
                 continue
-            self.token = orders.fencing_token
+            self.fencing_token = answer.fencing_token
             self.renewed_at = max(self.renewed_at, sent)
-            self.heard_answer = True
-            for order in orders.commands:
-                self.carry_out(order)
+            self.last_answer_received = True
+            for command in answer.commands:
+                self.execute(command)
 
-    def carry_out(self, order: wire.WorkerCommand) -> None:
-        key = (order.task, order.attempt)
-        if order.verb == "start" and key not in self.tasks:
+    def execute(self, command: wire.WorkerCommand) -> None:
+        key = (command.task, command.attempt)
+        if command.verb == wire.CommandVerb.START and key not in self.tasks:
             live = [task for (task, _), (state, _) in self.tasks.items() if state != "ended"]
-            if order.task in live:
+            if command.task in live:
                 self.tasks[key] = ("ended", "busy")
-            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, order.task]) > CORES:
+            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, command.task]) > CORES:
                 self.tasks[key] = ("ended", "no_room")
             else:
-                self.world.check_start(self, order.task)
+                self.world.check_start(self, command.task)
                 self.tasks[key] = ("running", None)
-        elif order.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
+        elif command.verb == wire.CommandVerb.KILL and self.tasks.get(key, ("ended", None))[0] != "ended":
             self.tasks[key] = ("ended", "halted")
-        elif order.verb == "clear":
+        elif command.verb == wire.CommandVerb.CLEAR:
             self.tasks.pop(key, None)
 
     def work(self) -> None:
