--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -101,7 +101,7 @@
         # lost with a machine in that time is done once more, which costs less than the writes.
         self.lazy_s = context.settings.lease_s
         # Values of a round beyond this size may leave no place for another one in a transaction.
-        self.most_bytes = max(0, int(0.8 * wire.MAX_BODY) - context.settings.value_bytes)
+        self.most_bytes = max(0, int(0.8 * wire.MAX_BODY_BYTES) - context.settings.value_bytes)
         self.tries = 0
         self.adoptions_made = 0
         # When parts of a spec without a job were first seen.
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -55,7 +55,7 @@
 
     def _transaction_bytes(self) -> int:
         """What values of a transaction may take together."""
-        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY))
+        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
 
     # -- new machines
 
--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -54,7 +54,7 @@
             clock_error_s=settings.clock_error_s,
             idle_s=IDLE_REPORTS * settings.report_s,
             max_changes=max(1, int(CHANGE_SHARE * settings.state_write_rps * epoch_s)),
-            max_admissions=max(1, int(EPOCH_SHARE * ADMISSIONS_PER_CORE_S * settings.cores * epoch_s)),
+            max_admissions=max(1, int(EPOCH_SHARE * ADMISSIONS_PER_CORE_S * settings.controller_cores * epoch_s)),
         )
 
     def _looks_s(self, rows: int) -> float:
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -24,12 +24,12 @@
     lists and rents; the others only give machines back, many in a call."""
 
     def __init__(self, settings: Settings, coordinating: Callable[[], bool], now: Callable[[], float]) -> None:
-        self.http = Client(settings.cloud, most_idle=2)
+        self.http = Client(settings.cloud_address, most_idle=2)
         self.now = now
         self.coordinating = coordinating
         self.rps = 0.9 * settings.cloud_rps
-        self.lesser = 1 / (2 * settings.count)
-        self.greater = 1 - (settings.count - 1) * self.lesser
+        self.lesser = 1 / (2 * settings.controller_count)
+        self.greater = 1 - (settings.controller_count - 1) * self.lesser
         self.bucket = TokenBucket(self.rps, now())
         self.timeout_s = settings.lease_s / 2
 
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -105,7 +105,7 @@
     log_size = int(CANCELLATION_LOG_WORKER_LEASES * settings.lease_s * settings.state_write_rps)
     cancellations = CancellationLog(log_size, 1 + secrets.randbits(63))
     tables = Tables(cancellations)
-    client = StateClient(settings, lambda: len(tables.view.members) or settings.count, CLOCK.now)
+    client = StateClient(settings, lambda: len(tables.view.members) or settings.controller_count, CLOCK.now)
     replica = Replica(client, tables, CLOCK.now)
     leadership = Leadership(settings, tables, replica, CLOCK.now)
     leadership.mesh = mesh = Mesh(
@@ -123,14 +123,16 @@
     """Runs one controller until it is killed."""
     controller = build_controller(settings)
     machines, mesh = controller.machines, controller.mesh
-    listener = await SocketListener.from_socket(listener_socket(settings.bind, settings.fd_limit))
-    mesh_listener = await SocketListener.from_socket(listener_socket(settings.mesh, 4 * settings.count))
+    listener = await SocketListener.from_socket(listener_socket(settings.http_address, settings.fd_limit))
+    mesh_listener = await SocketListener.from_socket(
+        listener_socket(settings.mesh_address, 4 * settings.controller_count)
+    )
     log.info(
         "controller started: member=%s zone=%s address=%s:%d",
         settings.member,
         settings.zone,
-        settings.bind.host,
-        settings.bind.port,
+        settings.http_address.host,
+        settings.http_address.port,
     )
     async with anyio.create_task_group() as group:
         controller.start_loops(group)
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -71,7 +71,7 @@
         """The limits by the settings; `txn_ops`: the changes that a transaction takes now."""
         return PlanLimits(
             max_jobs=max(1, txn_ops // 2),
-            max_capacities_scanned=LOOK_SHARE * ROOMS_PER_CORE_S * settings.cores * settings.report_s,
+            max_capacities_scanned=LOOK_SHARE * ROOMS_PER_CORE_S * settings.controller_cores * settings.report_s,
             affinity_s=HOME_TICKS * pace_s,
         )
 
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -16,7 +16,7 @@
 from anyio.abc import SocketStream
 
 from sloeswitch.settings import Address
-from sloeswitch.wire import MAX_BODY
+from sloeswitch.wire import MAX_BODY_BYTES
 
 log = logging.getLogger("http")
 
@@ -90,7 +90,7 @@
     if request.http_version != b"1.1" or request.method not in (b"GET", b"POST") or not SPECIAL.isdisjoint(headers):
         return None
     length = int(headers.get(b"content-length", b"0"))
-    return Head(request.method.decode(), request.target.decode(), length) if length <= MAX_BODY else None
+    return Head(request.method.decode(), request.target.decode(), length) if length <= MAX_BODY_BYTES else None
 
 
 def write_head(parser: h11.Connection, answer: Answer) -> bytes:
@@ -205,7 +205,7 @@
                     return
                 if request is None:
                     return
-            if len(request.body) > MAX_BODY:
+            if len(request.body) > MAX_BODY_BYTES:
                 answer = Answer(400, b'{"error":"body over 64 KiB"}', close=True)
             else:
                 connection.closes_at = math.inf
@@ -272,7 +272,7 @@
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
+                if len(body) > MAX_BODY_BYTES:
                     break
             elif isinstance(event, h11.EndOfMessage):
                 break
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -50,7 +50,7 @@
         # What this controller stored and has not read yet: key -> epoch.
         self._own_writes: dict[str, int] = {}
         # Watching again at once after each change would use up the request rate.
-        self.gap_s = 8.0 / client.settings.state_rps * client.settings.count / 2
+        self.gap_s = 8.0 / client.settings.state_rps * client.settings.controller_count / 2
 
     def start(self, group: TaskGroup) -> None:
         group.start_soon(self._watch)
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -82,17 +82,17 @@
     # This controller: its name, its zone, and where users, workers and siblings reach it.
     member: str
     zone: str
-    bind: Address
-    mesh: Address
+    http_address: Address
+    mesh_address: Address
     siblings: tuple[Sibling, ...]
 
     # The services outside the cluster.
-    cloud: Address
-    state: Address
+    cloud_address: Address
+    state_address: Address
 
     # The deployment: how many controllers it has, the machines' zones, the bound on the error of the time of day, the
     # teams by name, and what is expected of the classes of jobs.
-    count: int
+    controller_count: int
     zones: tuple[str, ...]
     clock_error_s: float
     teams: dict[str, Team]
@@ -119,8 +119,8 @@
     list_lag_s: float
 
     # The machine that this controller runs on: its share of a core, its memory in MB, and its sockets.
-    cores: float
-    memory_mb: float
+    controller_cores: float
+    controller_memory_mb: float
     fd_limit: int
 
     # Steady clocks drift apart by at most 0.05% (protocol); twice that covers a pair of them.
@@ -360,12 +360,12 @@
     settings = Settings(
         member=top.text("member"),
         zone=top.text("zone"),
-        bind=top.address("bind"),
-        mesh=top.address("mesh_addr"),
+        http_address=top.address("bind"),
+        mesh_address=top.address("mesh_addr"),
         siblings=siblings,
-        cloud=tables.outside.address("cloud"),
-        state=tables.outside.address("state"),
-        count=deployment.integer("count"),
+        cloud_address=tables.outside.address("cloud"),
+        state_address=tables.outside.address("state"),
+        controller_count=deployment.integer("count"),
         zones=zones,
         clock_error_s=deployment.number("clock_error_ms") / 1000,
         teams=teams,
@@ -381,8 +381,8 @@
         txn_ops=_lesser_transaction_size(tables),
         cloud_rps=tables.cloud.number("rps", 0.01),
         list_lag_s=tables.cloud.number("list_lag_s"),
-        cores=tables.machine_limits.number("cores", 0.01),
-        memory_mb=tables.machine_limits.number("memory_mb", 1),
+        controller_cores=tables.machine_limits.number("cores", 0.01),
+        controller_memory_mb=tables.machine_limits.number("memory_mb", 1),
         fd_limit=tables.machine_limits.integer("fd_limit", 16),
     )
     if top.faults:
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -37,8 +37,8 @@
 
     def __init__(self, settings: Settings, share: Callable[[], int], now: Callable[[], float]) -> None:
         self.settings = settings
-        self.http = Client(settings.state, most_idle=4)
-        self.watch_http = Client(settings.state, most_idle=1)
+        self.http = Client(settings.state_address, most_idle=4)
+        self.watch_http = Client(settings.state_address, most_idle=1)
         self.now = now
         self.controllers = share
         # Most answers take under 10 ms, some a few hundred; a lease must outlive two of these waits.
--- a/sloeswitch/wire/__init__.py
+++ b/sloeswitch/wire/__init__.py
@@ -23,7 +23,7 @@
     delete_body,
 )
 from sloeswitch.wire.codec import (
-    MAX_BODY,
+    MAX_BODY_BYTES,
     MalformedError,
     T,
     decode,
@@ -32,7 +32,7 @@
 from sloeswitch.wire.jobs import (
     CANCELLED,
     DONE,
-    ID_FORM,
+    JOB_ID_PATTERN,
     MAX_TASKS,
     PRIORITIES,
     QUEUED,
@@ -69,8 +69,8 @@
 __all__ = [
     "CANCELLED",
     "DONE",
-    "ID_FORM",
-    "MAX_BODY",
+    "JOB_ID_PATTERN",
+    "MAX_BODY_BYTES",
     "MAX_TASKS",
     "PRIORITIES",
     "QUEUED",
--- a/sloeswitch/wire/codec.py
+++ b/sloeswitch/wire/codec.py
@@ -8,7 +8,7 @@
 
 T = TypeVar("T")
 # The largest body of a request.
-MAX_BODY = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 
 class MalformedError(Exception):
--- a/sloeswitch/wire/jobs.py
+++ b/sloeswitch/wire/jobs.py
@@ -13,7 +13,7 @@
 
 from sloeswitch.wire.codec import MalformedError, decode, encode
 
-ID_FORM = re.compile(r"wk-[0-9]{1,32}")
+JOB_ID_PATTERN = re.compile(r"wk-[0-9]{1,32}")
 # The most tasks of one job.
 MAX_TASKS = 100_000
 
@@ -126,7 +126,7 @@
     """The job id of a submission whatever else is in it; MalformedError unless it is a JSON object."""
     body = decode(data, dict[str, Any])
     job = body.get("id")
-    return job if isinstance(job, str) and ID_FORM.fullmatch(job) else None
+    return job if isinstance(job, str) and JOB_ID_PATTERN.fullmatch(job) else None
 
 
 # Amounts that a submission must give, by the words in which a fault of theirs is told to users.
@@ -146,7 +146,7 @@
 
     Returns the spec with each prerequisite named once. Raises MalformedError, whose text is told to the user.
     """
-    if not ID_FORM.fullmatch(spec.id):
+    if not JOB_ID_PATTERN.fullmatch(spec.id):
         raise MalformedError("id: not in the form wk-000412")
     if spec.shape not in tuple(JobShape):
         raise MalformedError("shape: neither sweep nor group")
@@ -159,7 +159,7 @@
             raise MalformedError(f"{name}: negative or not finite")
     if spec.deadline_s is not None and not _is_amount(spec.deadline_s):
         raise MalformedError("dueS: negative or not finite")
-    if not all(ID_FORM.fullmatch(name) for name in spec.prerequisites):
+    if not all(JOB_ID_PATTERN.fullmatch(name) for name in spec.prerequisites):
         raise MalformedError("awaits: not all are job ids")
     if len(set(spec.prerequisites)) < len(spec.prerequisites):
         spec = msgspec.structs.replace(spec, prerequisites=tuple(dict.fromkeys(spec.prerequisites)))
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -100,7 +100,7 @@
         # What the state service would refuse (protocol).
         assert len(writes) + len(drops) <= self.settings.txn_ops
         assert len(conditions) <= 4 * self.settings.txn_ops
-        assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY
+        assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY_BYTES
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
         if any(tables.mod_revision(key) != revision for key, revision in conditions.items()):
             return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -94,9 +94,9 @@
     "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
     "task states": lambda: sorted(machine_registry.TASK_STATES),
     "task states acted on": lambda: [machine_registry.FETCHING, machine_registry.RUNNING, machine_registry.ENDED],
-    "job id": lambda: wire.ID_FORM.pattern,
+    "job id": lambda: wire.JOB_ID_PATTERN.pattern,
     "task name": lambda: wire.task_name("wk-000412", 3),
-    "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY],
+    "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY_BYTES],
     "statuses": lambda: {str(status): reason.decode() for status, reason in REASONS.items()},
     "retry header": lambda: [list(header) for header in refuse(2.0).headers],
 }
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -33,7 +33,7 @@
 
 def test_a_take_over_stores_all_adoptions_in_few_changes_and_settles(fleet: FleetWorld) -> None:
     rounds = fleet.store_all()
-    assert rounds == 1 and all(size < wire.MAX_BODY for _, size in fleet.transactions)
+    assert rounds == 1 and all(size < wire.MAX_BODY_BYTES for _, size in fleet.transactions)
     fleet.tick()
     claims = [job.progress.claims for job in fleet.store.tables.jobs.values()]
     assert all(set(held) == {"c0.1"} for held in claims) and len(claims) == fleet.jobs_count
@@ -55,7 +55,7 @@
     transactions = fleet.delete_all()
     assert transactions <= -(-groups // 4) + 1
     assert not fleet.store.tables.machines and not fleet.store.tables.machine_groups
-    assert all(size < wire.MAX_BODY for _, size in fleet.transactions)
+    assert all(size < wire.MAX_BODY_BYTES for _, size in fleet.transactions)
 
 
 def claim_planner(fleet: FleetWorld) -> ClaimPlanner:
