--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 
 from sloeswitch.cells.policy import MovePolicy
-from sloeswitch.settings import Address, Settings, SettingsError, TableReader, read_file, read_toml
+from sloeswitch.settings import Address, Settings, SettingsError
+from sloeswitch.toml_reader import TableReader, read_file, read_toml
 
 FILE_TABLES = {"cells", "admission"}
 CELL_FIELDS = {"name", "incarnation", "moving", "most_under_way", "classes", "peers"}
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,69 +1,13 @@
-"""Fields of a TOML table are checked, and all faults of a file are named at once; ratios that follow from settings."""
+"""The settings file: what is no such file, limits that are announced, and ratios that follow from settings."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 import pytest
 
-from sloeswitch.settings import Address, Settings, SettingsError, TableReader, load, parse, read_toml
+from sloeswitch.settings import Settings, SettingsError, load, parse
 from tests.conftest import SETTINGS
 
 
-@pytest.mark.parametrize(
-    ("line", "read", "value", "faults"),
-    [
-        ("x = 'a'", lambda table: table.text("x"), "a", []),
-        ("x = ''", lambda table: table.text("x"), "", ["x: must be a non-empty string, is ''"]),
-        ("x = 2", lambda table: table.number("x"), 2.0, []),
-        ("x = true", lambda table: table.number("x"), 1.0, ["x: must be a number of at least 0, is True"]),
-        ("x = inf", lambda table: table.number("x"), 1.0, ["x: must be a number of at least 0, is inf"]),
-        ("x = 0.05", lambda table: table.number("x", 0.1), 1.0, ["x: must be a number of at least 0.1, is 0.05"]),
-        ("", lambda table: table.number("x", 4), 4.0, ["x: must be a number of at least 4, is None"]),
-        ("x = 3", lambda table: table.integer("x"), 3, []),
-        ("x = 3.0", lambda table: table.integer("x", 2), 2, ["x: must be a whole number of at least 2, is 3.0"]),
-        ("x = true", lambda table: table.integer("x"), 1, ["x: must be a whole number of at least 1, is True"]),
-        ("", lambda table: table.switch("x"), True, []),
-        ("x = false", lambda table: table.switch("x"), False, []),
-        ("x = 1", lambda table: table.switch("x"), False, ["x: must be true or false, is 1"]),
-        ("x = ['a']", lambda table: table.texts("x"), ("a",), []),
-        ("x = [1]", lambda table: table.texts("x"), (), ["x: must be a list of strings"]),
-        ("x = 'h:9'", lambda table: table.address("x"), Address("h", 9), []),
-        ("x = 'h:0'", lambda table: table.address("x"), Address("", 0), ["x: must be HOST:PORT, is 'h:0'"]),
-        ("x = 'h:65536'", lambda table: table.address("x"), Address("", 0), ["x: must be HOST:PORT, is 'h:65536'"]),
-        ("x = ['h:9']", lambda table: table.addresses("x"), (Address("h", 9),), []),
-        ("x = []", lambda table: table.addresses("x"), (), ["x: must be a list of HOST:PORT"]),
-    ],
-)
-def test_a_field_is_checked(line: str, read: Callable[[TableReader], object], value: object, faults: list[str]) -> None:
-    table = read_toml(line)
-    assert read(table) == value and table.faults == faults
-
-
-def test_tables_share_their_faults_and_name_their_path() -> None:
-    top = read_toml("[a]\ny = 1\n[[b]]\n[[b]]\nz = 1\n")
-    top.table("a").table("c").text("x")
-    top.tables("b")[1].text("z")
-    assert top.faults == [
-        "a.c: table is missing",
-        "a.c.x: must be a non-empty string, is None",
-        "b[1].z: must be a non-empty string, is 1",
-    ]
-
-
-def test_a_table_within_a_missing_one_is_not_named_again() -> None:
-    top = read_toml("")
-    top.table("a").table("b")
-    top.optional_table("c")
-    assert top.faults == ["a: table is missing"]
-
-
-def test_unknown_fields_are_named_where_they_are_refused() -> None:
-    top = read_toml("[a]\nx = 1\ny = 2\n")
-    top.table("a").refuse_unknown({"y"})
-    assert top.faults == ["a.x: unknown field"]
-
-
 @pytest.mark.parametrize(("content", "fault"), [(b"\xff", "not UTF-8 text"), (b"x =", "not TOML")])
 def test_a_file_that_is_no_toml_is_refused(tmp_path: object, content: bytes, fault: str) -> None:
     path = f"{tmp_path}/settings.toml"
