--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -1,16 +1,17 @@
 """The settings file that the platform hands to every controller: read, checked, and the ratios that follow from it.
 
-The file's form is described in docs/DEPLOY; its fields keep their names there, and the tables below map them to the
-fields of `Settings`. Unknown fields are ignored, since later versions of the platform may add some.
+The platform's page on deployment describes the file. Its fields keep their names there; `parse` maps them to the fields
+of `Settings`. Unknown fields are ignored, since later versions of the platform may add some.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 
 from sloeswitch.toml_reader import Address, SettingsError, TableReader, read_file, read_toml
 
-__all__ = ["Address", "Objective", "Settings", "SettingsError", "Sibling", "Team", "load", "parse"]
+__all__ = ["Address", "Objective", "ObjectiveKind", "Settings", "SettingsError", "Sibling", "Team", "load", "parse"]
 
 # Of the largest value that the state service takes, what is used; the rest is for what it may count besides the value.
 STORED_VALUE_SHARE = 0.9
@@ -18,7 +19,7 @@
 # while their tasks still live.
 CONTROLLER_LEASE_SHARE = 0.3
 MIN_CONTROLLER_LEASE_S = 0.1
-# Report intervals after which a report was certainly missed: two, and the spread that the protocol allows them.
+# Report intervals after which a machine that was not heard has missed a report, the spread of the interval allowed for.
 MISSED_REPORT_INTERVALS = 2.2
 # Added to the end of a worker's lease before its tasks count as gone.
 LEASE_END_MARGIN_S = 0.1
@@ -44,12 +45,22 @@
     gpus_max: float
 
 
+class ObjectiveKind(StrEnum):
+    """What an objective expects of a job."""
+
+    # Done by the job's own deadline, its time stretched by the objective's factor.
+    DEADLINE = "deadline"
+    # Begun, or done, within the objective's time.
+    BEGUN = "wait"
+    DONE = "finished"
+
+
 @dataclass(frozen=True)
 class Objective:
-    """What is expected of one class of jobs.
+    """What is expected of one class of jobs: a part of them, `share` (0 to 1), must meet it.
 
-    `kind` is `deadline` (done by the job's deadline, its time stretched by the factor `times`), `wait` (begun within
-    `within_s` seconds) or `finished` (done within `within_s` seconds); `share` of the jobs, 0 to 1, must meet it.
+    `kind` is an `ObjectiveKind` as text, since kinds that are not known are passed over; `times` is the factor of a
+    deadline.
     """
 
     kind: str
@@ -195,16 +206,16 @@
 
 def _lesser_limit(tables: _Tables, key: str) -> float:
     """A limit of the state service: what holds now or what is announced, whichever is less."""
-    limit = tables.state.number(key, 0.1)
-    return min(limit, tables.announced_state.number(key, 0.1)) if key in tables.announced_state else limit
+    limit = tables.state.number(key, least=0.1)
+    return min(limit, tables.announced_state.number(key, least=0.1)) if key in tables.announced_state else limit
 
 
 def _lesser_transaction_size(tables: _Tables) -> int:
-    """The same for the number of changes in a transaction. Two is the least with which a job can be accepted."""
-    changes = tables.state.integer("txn_ops", 2)
-    return (
-        min(changes, tables.announced_state.integer("txn_ops", 2)) if "txn_ops" in tables.announced_state else changes
-    )
+    """The same for the number of changes in a transaction."""
+    changes = tables.state.integer("txn_ops", least=2)
+    if "txn_ops" not in tables.announced_state:
+        return changes
+    return min(changes, tables.announced_state.integer("txn_ops", least=2))
 
 
 def parse(text: str) -> Settings:
@@ -227,8 +238,8 @@
         clock_error_s=deployment.number("clock_error_ms") / 1000,
         teams=teams,
         objectives=objectives,
-        report_s=workers.number("report_s", 0.01),
-        lease_s=workers.number("lease_s", 0.1),
+        report_s=workers.number("report_s", least=0.01),
+        lease_s=workers.number("lease_s", least=0.1),
         gang_wait_s=workers.number("gang_wait_s"),
         gang_peer_s=workers.number("gang_peer_s"),
         cancel_s=workers.number("cancel_s"),
@@ -236,11 +247,11 @@
         state_write_rps=_lesser_limit(tables, "write_rps"),
         value_kb=_lesser_limit(tables, "value_kb"),
         txn_ops=_lesser_transaction_size(tables),
-        cloud_rps=tables.cloud.number("rps", 0.01),
+        cloud_rps=tables.cloud.number("rps", least=0.01),
         list_lag_s=tables.cloud.number("list_lag_s"),
-        controller_cores=tables.machine_limits.number("cores", 0.01),
-        controller_memory_mb=tables.machine_limits.number("memory_mb", 1),
-        fd_limit=tables.machine_limits.integer("fd_limit", 16),
+        controller_cores=tables.machine_limits.number("cores", least=0.01),
+        controller_memory_mb=tables.machine_limits.number("memory_mb", least=1),
+        fd_limit=tables.machine_limits.integer("fd_limit", least=16),
     )
     if top.faults:
         raise SettingsError(top.faults)
--- a/sloeswitch/toml_reader.py
+++ b/sloeswitch/toml_reader.py
@@ -59,7 +59,7 @@
         self.add_fault(key, f"must be a non-empty string, is {value!r}")
         return ""
 
-    def number(self, key: str, least: float = 0.0) -> float:
+    def number(self, key: str, *, least: float = 0.0) -> float:
         """A finite number of at least `least`."""
         value = self.values.get(key)
         if isinstance(value, (int, float)) and not isinstance(value, bool) and least <= value < math.inf:
@@ -67,7 +67,7 @@
         self.add_fault(key, f"must be a number of at least {least:g}, is {value!r}")
         return max(least, 1.0)
 
-    def integer(self, key: str, least: int = 1) -> int:
+    def integer(self, key: str, *, least: int = 1) -> int:
         """A whole number of at least `least`."""
         value = self.values.get(key)
         if isinstance(value, int) and not isinstance(value, bool) and value >= least:
--- a/sloeswitch/wire/__init__.py
+++ b/sloeswitch/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The messages of the protocol (docs/PROTOCOL) over HTTP, to and from users, workers, the cloud and the state service.
+"""The messages of the platform's protocol over HTTP, to and from users, workers, the cloud and the state service.
 
 This package is the only place that knows the protocol's own words. The rest of the code uses the terms of the field,
 and each message maps its fields to the words on the wire in the table `rename` at its head; a field that is not in the
