--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -16,20 +16,12 @@
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
+from sloeswitch.wire import JobStatus
 
 # A cancellation that conflicts with another write of the job is planned anew this often.
 MAX_CANCEL_ATTEMPTS = 4
 
 
-class JobStatus(StrEnum):
-    """The status of a job as users are told it; the values are the protocol's words."""
-
-    QUEUED = wire.QUEUED
-    RUNNING = wire.RUNNING
-    DONE = wire.DONE
-    CANCELLED = wire.CANCELLED
-
-
 class CancelFailure(StrEnum):
     """Why a job can never be cancelled. Not sent to users as it is."""
 
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -16,7 +16,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.garbage_collection import GarbageCollector
 from sloeswitch.actors.job_messages import ClaimRequest
-from sloeswitch.actors.job_requests import CancelFailure, JobRequests, JobStatus, Submission
+from sloeswitch.actors.job_requests import CancelFailure, JobRequests, Submission
 from sloeswitch.actors.spec_chunks import transaction_values_bytes
 from sloeswitch.core.commit_planner import CommitLimits, CommitPlan, CommitSnapshot, plan_commit
 from sloeswitch.core.commit_schedule import CommitDelays, CommitSchedule
@@ -24,6 +24,7 @@
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
+from sloeswitch.wire import JobStatus
 
 __all__ = ["ClaimRequest", "Jobs", "TaskUpdates", "add_tasks"]
 
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -70,7 +70,7 @@
 
     def _max_values_bytes(self) -> int:
         """What the values of one transaction may take together, in bytes."""
-        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY))
+        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
 
     # -- new machines
 
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -19,7 +19,7 @@
 
 def transaction_values_bytes(value_bytes: int) -> int:
     """The size of a transaction's values beyond which it may have no place for another one of `value_bytes`."""
-    return max(0, int(VALUES_FRACTION * wire.MAX_BODY) - value_bytes)
+    return max(0, int(VALUES_FRACTION * wire.MAX_BODY_BYTES) - value_bytes)
 
 
 class StoredSpec(NamedTuple):
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -15,13 +15,14 @@
 from sloeswitch import wire
 from sloeswitch.actors.base import InboxFullError
 from sloeswitch.actors.context import ControllerContext
-from sloeswitch.actors.job_requests import FINAL_STATUSES, CancelFailure, JobStatus
+from sloeswitch.actors.job_requests import FINAL_STATUSES, CancelFailure
 from sloeswitch.actors.jobs import Jobs
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.machines import Machines
 from sloeswitch.core.quota import unschedulable_reason
 from sloeswitch.http import Answer, Request, refuse
 from sloeswitch.replica import StaleReplicaError
+from sloeswitch.wire import JobStatus
 
 log = logging.getLogger("users")
 
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -52,13 +52,13 @@
     """
 
     def __init__(self, settings: Settings, is_coordinator: Callable[[], bool], now: Callable[[], float]) -> None:
-        self.http = Client(settings.cloud, max_idle_connections=MAX_IDLE_CONNECTIONS)
+        self.http = Client(settings.cloud_address, max_idle_connections=MAX_IDLE_CONNECTIONS)
         self.now = now
         self.is_coordinator = is_coordinator
         self.timeout_s = settings.lease_s / 2
         self._rate = USED_FRACTION_OF_RATE * settings.cloud_rps
-        self._follower_fraction = 1 / (2 * settings.count)
-        self._coordinator_fraction = 1 - (settings.count - 1) * self._follower_fraction
+        self._follower_fraction = 1 / (2 * settings.controller_count)
+        self._coordinator_fraction = 1 - (settings.controller_count - 1) * self._follower_fraction
         self.call_tokens = TokenBucket(self._rate, now())
 
     async def read_catalog(self) -> wire.MachineTypeCatalog:
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -98,7 +98,10 @@
         """The limits by the settings; `txn_ops`: the changes that a transaction takes now."""
         return PlanLimits(
             max_jobs=max(1, txn_ops // 2),
-            max_capacities_scanned=PASS_TIME_SHARE * MACHINES_SCANNED_PER_CORE_S * settings.cores * settings.report_s,
+            max_capacities_scanned=PASS_TIME_SHARE
+            * MACHINES_SCANNED_PER_CORE_S
+            * settings.controller_cores
+            * settings.report_s,
             affinity_s=IMAGE_AFFINITY_TICKS * pace_s,
         )
 
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -20,7 +20,7 @@
 from anyio.abc import SocketStream
 
 from sloeswitch.settings import Address
-from sloeswitch.wire import MAX_BODY
+from sloeswitch.wire import MAX_BODY_BYTES
 
 log = logging.getLogger("http")
 
@@ -118,7 +118,7 @@
     if not CONNECTION_HEADERS.isdisjoint(headers):
         return None
     body_bytes = int(headers.get(b"content-length", b"0"))
-    return Head(request.method.decode(), request.target.decode(), body_bytes) if body_bytes <= MAX_BODY else None
+    return Head(request.method.decode(), request.target.decode(), body_bytes) if body_bytes <= MAX_BODY_BYTES else None
 
 
 def encode_head(parser: h11.Connection, answer: Answer) -> bytes:
@@ -259,7 +259,7 @@
             return False
         if request is None:
             return False
-        if len(request.body) > MAX_BODY:
+        if len(request.body) > MAX_BODY_BYTES:
             answer = Answer(400, b'{"error":"body over 64 KiB"}', close=True)
         else:
             connection.closes_at = math.inf
@@ -322,7 +322,7 @@
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MAX_BODY:
+                if len(body) > MAX_BODY_BYTES:
                     break
             elif isinstance(event, h11.EndOfMessage):
                 break
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -59,7 +59,7 @@
         self.fully_read = False
         self.linearizable_at = float("-inf")
         self.changed = anyio.Event()
-        self.watch_pause_s = REQUESTS_PER_WATCH / client.settings.state_rps * client.settings.count
+        self.watch_pause_s = REQUESTS_PER_WATCH / client.settings.state_rps * client.settings.controller_count
         self._listeners: list[Callable[[], None]] = []
         self._reads = LinearizableReads()
         self._own_writes = OwnWrites()
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -94,8 +94,8 @@
 
     def __init__(self, settings: Settings, controller_count: Callable[[], int], now: Callable[[], float]) -> None:
         self.settings = settings
-        self.http = Client(settings.state, max_idle_connections=MAX_IDLE_CONNECTIONS)
-        self.watch_http = Client(settings.state, max_idle_connections=1)
+        self.http = Client(settings.state_address, max_idle_connections=MAX_IDLE_CONNECTIONS)
+        self.watch_http = Client(settings.state_address, max_idle_connections=1)
         self.now = now
         self.controller_count = controller_count
         self.timeout_s = settings.controller_lease_s / 4
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -38,14 +38,14 @@
     "settings": {
         "member": lambda s: s.member,
         "zone": lambda s: s.zone,
-        "bind": lambda s: address(s.bind),
-        "mesh_addr": lambda s: address(s.mesh),
+        "bind": lambda s: address(s.http_address),
+        "mesh_addr": lambda s: address(s.mesh_address),
         "siblings.member": lambda s: s.siblings[0].member,
         "siblings.zone": lambda s: s.siblings[0].zone,
         "siblings.address": lambda s: address(s.siblings[0].address),
-        "outside.cloud": lambda s: address(s.cloud),
-        "outside.state": lambda s: address(s.state),
-        "deployment.count": lambda s: s.count,
+        "outside.cloud": lambda s: address(s.cloud_address),
+        "outside.state": lambda s: address(s.state_address),
+        "deployment.count": lambda s: s.controller_count,
         "deployment.zones": lambda s: list(s.zones),
         "deployment.clock_error_ms": lambda s: s.clock_error_s,
         "deployment.teams.name": lambda s: list(s.teams),
@@ -73,8 +73,8 @@
         "deployment.state.next.txn_ops": lambda s: s.txn_ops,
         "deployment.cloud.rps": lambda s: s.cloud_rps,
         "deployment.cloud.list_lag_s": lambda s: s.list_lag_s,
-        "deployment.machine_limits.cores": lambda s: s.cores,
-        "deployment.machine_limits.memory_mb": lambda s: s.memory_mb,
+        "deployment.machine_limits.cores": lambda s: s.controller_cores,
+        "deployment.machine_limits.memory_mb": lambda s: s.controller_memory_mb,
         "deployment.machine_limits.fd_limit": lambda s: s.fd_limit,
     },
     "features": {
@@ -90,7 +90,7 @@
 }
 
 OTHERS: dict[str, Callable[[], Any]] = {
-    "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LEVELS.items()},
+    "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LOG_LEVELS.items()},
     "keys of cells": lambda: sorted(features.CELL_FIELDS),
     "keys of peers": lambda: sorted(features.PEER_FIELDS),
     "keys of admission": lambda: sorted(features.ADMISSION_FIELDS),
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -90,7 +90,7 @@
 
 WORDS: dict[str, Callable[[], Any]] = {
     "urgencies": lambda: list(wire.PRIORITIES),
-    "shapes": lambda: {"array": wire.ARRAY, "gang": wire.GANG},
+    "shapes": lambda: {"array": wire.JobShape.ARRAY, "gang": wire.JobShape.GANG},
     "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
     "task states": lambda: sorted(machine.REPORTED_STATES),
     "task states acted on": lambda: [
@@ -98,9 +98,9 @@
         machine.AttemptState.RUNNING,
         machine.AttemptState.ENDED,
     ],
-    "job id": lambda: wire.ID_FORM.pattern,
+    "job id": lambda: wire.JOB_ID_PATTERN.pattern,
     "task name": lambda: wire.task_name("wk-000412", 3),
-    "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY],
+    "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY_BYTES],
     "statuses": lambda: {str(status): reason.decode() for status, reason in REASONS.items()},
     "retry header": lambda: [list(header) for header in refuse(2.0).headers],
 }
