--- a/sloeswitch/actors/garbage_collection.py
+++ b/sloeswitch/actors/garbage_collection.py
@@ -101,7 +101,7 @@
         orphans: list[SpecAttempt] = []
         for name, attempts in self._tables.spec_chunks.items():
             job = self._tables.jobs.get(name)
-            used = None if job is None or job.spec_chunks is None else job.spec_chunks[0]
+            used = None if job is None or job.spec_chunks is None else job.spec_chunks.attempt
             orphans += [SpecAttempt(name, attempt) for attempt in attempts if attempt != used]
         return orphans
 
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -22,7 +22,7 @@
 
 
 class JobStatus(StrEnum):
-    """The status of a job as users are told it; the values are the protocol's words."""
+    """The status of a job in the answers to users; the values are the protocol's words."""
 
     QUEUED = wire.QUEUED
     RUNNING = wire.RUNNING
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -125,7 +125,7 @@
         return await self._commit(plan, priority, acquired_changes)
 
     def _estimate_changes(self, request: ClaimRequest | None) -> int:
-        """How many changes the next transaction will need, as far as can be told before the tables are read afresh."""
+        """An estimate of how many changes the next transaction needs, made before the tables are read afresh."""
         changes = len(self._schedule().due_jobs(() if request is None else request.task_counts))
         if request is not None:
             changes += request.quota_change_count
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -243,7 +243,7 @@
         )
 
     async def _is_status_current(self, name: str) -> bool:
-        """Whether the tables' status of the job is not older than one that another controller told.
+        """Whether the tables' status of the job is not older than one that another controller answered.
 
         A final status is read from the tables as they are; any other needs a linearizable read.
         """
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -251,10 +251,10 @@
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
-def test_leases_are_reckoned_by_a_clock_that_runs_on_within_a_turn_of_the_loop(
+def test_leases_are_measured_by_a_clock_that_runs_on_within_a_turn_of_the_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """uvloop's own time is that of the turn's beginning, which a freeze may put long ago."""
+    """The time of uvloop is that of the turn's beginning, which a freeze may put long ago."""
     monkeypatch.setattr(time, "monotonic", lambda: 77.5)
     assert controller.CLOCK.now() == 77.5
 
