--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -68,8 +68,7 @@
             return refuse(1)
         was_reconciled = machine.reconciled
         try:
-            received = ReceivedReport(report, True, now, view_number)
-            result = reconcile(self.registry, machine, received, self.tables)
+            result = reconcile(self.registry, machine, ReceivedReport(report, True, now, view_number), self.tables)
         except wire.MalformedError as error:
             self._log_malformed(report.machine, error)
             return Answer(400)
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -18,8 +18,10 @@
 
 @dataclass(frozen=True)
 class JobBundle:
-    """The jobs that are admitted together: one, and those of the jobs that it needs that are deferred. Only what is
-    released takes room; what waits for others costs nothing."""
+    """The jobs that are admitted together: one, and the deferred ones among the jobs that it needs.
+
+    Only released jobs take capacity; those that wait for others cost nothing.
+    """
 
     head: Job
     released: tuple[Job, ...]
@@ -139,8 +141,10 @@
 
 
 def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
-    """What each team's admitted jobs use of its guarantee: all that is left of those that are released. What another
-    cell handed over takes nothing of a guarantee."""
+    """What each team's admitted jobs use of its guarantee: all that is left of those that are released.
+
+    Jobs that another cell handed over use nothing of a guarantee.
+    """
     uses: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's part: asks owners for idle room, reckons the next cuts, and stores them."""
+"""The coordinator's part: asks owners for idle capacity, computes the next cuts, and stores them."""
 
 from __future__ import annotations
 
@@ -10,64 +10,59 @@
 
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
-from sloeswitch.actors.leadership import Leadership
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.epoch import chosen_changes, next_rows
 from sloeswitch.admission.frames import IdleCapacityLink
 from sloeswitch.admission.limits import AdmissionLimits
-from sloeswitch.clock import Clock
 from sloeswitch.core import keys
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import AdmissionFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica, StaleReplicaError
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("admission")
 
-# What a sibling told counts for so many epochs.
-TOLD_EPOCHS = 3.0
+# For how many epochs a report of a sibling counts.
+REPORT_VALID_EPOCHS = 3.0
 
 
 @dataclass(frozen=True)
 class ReportedIdleCapacity:
-    """A sibling's idle room, and when it was asked for."""
+    """A sibling's idle capacity, and when it was asked for."""
 
     asked_at: float
     rooms: list[IdleCapacity]
 
 
 class AdmissionCoordinator:
-    """Owns what siblings told, and when each row was last written. All else is in the tables, so that whoever
-    coordinates next goes on from there."""
+    """Owns the idle capacity that siblings reported, and when each row was last written.
+
+    All else is in the tables, so that the next coordinator goes on from there.
+    """
 
     def __init__(
         self,
-        settings: Settings,
+        context: ControllerContext,
         features: AdmissionFeatures,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        own_idle_room: Callable[[], list[IdleCapacity]],
+        own_idle_capacity: Callable[[], list[IdleCapacity]],
         links: Mapping[str, IdleCapacityLink],
-        clock: Clock,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
-        self.settings = settings
+        self.settings = context.settings
         self.features = features
-        self.client = client
-        self.replica = replica
-        self.leadership = leadership
-        self.own_idle_room = own_idle_room
+        self.client = context.client
+        self.replica = context.replica
+        self.leadership = context.leadership
+        self.own_idle_capacity = own_idle_capacity
         self.links = links
-        self.clock = clock
-        self.now = clock.now
+        self.clock = context.clock
+        self.now = context.clock.now
         self.sleep = sleep
-        self.limits = AdmissionLimits.of(settings)
-        self.feature = FeatureRollout("admission", ControllerContext(settings, client, replica, leadership, clock))
-        self.told: dict[str, ReportedIdleCapacity] = {}
+        self.limits = AdmissionLimits.of(context.settings)
+        self.feature = FeatureRollout("admission", context)
+        self.reported: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
 
     @property
@@ -78,7 +73,7 @@
     # -- loops
 
     async def coordinate_forever(self) -> None:
-        """Marks that this controller runs with the feature, and reckons an epoch while it coordinates."""
+        """Marks that this controller runs with the feature, and runs an epoch while it coordinates."""
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
@@ -87,7 +82,7 @@
             except StaleReplicaError:
                 pass
             except Exception:
-                log.exception("while reckoning an epoch")
+                log.exception("epoch failed")
 
     async def ask_forever(self, member: str) -> None:
         """Asks one sibling for its idle room while this controller coordinates."""
@@ -103,10 +98,10 @@
     async def ask(self, member: str) -> None:
         """One question to a sibling. Sent only once every controller knows the frame."""
         if not (self.switched_on and self.leadership.is_coordinator):
-            self.told.pop(member, None)
+            self.reported.pop(member, None)
             return
         asked_at = self.now()
-        self.told[member] = ReportedIdleCapacity(asked_at, await self.links[member].idle_room())
+        self.reported[member] = ReportedIdleCapacity(asked_at, await self.links[member].idle_capacity())
 
     # -- epochs
 
@@ -114,11 +109,16 @@
         """Reckons the cuts from the tables as they are, and stores what rises, on condition of what was read."""
         if not (self.switched_on and self.leadership.is_coordinator):
             return
-        # Guards against tables that lag: cuts reckoned from them would fail or be low.
+        # Guards against tables that lag: cuts computed from them would fail or be low.
         await self.replica.read_linearizable(self.client.timeout_s)
         tables = self.replica.tables
         changes = next_rows(
-            tables, self.settings, self.limits, self._idle_rooms(), self.clock.wall_clock_ms(), self.client.value_bytes
+            tables,
+            self.settings,
+            self.limits,
+            self._known_idle_capacity(),
+            self.clock.wall_clock_ms(),
+            self.client.value_bytes,
         )
         chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
         if not chosen:
@@ -135,12 +135,12 @@
         else:
             self.replica.request_read()
 
-    def _idle_rooms(self) -> list[IdleCapacity]:
-        """All idle room that was told lately, each as old as it is by now."""
+    def _known_idle_capacity(self) -> list[IdleCapacity]:
+        """All idle capacity that was reported lately, each as old as it is by now."""
         now = self.now()
-        found = list(self.own_idle_room())
-        for told in self.told.values():
-            age_s = now - told.asked_at
-            if age_s <= TOLD_EPOCHS * self.limits.epoch_s:
-                found += [replace(room, age_s=room.age_s + age_s) for room in told.rooms]
+        found = list(self.own_idle_capacity())
+        for reported in self.reported.values():
+            age_s = now - reported.asked_at
+            if age_s <= REPORT_VALID_EPOCHS * self.limits.epoch_s:
+                found += [replace(room, age_s=room.age_s + age_s) for room in reported.rooms]
         return found
--- a/sloeswitch/admission/cuts.py
+++ b/sloeswitch/admission/cuts.py
@@ -69,8 +69,10 @@
         return self.common if own is None or own.cut < self.common.cut else own
 
     def raised(self, common: LaneCut, lanes: Mapping[Lane, LaneCut], deficits: Mapping[str, float]) -> AdmissionRow:
-        """The row with these cuts where they are above its own. No cut falls, whatever is asked for: on that rests
-        that a reader which lags admits nothing that others defer."""
+        """The row with these cuts where they are above its own.
+
+        No cut falls, whatever is asked for: that is why a reader that lags admits nothing that others defer.
+        """
         common = max(self.common, common, key=_cut_of)
         merged = dict(self.lanes)
         for lane, cut in lanes.items():
@@ -94,8 +96,11 @@
         return replace(self, number=number, lanes={}, deficits={}, split=True), parts
 
     def stored(self) -> dict[str, Any]:
-        """As it is stored. Lanes stand by team and class, so that names stand once; times relative to the common cut's,
-        so that they are short."""
+        """The value of the row.
+
+        Lanes are grouped by team and class, so that each name is stored once; times are relative to the common cut,
+        so that they are short.
+        """
         base_ms = self.common.cut.submitted_ms
         lanes: dict[str, dict[str, list[list[Any]]]] = {}
         for lane, cut in sorted(self.lanes.items()):
--- a/sloeswitch/admission/decision_log.py
+++ b/sloeswitch/admission/decision_log.py
@@ -48,8 +48,11 @@
 
 
 class DecisionLog:
-    """Epochs are logged at the level `info`: as many as rows are changed, at most a tenth of the state service's
-    changes. Decisions are logged at `debug`: mostly one or two for each job."""
+    """Logs epochs at the level `info` and decisions at `debug`.
+
+    There are as many epochs as rows are changed, at most a tenth of the state service's changes, and mostly one or two
+    decisions for each job.
+    """
 
     def epochs(self, before: Mapping[str, AdmissionRow], after: Mapping[str, AdmissionRow]) -> None:
         """Rows that changed."""
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -1,4 +1,4 @@
-"""The next cuts: a pure function of the stored rows, the time of day and the idle room that owners told."""
+"""The next cuts: a pure function of the stored rows, the time of day and the idle capacity that owners reported."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Epoch:
-    """One reckoning of the cuts."""
+    """One computation of the cuts."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
         self.decisions = decide(tables)
         self.backlog = Backlog(tables, self.decisions)
         admitted = [tables.jobs[name] for name, decision in self.decisions.items() if decision.admitted]
-        told = [room for room in idle if room.age_s >= limits.idle_s]
-        self.capacity = Capacity(tables, settings, admitted, told, wall_clock_ms, SURPLUS)
+        usable_idle = [room for room in idle if room.age_s >= limits.idle_s]
+        self.capacity = Capacity(tables, settings, admitted, usable_idle, wall_clock_ms, SURPLUS)
         self.uses = admitted_use(admitted, self.decisions)
         self.deficits = self._stored_deficits()
         self.admissions = 0
@@ -244,8 +244,10 @@
 def chosen_changes(
     changes: Iterable[RowChange], written_at: Mapping[str, float], max_changes: int, txn_ops: int
 ) -> list[RowChange]:
-    """What one transaction takes: the rows that were written longest ago first. A split comes once and may exceed the
-    service's share, so that it is over soon."""
+    """What one transaction takes: the rows that were written longest ago first.
+
+    A split comes once and may exceed the share of the state service's changes, so that it is over soon.
+    """
     found: list[RowChange] = []
     count = 0
     for change in sorted(changes, key=lambda change: (written_at.get(change.path, float("-inf")), change.path)):
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -25,11 +25,11 @@
 class IdleCapacityLink(Protocol):
     """The way to another controller."""
 
-    async def idle_room(self) -> list[IdleCapacity]:
+    async def idle_capacity(self) -> list[IdleCapacity]:
         """Asks for its idle room; NoAnswerError when there is no answer."""
 
 
-def pack_idle_room(rooms: Iterable[IdleCapacity]) -> bytes:
+def pack_idle_capacity(rooms: Iterable[IdleCapacity]) -> bytes:
     """The body of an answer. What would not fit is left out: it costs order only."""
     entries: list[bytes] = []
     for room in rooms:
@@ -41,7 +41,7 @@
     return COUNT.pack(len(entries)) + b"".join(entries)
 
 
-def unpack_idle_room(body: bytes) -> list[IdleCapacity]:
+def unpack_idle_capacity(body: bytes) -> list[IdleCapacity]:
     """Raises FrameError for what is no answer."""
     try:
         (count,) = COUNT.unpack_from(body)
@@ -69,9 +69,9 @@
     def __init__(self, frames: FrameLink) -> None:
         self.frames = frames
 
-    async def idle_room(self) -> list[IdleCapacity]:
+    async def idle_capacity(self) -> list[IdleCapacity]:
         """Its idle room; NoAnswerError when there is no answer."""
         try:
-            return unpack_idle_room(await self.frames.exchange(FrameType.IDLE_CAPACITY_REQUEST, b""))
+            return unpack_idle_capacity(await self.frames.exchange(FrameType.IDLE_CAPACITY_REQUEST, b""))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
--- a/sloeswitch/cells/handoff.py
+++ b/sloeswitch/cells/handoff.py
@@ -114,8 +114,10 @@
 
 
 def requests(row: OriginRow, wanted_back: bool = False) -> Iterator[tuple[str, RequestMessage]]:
-    """What is to be asked now, and of which cell; asked again until it is answered. `wanted_back`: whether the job
-    could start at home by now."""
+    """What is to be asked now, and of which cell; asked again until it is answered.
+
+    `wanted_back`: whether the job could start at home by now.
+    """
     for placement in row.placements:
         if row.cancelling or row.result is not None or placement in row.recalls:
             request = Request.STOP
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -17,7 +17,6 @@
 from sloeswitch import wire
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
-from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells import handoff as rules
 from sloeswitch.cells.frames import MOST_SPEC_BYTES, CellAnswer, CellRequest, Offer
 from sloeswitch.cells.handoff import OriginRow, Placement, Result
@@ -25,7 +24,6 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.cells.selection import candidates, choose, limits_of
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
-from sloeswitch.clock import Clock
 from sloeswitch.core import keys
 from sloeswitch.core.records import FinishedJob, Job, JobState
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
@@ -34,9 +32,8 @@
 from sloeswitch.features import CellFeatures
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica, StaleReplicaError
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -72,29 +69,25 @@
 
     def __init__(
         self,
-        settings: Settings,
+        context: ControllerContext,
         features: CellFeatures,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        line: Callable[[], list[Job]],
+        waiting_jobs: Callable[[], list[Job]],
         links: dict[str, Link],
-        clock: Clock,
         sleep: Callable[[float], Awaitable[None]] = anyio.sleep,
     ) -> None:
-        self.settings = settings
+        self.settings = context.settings
         self.features = features
-        self.client = client
-        self.replica = replica
-        self.tables: Tables = replica.tables
-        self.leadership = leadership
-        self.line = line
+        self.client = context.client
+        self.replica = context.replica
+        self.tables: Tables = context.replica.tables
+        self.leadership = context.leadership
+        self.waiting_jobs = waiting_jobs
         self.links = links
-        self.clock = clock
-        self.now = clock.now
+        self.clock = context.clock
+        self.now = context.clock.now
         self.sleep = sleep
-        self.feature = FeatureRollout("cells", ControllerContext(settings, client, replica, leadership, clock))
-        self.book = SummaryBook(SUMMARY_LEASES * settings.controller_lease_s)
+        self.feature = FeatureRollout("cells", context)
+        self.book = SummaryBook(SUMMARY_LEASES * context.settings.controller_lease_s)
         self.contacts: dict[tuple[str, Placement], Contact] = {}
         self.incarnations: dict[str, int] = {}
 
@@ -139,10 +132,10 @@
         if not (self.features.moving and self.switched_on and self.leadership.is_leader):
             return
         wall_clock_ms = self.clock.wall_clock_ms()
-        movable = {job.spec.id for job in self.line() if self._movable(job, wall_clock_ms)}
+        movable = {job.spec.id for job in self.waiting_jobs() if self._movable(job, wall_clock_ms)}
         if not movable:
             return
-        found = candidates(self.line(), movable, self.tables, self.settings, wall_clock_ms)
+        found = candidates(self.waiting_jobs(), movable, self.tables, self.settings, wall_clock_ms)
         # Every controller gives out its part of what a peer has.
         part = 1.0 / max(1, len(self.leadership.view.members))
         peers = [_part_of(summary, part) for summary in self.book.current(self.now())]
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from sloeswitch import wire
+from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.jobs import Jobs
-from sloeswitch.actors.leadership import Leadership
 from sloeswitch.cells.delegation import Delegation, DelegationState, TargetDecision, TargetRecord, decide
 from sloeswitch.cells.frames import CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request
@@ -23,9 +23,8 @@
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures
 from sloeswitch.rate_budget import RequestPriority
-from sloeswitch.replica import Replica, StaleReplicaError
-from sloeswitch.settings import Settings
-from sloeswitch.state_client import StateClient, TransactionOutcome
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.state_client import TransactionOutcome
 
 log = logging.getLogger("cells")
 
@@ -36,21 +35,13 @@
 class CellTarget:
     """Owns nothing but the highest incarnation heard of each cell: all else is in the tables."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        features: CellFeatures,
-        client: StateClient,
-        replica: Replica,
-        leadership: Leadership,
-        jobs: Jobs,
-    ) -> None:
-        self.settings = settings
+    def __init__(self, context: ControllerContext, features: CellFeatures, jobs: Jobs) -> None:
+        self.settings = context.settings
         self.features = features
-        self.client = client
-        self.replica = replica
-        self.tables: Tables = replica.tables
-        self.leadership = leadership
+        self.client = context.client
+        self.replica = context.replica
+        self.tables: Tables = context.replica.tables
+        self.leadership = context.leadership
         self.jobs = jobs
         self.incarnations: dict[str, int] = {}
 
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -155,14 +155,14 @@
     from sloeswitch.cells.origin import CellOrigin, Link
     from sloeswitch.cells.target import CellTarget
 
-    client, replica, leadership = machines.client, machines.replica, machines.leadership
-    target = CellTarget(settings, features, client, replica, leadership, machines.jobs)
+    context = machines.shard.context
+    target = CellTarget(context, features, machines.jobs)
     for kind in (FrameType.CELL_REQUEST, FrameType.SUMMARY_REQUEST):
         mesh.handlers[kind] = partial(answer_frame, target)
     links: dict[str, Link] = {
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
-    origin = CellOrigin(settings, features, client, replica, leadership, machines.queue.waiting_jobs, links, CLOCK)
+    origin = CellOrigin(context, features, machines.queue.waiting_jobs, links)
     group.start_soon(origin.select_forever)
     for peer in features.peers:
         group.start_soon(origin.talk_forever, peer.name)
@@ -174,7 +174,7 @@
     """Starts what defers jobs under overload."""
     from sloeswitch.admission.coordinator import AdmissionCoordinator
     from sloeswitch.admission.decision_log import DecisionLog
-    from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room
+    from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_capacity
     from sloeswitch.admission.gate import AdmissionGate
     from sloeswitch.admission.idle_capacity import IdleCapacityTracker
     from sloeswitch.frame_link import FrameLink
@@ -182,14 +182,11 @@
     idle = IdleCapacityTracker()
 
     async def answer(_kind: int, _body: bytes) -> bytes | None:
-        return pack_idle_room(idle.report(CLOCK.now()))
+        return pack_idle_capacity(idle.report(CLOCK.now()))
 
     coordinator = AdmissionCoordinator(
-        settings,
+        machines.shard.context,
         features,
-        machines.client,
-        machines.replica,
-        machines.leadership,
         lambda: idle.report(CLOCK.now()),
         {
             sibling.member: MeshIdleCapacityLink(
@@ -197,7 +194,6 @@
             )
             for sibling in settings.siblings
         },
-        CLOCK,
     )
     machines.queue.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
     machines.claims.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -13,7 +13,7 @@
 from sloeswitch.core.slo_targets import deadlines
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
-from sloeswitch.wire import PRIORITIES
+from sloeswitch.wire import Priority
 
 
 class PriorityRank(IntEnum):
@@ -28,7 +28,7 @@
 # What jobs usually have; more urgent work is treated apart in several places.
 STANDARD = PriorityRank.STANDARD
 # By the words of the protocol.
-PRIORITY_RANKS = {name: PriorityRank[name.upper()] for name in PRIORITIES}
+PRIORITY_RANKS: dict[str, PriorityRank] = {name: PriorityRank[name.upper()] for name in Priority}
 
 
 def effective_priority(job: Job) -> int:
--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -46,14 +46,6 @@
     NO_SUCH_TASK = "no_such"
 
 
-class CommandVerb(StrEnum):
-    """What a command asks of a worker; the values are the words of the protocol."""
-
-    START = "start"
-    KILL = "kill"
-    CLEAR = "clear"
-
-
 class TaskId(NamedTuple):
     """A task: its job, and its index among the job's tasks."""
 
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -12,12 +12,12 @@
 
 from __future__ import annotations
 
-from sloeswitch.core.machine import Attempt, AttemptKey, CommandVerb, Machine, TaskId
+from sloeswitch.core.machine import Attempt, AttemptKey, Machine, TaskId
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.quota import ResourceUsage
 from sloeswitch.core.records import JobState
 from sloeswitch.core.tables import Tables
-from sloeswitch.wire import MachineType, WorkerCommand, split_task
+from sloeswitch.wire import CommandVerb, MachineType, WorkerCommand, split_task
 
 
 def _add_task(tasks: dict[str, int], task: TaskId) -> None:
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from sloeswitch.core.records import Job
-from sloeswitch.settings import Objective
+from sloeswitch.settings import Objective, ObjectiveKind
 from sloeswitch.wire import JobSpec
 
 
@@ -16,7 +16,7 @@
     """Seconds from submission by which the job is due, by the objectives that its class has for deadlines."""
     if spec.deadline_s is None:
         return set()
-    times = {aim.times for aim in objectives if aim.kind == "deadline" and aim.job_class == spec.job_class}
+    times = {aim.times for aim in objectives if aim.kind == ObjectiveKind.DEADLINE and aim.job_class == spec.job_class}
     return {each * spec.deadline_s for each in times}
 
 
@@ -33,9 +33,9 @@
     for objective in objectives:
         if objective.job_class != spec.job_class or objective.within_s is None:
             continue
-        if objective.kind == "finished":
+        if objective.kind == ObjectiveKind.DONE:
             found.add(waited_s + objective.within_s)
-        elif objective.kind == "wait":
+        elif objective.kind == ObjectiveKind.BEGUN:
             found.add(waited_s + objective.within_s + spec.estimate_s)
     if spec.deadline_s is not None and not found:
         found.add(spec.deadline_s)
--- a/sloeswitch/wire/__init__.py
+++ b/sloeswitch/wire/__init__.py
@@ -30,13 +30,8 @@
     encode,
 )
 from sloeswitch.wire.jobs import (
-    CANCELLED,
-    DONE,
     JOB_ID_PATTERN,
     MAX_TASKS,
-    PRIORITIES,
-    QUEUED,
-    RUNNING,
     JobShape,
     JobSpec,
     JobStatus,
@@ -67,14 +62,9 @@
 )
 
 __all__ = [
-    "CANCELLED",
-    "DONE",
     "JOB_ID_PATTERN",
     "MAX_BODY_BYTES",
     "MAX_TASKS",
-    "PRIORITIES",
-    "QUEUED",
-    "RUNNING",
     "ChangeEvent",
     "ChangeFeed",
     "CommandVerb",
--- a/sloeswitch/wire/jobs.py
+++ b/sloeswitch/wire/jobs.py
@@ -43,13 +43,6 @@
     BEST_EFFORT = "best_effort"
 
 
-# Short names, for modules that use them still.
-QUEUED, RUNNING, DONE, CANCELLED = JobStatus
-
-
-PRIORITIES: tuple[str, ...] = tuple(Priority)
-
-
 class JobSpec(
     Struct,
     frozen=True,
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -18,7 +18,7 @@
 from sloeswitch.admission.cuts import ROOT, Lane, LaneCut, Ticket, row_of
 from sloeswitch.admission.decision_log import DecisionLog, DecisionRecord, EpochRecord, encode
 from sloeswitch.admission.decisions import Decision, decide, lane_of, ticket_of
-from sloeswitch.admission.frames import pack_idle_room
+from sloeswitch.admission.frames import pack_idle_capacity
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
@@ -77,7 +77,7 @@
         self.sender = sender
         self.receiver = receiver
 
-    async def idle_room(self) -> list[IdleCapacity]:
+    async def idle_capacity(self) -> list[IdleCapacity]:
         """Asks for idle room; lost where a way is cut."""
         world = self.world
         lost = world.troubled and world.rng.random() < 0.1
@@ -86,7 +86,7 @@
         node = world.nodes[self.receiver]
         assert isinstance(node, AdmissionNode)
         rooms = node.idle.report(world.clock.time)
-        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_room(rooms))
+        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_capacity(rooms))
         return rooms
 
 
@@ -100,14 +100,7 @@
         self.idle = IdleCapacityTracker()
         links = {other: ScriptedIdleLink(world, name, other) for other in world.members if other != name}
         self.admission = AdmissionCoordinator(
-            self.settings,
-            AdmissionFeatures(world.deferring),
-            self.client,
-            self.replica,
-            self.leadership,
-            lambda: self.idle.report(world.clock.time),
-            links,
-            world.clock,
+            self.context, AdmissionFeatures(world.deferring), lambda: self.idle.report(world.clock.time), links
         )
         lines = world.logs.setdefault(f"{name}.{len(world.logs)}", [])
         self.machines.queue.admission = AdmissionGate(
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -91,9 +91,7 @@
 def coordinator(world: World) -> AdmissionCoordinator:
     world.store.put(keys.feature_key("admission"), {"seen": ["c0", "c1"], "complete": True})
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
-    return AdmissionCoordinator(
-        world.settings, AdmissionFeatures(True), world.client, world.replica, world.leadership, list, {}, world.clock
-    )
+    return AdmissionCoordinator(world.context, AdmissionFeatures(True), list, {})
 
 
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
@@ -122,7 +120,7 @@
         self.asked = 0
         self.rooms: list[IdleCapacity] | None = [IdleCapacity(InstanceKind("small", "a", True), 2.0, 1.0)]
 
-    async def idle_room(self) -> list[IdleCapacity]:
+    async def idle_capacity(self) -> list[IdleCapacity]:
         self.asked += 1
         if self.rooms is None:
             raise NoAnswerError("lost")
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -154,11 +154,9 @@
         self.jobs.batch_s = 0.0
         peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
-        self.target = CellTarget(settings, features, client, self.replica, self.leadership, self.jobs)
+        self.target = CellTarget(self.context, features, self.jobs)
         links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
-        self.origin = CellOrigin(
-            settings, features, client, self.replica, self.leadership, cell.line, links, world.clock
-        )
+        self.origin = CellOrigin(self.context, features, cell.line, links)
 
     async def look_round(self) -> None:
         """What its loops do in about a report's time."""
@@ -331,7 +329,7 @@
     def started(self, cell: str, job: str) -> None:
         """A task starts."""
         status, _ = self.told.get(job, ("", 0.0))
-        if status == wire.CANCELLED:
+        if status == wire.JobStatus.CANCELLED:
             raise RuleError(f"{job} starts in {cell} after its cancellation was confirmed")
         where = self.starts.setdefault(job, Counter())
         where[cell] += 1
@@ -364,7 +362,7 @@
         cell = self.cells[self.home[name]]
         if not cell.outage:
             status = await cell.any_controller().jobs.cancel(name)
-            if status in (wire.CANCELLED, wire.DONE):
+            if status in (wire.JobStatus.CANCELLED, wire.JobStatus.DONE):
                 self.tell(name, status)
 
     def tell(self, name: str, status: str) -> None:
@@ -376,7 +374,9 @@
         elif known[0] != status:
             raise RuleError(f"{name} was {known[0]} and is {status}")
         everything = set(range(self.specs[name].tasks))
-        if status == wire.DONE and not any(self.results.get((cell, name), set()) >= everything for cell in CELLS):
+        if status == wire.JobStatus.DONE and not any(
+            self.results.get((cell, name), set()) >= everything for cell in CELLS
+        ):
             raise RuleError(f"{name} is called done and no cell completed all of it")
 
     def poll_all(self) -> None:
@@ -387,7 +387,7 @@
             self.recorder.record("status", home, name, None if status is None else str(status))
             if status is None and name in self.submitted_at:
                 raise RuleError(f"{name} is forgotten")
-            if status in (wire.DONE, wire.CANCELLED):
+            if status in (wire.JobStatus.DONE, wire.JobStatus.CANCELLED):
                 self.tell(name, status)
 
     def check_gone(self) -> None:
@@ -395,7 +395,7 @@
         for cell in self.cells.values():
             for job, index, _tag in cell.running:
                 status, at = self.told.get(job, ("", 0.0))
-                if status == wire.CANCELLED and self.clock.time - at > settings_cache().cancel_s:
+                if status == wire.JobStatus.CANCELLED and self.clock.time - at > settings_cache().cancel_s:
                     raise RuleError(f"{job}/{index} is on a machine of {cell.name} long after its cancellation")
 
     # -- the network
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -223,12 +223,12 @@
 
     def unfinished(self) -> set[str]:
         """Accepted jobs that no controller knows as done or cancelled."""
-        final = (wire.DONE, wire.CANCELLED)
+        final = (wire.JobStatus.DONE, wire.JobStatus.CANCELLED)
         return {job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())}
 
     def cancel(self, job: str, node: Node) -> None:
         """A user cancels a job at one of the controllers."""
-        if node.replica.loaded and anyio.run(node.jobs.cancel, job) == wire.CANCELLED:
+        if node.replica.loaded and anyio.run(node.jobs.cancel, job) == wire.JobStatus.CANCELLED:
             self.told.setdefault(job, self.clock.time)
 
     def trouble(self, node: Node) -> None:
@@ -269,11 +269,11 @@
         for node in self.nodes.values():
             for name, size in self.sizes.items():
                 status = node.jobs.status(name)
-                if status == wire.DONE:
+                if status == wire.JobStatus.DONE:
                     assert finished[name] == size, f"not_done: {name}"
                     assert name not in self.told, f"went_back: {name}"
                     self.done.add(name)
-                assert not (name in self.done and status == wire.CANCELLED), f"went_back: {name}"
+                assert not (name in self.done and status == wire.JobStatus.CANCELLED), f"went_back: {name}"
 
     # -- steps
 
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -47,7 +47,7 @@
         await world.step()
         if world.clock.time > 3000:
             break
-    times = [at - world.submitted_at[job] for job, (status, at) in world.told.items() if status == wire.DONE]
+    times = [at - world.submitted_at[job] for job, (status, at) in world.told.items() if status == wire.JobStatus.DONE]
     moved = sum(set(where) != {world.home[job]} for job, where in world.starts.items())
     changes = sum(cell.store.epoch for cell in world.cells.values()) - before
     in_time = sum(each <= DUE_S for each in times) / len(world.home)
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -115,17 +115,17 @@
 def test_cancel_goes_before_a_later_completion(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c0_1=0b1)
-    assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
-    assert world.jobs.status(JOB) == wire.CANCELLED
+    assert world.jobs.status(JOB) == wire.JobStatus.CANCELLED
 
 
 def test_a_done_job_stays_done_when_cancelled(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 1})
-    assert anyio.run(world.jobs.cancel, JOB) == wire.DONE
+    assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.DONE
 
 
 def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
@@ -134,7 +134,7 @@
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
-    assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
     machine.reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
@@ -151,8 +151,8 @@
 
 
 def test_repeated_submission_finds_the_job(world: World) -> None:
-    assert anyio.run(world.jobs.submit, spec()) == (wire.QUEUED, True)
-    assert anyio.run(world.jobs.submit, spec()) == (wire.QUEUED, False)
+    assert anyio.run(world.jobs.submit, spec()) == (wire.JobStatus.QUEUED, True)
+    assert anyio.run(world.jobs.submit, spec()) == (wire.JobStatus.QUEUED, False)
 
 
 def test_machine_of_another_owner_is_sent_there(world: World) -> None:
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sloeswitch.admission.capacity import IdleCapacity
-from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_room, unpack_idle_room
+from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_capacity, unpack_idle_capacity
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
 from sloeswitch.core import keys
 from sloeswitch.core.cancellation_log import CancellationLog
@@ -42,18 +42,18 @@
         IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0),
         IdleCapacity(InstanceKind("größe", "", False), 12.25, 0.0),
     ]
-    body = pack_idle_room(rooms)
-    assert unpack_idle_room(body) == rooms and unpack_idle_room(pack_idle_room([])) == []
+    body = pack_idle_capacity(rooms)
+    assert unpack_idle_capacity(body) == rooms and unpack_idle_capacity(pack_idle_capacity([])) == []
     for bad in (
         b"",
         b"\x00",
         body[:-1],
         body + b"x",
         body[:5],
-        pack_idle_room([IdleCapacity(InstanceKind("a", "b", True), -1.0, 0.0)]),
+        pack_idle_capacity([IdleCapacity(InstanceKind("a", "b", True), -1.0, 0.0)]),
     ):
         with pytest.raises(FrameError):
-            unpack_idle_room(bad)
+            unpack_idle_capacity(bad)
 
 
 def test_a_sibling_is_asked_over_the_mesh_and_answers_only_where_the_feature_is_on(
@@ -62,7 +62,7 @@
     told = [IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0)]
 
     async def answer(_kind: int, _body: bytes) -> bytes:
-        return pack_idle_room(told)
+        return pack_idle_capacity(told)
 
     async def run() -> None:
         mesh = Mesh(
@@ -80,9 +80,9 @@
             monkeypatch.setattr(anyio, "connect_tcp", connect)
             link = MeshIdleCapacityLink(FrameLink("c1", (Address("peer", 1),), 5.0))
             with pytest.raises(NoAnswerError):
-                await link.idle_room()
+                await link.idle_capacity()
             mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
-            assert await link.idle_room() == told
+            assert await link.idle_capacity() == told
             group.cancel_scope.cancel()
 
     anyio.run(run)
@@ -96,12 +96,12 @@
     each.links = {"c1": link}
     anyio.run(each.ask, "c1")
     later(world, each.limits.epoch_s)
-    assert [room.age_s for room in each._idle_rooms()] == [1.0 + each.limits.epoch_s]
+    assert [room.age_s for room in each._known_idle_capacity()] == [1.0 + each.limits.epoch_s]
     link.rooms = None
     with pytest.raises(NoAnswerError):
         anyio.run(each.ask, "c1")
     later(world, 3 * each.limits.epoch_s)
-    assert each._idle_rooms() == []
+    assert each._known_idle_capacity() == []
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(each.ask, "c1")
     assert link.asked == 2
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -58,7 +58,7 @@
     world.machines.registry.machines["vm-1"].reconciled = True
     orders = world.heartbeat(report(6, 3, (*task, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
-    assert poll(world) == wire.CANCELLED
+    assert poll(world) == wire.JobStatus.CANCELLED
 
 
 def test_nothing_claimed_of_it_is_started_any_more(world: World) -> None:
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -28,9 +28,9 @@
     moved.work("north")
     assert JOB not in moved.world.starts
     moved.run_there()
-    assert moved.status() == wire.QUEUED
+    assert moved.status() == wire.JobStatus.QUEUED
     moved.talk()
-    assert moved.status() == wire.DONE and moved.world.starts[JOB].keys() == {"south"}
+    assert moved.status() == wire.JobStatus.DONE and moved.world.starts[JOB].keys() == {"south"}
     tables = moved.south.store.tables
     assert JOB not in tables.finished_jobs and tables.handoff_floors["north"] > 0, "acknowledged, and fenced"
 
@@ -86,7 +86,7 @@
     for _ in range(3):
         moved.talk()
         moved.work("south")
-    assert moved.cancel() == wire.CANCELLED
+    assert moved.cancel() == wire.JobStatus.CANCELLED
     assert not moved.south.running
 
 
@@ -104,13 +104,13 @@
     moved.renew(30.0)
     moved.work("north")
     moved.work("north")
-    assert moved.status() == wire.DONE and set(moved.world.starts[JOB]) == {"north", "south"}
+    assert moved.status() == wire.JobStatus.DONE and set(moved.world.starts[JOB]) == {"north", "south"}
     moved.work("south")
     moved.work("south")
     moved.cut()
     for _ in range(3):
         moved.talk()
-    assert moved.status() == wire.DONE
+    assert moved.status() == wire.JobStatus.DONE
     assert JOB not in moved.north.store.tables.unsettled_jobs and JOB not in moved.south.store.tables.finished_jobs
 
 
@@ -123,7 +123,7 @@
     moved.work("south")
     assert not moved.south.running
     moved.talk()
-    assert moved.cancel() == wire.CANCELLED
+    assert moved.cancel() == wire.JobStatus.CANCELLED
 
 
 def test_a_cancellation_that_meets_the_end_is_answered_done() -> None:
@@ -134,7 +134,7 @@
     moved.work("south")
     moved.work("south")
     moved.talk()
-    assert moved.cancel() == wire.DONE
+    assert moved.cancel() == wire.JobStatus.DONE
 
 
 def test_an_offer_whose_answer_is_lost_counts_as_accepted() -> None:
@@ -145,7 +145,7 @@
     moved.cut()
     moved.run_there()
     moved.talk()
-    assert moved.status() == wire.DONE
+    assert moved.status() == wire.JobStatus.DONE
 
 
 def test_a_refused_job_comes_home_and_stays_there_for_a_while() -> None:
@@ -187,7 +187,7 @@
 
     link.request = lossy  # type: ignore[method-assign]
     moved.talk()
-    assert moved.status() == wire.DONE and JOB in moved.south.store.tables.finished_jobs
+    assert moved.status() == wire.JobStatus.DONE and JOB in moved.south.store.tables.finished_jobs
     link.request = send  # type: ignore[method-assign]
     moved.talk()
     assert JOB not in moved.south.store.tables.finished_jobs
@@ -205,10 +205,10 @@
     moved.run_there()
     moved.north.outage = True
     moved.talk()
-    assert moved.status() == wire.QUEUED and JOB in moved.south.store.tables.finished_jobs, "not acknowledged"
+    assert moved.status() == wire.JobStatus.QUEUED and JOB in moved.south.store.tables.finished_jobs, "not acknowledged"
     moved.north.outage = False
     moved.talk()
-    assert moved.status() == wire.DONE and JOB not in moved.south.store.tables.finished_jobs
+    assert moved.status() == wire.JobStatus.DONE and JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_cell_restored_from_a_copy_is_not_listened_to() -> None:
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -26,7 +26,7 @@
         "machines failed",
     }
     assert moved and kinds <= world.happened.keys()
-    assert world.happened[wire.DONE] > 20 and world.happened[wire.CANCELLED] > 2
+    assert world.happened[wire.JobStatus.DONE] > 20 and world.happened[wire.JobStatus.CANCELLED] > 2
 
 
 def test_the_checker_catches_a_job_that_begins_in_two_cells() -> None:
@@ -35,8 +35,8 @@
     world.started("north", JOB)
     with pytest.raises(RuleError):
         world.started("south", JOB)
-    world.told[JOB] = (wire.CANCELLED, 0.0)
+    world.told[JOB] = (wire.JobStatus.CANCELLED, 0.0)
     with pytest.raises(RuleError):
         world.started("north", JOB)
     with pytest.raises(RuleError):
-        world.tell(JOB, wire.DONE)
+        world.tell(JOB, wire.JobStatus.DONE)
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -101,7 +101,7 @@
 
 def idle_room(*rooms: IdleCapacity) -> Form:
     """What a controller tells of its idle room."""
-    return Form(list(rooms), admission_frames.pack_idle_room, admission_frames.unpack_idle_room)
+    return Form(list(rooms), admission_frames.pack_idle_capacity, admission_frames.unpack_idle_capacity)
 
 
 def fixed(body: Any, kind: int, value: tuple[Any, ...], write: Callable[..., bytes]) -> Form:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -196,7 +196,7 @@
 def jobs_cancelled_unclaimed(world: Recorder) -> None:
     world.given("job", "job in parts")
     for name in (JOB, "wk-000004"):
-        assert world.run(world.jobs.cancel, name) == wire.CANCELLED
+        assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
 
 
 def job_cancelled_with_tasks(world: Recorder) -> None:
@@ -223,7 +223,7 @@
 
 
 def cancel_and_release(world: Recorder, name: str, tasks: int) -> None:
-    assert world.run(world.jobs.cancel, name) == wire.CANCELLED
+    assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
     world.tell_jobs(TaskUpdates(released={name: tasks}))
     world.later(20.0)
     world.round()
@@ -308,9 +308,7 @@
 def admission_root(world: Recorder) -> None:
     world.given("layout mark, complete", "feature marks, complete", "coordinator")
     features = AdmissionFeatures(True)
-    each = AdmissionCoordinator(
-        world.settings, features, world.client, world.replica, world.leadership, list, {}, world.clock
-    )
+    each = AdmissionCoordinator(world.context, features, list, {})
     world.run(each.epoch)
 
 
@@ -365,9 +363,7 @@
 def origin(world: Recorder, *answers: Answer | None) -> CellOrigin:
     world.given("layout mark, complete", "feature marks, complete")
     links: Any = {"south": AnswersInTurn(*answers)}
-    return CellOrigin(
-        world.settings, cell_features(), world.client, world.replica, world.leadership, list, links, world.clock
-    )
+    return CellOrigin(world.context, cell_features(), list, links)
 
 
 def moved_and_taken_back(world: Recorder) -> None:
@@ -453,7 +449,7 @@
 
 def target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
     world.given("layout mark, complete", "feature marks, complete")
-    each = CellTarget(world.settings, cell_features(), world.client, world.replica, world.leadership, world.jobs)
+    each = CellTarget(world.context, cell_features(), world.jobs)
     monkeypatch.setattr(each, "_has_room", lambda handoff, offer: offer is not None)
     return each
 
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -89,9 +89,14 @@
 }
 
 WORDS: dict[str, Callable[[], Any]] = {
-    "urgencies": lambda: list(wire.PRIORITIES),
+    "urgencies": lambda: list(wire.Priority),
     "shapes": lambda: {"array": wire.JobShape.ARRAY, "gang": wire.JobShape.GANG},
-    "job states": lambda: [wire.QUEUED, wire.RUNNING, wire.DONE, wire.CANCELLED],
+    "job states": lambda: [
+        wire.JobStatus.QUEUED,
+        wire.JobStatus.RUNNING,
+        wire.JobStatus.DONE,
+        wire.JobStatus.CANCELLED,
+    ],
     "task states": lambda: sorted(machine.REPORTED_STATES),
     "task states acted on": lambda: [
         machine.AttemptState.FETCHING,
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -145,7 +145,7 @@
     epoch = world.store.epoch
     assert ask(world, "POST", f"/submissions/{A}/cancel").status == 200
     assert world.store.epoch == epoch + 1
-    assert [status(world, name) for name in (A, B, C, D)] == [wire.CANCELLED] * 3 + [wire.QUEUED]
+    assert [status(world, name) for name in (A, B, C, D)] == [wire.JobStatus.CANCELLED] * 3 + [wire.JobStatus.QUEUED]
 
     # Asked about, cancelled or submitted again the answer is the same, and needs no state service.
     async def stale(timeout_s: float) -> None:
@@ -159,14 +159,14 @@
     world.round()
     over = world.store.tables.finished_jobs
     assert over[B].status == over[C].status == JobState.CANCELLED and D in world.store.tables.jobs
-    assert status(world, C) == wire.CANCELLED
+    assert status(world, C) == wire.JobStatus.CANCELLED
 
 
 def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled(world: World) -> None:
     world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 1})
     assert submit(world, B, A) == 201
     assert submit(world, C, B) == 201
-    assert status(world, B) == status(world, C) == wire.CANCELLED
+    assert status(world, B) == status(world, C) == wire.JobStatus.CANCELLED
     assert queued_names(world.store) == []
 
 
@@ -177,7 +177,7 @@
     assert submit(world, B, A) == 503
     world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 4})
     world.client.apply(*world.client.late[0])
-    assert status(world, B) == wire.CANCELLED and queued_names(world.store) == []
+    assert status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
 @pytest.mark.parametrize("first", ["end", "cancellation"])
@@ -190,14 +190,14 @@
         world.client.lose_answers = 1
         world.round()  # carried out later, its answer lost
         world.client.apply(*world.client.late[0])
-        assert anyio.run(world.jobs.cancel, A) == wire.DONE
+        assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.DONE
         assert queued_names(world.store) == [B]
     else:
         world.client.lose_answers = 4
         assert anyio.run(world.jobs.cancel, A) is None  # sent, and carried out late
         world.client.apply(*world.client.late[0])
         world.round()
-        assert status(world, A) == status(world, B) == wire.CANCELLED and queued_names(world.store) == []
+        assert status(world, A) == status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
 def test_a_job_never_claimed_is_over_with_the_change_that_cancels_it_unless_it_is_claimed_meanwhile(
@@ -209,7 +209,7 @@
     world.store.progress(A, c1_2=1)
     world.client.apply(*world.client.late[0])
     assert A in world.store.tables.jobs  # a task of it may run
-    assert anyio.run(world.jobs.cancel, A) == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.CANCELLED
     assert world.store.tables.jobs[A].progress.claims
 
 
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -39,7 +39,7 @@
     assert again.tables.jobs["wk-100001"].spec == job.spec
     # With claims its cancelled row names the parts too; over, they are dropped.
     store.progress("wk-100001", c0_1=1)
-    assert anyio.run(world.jobs.cancel, "wk-100001") == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, "wk-100001") == wire.JobStatus.CANCELLED
     assert store.tables.jobs["wk-100001"].is_cancelled
     store.progress("wk-100001")
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -136,8 +136,8 @@
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
     world.round()
     assert store.tables.jobs[JOB].progress.done == scattered
-    assert anyio.run(world.jobs.cancel, "wk-000002") == wire.CANCELLED
-    assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, "wk-000002") == wire.JobStatus.CANCELLED
+    assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.JobStatus.CANCELLED
     read = [Production().read(key, value) for key, value in written.items()]
     assert ("j", "wk-000002", JobState.CANCELLED) in [row[:3] for row in read if row]
     assert ("j", "wk-000003", JobState.CANCELLED, 4) in read
@@ -200,7 +200,7 @@
     assert submit(world, "wk-000002", JOB) == 201
     old = {"s1/j/wk-000001": stamp, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
-    assert anyio.run(world.jobs.cancel, JOB) == wire.CANCELLED
+    assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     world.client.apply(old, claim, [])
     assert JOB in store.tables.finished_jobs and store.tables.jobs["wk-000002"].is_cancelled
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -25,13 +25,13 @@
 @pytest.mark.parametrize("path", [f"/submissions/{JOB}", f"/submissions/{JOB}/", f"//submissions/{JOB}?from=here"])
 def test_a_job_is_polled_by_its_name(store: Store, path: str) -> None:
     answer = ask(store, "GET", path)
-    assert (answer.status, answer.body) == (200, wire.poll_reply(JOB, wire.QUEUED, 0, 0))
+    assert (answer.status, answer.body) == (200, wire.poll_reply(JOB, wire.JobStatus.QUEUED, 0, 0))
 
 
 @pytest.mark.parametrize("path", [f"/submissions/{JOB}/cancel", f"/submissions/{JOB}/cancel/?now"])
 def test_a_job_is_cancelled_by_its_name(store: Store, path: str) -> None:
     answer = ask(store, "POST", path)
-    assert (answer.status, answer.body) == (200, wire.submission_reply(JOB, wire.CANCELLED))
+    assert (answer.status, answer.body) == (200, wire.submission_reply(JOB, wire.JobStatus.CANCELLED))
 
 
 @pytest.mark.parametrize("path", ["/submissions/wk-000009/cancel", "/submissions//cancel"])
