--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -29,8 +29,11 @@
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, spec
-from tests.support.cluster import CORES, Node, World, settings_text
+from tests.support.cluster import World
+from tests.support.cluster_node import Node
+from tests.support.cluster_worker import CORES
 from tests.support.seeds import play_seeds
+from tests.support.settings_text import settings_text
 
 MEMBERS = ("c0", "c1", "c2", "c3")
 MACHINES = 4
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -12,7 +12,9 @@
 from sloeswitch.cloud import CloudClient, CloudError
 from sloeswitch.core import keys
 from tests.conftest import MACHINE_TYPE, spec
-from tests.support.cluster import Node, Worker, World
+from tests.support.cluster import World
+from tests.support.cluster_node import Node
+from tests.support.cluster_worker import Worker
 
 LARGE_TYPE = wire.MachineType("large", 16.0, 0.0, 64.0, 50.0, 0.5, 0.9, 0.3, 15.0, ["a", "b"])
 # Turns of the event loop in which the deletions that are due are sent.
--- /dev/null
+++ b/tests/support/cell.py
@@ -0,0 +1,210 @@
+"""One of several cells: its controllers, what is stored, and what runs on its machines."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from sloeswitch.actors.context import ControllerContext
+from sloeswitch.actors.jobs import ClaimRequest, Jobs, TaskUpdates
+from sloeswitch.actors.leadership import Leadership
+from sloeswitch.cells.origin import CellOrigin
+from sloeswitch.cells.policy import MovePolicy
+from sloeswitch.cells.target import CellTarget
+from sloeswitch.core import job_queue, keys
+from sloeswitch.core.quota import ResourceAmount
+from sloeswitch.core.records import Job
+from sloeswitch.features import CellFeatures, PeerCell
+from sloeswitch.frame_link import NoAnswerError
+from sloeswitch.replica import StaleReplicaError
+from sloeswitch.settings import Settings, parse
+from tests.conftest import Store
+from tests.support.cell_network import ScriptedLink
+from tests.support.cell_state import CellReplica, CellState
+from tests.support.settings_text import settings_text
+
+if TYPE_CHECKING:
+    from tests.support.cells import CellWorld
+
+
+CELLS = ("north", "south", "east")
+
+MEMBERS = ("c0", "c1", "c2")
+
+CLASSES = {"once": MovePolicy.ONCE, "again": MovePolicy.REPEATABLE, "stay": MovePolicy.NEVER}
+
+MACHINES = 2
+
+CORES = 8.0
+
+# Less than the machines have, so that the allowances bind.
+TEAM_LIMIT = 12.0
+
+# The member that has the machines of its cell; all of them look after handoffs.
+OWNER = "c0"
+
+
+def settings_of(member: str) -> Settings:
+    """One controller's settings."""
+    return parse(settings_text(member, MEMBERS).replace("cpus_max = 20.0", f"cpus_max = {TEAM_LIMIT}"))
+
+
+class Controller:
+    """One controller of a cell. A new one knows nothing but what is stored."""
+
+    def __init__(self, cell: Cell, member: str, boot: int) -> None:
+        world = cell.world
+        settings = settings_of(member)
+        client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
+        client.store, client.late, client.cell = cell.store, [], cell
+        self.replica = CellReplica(client, cell.store.tables, world.clock.now)
+        self.replica.cell = cell
+        self.replica.loaded = self.replica.fully_read = True
+        self.leadership = Leadership(settings, cell.store.tables, self.replica, world.clock.now)
+        self.leadership.incarnation = boot
+        self.context = ControllerContext(settings, client, self.replica, self.leadership, world.clock)
+        self.jobs = Jobs(self.context)
+        self.jobs.batch_s = 0.0
+        peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
+        features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
+        self.target = CellTarget(self.context, features, self.jobs)
+        links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
+        self.origin = CellOrigin(self.context, features, cell.line, links)
+
+    async def look_round(self) -> None:
+        """What its loops do in about a report's time."""
+        await self.origin.mark()
+        await self.origin.select()
+        for peer in self.origin.links:
+            try:
+                await self.origin.talk(peer)
+            except (NoAnswerError, StaleReplicaError):
+                continue
+
+
+class Cell:
+    """One cell: what is stored, its controllers, and what runs on its machines."""
+
+    def __init__(self, world: CellWorld, name: str) -> None:
+        self.world = world
+        self.name = name
+        self.outage = False
+        self.store = Store()
+        self.store.types()
+        self.store.upgraded()
+        self.store.view(3, *((member, 1) for member in MEMBERS))
+        rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(MACHINES)}
+        self.store.put(keys.group_key("c0.1.1"), {"m": rows})
+        self.store.put(keys.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
+        for member in MEMBERS:
+            self.store.member(member, 1, settled=3)
+        self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
+        # Task -> when it will end, by the controller's run whose claim it is.
+        self.running: dict[tuple[str, int, str], float] = {}
+        self.ended: set[tuple[str, int, str]] = set()
+
+    def any_controller(self) -> Controller:
+        """The controller that happens to be asked."""
+        return self.controllers[self.world.rng.choice(MEMBERS)]
+
+    def line(self) -> list[Job]:
+        """The jobs in the order in which they get room."""
+        return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
+
+    def renew(self) -> None:
+        """Leases are renewed while the state service answers."""
+        for controller in self.controllers.values():
+            if not self.outage:
+                controller.leadership.lease_renewed_at = controller.replica.linearizable_at = self.world.clock.time
+            failing = controller.target.client
+            failing.failing_since = self.world.clock.time - 100 if self.outage else None
+
+    def used(self) -> float:
+        """Cores in use."""
+        return sum(self.world.cores[job] for job, _, _ in self.running)
+
+    async def work(self) -> None:
+        """Machines end what is cancelled or over, complete tasks, and take what is claimed for their room."""
+        tables, now = self.store.tables, self.world.clock.time
+        for key in list(self.running):
+            job = tables.jobs.get(key[0])
+            if job is None or job.is_cancelled:
+                del self.running[key]
+                if job is not None:
+                    await self._learn(key, done=False)
+            elif now >= self.running[key]:
+                del self.running[key]
+                self.ended.add(key)
+                self.world.completed(self.name, key[0], key[1])
+        for key in sorted(self.ended):
+            job = tables.jobs.get(key[0])
+            if job is None or job.progress.done >> key[1] & 1:
+                self.ended.discard(key)
+            else:
+                await self._learn(key, done=True)
+        await self._withdrawn()
+        if not self.outage:
+            await self.controllers[OWNER].jobs._commit_round()
+            await self._claim()
+
+    async def _learn(self, key: tuple[str, int, str], done: bool) -> None:
+        """A controller is told of a task's end, and stores it with the next round."""
+        job, index, tag = key
+        controller = self.controllers[tag.partition(".")[0]]
+        sets = {job: 1 << index}
+        await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
+        await controller.jobs._commit_round()
+
+    async def _withdrawn(self) -> None:
+        """Claims on cancelled jobs that run nowhere are released."""
+        for job in list(self.store.tables.jobs.values()):
+            if not job.is_cancelled:
+                continue
+            for tag, mask in job.progress.claims.items():
+                if not any(key[0] == job.spec.id and key[2] == tag for key in self.running):
+                    controller = self.controllers[tag.partition(".")[0]]
+                    await controller.jobs.handle(TaskUpdates(released={job.spec.id: mask}))
+                    await controller.jobs._commit_round()
+
+    async def _claim(self) -> None:
+        for job in self.line():
+            free = MACHINES * CORES - self.used()
+            count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used()) // job.spec.cores))
+            if count <= 0:
+                return
+            controller = self.controllers[OWNER]
+            held = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
+            used = sum(
+                self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
+            )
+            want = ResourceAmount(max(held, used + count * job.spec.cores))
+            await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
+            await controller.jobs._commit_round()
+            self._start(job.spec.id, controller)
+
+    def _start(self, name: str, controller: Controller) -> None:
+        """Starts what this controller has claimed, within its allowance."""
+        job = self.store.tables.jobs.get(name)
+        tag = controller.leadership.incarnation_id
+        if job is None or not job.is_runnable:
+            return
+        mask = job.progress.claims.get(tag, 0) & ~job.progress.done
+        allowed = self.store.tables.quota_allocation("red", tag)[0]
+        for index in range(job.spec.tasks):
+            key = (name, index, tag)
+            if not mask >> index & 1 or key in self.running or key in self.ended:
+                continue
+            used = sum(self.world.cores[each[0]] for each in self.running if each[2] == tag)
+            if used + job.spec.cores > allowed:
+                return
+            self.running[key] = self.world.clock.time + job.spec.estimate_s * (0.5 + self.world.rng.random())
+            self.world.started(self.name, name)
+
+
+_settings: list[Settings] = []
+
+
+def settings_cache() -> Settings:
+    """Settings for what does not depend on the member."""
+    if not _settings:
+        _settings.append(settings_of("c0"))
+    return _settings[0]
--- /dev/null
+++ b/tests/support/cell_network.py
@@ -0,0 +1,51 @@
+"""The network between cells."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from sloeswitch.cells.frames import CellAnswer, CellRequest, pack_summary
+from sloeswitch.cells.messages import AnswerMessage
+from sloeswitch.cells.summary import Summary
+from sloeswitch.frame_link import NoAnswerError
+
+if TYPE_CHECKING:
+    from tests.support.cells import CellWorld
+
+
+class ScriptedLink:
+    """The way from one cell to another: cut, lossy, with copies that come late."""
+
+    def __init__(self, world: CellWorld, origin: str, target: str) -> None:
+        self.world = world
+        self.origin = origin
+        self.target = target
+
+    def _lost(self, sender: str, receiver: str) -> bool:
+        lossy = self.world.troubled and self.world.rng.random() < 0.1
+        return lossy or (sender, receiver) in self.world.cuts
+
+    async def request(self, request: CellRequest) -> CellAnswer:
+        """Asks a controller of the target."""
+        world = self.world
+        world.messages += 1
+        world.recorder.record("cell request", self.origin, self.target, request.pack())
+        if world.troubled:
+            world.copies.append((self.target, request))
+        if self._lost(self.origin, self.target):
+            raise NoAnswerError("lost")
+        answer = await world.deliver(self.target, request)
+        world.recorder.record("cell answer", self.target, self.origin, CellAnswer(1, answer).pack())
+        if world.troubled and answer is not None:
+            world.old_answers.append((self.origin, AnswerMessage(request.message.handoff, self.target, answer)))
+        if self._lost(self.target, self.origin):
+            raise NoAnswerError("answer lost")
+        return CellAnswer(1, answer)
+
+    async def summary(self) -> Summary | None:
+        """Asks a controller of the target for its summary."""
+        if self._lost(self.origin, self.target) or self._lost(self.target, self.origin):
+            raise NoAnswerError("lost")
+        summary = self.world.cells[self.target].any_controller().target.summary(self.origin)
+        self.world.recorder.record("summary", self.target, self.origin, pack_summary(summary))
+        return summary
--- /dev/null
+++ b/tests/support/cluster_state.py
@@ -0,0 +1,66 @@
+"""The state service as one controller of the cluster reaches it: out, refusing, losing answers, carrying out late."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from sloeswitch.core.transaction import Transaction
+from sloeswitch.replica import Replica
+from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
+
+if TYPE_CHECKING:
+    from tests.support.cluster_node import Node
+
+
+class ClusterStateClient(StateClient):
+    """Transactions against what is stored. Some answers are lost, and some of these are carried out late."""
+
+    node: Node
+
+    @property
+    def is_reachable(self) -> bool:
+        return self.node.reaches
+
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
+        return None
+
+    async def compare_and_swap(
+        self,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
+    ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
+        world = self.node.world
+        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, leases)
+        if not self.node.reaches:
+            return TransactionResult(TransactionOutcome.REJECTED, 0)
+
+        def carry_out() -> TransactionResult:
+            stored = world.store.tables
+            if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
+                return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
+            # One transaction, one revision.
+            world.store.epoch += 1
+            for key, value in [*writes.items(), *((key, None) for key in drops)]:
+                world.store.epoch -= 1
+                world.store.put(key, value)
+            return TransactionResult(TransactionOutcome.COMMITTED, world.store.epoch)
+
+        luck = world.rng.random()
+        if luck < 0.04:
+            world.late.append((world.clock.time + 10 * world.rng.random(), carry_out))
+            return TransactionResult(TransactionOutcome.UNKNOWN, 0)
+        outcome = carry_out()
+        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.08 else outcome
+
+
+class ClusterReplica(Replica):
+    """Reads what is stored, in order, while the state service can be reached."""
+
+    node: Node
+
+    async def read_linearizable(self, timeout_s: float) -> None:
+        self.node.read()
--- /dev/null
+++ b/tests/support/cluster_worker.py
@@ -0,0 +1,153 @@
+"""A worker of the cluster, as the protocol describes workers."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import anyio
+
+from sloeswitch import wire
+from sloeswitch.actors.machine_messages import HeartbeatRequest
+
+if TYPE_CHECKING:
+    from tests.support.cluster import World
+
+
+CORES = 8.0
+
+
+class Worker:
+    """A worker as the protocol tells it, of eight cores; images are there."""
+
+    def __init__(self, world: World, name: str, kind: str = "small", zone: str = "a", spot: bool = True) -> None:
+        self.world = world
+        self.name = name
+        self.kind = kind
+        self.zone = zone
+        self.spot = spot
+        self.target = world.members[0]
+        self.agent_epoch, self.report_sequence, self.fencing_token = 1, 0, 0
+        self.tasks: dict[tuple[str, int], tuple[str, str | None]] = {}
+        self.finished: set[str] = set()
+        self.renewed_at = world.clock.time
+        self.answers_in_flight: list[tuple[float, float, int, bytes]] = []
+        self.last_answer_received = False
+        self.report_copies: list[wire.WorkerReport] = []
+        self.hung_until = self.deaf_until = self.mute_until = float("-inf")
+
+    @property
+    def hung(self) -> bool:
+        """Whether it does nothing at all, and keeps what is on it until it goes on."""
+        return self.world.clock.time < self.hung_until
+
+    @property
+    def deaf(self) -> bool:
+        """Whether neither answers nor commands reach it."""
+        return self.world.clock.time < self.deaf_until
+
+    @property
+    def mute(self) -> bool:
+        """Whether it reaches no controller."""
+        return self.world.clock.time < self.mute_until
+
+    def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
+        """A direct command: carried out if token and session still match."""
+        if self.hung or message.fencing_token < self.fencing_token or message.agent_epoch != self.agent_epoch:
+            return
+        self.fencing_token = message.fencing_token
+        self.world.happened["late command" if late else "command"] += 1
+        for order in message.commands:
+            self.execute(order)
+
+    @property
+    def lease_over(self) -> bool:
+        return self.world.clock.time - self.renewed_at > 10.0
+
+    def expire(self) -> None:
+        if self.lease_over:
+            self.tasks.clear()
+            self.agent_epoch += 1
+            self.renewed_at = self.world.clock.time
+
+    def report(self) -> wire.WorkerReport:
+        self.report_sequence += 1
+        items = [wire.ReportedTask(task, number, state, cause) for (task, number), (state, cause) in self.tasks.items()]
+        return wire.WorkerReport(
+            self.name,
+            "127.0.0.1:9000",
+            self.kind,
+            self.zone,
+            self.spot,
+            self.agent_epoch,
+            self.report_sequence,
+            self.fencing_token,
+            items,
+        )
+
+    def heartbeat(self) -> None:
+        """A report to the controller of which the worker thinks, or to the next one; the answer may be late or lost."""
+        world, rng, sent = self.world, self.world.rng, self.world.clock.time
+        if any(sent - earlier <= 4.0 for _, earlier, _, _ in self.answers_in_flight):
+            return  # one report in flight at a time; an answer is waited for so long
+        self.answers_in_flight.clear()
+        report = self.report()
+        if self.mute:
+            self.target = rng.choice(world.members)
+            return
+        if rng.random() < 0.1:
+            self.report_copies.append(report)
+        if self.report_copies and rng.random() < 0.1:
+            copy = self.report_copies.pop(rng.randrange(len(self.report_copies)))
+            message = HeartbeatRequest(report=copy, last_answer_received=False)
+            anyio.run(world.nodes[rng.choice(world.members)].machines.handle, message)
+            world.recorder.record("heartbeat copy", self.name, message.answer.status, message.answer.body)
+        if rng.random() < 0.05:
+            return  # never arrives
+        message = HeartbeatRequest(report=report, last_answer_received=self.last_answer_received)
+        anyio.run(world.nodes[self.target].machines.handle, message)
+        answer, self.last_answer_received = message.answer, False
+        world.answered[str(answer.status)] += 1
+        world.recorder.record("heartbeat", self.name, self.target, answer.status, answer.body)
+        if answer.status == 421:
+            to = wire.decode(answer.body, dict[str, Any]).get("foreman")
+            self.target = to or rng.choice(world.members)
+        elif answer.status != 200:
+            self.target = rng.choice(world.members)
+        elif rng.random() > 0.05 and not self.deaf:
+            delay = 0.0 if rng.random() < 0.8 else 5 * rng.random()
+            self.answers_in_flight.append((world.clock.time + delay, sent, self.agent_epoch, answer.body))
+
+    def receive(self) -> None:
+        now = self.world.clock.time
+        for at, sent, session, body in [item for item in self.answers_in_flight if item[0] <= now]:
+            self.answers_in_flight.remove((at, sent, session, body))
+            orders = wire.decode(body, wire.WorkerCommands)
+            if now - sent > 4.0 or session != self.agent_epoch or orders.fencing_token < self.fencing_token:
+                continue
+            self.fencing_token = orders.fencing_token
+            self.renewed_at = max(self.renewed_at, sent)
+            self.last_answer_received = True
+            for order in orders.commands:
+                self.execute(order)
+
+    def execute(self, order: wire.WorkerCommand) -> None:
+        key = (order.task, order.attempt)
+        if order.verb == "start" and key not in self.tasks:
+            live = [task for (task, _), (state, _) in self.tasks.items() if state != "ended"]
+            if order.task in live:
+                self.tasks[key] = ("ended", "busy")
+            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, order.task]) > CORES:
+                self.tasks[key] = ("ended", "no_room")
+            else:
+                self.world.check_start(self, order.task)
+                self.tasks[key] = ("running", None)
+        elif order.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
+            self.tasks[key] = ("ended", "halted")
+        elif order.verb == "clear":
+            self.tasks.pop(key, None)
+
+    def work(self) -> None:
+        for key, (state, _cause) in list(self.tasks.items()):
+            if state == "running" and self.world.rng.random() < self.world.task_ends:
+                self.tasks[key] = ("ended", "done")
+                self.world.finished.add(key[0])
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -29,7 +29,7 @@
 from sloeswitch.core.records import JobState
 from tests.conftest import spec
 from tests.support.admission import TEAMS, AdmissionWorld, cluster_text
-from tests.support.cluster import Worker
+from tests.support.cluster_worker import Worker
 from tests.support.fleet import FleetWorld, job_name
 
 # A flood of one team, and one urgent job of a small team at a time.
--- /dev/null
+++ b/tests/support/scripted_state.py
@@ -0,0 +1,73 @@
+"""A state service of a dictionary, for one controller or several, and a replica that knows all of it at once."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sloeswitch import wire
+from sloeswitch.core.transaction import Transaction
+from sloeswitch.replica import Replica
+from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult
+from tests.conftest import Store
+
+
+class ScriptedState(StateClient):
+    """A state service of a dictionary: commits are checked and applied, or lost as the test says."""
+
+    store: Store
+    lose_answers = 0
+    late: list[tuple[dict[str, int], dict[str, Any], list[str]]]
+    # What it takes now, which may be less than what the settings tell.
+    most_changes_now: int | None = None
+    most_bytes_now: int | None = None
+
+    async def acquire_changes(self, changes: int, priority: Any) -> None:
+        return None
+
+    async def compare_and_swap(
+        self,
+        transaction: Transaction,
+        priority: Any,
+        *,
+        leases: dict[str, int] | None = None,
+        acquired_changes: int = 0,
+    ) -> TransactionResult:
+        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
+        if self.lose_answers:
+            self.lose_answers -= 1
+            self.late.append((conditions, writes, drops))
+            return TransactionResult(TransactionOutcome.UNKNOWN, 0)
+        sizes = [len(wire.encode(value)) for value in writes.values()]
+        if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
+            self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
+        ):
+            self._lower_limits(transaction)
+            return TransactionResult(TransactionOutcome.REJECTED, 0)
+        return self.apply(conditions, writes, drops)
+
+    def apply(self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
+        tables = self.store.tables
+        # What the state service would refuse (protocol).
+        assert len(writes) + len(drops) <= self.settings.txn_ops
+        assert len(conditions) <= 4 * self.settings.txn_ops
+        assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY_BYTES
+        assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
+        if any(tables.mod_revision(key) != stamp for key, stamp in conditions.items()):
+            return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
+        for key, value in writes.items():
+            self.store.put(key, value)
+        for key in drops:
+            self.store.put(key, None)
+        return TransactionResult(TransactionOutcome.COMMITTED, self.store.epoch)
+
+
+class ScriptedReplica(Replica):
+    """Knows all that is stored at once."""
+
+    @property
+    def applied_revision(self) -> int:
+        return self.client.store.epoch  # type: ignore[attr-defined, no-any-return]
+
+    @applied_revision.setter
+    def applied_revision(self, epoch: int) -> None:
+        pass
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -25,7 +25,8 @@
 from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec, submission
-from tests.support.cluster import Clock, ScriptedReplica, ScriptedState
+from tests.support.clock import Clock
+from tests.support.scripted_state import ScriptedReplica, ScriptedState
 
 JOB = "wk-000001"
 
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -13,7 +13,8 @@
 import anyio
 
 from sloeswitch import wire
-from tests.support.cells import CELLS, CellWorld
+from tests.support.cell import CELLS
+from tests.support.cells import CellWorld
 
 DUE_S = 60.0
 JOBS = 60
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -27,7 +27,7 @@
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, report, spec
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 from tests.support.single_controller import JOB, World, machine_up, running, state_outage, told
 
 
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -14,7 +14,8 @@
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
 from tests.conftest import spec, submission
-from tests.support.cells import Cell, CellWorld, settings_cache
+from tests.support.cell import Cell, settings_cache
+from tests.support.cells import CellWorld
 from tests.support.moved_job import Moved
 
 JOB = "wk-000001"
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -35,7 +35,7 @@
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
 from tests.conftest import Store
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 from tests.support.single_controller import World
 
 FOLDER = Path(__file__).parent / "frozen"
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -33,7 +33,7 @@
 from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
 from tests.conftest import MACHINE_TYPE, report, spec
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 from tests.support.frozen import FIRST_STAMP, Recorder, dump, frozen, line_of, parse_line
 from tests.support.single_controller import unregister
 
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -15,7 +15,7 @@
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, spec
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 from tests.support.single_controller import JOB
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from sloeswitch.core.rendezvous import owner
 from sloeswitch.http_client import Reply
 from tests.conftest import MACHINE_TYPE, spec
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 from tests.support.fleet import FleetWorld, machine_name
 
 MACHINES = 4000
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -11,7 +11,7 @@
 from sloeswitch.state_client import StateClient, TransactionOutcome, TransactionResult, transaction_result
 from sloeswitch.wire import MalformedError
 from tests.conftest import SETTINGS
-from tests.support.cluster import Clock
+from tests.support.clock import Clock
 
 
 @pytest.mark.parametrize(
