--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -149,6 +149,16 @@
         self.deleted += machines
 
 
+def world_with_scale_in(store: Store) -> World:
+    """A controller with one machine, which deletes machines at a cloud that takes all deletions."""
+    world = World(store)
+    machine_up(world)
+    cloud: Any = Cloud()
+    scale_in = ScaleIn(world.context, cloud)
+    world.machines.termination.autoscaler, scale_in.machines = scale_in, world.machines
+    return world
+
+
 def deletions(world: World, fleet: ScaleIn) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -2,9 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import Any
-
 import anyio
 import pytest
 
@@ -17,17 +14,21 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, running, told
+from tests.support.single_controller import (
+    JOB,
+    World,
+    deletions,
+    heartbeat,
+    later,
+    running,
+    told,
+    world_with_scale_in,
+)
 
 
 @pytest.fixture
-def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    world = World(store)
-    machine_up(world)
-    cloud: Any = Cloud()
-    world.machines.termination.autoscaler = ScaleIn(world.context, cloud)
-    world.machines.termination.autoscaler.machines = world.machines
-    yield world
+def world(store: Store) -> World:
+    return world_with_scale_in(store)
 
 
 def machine(world: World) -> Machine:
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -2,24 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from typing import Any
 
 import pytest
 
-from sloeswitch.actors.scale_in import ScaleIn
 from tests.conftest import Store, submission
-from tests.support.single_controller import JOB, Cloud, World, machine_up, submit
+from tests.support.single_controller import JOB, World, submit, world_with_scale_in
 
 
 @pytest.fixture
-def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    world = World(store)
-    machine_up(world)
-    cloud: Any = Cloud()
-    world.machines.termination.autoscaler = ScaleIn(world.context, cloud)
-    world.machines.termination.autoscaler.machines = world.machines
-    yield world
+def world(store: Store) -> World:
+    return world_with_scale_in(store)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -2,28 +2,21 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
 from typing import Any
 
 import pytest
 
 from sloeswitch.actors.jobs import ClaimRequest, TaskUpdates
-from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys, placement
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.quota import ResourceAmount
 from tests.conftest import Store, spec
-from tests.support.single_controller import JOB, Cloud, World, later, machine_up
+from tests.support.single_controller import JOB, World, later, world_with_scale_in
 
 
 @pytest.fixture
-def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    world = World(store)
-    machine_up(world)
-    cloud: Any = Cloud()
-    world.machines.termination.autoscaler = ScaleIn(world.context, cloud)
-    world.machines.termination.autoscaler.machines = world.machines
-    yield world
+def world(store: Store) -> World:
+    return world_with_scale_in(store)
 
 
 def machine(world: World) -> Machine:
