--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -175,17 +175,8 @@
 
     def coordinate(self) -> None:
         super().coordinate()
-        tables = self.store.tables
-        if self.outage:
-            return
-        if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(keys.COORDINATOR_KEY, None)
-        if tables.coordinator is None and tables.view.members:
-            present = [pair for pair in tables.view.members if pair in self.leases]
-            if present:
-                member, boot = self.rng.choice(present)
-                self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
-                self.happened["coordinator"] += 1
+        if not self.outage and self.elect_coordinator():
+            self.happened["coordinator"] += 1
 
     def looked(self) -> None:
         """A coordinator that reaches the state service has reckoned an epoch."""
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -10,7 +10,6 @@
 from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.actors.scale_out import ScaleOut
 from sloeswitch.cloud import CloudClient, CloudError
-from sloeswitch.core import keys
 from tests.conftest import MACHINE_TYPE, spec
 from tests.support.cluster import World
 from tests.support.cluster_node import Node
@@ -126,17 +125,9 @@
         return AutoscalingNode(self, name)
 
     def coordinate(self) -> None:
-        """The coordinator's key is taken by a member of the view, in turns as their leases end."""
         super().coordinate()
-        tables = self.store.tables
-        if self.outage:
-            return
-        if tables.coordinator is not None and tables.coordinator not in self.leases:
-            self.store.put(keys.COORDINATOR_KEY, None)
-        present = [pair for pair in tables.view.members if pair in self.leases]
-        if tables.coordinator is None and present:
-            member, boot = self.rng.choice(present)
-            self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
+        if not self.outage:
+            self.elect_coordinator()
 
     def happen(self, luck: float, node: Node) -> None:
         """Users submit large and small jobs now and then, besides what else happens."""
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -97,6 +97,18 @@
         if members and members != self.store.tables.view.members:
             self.store.view(self.store.tables.view.number + 1, *members)
 
+    def elect_coordinator(self) -> bool:
+        """The coordinator's key goes with its lease, and a member of the view takes a free one; whether one did."""
+        tables = self.store.tables
+        if tables.coordinator is not None and tables.coordinator not in self.leases:
+            self.store.put(keys.COORDINATOR_KEY, None)
+        present = [pair for pair in tables.view.members if pair in self.leases]
+        if tables.coordinator is not None or not present:
+            return False
+        member, boot = self.rng.choice(present)
+        self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
+        return True
+
     def present(self, leased: bool = False) -> list[tuple[str, str]]:
         """Tasks and the machines on which they are; `leased`: without machines that hang past the end of their lease,
         which give their tasks up before they go on."""
