--- /dev/null
+++ b/sloeswitch/state_reads.py
@@ -0,0 +1,111 @@
+"""Reads of the state service, each a request and the decoding of its answer; `replica` alone uses them.
+
+What an answer cannot be used for is raised as a subclass of StateReadError. A request without an answer raises
+`http.NoAnswerError` instead.
+"""
+
+from __future__ import annotations
+
+import logging
+from dataclasses import dataclass
+from http import HTTPStatus
+
+from sloeswitch import wire
+from sloeswitch.core.keys import KEY_PREFIX
+from sloeswitch.http import Reply
+from sloeswitch.rate_budget import RequestPriority
+from sloeswitch.state_client import StateClient
+
+log = logging.getLogger("state")
+
+# The most rows that the state service puts into one answer (PROTOCOL-sloeswitch.md).
+SNAPSHOT_PAGE_ROWS = 1000
+
+
+class StateReadError(Exception):
+    """The state service answered a read with something that cannot be applied."""
+
+
+class UnexpectedStatusError(StateReadError):
+    """A read was answered with another status than 200."""
+
+    def __init__(self, status: int) -> None:
+        super().__init__(f"status {status}")
+        self.status = status
+
+
+class MalformedAnswerError(StateReadError):
+    """The body of an answer is not what the protocol says."""
+
+
+class ChangesDiscardedError(StateReadError):
+    """The state service no longer keeps all changes after the given revision; only a snapshot helps."""
+
+    def __init__(self, after_revision: int) -> None:
+        super().__init__(f"changes after revision {after_revision} are discarded")
+        self.after_revision = after_revision
+
+
+@dataclass(frozen=True)
+class Snapshot:
+    """All rows of this cell.
+
+    Attributes:
+        revision: The revision of the first page. Later pages may hold later changes, so that the change feed must be
+            read from this revision on.
+        rows: The rows, in the order of their keys.
+    """
+
+    revision: int
+    rows: list[wire.StoredRow]
+
+
+async def read_snapshot(client: StateClient) -> Snapshot:
+    """Reads all rows, page by page.
+
+    Raises:
+        http.NoAnswerError: A request had no answer.
+        StateReadError: An answer cannot be used.
+    """
+    page = await _read_page(client, after_key="")
+    snapshot = Snapshot(page.revision, list(page.rows))
+    while page.more and page.rows:
+        page = await _read_page(client, after_key=page.rows[-1].key)
+        snapshot.rows.extend(page.rows)
+    return snapshot
+
+
+async def _read_page(client: StateClient, after_key: str) -> wire.StoredRowPage:
+    path = f"/kv?starts={KEY_PREFIX}&page={SNAPSHOT_PAGE_ROWS}" + (f"&after={after_key}" if after_key else "")
+    return _decode(await client.call("GET", path, None, RequestPriority.LEASE), wire.StoredRowPage)
+
+
+async def read_changes(client: StateClient, after_revision: int, hold_s: float) -> wire.ChangeFeed:
+    """Reads all changes after a revision.
+
+    Args:
+        client: The client of the state service.
+        after_revision: The last revision that is known.
+        hold_s: How long the state service may wait for a change, in seconds; 0: it answers at once.
+
+    Raises:
+        http.NoAnswerError: The request had no answer.
+        ChangesDiscardedError: The revision is too old.
+        StateReadError: The answer cannot be used.
+    """
+    path = f"/changes?starts={KEY_PREFIX}&after={after_revision}&holdMs={int(hold_s * 1000)}"
+    priority = RequestPriority.CLAIM if hold_s else RequestPriority.USER
+    reply = await client.call("GET", path, None, priority, hold_s)
+    if reply.status == HTTPStatus.GONE:
+        raise ChangesDiscardedError(after_revision)
+    return _decode(reply, wire.ChangeFeed)
+
+
+def _decode(reply: Reply, message: type[wire.T]) -> wire.T:
+    if reply.status != HTTPStatus.OK:
+        raise UnexpectedStatusError(reply.status)
+    try:
+        return wire.decode(reply.body, message)
+    except wire.MalformedError as error:
+        log.error("answer of the state service is malformed: message=%s error=%s", message.__name__, error)
+        raise MalformedAnswerError(str(error)) from None
