--- a/sloeswitch/core/__init__.py
+++ b/sloeswitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure code that reads no clock and does no I/O. Times are passed in."""
+"""Scheduling decisions: pure code that reads no clock and does no I/O; times are passed as arguments."""
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -1,6 +1,6 @@
-"""Priorities of jobs, and how they and deadlines pass upstream in a pipeline.
+"""Priorities of jobs, and the propagation of priorities and deadlines upstream in a pipeline.
 
-A job has the priority of any job that needs it, if that is higher, and is to be done early enough for all of them.
+A job inherits the highest priority and the earliest deadlines of the jobs that depend on it, directly or indirectly.
 """
 
 from __future__ import annotations
@@ -25,47 +25,48 @@
     BEST_EFFORT = 3
 
 
-# What jobs usually have; more urgent work is treated apart in several places.
+# The default priority. Jobs of a lower rank are called urgent; the queue treats them differently in several places.
 STANDARD = PriorityRank.STANDARD
-# By the words of the protocol.
+# By the name of the priority in the protocol.
 PRIORITY_RANKS: dict[str, PriorityRank] = {name: PriorityRank[name.upper()] for name in Priority}
 
 
 def effective_priority(job: Job) -> int:
-    """The rank of a job: its own, or that of any job that needs it if that is higher."""
+    """The rank of a job's own priority, or of the priority that it inherits if that is higher."""
     own = PRIORITY_RANKS[job.spec.priority]
     return own if job.inherited_rank is None else min(own, job.inherited_rank)
 
 
 class InheritedTarget(NamedTuple):
-    """What a job has from those that need it."""
+    """The priority and the deadlines that a job inherits from the jobs that depend on it."""
 
     rank: int | None
-    # When it must be done for the first and for the last of their deadlines, in milliseconds since the Unix epoch.
+    # When the job must be done for the first and for the last of their deadlines, in milliseconds since the Unix epoch.
     due_ms: tuple[float, float] | None
 
 
 def propagate_priorities(tables: Tables, settings: Settings) -> None:
-    """Passes priorities and deadlines upstream, from each job to all that it needs.
+    """Propagates priorities and deadlines from each job to all its prerequisites.
 
-    The backward pass over a critical path: a job gets the highest priority of all that need it, and must be done by
-    their deadlines less the path between. Done when the graph has changed. No recursion: chains may be long.
+    This is the backward pass of the critical path method: a job inherits the highest priority of all jobs that depend
+    on it, and their deadlines less the duration of the path to them. It runs when the graph has changed. It does not
+    recurse, since chains of jobs may be long.
     """
     tables.graph.priorities_stale = False
     _CriticalPathPass(tables, settings).run()
 
 
 class _CriticalPathPass:
-    """One backward pass: every job is visited once, after all that need it."""
+    """One backward pass over the graph: visits every job once, after all jobs that depend on it."""
 
     def __init__(self, tables: Tables, settings: Settings) -> None:
         self.jobs = tables.jobs
         self.settings = settings
-        # The slowest fetch of an image to a machine of any type, in GB/s; 0: not known.
+        # The lowest rate at which a machine of any type fetches an image, in GB/s; 0 if not known.
         self.fetch_gb_s = min(
             (kind.fetch_gb_s for kind in tables.machine_types.values() if kind.fetch_gb_s > 0), default=0.0
         )
-        # By job: those that need it, are not cancelled and were not visited yet.
+        # By job: its successors that are neither cancelled nor visited yet.
         self.unvisited_successors = {
             name: {each for each in successors if each in self.jobs and not self.jobs[each].is_cancelled}
             for name, successors in tables.graph.successors.items()
@@ -73,7 +74,7 @@
         }
 
     def run(self) -> None:
-        """Renews what jobs inherit; those that inherit something else than before are ordered anew."""
+        """Recomputes what jobs inherit; resets the targets and the guarantee of each job for which that changed."""
         before = self._clear_inherited()
         ready = deque(
             name
@@ -89,7 +90,11 @@
                 job.guaranteed = None
 
     def _clear_inherited(self) -> dict[str, InheritedTarget]:
-        """What jobs inherited so far, of those that did or may."""
+        """Clears the inherited values of all jobs.
+
+        Returns:
+            The values that the jobs had, by job: all jobs that had any, and all that have successors.
+        """
         before: dict[str, InheritedTarget] = {}
         for name, job in self.jobs.items():
             if job.inherited_rank is not None or job.inherited_ms is not None or name in self.unvisited_successors:
@@ -98,7 +103,7 @@
         return before
 
     def _visit(self, job: Job) -> list[str]:
-        """Passes a job's priority and deadlines on to what it needs; which of these are ready to be visited."""
+        """Propagates a job's priority and deadlines to its prerequisites; returns those that can be visited next."""
         inherited = InheritedTarget(effective_priority(job), self._start_by_ms(job))
         ready: list[str] = []
         for name in job.spec.prerequisites:
@@ -113,9 +118,9 @@
         return ready
 
     def _start_by_ms(self, job: Job) -> tuple[float, float] | None:
-        """When what the job needs must be done for its first and last deadline; None if it has none.
+        """When a job's prerequisites must be done for its first and its last deadline; None if it has none.
 
-        A step of the path takes the job's estimate, the image's way to a machine and a report.
+        One step of the path takes the job's estimate, the time to fetch its image and one report interval.
         """
         spec = job.spec
         due_s = deadlines(spec, self.settings.objectives)
@@ -132,7 +137,10 @@
 
 
 def _inherit(job: Job, inherited: InheritedTarget) -> None:
-    """Keeps the highest priority of all that need the job, and the earliest of their first and of their last times."""
+    """Merges into a job what it inherits from one successor.
+
+    Keeps the highest priority, the earliest of the first deadlines and the earliest of the last deadlines.
+    """
     if inherited.rank is not None:
         job.inherited_rank = inherited.rank if job.inherited_rank is None else min(inherited.rank, job.inherited_rank)
     if inherited.due_ms is not None:
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -1,18 +1,21 @@
-"""The queue of runnable jobs: in which order jobs get free capacity.
-
-A job is runnable when its join counter is zero (`core/dependency_graph.py`). The queue is built anew at every tick from
-the stored tables; nothing of it is stored. A job's targets are in `core/slo_targets.py`, its priority and what passes
-upstream in `core/job_priority.py`, and the order in which each of several controllers claims in `core/claim_order.py`.
-
-Oldest first, where a job that has time to its next target counts as younger by the time that it can wait: short jobs
-have little, and would be late behind long ones. Before that, in this order:
-
-1. Starvation. A job that waited too long for its beginning is in the queue twice, in front for a part of its tasks
-   (`Job.starved`) and in its ordinary place for the rest. One that is not done for very long goes by age alone.
-2. Urgent work within its team's guarantee, also before what goes by age alone.
-3. Work that can still meet a target before work that cannot (`QueueKey.past_all_targets`).
-4. The team's guarantee: what lay within it when it came need not wait for others (`GuaranteeLedger`).
-5. Priority, then the number of targets missed so far.
+"""The queue of runnable jobs: the order in which jobs get free capacity.
+
+A job is runnable when its join counter is zero (`core/dependency_graph.py`). The queue is rebuilt from the stored
+tables at every tick and is not stored itself. Related modules: `core/slo_targets.py` computes the targets of a job,
+`core/job_priority.py` its priority, including the priority inherited from jobs that depend on it, and
+`core/claim_order.py` the order in which each of several controllers claims jobs.
+
+Jobs are sorted by these criteria, the first one being the most significant:
+
+1. Starvation. A job that has started no task for too long is in the queue twice: at the front for a part of its
+   tasks (`Job.starved`) and at its ordinary position for the rest. A job that is still not done after twice that time
+   is ordered by age alone.
+2. Urgent work within its team's guarantee goes first, also before jobs that are ordered by age alone.
+3. Jobs that can still meet a target go before jobs that cannot (`QueueKey.past_all_targets`).
+4. Jobs that were within their team's guarantee when they became runnable go before other jobs (`GuaranteeLedger`).
+5. Priority, then the number of targets that the job has missed.
+6. The latest time at which the job can start and still meet its next target, or the time at which it became runnable
+   if it has no target left. Short jobs have little slack and would miss their targets behind long jobs.
 """
 
 from __future__ import annotations
@@ -30,60 +33,68 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
-# No job starves, whatever the order by priority, guarantee and lateness: a job with nothing begun after so many worker
-# leases goes before all others until a part of it is begun, and one still not done after twice as many goes by age
-# alone. Eight leases are two minutes or less, so that a job begins well within four minutes.
+# Prevents starvation by priority, guarantees or missed targets. A job that has started no task after this many worker
+# leases goes before all others until one has started. A job that is not done after twice this many is ordered by age
+# alone. Eight leases are at most two minutes, so every job starts well within four minutes.
 STARVATION_LEASES = 8.0
-# The part of a job's tasks that goes first because the job is starved.
+# The share of a starved job's tasks that goes to the front of the queue.
 STARVED_SHARE = 0.125
 
 
 class StarvationRank(IntEnum):
-    """How a job goes before others for having waited long; the lowest goes first."""
+    """How far a job moves ahead in the queue because it has waited too long; the lowest value goes first."""
 
-    # Nothing of it has begun after STARVATION_LEASES.
+    # No task has started after STARVATION_LEASES.
     NOT_BEGUN = 0
-    # It is not done after twice as long: its age alone decides.
+    # The job is not done after twice STARVATION_LEASES: it is ordered by age alone.
     NOT_DONE = 1
     # All other jobs.
     ORDINARY = 2
 
 
-# Looked up for every job at every tick.
+# Module constants avoid an attribute lookup for every job at every tick.
 NOT_BEGUN, NOT_DONE, ORDINARY = StarvationRank
 
 
 class QueueKey(NamedTuple):
-    """The key by which the queue is sorted; the lowest goes first."""
+    """The sort key of a job in the queue; the lowest key goes first."""
 
     starvation: int
-    # It can meet none of its targets any more.
+    # Whether the job can no longer meet any of its targets.
     past_all_targets: bool
     outside_guarantee: bool
-    # Of the job and of all that need it; one less than the highest where a part of a starved job goes first.
+    # The effective priority of the job (see `effective_priority`), or STARVED_PART_PRIORITY for the part of a starved
+    # job that goes to the front.
     priority: int
     missed_targets: int
-    # Which of these it is depends on the other fields, so that they are never mixed: seconds since the Unix epoch, a
-    # revision of the store, or an estimate in seconds, negated.
+    # Orders jobs of equal rank: the latest start or the ready time in seconds since the Unix epoch, a revision of the
+    # store, or a negated estimate in seconds. The other fields determine which, so that jobs of equal rank have the
+    # same kind of value here.
     age: float
 
     @property
     def rank(self) -> tuple[int, ...]:
-        """What a job's place in the queue goes by besides age: jobs of equal rank differ by age alone."""
+        """All fields but the last: jobs of equal rank are ordered by the last field alone."""
         return self[:-1]
 
 
-# The priority of the part of a starved job that goes first: before every other.
+# The priority of the part of a starved job that goes to the front: higher than every other.
 STARVED_PART_PRIORITY = PriorityRank.CRITICAL - 1
 
 
 def is_begun(job: Job) -> bool:
-    """Whether a task of the job is claimed or done, as the tables have it."""
+    """Whether any task of the job is claimed or done according to the stored tables."""
     return bool(job.progress.done or job.progress.claims)
 
 
 def starvation_rank(begun: bool, age_s: float, lease_s: float) -> StarvationRank:
-    """How a job that waits goes before others, by its age since it became runnable, in seconds."""
+    """The starvation rank of a job.
+
+    Args:
+        begun: Whether any task of the job has started.
+        age_s: Seconds since the job became runnable.
+        lease_s: The duration of a worker's lease in seconds.
+    """
     if age_s < STARVATION_LEASES * lease_s:
         return ORDINARY
     if not begun:
@@ -92,16 +103,16 @@
 
 
 def is_ordered_by_age(job: Job) -> bool:
-    """Whether the job's place in the queue goes by its age alone, since it has not been done for so long."""
+    """Whether the job has waited so long for its completion that it is ordered by age alone."""
     return job.queue_rank[:1] == (NOT_DONE,)
 
 
 def queue_order(
     tables: Tables, settings: Settings, wall_clock_ms: int, has_begun: Callable[[Job], bool] = is_begun
 ) -> list[Job]:
-    """Jobs that wait for no other and have tasks left, in the order in which they get free capacity.
+    """Returns the runnable jobs in the order in which they get free capacity; a starved job is listed twice.
 
-    Marks jobs: `guaranteed` (once for each job), `starved` and `queue_rank`.
+    Sets the fields `guaranteed` (once for each job), `starved` and `queue_rank` of the jobs.
     """
     if tables.graph.priorities_stale:
         propagate_priorities(tables, settings)
@@ -109,14 +120,14 @@
     entries: list[tuple[QueueKey, Job]] = []
     for job in sorted([job for job in tables.jobs.values() if job.is_runnable], key=attrgetter("ready_revision")):
         priority = effective_priority(job)
-        # A deferred job counts too: what its team is promised is measured against all of its work.
+        # A deferred job counts too: a team's guarantee is compared with the demand of all its jobs.
         demand = guarantees.add_demand(job, priority)
         if job.deferred:
             continue
         if job.guaranteed is None or job.delegated is not None:
             job.guaranteed = guarantees.covers(job, demand)
         starvation = ORDINARY
-        # Work of another cell does not go first for having waited; its origin takes it back in time.
+        # A job delegated by another cell is never starved here: its origin takes it back in time.
         if job.delegated is None:
             starvation = starvation_rank(has_begun(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
         job.starved = starvation is NOT_BEGUN
@@ -132,26 +143,27 @@
 
 
 class GuaranteeLedger:
-    """What each team's jobs want so far, the oldest first, against what the team is guaranteed.
+    """Compares the demand of each team's jobs, added up from the oldest job on, with the team's guarantee.
 
-    Whether a job is guaranteed is decided once, when it first comes. Decided anew at every tick, the oldest work of a
-    team with more than its guarantee would always count as guaranteed, and urgent jobs would wait behind it.
+    Whether a job is guaranteed is decided once, when it becomes runnable. If it were decided again at every tick, the
+    oldest jobs of a team with a backlog beyond its guarantee would always count as guaranteed, and the team's urgent
+    jobs would wait behind them.
 
-    Work more urgent than standard counts only against its like, as a team's urgent work has the guarantee first: a
-    small stage of a pipeline would otherwise wait behind what came within other guarantees. Standard work counts
-    against all of the team's work.
+    A job that is more urgent than standard counts only against the team's other urgent jobs, which have the first claim
+    to the guarantee. Otherwise a small urgent stage of a pipeline would wait behind less urgent jobs that are within a
+    guarantee. Any other job counts against all jobs of the team.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.teams = settings.teams
-        # By team: what all of its work wants, and what its urgent work alone wants.
+        # By team: the demand of all its jobs, and of its urgent jobs alone.
         self._all_demand: defaultdict[str, ResourceUsage] = defaultdict(ResourceUsage)
         self._urgent_demand: defaultdict[str, ResourceUsage] = defaultdict(ResourceUsage)
 
     def add_demand(self, job: Job, priority: int) -> ResourceUsage:
-        """Adds a job; returns the demand that decides on it: its own and that of the older jobs that it counts against.
+        """Adds a job's demand; returns the sum of it and of the demand of the older jobs that it counts against.
 
-        What another cell handed over is promised nothing here, and takes nothing of what its team is promised.
+        A job delegated by another cell has no guarantee here and adds nothing to its team's demand.
         """
         spec = job.spec
         decisive = self._all_demand[spec.team]
@@ -163,26 +175,27 @@
         return decisive
 
     def covers(self, job: Job, demand: ResourceUsage) -> bool:
-        """Whether the demand that decides on a job lies within its team's guarantee."""
+        """Whether the guarantee of the job's team covers the demand that `add_demand` returned for the job."""
         team = self.teams.get(job.spec.team)
         return job.delegated is None and team is not None and within_guarantee(team, demand.cores, demand.gpus)
 
 
 def _queue_key(job: Job, starvation: StarvationRank, priority: int, settings: Settings, wall_clock_ms: int) -> QueueKey:
-    """A job's ordinary place in the queue."""
+    """The key of a job's ordinary position in the queue."""
     missed, start_by_s = next_target(job, settings.objectives, (wall_clock_ms - job.submitted_ms) / 1000)
     is_urgent = priority < STANDARD
     start_or_ready_s = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
     if job.guaranteed and is_urgent:
-        # Also before what goes by age alone: on a day with more work than capacity that is most of the queue, and small
-        # urgent stages would wait behind it. The guarantees bound it.
+        # Goes before jobs that are ordered by age alone, too: under overload these are most of the queue, and small
+        # urgent stages of pipelines would wait behind them. The guarantees limit how much work goes first this way.
         return QueueKey(NOT_BEGUN, False, False, priority, missed, start_or_ready_s)
     if starvation is NOT_DONE:
         return QueueKey(starvation, False, False, 0, 0, float(job.ready_revision))
     if missed and start_by_s is None and not is_urgent:
-        # A job that can meet no target any more goes behind those that can: when a class comes faster than its team's
-        # limit allows, plain age would make every job late. Only the end of all work is at stake for it: the longest
-        # tasks first, so that none is left over. Not so what is more urgent than standard: the stages of a pipeline
-        # whose deadline has passed by its estimates would wait behind everything else.
+        # A job that can no longer meet any target goes behind those that can: when jobs of a class arrive faster than
+        # their team's limit allows, ordering by age would make every job late. Among jobs that are late anyway only the
+        # time until all are done matters, so the longest tasks go first and none is left over at the end. Jobs more
+        # urgent than standard are exempt: the stages of a pipeline whose deadline, by its estimates, can't be met would
+        # wait behind everything else.
         return QueueKey(starvation, True, False, 0, 0, -job.spec.estimate_s)
     return QueueKey(starvation, False, not job.guaranteed, priority, missed, start_or_ready_s)
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -1,6 +1,6 @@
-"""Targets of jobs: when a job should be done, by the service level objectives of its class and by its deadline.
+"""Targets of jobs: the times by which a job should be done, from the objectives of its class and its deadline.
 
-All targets are in seconds from the job's submission.
+All targets are in seconds since the submission of the job.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def deadlines(spec: JobSpec, objectives: tuple[Objective, ...]) -> set[float]:
-    """Seconds from submission by which the job is due, by the objectives that its class has for deadlines."""
+    """The deadlines of a job in seconds since its submission, one for each deadline objective of its class."""
     if spec.deadline_s is None:
         return set()
     times = {aim.times for aim in objectives if aim.kind == ObjectiveKind.DEADLINE and aim.job_class == spec.job_class}
@@ -21,9 +21,10 @@
 
 
 def slo_targets(job: Job, objectives: tuple[Objective, ...]) -> list[float]:
-    """Seconds from submission by which the job should be done, the earliest first; kept in the job until it changes.
+    """The targets of a job in seconds since its submission, the earliest first; cached in the job.
 
-    Deadlines count from the submission, the other times from when the last job that it needs was done.
+    Deadlines count from the submission. Targets for the wait and for the completion count from the time at which the
+    last prerequisite of the job was done.
     """
     if job.targets is not None:
         return job.targets
@@ -46,16 +47,16 @@
 
 
 class NextTarget(NamedTuple):
-    """Where a job stands in the list of its targets."""
+    """How many targets of a job are missed, and the latest start for the next one."""
 
-    # How many are missed for certain.
+    # How many targets the job can no longer meet.
     missed: int
-    # The age of the job, in seconds, by which its last tasks must start to meet the next one; None if none is left.
+    # The age of the job, in seconds, by which its last tasks must start to meet the next target; None if none is left.
     start_by_s: float | None
 
 
 def next_target(job: Job, objectives: tuple[Objective, ...], age_s: float) -> NextTarget:
-    """How many targets of the job are missed for certain at this age, and when it must start for the next one."""
+    """How many targets the job can no longer meet at this age, and when it must start to meet the next one."""
     targets = slo_targets(job, objectives)
     needed_s = job.spec.estimate_s if job.has_unclaimed_tasks else 0.0
     for missed, target in enumerate(targets):
