--- a/sloeswitch/core/claim_order.py
+++ b/sloeswitch/core/claim_order.py
@@ -1,6 +1,7 @@
-"""In which order each of several controllers claims: the queue, dealt out so that they do not all write the same job.
+"""The order in which each controller goes through the queue to claim tasks.
 
-No job's place moves by more than a few times the number of controllers.
+Every controller uses a different order, so that they do not all write to the same job. The position of a job differs
+from its position in the queue by less than AFFINITY_WINDOW_PER_CONTROLLER times the number of controllers.
 """
 
 from __future__ import annotations
@@ -10,15 +11,20 @@
 
 from sloeswitch.core.records import Job
 
-# A controller takes the jobs whose images have affinity to it first, among so many times as many jobs as there are
-# controllers.
+# A controller first claims the jobs whose images have affinity to it, within windows of consecutive jobs. This limits
+# the size of a window, in jobs per controller.
 AFFINITY_WINDOW_PER_CONTROLLER = 4
 
 
 def rotate(jobs: list[Job], controllers: int, turn: int) -> list[Job]:
-    """The order in which one of so many controllers claims the jobs; `turn` is its place among them.
+    """Splits the queue into chunks of one job per controller and rotates each chunk by `turn` jobs.
 
-    Each begins at another of the oldest jobs. No job moves by as many places as there are controllers.
+    Each controller therefore starts at a different one of the oldest jobs, and no job leaves its chunk.
+
+    Args:
+        jobs: The jobs in the order of the queue.
+        controllers: The number of controllers.
+        turn: The index of this controller among them.
     """
     rotated: list[Job] = []
     for start in range(0, len(jobs), controllers):
@@ -29,11 +35,17 @@
 
 
 def deal(jobs: list[Job], controllers: int, turn: int, has_image_affinity: Callable[[Job], bool]) -> Iterator[Job]:
-    """The order in which one of so many controllers claims the jobs, by the affinity of their images to it.
+    """The order in which one controller claims the jobs.
+
+    Splits the queue into windows of consecutive jobs of equal rank. Within a window, jobs whose image has affinity to
+    this controller come first; the others are rotated. The machines of a controller then fetch only some of the images,
+    and most jobs are claimed by a single controller.
 
-    Among jobs next to each other that differ by age alone, a few at a time, those whose image has affinity to this
-    controller come first: its machines then fetch a part of the images only, and a job is mostly one controller's. The
-    others are rotated.
+    Args:
+        jobs: The jobs in the order of the queue.
+        controllers: The number of controllers.
+        turn: The index of this controller among them.
+        has_image_affinity: Whether the image of a job has affinity to this controller.
     """
     start = 0
     while start < len(jobs):
@@ -45,6 +57,6 @@
 
 
 def _window(jobs: list[Job], start: int, limit: int) -> list[Job]:
-    """At most so many jobs from a place in the queue on that differ by age alone."""
+    """At most `limit` consecutive jobs of equal rank, from the index `start` on."""
     window = jobs[start : start + limit]
     return list(takewhile(lambda job: job.queue_rank == window[0].queue_rank, window))
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -1,7 +1,7 @@
-"""Which tasks a controller claims next: one pass over the queue against the free capacity of its machines.
+"""Decides which tasks a controller claims next, in one pass over the queue and the free capacity of its machines.
 
-The planner works on copies: it places on paper, and what it returns is only asked for. Called by the machines actor,
-which sends the claims to the jobs actor.
+The planner works on a copy of the free capacity: it places tasks on that copy and returns the claims to request. The
+machines actor calls it and sends the claims to the jobs actor.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# How many machines a processor core scans in a second, at the least, when work is placed on paper. A pass takes no
-# more than a quarter of the time between two reports for it, once it has found all that one transaction can claim.
+# A lower bound on how many machines one processor core scans per second when the planner places tasks. Once a pass has
+# claims for as many jobs as one transaction takes, it stops if its scans took more than this share of the report
+# interval.
 MACHINES_SCANNED_PER_CORE_S = 200_000
 PASS_TIME_SHARE = 0.25
-# A job of which nobody has claimed anything is left to the controller with its image for so many ticks.
+# For this many ticks a new job without claimed tasks is left to the controller that its image has affinity to.
 IMAGE_AFFINITY_TICKS = 2
 
 
 class PlacementShape(NamedTuple):
-    """What decides whether one task of a job fits a machine."""
+    """The requirements that decide whether a task of a job fits a machine."""
 
     cores: float
     gpus: float
@@ -38,30 +39,30 @@
 
 
 def shape_of(spec: JobSpec) -> PlacementShape:
-    """The shape of a job's tasks."""
+    """The placement requirements of the tasks of a job."""
     types = None if spec.types is None else tuple(spec.types)
     return PlacementShape(spec.cores, spec.gpus, spec.memory, types, spec.zone, spec.spot)
 
 
 @dataclass(frozen=True)
 class CapacitySnapshot:
-    """What one controller has free and may use, as of one moment. The planner takes from `capacities`.
+    """The free capacity and the quota of one controller at one moment. The planner changes `capacities`.
 
     Attributes:
-        capacities: What its schedulable machines have free.
-        team_usage: By team, what its tasks here use.
-        available_quota: By team, the most that this controller could be allocated.
-        quota_allocations: By team, what it is allocated now.
-        idle_claims: The set of a job's tasks that this controller has claimed and not placed; a function, since it is
-            asked for only as far as the pass gets.
-        cores_ahead: Cores likely to fall free in the time that a claim takes.
-        least_cores: The smallest amount that any job wants.
-        reservations: By machine.
-        reserved_usage: By job with a reservation, what of its team's limit is kept for it.
-        health: The jobs' failures on machines.
-        queued_since: When the jobs of the queue were first seen there, in seconds of the monotonic clock.
-        has_image_affinity: Whether a job's image is one that this controller's machines are to have.
-        now: Seconds of the monotonic clock.
+        capacities: The free capacity of the controller's schedulable machines.
+        team_usage: By team, what its tasks on these machines use.
+        available_quota: By team, the largest allocation that this controller could get.
+        quota_allocations: By team, the current allocation of this controller.
+        idle_claims: Returns the set of a job's tasks that this controller has claimed but not placed. It is a function
+            so that it is computed only for the jobs that the pass reaches.
+        cores_ahead: The number of cores that are expected to become free in the time that a claim takes.
+        least_cores: The smallest number of cores that a task of any job needs.
+        reservations: The reservations, by machine.
+        reserved_usage: By job with a reservation, the part of its team's limit that is reserved for it.
+        health: The failures of jobs on machines.
+        queued_since: When each job of the queue was first seen there, in seconds of the monotonic clock.
+        has_image_affinity: Whether a job's image is assigned to the machines of this controller.
+        now: The time of the snapshot, in seconds of the monotonic clock.
     """
 
     capacities: list[placement.FreeCapacity]
@@ -81,12 +82,12 @@
 
 @dataclass(frozen=True)
 class PlanLimits:
-    """How much one pass may ask for, and how much it may scan.
+    """Limits on the claims that one pass requests and on the machines that it scans.
 
     Attributes:
-        max_jobs: Jobs of which one transaction can claim.
-        max_capacities_scanned: Machines scanned, once that is reached.
-        affinity_s: For how long a new job is left to the controller that has its image.
+        max_jobs: The number of jobs from which one transaction can claim tasks.
+        max_capacities_scanned: The number of machines scanned after which a pass that has reached `max_jobs` ends.
+        affinity_s: For how long a new job is left to the controller that its image has affinity to.
     """
 
     max_jobs: int
@@ -95,7 +96,13 @@
 
     @staticmethod
     def of(settings: Settings, txn_ops: int, pace_s: float) -> PlanLimits:
-        """The limits by the settings; `txn_ops`: the changes that a transaction takes now."""
+        """Computes the limits.
+
+        Args:
+            settings: The settings.
+            txn_ops: The number of operations that a transaction takes now.
+            pace_s: The time between two ticks, in seconds.
+        """
         return PlanLimits(
             max_jobs=max(1, txn_ops // 2),
             max_capacities_scanned=PASS_TIME_SHARE
@@ -108,14 +115,14 @@
 
 @dataclass
 class ClaimPlan:
-    """The claims to ask for.
+    """The claims that a pass requests.
 
     Attributes:
-        task_counts: By job, how many tasks.
-        zones: By job, the zone to be stored.
-        zone_bound_tasks: By job whose tasks are bound to zones, the set of those wanted.
-        usable_quota: What each team could put to use on these machines: what runs, what waits, and what is unclaimed.
-        remaining_capacities: What is left when all jobs of the queue have been considered; None if some were not.
+        task_counts: By job, the number of tasks to claim.
+        zones: By job, the zone to store as the zone that its tasks are bound to.
+        zone_bound_tasks: By job whose tasks are bound to zones, the set of tasks to claim.
+        usable_quota: By team, the usage that is possible on these machines: running, claimed and unclaimed tasks.
+        remaining_capacities: The capacity left after all jobs of the queue were considered; None if some were not.
     """
 
     task_counts: dict[str, int] = field(default_factory=dict)
@@ -130,10 +137,10 @@
 
 
 class ClaimPlanner:
-    """Goes through the queue once, taking capacity on paper as it goes. A planner plans once.
+    """Goes through the queue once and assigns free capacity to jobs. An instance is used for one pass only.
 
-    Some tasks are claimed ahead, in the order of the queue, so that a machine which reports a completion gets the
-    next task with the answer instead of after a write.
+    It also claims some tasks ahead, in the order of the queue, for capacity that is not free yet. A machine that
+    reports a completion then gets its next task with the answer to that report instead of after another write.
     """
 
     def __init__(self, snapshot: CapacitySnapshot, limits: PlanLimits, tables: Tables) -> None:
@@ -144,9 +151,9 @@
         self.capacities = snapshot.capacities
         self.ahead_cores = snapshot.cores_ahead
         self.capacities_scanned = 0
-        # What fitted no machine on paper; capacity only becomes less.
+        # Shapes that fitted no machine. They need not be tried again, since capacity only shrinks during the pass.
         self.unplaceable_shapes: set[PlacementShape] = set()
-        # By job: the set of tasks that was placed on paper.
+        # By job: the set of tasks that this pass has placed.
         self.planned_tasks: dict[str, int] = {}
         self.claims = ClaimPlan(
             usable_quota={
@@ -155,23 +162,23 @@
         )
 
     def plan(self, queue: list[Job], controller_count: int, position: int) -> ClaimPlan:
-        """The claims to ask for.
+        """Returns the claims to request.
 
         Args:
             queue: The jobs in the order in which they get capacity.
-            controller_count: How many controllers claim.
-            position: This controller's place among them, so that not all claim the same job.
+            controller_count: The number of controllers that claim tasks.
+            position: The index of this controller among them; it keeps controllers from all claiming the same job.
         """
         for job in claim_order.deal(queue, controller_count, position, self.snapshot.has_image_affinity):
             if not self.capacities and self.ahead_cores < self.snapshot.least_cores:
                 self.claims.remaining_capacities = []
-                break  # nobody further back can get anything: with a backlog the queue is long, and scanned often
+                break  # no later job can get capacity; with a backlog the queue is long and is scanned often
             if (
                 len(self.claims.task_counts) >= self.limits.max_jobs
                 and self.capacities_scanned > self.limits.max_capacities_scanned
             ):
-                # Guards against a pass that takes seconds: with thousands of machines empty and hundreds of jobs in
-                # the queue it outlasted the controller's lease.
+                # With thousands of empty machines and hundreds of queued jobs a full pass takes seconds, which can be
+                # longer than the controller's lease.
                 self._keep_allocations()
                 break
             if job.spec.team in self.claims.usable_quota and not self._is_left_to_others(job):
@@ -180,13 +187,13 @@
             self.claims.remaining_capacities = self.capacities
         for holder, reserved in self.snapshot.reserved_usage.items():
             if not self.planned_tasks.get(holder):
-                # Not to be returned as surplus while it is waited for.
+                # Counts as usable, so that it is not returned as surplus while the job waits for its machine.
                 usage = self.claims.usable_quota[reserved.team]
                 self.claims.usable_quota[reserved.team] = _sum(usage, reserved.usage)
         return self.claims
 
     def _keep_allocations(self) -> None:
-        """What the teams have may be of use to jobs further back that are not considered, as far as capacity goes."""
+        """Counts allocations as usable as far as there is free capacity: later jobs that were skipped may need them."""
         free_cores = sum(capacity.cores for capacity in self.capacities)
         free_gpus = sum(capacity.gpus for capacity in self.capacities)
         for team, usage in self.claims.usable_quota.items():
@@ -197,14 +204,14 @@
             )
 
     def _is_left_to_others(self, job: Job) -> bool:
-        """Whether a new job is left to the controller at which its image is, for as long as a claim takes."""
+        """Whether the job is new and unclaimed, and its image has affinity to another controller."""
         is_new = self.snapshot.now - self.snapshot.queued_since[job.spec.id] < self.limits.affinity_s
         return not job.progress.claims and is_new and not self.snapshot.has_image_affinity(job)
 
     def _consider(self, job: Job) -> None:
-        """Places what it can of a job on paper, and asks for it."""
+        """Places as many tasks of a job as possible and adds the claims for them."""
         spec = job.spec
-        # One that stands in the queue twice has had a part of its tasks already.
+        # Set if the job is listed in the queue twice and this is its second turn.
         planned_before = self.planned_tasks.get(spec.id)
         idle = 0 if planned_before else self.snapshot.idle_claims(job)
         unclaimed = self.tables.unclaimed_tasks(job, self.recovery_complete) & ~(planned_before or 0)
@@ -215,7 +222,7 @@
             return
         candidates = placement.eligible(spec.id, self.capacities, self.snapshot.reservations, self.snapshot.health)
         if spec.zone_bound and not self._choose_zone(job, candidates):
-            return  # nothing is claimed before its zone can be chosen
+            return  # no task is claimed until a zone can be chosen
         placed = self._place(job, unclaimed, idle, count, candidates)
         if spec.gang and placed.bit_count() < spec.tasks:
             return
@@ -223,7 +230,13 @@
         self._claim(job, unclaimed, idle, count, placed)
 
     def _max_tasks(self, job: Job, count: int, is_first: bool) -> int:
-        """How many of so many tasks may be taken now, by the job's health, its starvation and its team's limit."""
+        """Limits a number of tasks by the job's health, its starvation and the quota of its team.
+
+        Args:
+            job: The job.
+            count: How many of its tasks could be placed.
+            is_first: Whether this is the first turn of the job in this pass.
+        """
         spec = job.spec
         if self.snapshot.health.is_job_faulty(spec.id):
             count = min(count, 1)
@@ -236,7 +249,7 @@
         return min(count, quota.tasks_within_quota(spec, self.snapshot.available_quota[spec.team], usage))
 
     def _choose_zone(self, job: Job, candidates: list[placement.FreeCapacity]) -> bool:
-        """Chooses the zone of a job whose tasks are bound to one, if it has none yet; False when none has capacity."""
+        """Chooses a zone for a zone-bound job that has none yet; returns False when no zone has capacity for it."""
         spec = job.spec
         if job.progress.zone is not None or spec.id in self.claims.zones:
             return True
@@ -247,16 +260,16 @@
         return True
 
     def _place(self, job: Job, unclaimed: int, idle: int, count: int, candidates: list[placement.FreeCapacity]) -> int:
-        """Takes capacity for at most so many tasks, idle claims included; returns the set of those that found it."""
+        """Places at most `count` tasks, idle claims included; returns the set of placed tasks."""
         spec = job.spec
-        # A gang that does not fit whole takes nothing.
+        # A gang is tried on copies: if it does not fit as a whole, it takes no capacity.
         capacities = [each.trial() for each in candidates] if spec.gang else candidates
         shape = shape_of(spec)
         if not capacities or shape in self.unplaceable_shapes:
             self.planned_tasks.setdefault(spec.id, 0)
             return 0
         self.capacities_scanned += len(capacities)
-        # Where tasks are bound to zones it matters which ones: the oldest may have no capacity where others have.
+        # The zone of a zone-bound task depends on its index, so that the first ones may not fit where others do.
         tasks = unclaimed if spec.zone_bound else taskset.lowest(unclaimed, max(0, count - idle.bit_count()))
         zone = self.claims.zones.get(spec.id)
         placements = placement.pack_tasks(job, tasks | taskset.lowest(idle, count), capacities, zone, count)
@@ -269,7 +282,7 @@
         return placed
 
     def _claim(self, job: Job, unclaimed: int, idle: int, count: int, placed: int) -> None:
-        """Asks for the tasks that found capacity, and for some ahead."""
+        """Adds claims for the tasks that were placed, and for some ahead."""
         spec = job.spec
         idle_count = idle.bit_count()
         placed_count = placed.bit_count()
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -1,7 +1,7 @@
-"""Which machine takes which task: constraints, ranking and bin packing over free capacity.
+"""Assigns tasks to machines: constraints, ranking and bin packing over free capacity.
 
-Functions that take from the `FreeCapacity` objects they are given and own nothing; the machines actor places with them,
-and the claim planner and gang preemption try placements on capacity that nobody else sees.
+The functions keep no state and reduce the `FreeCapacity` objects that they are given. The machines actor places tasks
+with them; the claim planner and gang preemption try out placements on their own copies.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Reservation(NamedTuple):
-    """Free capacity of one machine that is kept for a job; `until`: seconds of the controller's monotonic clock."""
+    """Reserves the free capacity of a machine for a job until a time in seconds of the controller's monotonic clock."""
 
     job: str
     until: float
@@ -27,12 +27,18 @@
 
 @dataclass
 class FreeCapacity:
-    """What a machine has free. Placement takes from it.
+    """The free capacity of a machine. Placement reduces it.
 
     Attributes:
-        machine: The machine's name; `type`, `zone` and `spot` are its own.
-        images: Images that it has or fetches.
-        scarce: Whether some live job fits machines of this type and not others.
+        machine: The name of the machine.
+        type: The name of its machine type.
+        zone: Its zone.
+        spot: Whether it is a spot machine.
+        cores: Its free cores.
+        gpus: Its free GPUs.
+        memory_gb: Its free memory in GB.
+        images: The images that it has cached or is fetching.
+        scarce: Whether some live job fits machines of this type but not those of some other type.
     """
 
     machine: str
@@ -46,7 +52,7 @@
     scarce: bool = False
 
     def max_tasks(self, spec: JobSpec) -> int:
-        """How many tasks of the job fit, whatever its constraints."""
+        """How many tasks of the job fit by their resources, without regard to its constraints."""
         count = spec.tasks
         if spec.cores > 0:
             count = min(count, int((self.cores + ROUNDING_TOLERANCE) // spec.cores))
@@ -57,14 +63,14 @@
         return max(0, count)
 
     def take(self, spec: JobSpec, count: int = 1) -> None:
-        """Takes so many tasks' resources; a negative count returns them."""
+        """Takes the resources of `count` tasks; a negative count returns them."""
         self.cores -= count * spec.cores
         self.gpus -= count * spec.gpus
         self.memory_gb -= count * spec.memory
         self.images.add(spec.image)
 
     def trial(self) -> FreeCapacity:
-        """A copy whose resources can be taken without effect on this one. The set of images is shared."""
+        """Returns a copy whose resources can be taken without changing this object. The set of images is shared."""
         return FreeCapacity(**vars(self))
 
 
@@ -76,7 +82,7 @@
 
 
 class MachineAttributes(Protocol):
-    """What jobs choose machines by."""
+    """The attributes of a machine that the constraints of a job refer to."""
 
     @property
     def type(self) -> str:
@@ -84,15 +90,15 @@
 
     @property
     def zone(self) -> str:
-        """The zone that it is in."""
+        """The zone of the machine."""
 
     @property
     def spot(self) -> bool:
-        """Whether the cloud may take it back."""
+        """Whether it is a spot machine, which the cloud may reclaim."""
 
 
 def satisfies_constraints(spec: JobSpec, machine: MachineAttributes) -> bool:
-    """Whether the job may run on such a machine, by the types, the zone and the spot machines that it accepts."""
+    """Whether the machine's type, zone and spot attribute meet the constraints of the job."""
     return (
         (spec.types is None or machine.type in spec.types)
         and (spec.zone is None or spec.zone == machine.zone)
@@ -103,12 +109,12 @@
 def eligible(
     job: str, capacities: list[FreeCapacity], reservations: Mapping[str, Reservation], health: Health
 ) -> list[FreeCapacity]:
-    """The machines that a job may use: not those reserved for another one, nor those on which it failed.
+    """The machines that a job may use: without those reserved for another job and those on which it failed.
 
     Args:
         job: The job's id.
-        capacities: What machines have free.
-        reservations: By machine.
+        capacities: The free capacity of machines.
+        reservations: The reservations, by machine.
         health: The failures of jobs on machines.
     """
     if reservations:
@@ -123,15 +129,16 @@
 
 
 def without_full(capacities: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
-    """Without the machines on which fewer cores are free than any job wants."""
+    """Drops the machines that have fewer free cores than a task of any job needs."""
     return [capacity for capacity in capacities if capacity.cores + ROUNDING_TOLERANCE >= least_cores]
 
 
 def satisfies_zone_binding(spec: JobSpec, task_index: int, zone: str, job_zone: str | None) -> bool:
-    """Whether a task of a zone-bound job may run in a zone, given the job's stored one; nowhere before there is one.
+    """Whether a task of a zone-bound job may run in a zone, given the zone stored for the job.
 
-    `one_zone`: all in that zone. `spread`: the lower half of the tasks, rounded up, in it, the others anywhere else;
-    fixed by task index, so that controllers need not count each other's tasks.
+    While no zone is stored, its tasks may not run anywhere. The tasks of a `one_zone` job run in the stored zone. Of a
+    `spread` job, the lower half of the task indexes, rounded up, runs in the stored zone and the others run in any
+    other zone. The split by index saves controllers from counting each other's tasks.
     """
     if spec.one_zone:
         return zone == job_zone
@@ -139,12 +146,13 @@
 
 
 def rank_capacities(spec: JobSpec, capacities: list[FreeCapacity]) -> list[FreeCapacity]:
-    """Machines with capacity for the job, best first.
+    """The machines with capacity for a task of the job, the best first.
 
-    Those that no other job needs more, those that have its image, so that it is not fetched again, then spot machines
-    and the fullest ones, so that the expensive and the empty can be returned to the cloud.
+    Sort criteria, the most significant first: types that are not scarce, since some job fits only the scarce ones;
+    machines that have the job's image, which saves fetching it; spot machines; the fewest free cores. By the last two,
+    expensive and empty machines can be returned to the cloud.
     """
-    # The same as max_tasks() > 0, without a call for each machine: thousands are looked at for each job.
+    # Equivalent to max_tasks() > 0, but without a call for each of the thousands of machines scanned for each job.
     least_cores, least_gpus, least_memory_gb = (
         amount - ROUNDING_TOLERANCE if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
     )
@@ -161,9 +169,10 @@
 
 
 def scarce_types(specs: Iterable[JobSpec], types: dict[str, MachineType]) -> set[str]:
-    """Types that some of the jobs fit while they do not fit others: tasks that fit any machine go there last.
+    """The machine types that fit some job which does not fit all types.
 
-    Guards against many small tasks in the capacity of the only machines that are large enough for another job.
+    Other jobs use these types last. Otherwise many small tasks would fill the only machines that are large enough for
+    another job.
     """
     found: set[str] = set()
     for spec in specs:
@@ -176,14 +185,14 @@
 def pack_tasks(
     job: Job, tasks: int, capacities: list[FreeCapacity], zone: str | None = None, max_count: int = MAX_TASKS
 ) -> list[Placement]:
-    """Places tasks of the job on the best machines first, taking their capacity. What does not fit stays out.
+    """Places tasks of the job, the best machines first, and takes their capacity. Leaves out tasks that do not fit.
 
     Args:
         job: The job.
-        tasks: The set of its tasks that are to be placed (see `core.taskset`).
-        capacities: The machines that it may use.
-        zone: What would be stored as the job's zone, if none is yet.
-        max_count: How many tasks at most.
+        tasks: The set of its tasks to place (see `core.taskset`).
+        capacities: The machines that the job may use.
+        zone: The zone to assume for the job if none is stored yet.
+        max_count: The largest number of tasks to place.
     """
     spec = job.spec
     job_zone = job.progress.zone or zone
