--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -1,11 +1,13 @@
-"""Which jobs wait for which: join counters and successors, as in dwork (docs/design.md gives the paper).
+"""Dependencies between jobs: join counters and successors, as in dwork (docs/design.md cites the paper).
 
-Both follow from the stored rows and nothing of them is stored: a job's row names the jobs that it needs, and its join
-counter is the number of those not stored as done. So the end of a job is one row's change however many wait for it, and
-seeing that change twice, or from another controller, releases nobody twice. A cancellation is one row's change in the
-same way: whatever needs a cancelled job, directly or through others, is cancelled by it.
+Both are derived from the stored rows and are not stored themselves. The row of a job names its prerequisites, and its
+join counter is the number of prerequisites that are not stored as done. The completion of a job therefore changes only
+one row, however many jobs wait for it, and applying that change twice, or seeing it from another controller, releases
+no job twice. A cancellation also changes only one row: it implicitly cancels all jobs that depend on the cancelled one,
+directly or indirectly.
 
-Rows may come in any order, since a first reading goes by key. No walk recurses: chains may be long.
+Rows may arrive in any order, since the initial read returns them in the order of their keys. No traversal recurses,
+since chains of jobs may be long.
 """
 
 from __future__ import annotations
@@ -14,19 +16,20 @@
 
 
 class DependencyGraph:
-    """Keeps the fields of jobs that say what they need; changed by the application of rows only."""
+    """Maintains the fields of jobs that depend on their prerequisites. Only the application of rows changes it."""
 
     def __init__(self, jobs: dict[str, Job], finished_jobs: dict[str, FinishedJob]) -> None:
-        # The tables' own, which change as rows are applied.
+        # Shared with the tables, which change them when rows are applied.
         self.jobs = jobs
         self.finished_jobs = finished_jobs
-        # Job that is not over, known or not -> known jobs that need it. A job known as cancelled has no entry.
+        # By prerequisite that is not finished, whether its row was read yet or not: the known jobs that depend on it. A
+        # job that is known to be cancelled has no entry.
         self.successors: dict[str, set[str]] = {}
-        # Whether priorities and deadlines must be passed from jobs to those that they need anew (see core.job_queue).
+        # Whether priorities and deadlines must be propagated to prerequisites again (see core.job_priority).
         self.priorities_stale = False
 
     def add_job(self, job: Job) -> None:
-        """A job that is not over was read for the first time."""
+        """Adds an unfinished job whose row was read for the first time."""
         for prerequisite in job.spec.prerequisites:
             finished = self.finished_jobs.get(prerequisite)
             if finished is not None and finished.is_done:
@@ -44,7 +47,7 @@
             self.cancel(job.spec.id)
 
     def finish(self, job_id: str, finished: FinishedJob) -> None:
-        """A job is stored as done: the join counters of its successors fall by one."""
+        """Decrements the join counters of the successors of a job that is stored as done."""
         for successor in self.successors.pop(job_id, ()):
             job = self.jobs.get(successor)
             if job is not None:
@@ -53,16 +56,17 @@
 
     @staticmethod
     def _count_ready_time(job: Job, finished: FinishedJob) -> None:
-        """A job's times count from the end of the last job that it needs.
+        """Sets the ready time of a job to the completion of its last prerequisite so far.
 
-        A row of a version that stored no such time was written before anything could need it: the submission is later.
+        Rows written by versions that stored no completion time are older than any job that depends on them, so that
+        such a job keeps its submission time.
         """
         job.ready_ms = max(job.ready_ms, finished.finished_ms)
         job.ready_revision = max(job.ready_revision, finished.mod_revision)
         job.targets = None
 
     def cancel(self, job_id: str) -> None:
-        """A job is cancelled, by its user or by what it needs: so is all that needs it."""
+        """Marks all jobs that depend on a cancelled job, directly or indirectly, as cancelled."""
         self.priorities_stale = True
         cancelled = [job_id]
         while cancelled:
--- a/sloeswitch/core/health.py
+++ b/sloeswitch/core/health.py
@@ -1,16 +1,17 @@
-"""Tells faulty machines from faulty jobs by where tasks fail.
+"""Distinguishes faulty machines from faulty jobs by the machines on which tasks fail.
 
-A machine that fails different jobs is quarantined: it gets no more work. A job that fails on several machines and
-succeeds nowhere is faulty: it spoils no machine, and is retried with exponential back-off.
+A machine on which tasks of different jobs fail is quarantined: it gets no more tasks. A job that fails on several
+machines and succeeds on none is faulty: its failures do not count against the machines, and it is retried with
+exponential backoff.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-# Failures on that many machines with no success anywhere mark a job as faulty.
+# A job is faulty when it has failed on this many machines without a success on any machine.
 FAULTY_JOB_MACHINES = 3
-# That many failures in a row quarantine a machine.
+# A machine is quarantined after this many consecutive failures.
 QUARANTINE_FAILURES = 2
 
 
@@ -20,9 +21,9 @@
 
     Attributes:
         failed_on: The machines on which its tasks failed.
-        succeeded: Whether a task of it was completed anywhere since its first failure.
-        backoff_s: How long it waits before its next retry; 0 while it need not.
-        retry_at: When it may be tried again, in seconds of the controller's monotonic clock.
+        succeeded: Whether any of its tasks was completed since its first failure.
+        backoff_s: The delay before its next retry, in seconds; 0 for no delay.
+        retry_at: When it may be retried, in seconds of the controller's monotonic clock.
     """
 
     failed_on: set[str] = field(default_factory=set)
@@ -32,13 +33,13 @@
 
 
 class Health:
-    """Failures of this controller's machines and of the jobs seen on them.
+    """The failures on this controller's machines, by machine and by job.
 
-    Written by the machines actor; nothing of it is stored, so that a new incarnation of the controller starts afresh.
+    The machines actor records them. They are not stored: a new incarnation of the controller starts without any.
 
     Attributes:
-        jobs: Jobs with a failure, by id.
-        consecutive_failures: By machine, since its last success.
+        jobs: The jobs that have failed, by id.
+        consecutive_failures: By machine, the number of failures since its last success.
     """
 
     def __init__(self, min_backoff_s: float, max_backoff_s: float) -> None:
@@ -48,7 +49,7 @@
         self.consecutive_failures: dict[str, int] = {}
 
     def record_success(self, job: str, machine: str) -> None:
-        """A task of the job was completed on the machine: neither is faulty."""
+        """Records that a task of the job was completed on the machine: neither is faulty."""
         self.consecutive_failures.pop(machine, None)
         health = self.jobs.get(job)
         if health is not None:
@@ -56,13 +57,13 @@
             health.backoff_s = health.retry_at = 0.0
 
     def record_failure(self, job: str, machine: str, now: float) -> None:
-        """A task of the job failed on the machine: counts against the one or the other."""
+        """Records that a task of the job failed on the machine; counts against the machine unless the job is faulty."""
         health = self.jobs.setdefault(job, JobHealth())
         health.failed_on.add(machine)
         if not self.is_job_faulty(job):
             self.consecutive_failures[machine] = self.consecutive_failures.get(machine, 0) + 1
             return
-        # Not the machines' fault: their failures so far, which were the job's, count no more.
+        # The job is faulty, not the machines: resets the failures that were counted against them.
         for name in health.failed_on:
             self.consecutive_failures.pop(name, None)
         if now >= health.retry_at:
@@ -70,28 +71,28 @@
             health.retry_at = now + health.backoff_s
 
     def is_job_faulty(self, job: str) -> bool:
-        """Whether the job failed on several machines and succeeded nowhere."""
+        """Whether the job failed on FAULTY_JOB_MACHINES machines and succeeded on none."""
         health = self.jobs.get(job)
         return health is not None and not health.succeeded and len(health.failed_on) >= FAULTY_JOB_MACHINES
 
     def is_job_paused(self, job: str, now: float) -> bool:
-        """Whether the job waits for its next retry, which is of one task only."""
+        """Whether the job is in backoff; its next retry is limited to one task."""
         health = self.jobs.get(job)
         return health is not None and now < health.retry_at
 
     def has_failed_on(self, job: str, machine: str) -> bool:
-        """Whether the job should run elsewhere; a faulty one may be tried anywhere."""
+        """Whether the job failed on the machine and should avoid it; a faulty job may run on any machine."""
         health = self.jobs.get(job)
         return health is not None and machine in health.failed_on and not self.is_job_faulty(job)
 
     def is_machine_quarantined(self, machine: str) -> bool:
-        """Whether the machine fails what it is given, and is to get no more work."""
+        """Whether the machine has had QUARANTINE_FAILURES consecutive failures, so that it gets no more tasks."""
         return self.consecutive_failures.get(machine, 0) >= QUARANTINE_FAILURES
 
     def forget_job(self, job: str) -> None:
-        """The job is over."""
+        """Drops the failures of a finished job."""
         self.jobs.pop(job, None)
 
     def forget_machine(self, machine: str) -> None:
-        """The machine is gone."""
+        """Drops the failures of a removed machine."""
         self.consecutive_failures.pop(machine, None)
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -1,7 +1,7 @@
-"""Preemption: which attempts of lower priority stop so that a task of a more urgent job fits a machine.
+"""Preemption: decides which attempts of lower priority stop so that a task of a more urgent job fits a machine.
 
-Also which attempts can move at little cost. Decisions without state; `actors.gang_preemption` and the machines actor
-carry them out.
+Also decides which attempts can move to another machine at little cost. The functions keep no state;
+`actors.gang_preemption` and the machines actor carry out the decisions.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from sloeswitch.core.records import Job
 from sloeswitch.wire import JobSpec
 
-# The part of its running tasks that a job which is ordered by age alone yields to jobs of higher priority.
+# The share of its running tasks that a job which is ordered by age alone can lose to jobs of higher priority.
 PREEMPTIBLE_SHARE = 0.5
 
 
 @dataclass(frozen=True)
 class Preemption:
-    """Attempts to be stopped on one machine."""
+    """The attempts to stop on one machine."""
 
     machine: str
     attempts: list[Attempt]
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True)
 class QueueOrder:
-    """Who may be preempted for whom, by the queue.
+    """Decides by the positions in the queue which jobs may be preempted for which.
 
     Attributes:
         positions: The positions of jobs in the queue; a job without one is last.
-        preemptible_counts: How many running tasks may stop of jobs that stand where they do by their age alone.
+        preemptible_counts: By job that is ordered by age alone, how many of its running tasks may be stopped.
     """
 
     positions: Mapping[str, int]
@@ -44,15 +44,15 @@
 
     @staticmethod
     def of(queue: Iterable[Job], placed_tasks: Mapping[str, int]) -> QueueOrder:
-        """The order of a queue.
+        """Creates the order of a queue.
 
-        Of a job that is ordered by age a part must go on, so that the bounds on its delay hold. Guards against large
-        machines that stay full of old best-effort work: gangs that fit nowhere else would wait until they go first
-        themselves.
+        A share of the tasks of a job that is ordered by age alone may be stopped. Otherwise large machines would stay
+        full of old best-effort tasks, and gangs that fit only those machines would wait until they are starved
+        themselves. The rest of the tasks must continue, so that the bound on the delay of the job holds.
 
         Args:
             queue: The jobs in the order in which they get capacity.
-            placed_tasks: The sets of tasks, by job, that are on machines.
+            placed_tasks: By job, the set of its tasks that are on machines.
         """
         positions: dict[str, int] = {}
         preemptible_counts: dict[str, int] = {}
@@ -64,15 +64,15 @@
         return QueueOrder(positions, preemptible_counts)
 
     def is_behind(self, job: str, other: str) -> bool:
-        """Whether the other job stands behind this one."""
+        """Whether `other` is behind `job` in the queue."""
         last = len(self.positions)
         return self.positions.get(other, last) > self.positions.get(job, last)
 
 
 def preemptible(job: Job, attempts: Iterable[Attempt], order: QueueOrder) -> list[Attempt]:
-    """The attempts that may be stopped for a job, the youngest first.
+    """The attempts that may be stopped for a job, the most recently placed first.
 
-    Of lower priority, and of jobs behind it in the queue or, for a part of their tasks, of jobs ordered by age.
+    They have a lower priority, and belong to jobs behind it in the queue or, up to a limit, to jobs ordered by age.
     """
     preempted: Counter[str] = Counter()
     candidates: list[Attempt] = []
@@ -90,7 +90,7 @@
 
 
 def is_movable(attempt: Attempt, now: float) -> bool:
-    """Whether an attempt can be stopped and go on elsewhere at little cost: it has checkpoints, and is not new."""
+    """Whether an attempt can move to another machine at little cost: it writes checkpoints and is not new."""
     spec = attempt.spec
     return (
         spec.checkpoint_s > 0
@@ -103,9 +103,9 @@
 
 
 def choose_victims(spec: JobSpec, capacity: FreeCapacity, candidates: list[Attempt]) -> list[Attempt]:
-    """Which of the attempts have to stop, in their order, so that one task of the job fits the machine.
+    """The first of the candidates, as many as have to stop so that one task of the job fits the machine.
 
-    Empty if it does not fit then either.
+    Empty if the task would not fit even with all candidates stopped.
     """
     trial = capacity.trial()
     victims: list[Attempt] = []
@@ -120,9 +120,12 @@
 def victims_within_limit(
     spec: JobSpec, shortfall: ResourceUsage, candidates: Iterable[Attempt]
 ) -> list[Attempt] | None:
-    """Which attempts of the job's own team have to stop so that its limit covers the shortfall; None if all do not.
+    """The attempts of the job's own team that have to stop so that the team's limit covers the shortfall.
 
-    Guards against a team that is at its limit through its own work of lower priority, for which nothing was stopped.
+    Without this, a team whose tasks of lower priority use up its limit could not start its more urgent jobs.
+
+    Returns:
+        The attempts; None if stopping all candidates is not enough.
     """
     victims: list[Attempt] = []
     freed = ResourceUsage()
@@ -141,14 +144,17 @@
     order: QueueOrder,
     at_limit: bool = False,
 ) -> Preemption | None:
-    """The machine on which the fewest attempts have to stop for a task of the job; None if there is none.
+    """Chooses the machine on which the fewest attempts have to stop so that a task of the job fits.
 
     Args:
-        job: The job that is to get capacity.
-        machines: What eligible machines have free, each with its attempts.
-        order: Who may be preempted for whom.
-        at_limit: The team's limit keeps the job from capacity that is there, so that a machine where nothing has to
-            stop will do.
+        job: The job that needs capacity.
+        machines: The free capacity of eligible machines, each with the attempts on it.
+        order: Decides which jobs may be preempted for which.
+        at_limit: Whether the job waits because of its team's limit. A machine that has enough free capacity, so that
+            nothing has to stop there, is then accepted too.
+
+    Returns:
+        The machine and the attempts to stop; None if no machine qualifies.
     """
     best: Preemption | None = None
     for capacity, attempts in machines:
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -1,7 +1,7 @@
-"""What the autoscaler decides by: what jobs demand, what machines supply, and what to rent or to return.
+"""The decisions of the autoscaler: the demand of jobs, the supply of machines, and which machines to rent or return.
 
-Demand is a number of tasks that should run at once, so that jobs meet their targets. Supply is a number of machines of
-each kind. Offers are the kinds that the cloud's catalog has. Decisions only, without clock or I/O.
+Demand is the number of tasks that should run at once so that jobs meet their targets. Supply is the number of machines
+of each kind. Offers are the kinds of machine in the cloud's catalog. The functions read no clock and do no I/O.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec, MachineType
 
-# A job's work is spread over this part of the time left to its target; the rest is for what is not known: wrong
-# estimates, lost machines, late boots. Machines are returned by a smaller part, so that they do not come and go with
-# every job and none is missed while work waits.
+# The work of a job is spread over this share of the time left to its target. The rest is a margin for wrong estimates,
+# lost machines and slow boots. Scale-in uses a smaller share, which demands more machines: this avoids returning and
+# renting machines for every job, and a lack of machines while work waits.
 SCALE_OUT_SPREAD = 0.5
 SCALE_IN_SPREAD = 0.25
-# Jobs without a target, and late ones, are spread over so many times a task's estimate.
+# The work of a job that has no target left is spread over the estimate of a task times this factor.
 NO_TARGET_SPREAD = 2.0
-# A kind is rented when at least this part of one of its machines would be filled.
+# A kind of machine is rented when the demand fills at least this share of one machine.
 MIN_FILL_TO_SCALE_OUT = 0.5
-# Estimates and cores below these count as these, so that nothing is divided by zero.
+# Lower bounds for estimates and cores, which avoid division by zero.
 MIN_ESTIMATE_S = 1e-3
 MIN_CORES = 1e-3
-# Parts of tasks or machines up to this are rounding errors.
+# Fractions of tasks or machines up to this are treated as rounding errors.
 ROUNDING_SLACK = 1e-6
 
 
 class InstanceKind(NamedTuple):
-    """A kind of machine that may be rented: the type by name, the zone, and whether it is a spot machine."""
+    """A kind of machine that can be rented: the name of its type, its zone, and whether it is a spot machine."""
 
     type: str
     zone: str
@@ -57,11 +57,16 @@
 
     @property
     def price_per_core(self) -> float:
-        """What offers are compared by."""
+        """The price by which offers are compared."""
         return self.price / max(self.type.cores, MIN_CORES)
 
     def suits(self, spec: JobSpec, bound_zone: str | None = None) -> bool:
-        """Whether a task of the job may run there. `bound_zone`: the zone to which the job's other tasks bind it."""
+        """Whether a task of the job may run on such a machine.
+
+        Args:
+            spec: The job.
+            bound_zone: The zone to which the job is bound by its claimed tasks, if any.
+        """
         return (
             fits_type(spec, self.type)
             and spec.zone in (None, self.kind.zone)
@@ -72,40 +77,40 @@
 
 @dataclass
 class Demand:
-    """Tasks of a job that should run at once for it to be done in time."""
+    """The number of tasks of a job that should run at once so that the job meets its target."""
 
     spec: JobSpec
     tasks: float
-    # The zone to which tasks that run, or will, bind the others. Guards against machines there that are returned since
-    # other zones have capacity, which the job can't use.
+    # The zone to which the job is bound by its claimed tasks. Without it, the machines there would be returned because
+    # other zones, which the job can't use, have free capacity.
     bound_zone: str | None = None
 
     def suits(self, offer: InstanceOffer) -> bool:
-        """Whether such machines are of use for the job."""
+        """Whether the tasks may run on machines of the offered kind."""
         return offer.suits(self.spec, self.bound_zone)
 
 
 class RemainingQuota:
-    """What is left of the teams' limits while demand is counted against them."""
+    """The rest of each team's limit while demand is deducted from it."""
 
     def __init__(self, amounts: Mapping[str, ResourceAmount]) -> None:
         self._amounts = dict(amounts)
 
     @classmethod
     def of(cls, settings: Settings) -> RemainingQuota:
-        """The teams' whole limits."""
+        """Starts with the whole limit of each team."""
         return cls({name: ResourceAmount(team.cpus_max, team.gpus_max) for name, team in settings.teams.items()})
 
     def has_team(self, team: str) -> bool:
-        """Whether the settings know the team."""
+        """Whether the team is in the settings."""
         return team in self._amounts
 
     def tasks_within(self, spec: JobSpec) -> int:
-        """How many tasks of the job the remaining limit of its team covers; a team that is not known has none."""
+        """How many tasks of the job the rest of its team's limit covers; an unknown team has no limit to use."""
         return tasks_within_quota(spec, self._amounts.get(spec.team, ResourceAmount()), ResourceUsage())
 
     def take(self, spec: JobSpec, tasks: int) -> None:
-        """Takes what so many tasks use from the limit of the job's team."""
+        """Deducts the resources of `tasks` tasks from the limit of the job's team."""
         if spec.team in self._amounts:
             remaining = self._amounts[spec.team]
             self._amounts[spec.team] = ResourceAmount(
@@ -117,14 +122,18 @@
 
 
 def bound_zone_of(job: Job) -> str | None:
-    """The zone to which a job is bound by its tasks, if it is."""
+    """The zone to which a `one_zone` job is bound by its claimed tasks, if any."""
     return job.progress.zone if job.spec.one_zone else None
 
 
 def parallel_tasks(job: Job, settings: Settings, wall_clock_ms: int, spread: float) -> int:
-    """How many of the job's remaining tasks should run at a time.
+    """How many of the job's remaining tasks should run at once.
 
-    `spread`: the part of the time left to the job's next target that its work is spread over.
+    Args:
+        job: The job.
+        settings: The settings.
+        wall_clock_ms: The time in milliseconds since the Unix epoch.
+        spread: The share of the time left to the job's next target over which its work is spread.
     """
     estimate_s = max(job.spec.estimate_s, MIN_ESTIMATE_S)
     age_s = (wall_clock_ms - job.submitted_ms) / 1000
@@ -134,15 +143,15 @@
 
 
 def parallel_or_gang_tasks(job: Job, settings: Settings, wall_clock_ms: int, spread: float) -> int:
-    """As `parallel_tasks`, where a gang needs all its tasks at a time."""
+    """Like `parallel_tasks`, except that a gang needs all its tasks at once."""
     return job.spec.tasks if job.spec.gang else parallel_tasks(job, settings, wall_clock_ms, spread)
 
 
 def is_released_soon(job: Job, tables: Tables) -> bool:
-    """Whether all that the job still waits for has begun and it may not use spot machines.
+    """Whether all unfinished prerequisites of the job have started and the job may not use spot machines.
 
-    Of the other machines there are few, and one may be up by the time that the job is released. Other jobs find
-    capacity; counting them ahead as well costs more than it gains.
+    There are few machines that are not spot machines, so one is rented early and may be up when the job becomes
+    runnable. Other jobs find capacity anyway; renting early for them as well would cost more than it gains.
     """
     if job.spec.spot or not job.unfinished_prerequisites or job.prerequisite_cancelled:
         return False
@@ -152,9 +161,14 @@
 def demand_within_quota(
     jobs: Iterable[Job], quota: RemainingQuota, tasks_at_once: Callable[[Job], int]
 ) -> list[Demand]:
-    """What jobs demand, the oldest first, within what is left of their teams' limits; it is taken from these.
+    """The demand of jobs, the oldest first, within the rest of their teams' limits.
+
+    Jobs of unknown teams have no demand.
 
-    `tasks_at_once`: how many tasks of a job should run at a time. Jobs of teams that are not known demand nothing.
+    Args:
+        jobs: The jobs.
+        quota: The rest of the teams' limits; the demand is deducted from it.
+        tasks_at_once: Returns how many tasks of a job should run at once.
     """
     found: list[Demand] = []
     for job in sorted(jobs, key=lambda job: job.ready_revision):
@@ -169,7 +183,7 @@
 
 
 def current_demand(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
-    """What the jobs demand that are released, or soon will be, within the teams' limits, the oldest first."""
+    """The demand of jobs that are runnable, or soon will be, within the teams' limits, the oldest first."""
     jobs = (job for job in tables.jobs.values() if job.is_runnable or is_released_soon(job, tables))
     return demand_within_quota(
         jobs, RemainingQuota.of(settings), lambda job: parallel_tasks(job, settings, wall_clock_ms, spread)
@@ -180,7 +194,7 @@
 
 
 def machines_needed(spec: JobSpec, tasks: int, kind: MachineType) -> float:
-    """How many machines of the type the tasks would fill, as a fraction."""
+    """How many machines of the type the tasks would fill; may be fractional."""
     shares = [spec.cores / kind.cores if kind.cores else 0.0]
     shares.append(spec.memory / kind.memory if kind.memory else 0.0)
     shares.append(spec.gpus / kind.gpus if kind.gpus else 0.0)
@@ -188,7 +202,7 @@
 
 
 def instance_offers(types: dict[str, MachineType]) -> list[InstanceOffer]:
-    """All kinds of a catalog, the cheapest by the core first."""
+    """All kinds of machine in a catalog, the lowest price per core first."""
     found = [
         InstanceOffer(InstanceKind(kind.name, zone, spot), kind)
         for kind in types.values()
@@ -200,18 +214,18 @@
 
 
 class PackedDemand(NamedTuple):
-    """Demand put on the machines at hand."""
+    """The result of packing demand onto the supplied machines."""
 
-    # Machines that are left over, by kind, as fractions.
+    # By kind: how many machines are left over; may be fractional.
     unused: dict[InstanceKind, float]
-    # What found no machine.
+    # The demand that no machine was left for.
     unmet: list[Demand]
 
 
 def pack_demand(
     demand: list[Demand], supply: Mapping[InstanceKind, float], offers: list[InstanceOffer]
 ) -> PackedDemand:
-    """Puts demand on the machines at hand, in the order of the offers, which is the cheapest first."""
+    """Packs demand onto the supplied machines in the order of the offers, which are sorted by price."""
     unused = {offer.kind: float(supply.get(offer.kind, 0)) for offer in offers}
     unmet: list[Demand] = []
     for wanted in demand:
@@ -234,7 +248,7 @@
 
 @dataclass
 class ScaleOutPlan:
-    """So many machines of one kind to rent."""
+    """The kind and the number of machines to rent."""
 
     kind: InstanceKind
     count: int
@@ -247,15 +261,25 @@
     refused: set[InstanceKind],
     max_count: int,
 ) -> ScaleOutPlan | None:
-    """What to rent next, or None when the machines at hand, up or on their way, have capacity for all.
+    """Chooses which machines to rent next.
+
+    Of the kinds for which there is enough unmet demand, chooses the one with the lowest price per core, and of equally
+    priced kinds the one with the fewest machines.
+
+    Args:
+        demand: The demand of the jobs.
+        supply: By kind, the number of machines that are up or booting.
+        types: The catalog of machine types.
+        refused: The kinds for which the cloud had no capacity a short while ago.
+        max_count: The largest number of machines to rent.
 
-    Of the kinds that are worth a machine the cheapest by the core, and of equal ones that of which there are fewest.
-    `refused`: kinds that the cloud did not have a short while ago.
+    Returns:
+        The plan; None when the supply meets the demand, or when no kind has enough unmet demand.
     """
     offers = instance_offers(types)
     unmet = pack_demand(demand, supply, offers).unmet
-    # Guards against a small job for which there is no machine at all: worth none by its size, it was never
-    # started, for example tasks that may not use spot machines, once the last other machine is returned.
+    # A job that no supplied machine suits gets one even if it would fill only a small part of it. Otherwise a small job
+    # would never start, for example one that may not use spot machines after the last other machine was returned.
     without_machine = [
         wanted for wanted in unmet if not any(supply.get(offer.kind, 0) > 0 and wanted.suits(offer) for offer in offers)
     ]
@@ -277,9 +301,10 @@
 def plan_scale_in(
     demand: list[Demand], supply: dict[InstanceKind, int], types: dict[str, MachineType]
 ) -> dict[InstanceKind, int]:
-    """How many machines of each kind are surplus: what demand leaves over, the dearest first.
+    """How many machines of each kind the demand leaves unused, so that they can be returned.
 
-    One machine more is kept, of the cheapest kind that is left over. Nothing is surplus while some demand is unmet.
+    Demand is packed onto the cheapest machines first, so that the most expensive ones are left unused. One unused
+    machine, of the cheapest kind that has any, is kept as a reserve. Nothing is returned while some demand is unmet.
     """
     offers = instance_offers(types)
     packed = pack_demand(demand, supply, offers)
