--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -1,12 +1,12 @@
-"""Quota of teams: their limits, how they are divided among controllers, and their guarantees.
+"""Quotas of teams: their limits, the division of limits among controllers, and their guarantees.
 
-A team's limit is split into allocations, one for each controller, which are stored and moved only by conditional
-writes; their sum never passes the limit. A controller starts a task only while all tasks of the team that may exist
-on its machines, this one included, fit its allocation. So the limit holds although controllers start tasks without
-asking each other, and one who restarts or is cut off leaves its allocation in place until every task it covered is
-adopted or accounted for.
+A team's limit is split into allocations, one for each controller. Allocations are stored and changed only by
+conditional writes, and their sum never exceeds the limit. A controller starts a task only if its allocation covers all
+tasks of the team that may exist on its machines, including this one. The limit therefore holds although controllers
+start tasks independently of each other. When a controller restarts or is partitioned, its allocation stays in place
+until every task that it covered is adopted or accounted for.
 
-Functions without state, for everybody. Amounts are cores and GPUs; of memory there is no quota.
+The functions keep no state and are used by several actors. Amounts are in cores and GPUs; memory has no quota.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType
 
-# Sums of decimal amounts (cores, GPUs, GB) carry rounding; half of the last place that a limit could be meant to have.
+# Sums of decimal amounts (cores, GPUs, GB) have rounding errors. This is well below the precision of any real limit.
 ROUNDING_TOLERANCE = 1e-6
 
 
 class ResourceAmount(NamedTuple):
-    """An amount of what quotas bound. Stored and compared as the plain pair."""
+    """An amount of the resources that quotas limit. Stored and compared as a plain pair."""
 
     cores: float = 0.0
     gpus: float = 0.0
@@ -33,26 +33,26 @@
 
 @dataclass
 class ResourceUsage:
-    """What a changing set of tasks uses, or may use."""
+    """The resources that a changing set of tasks uses, or could use."""
 
     cores: float = 0.0
     gpus: float = 0.0
 
     def add(self, spec: JobSpec, count: int = 1) -> None:
-        """Adds so many tasks of the job; a negative count takes them out."""
+        """Adds the resources of `count` tasks of the job; a negative count subtracts them."""
         self.cores += count * spec.cores
         self.gpus += count * spec.gpus
 
 
 class ReservedQuota(NamedTuple):
-    """What of a team's limit is reserved for a job that waits for its machine."""
+    """The part of a team's limit that is reserved for a job that waits for a machine."""
 
     team: str
     usage: ResourceUsage
 
 
 def team_limit(team: Team) -> ResourceAmount:
-    """The most that the team may use, over all controllers."""
+    """The limit on the team's total usage, over all controllers."""
     return ResourceAmount(team.cpus_max, team.gpus_max)
 
 
@@ -68,7 +68,7 @@
 
 
 def unschedulable_reason(spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType]) -> str | None:
-    """Why the job can never run, as its user is answered, or None."""
+    """The error text for a user whose job can never run; None if the job can run."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
@@ -85,7 +85,7 @@
 
 
 def tasks_within_quota(spec: JobSpec, quota: ResourceAmount, usage: ResourceUsage) -> int:
-    """How many more tasks of the job the quota covers, beside what its team uses of it."""
+    """How many more tasks of the job the quota covers in addition to its team's usage."""
     count = spec.tasks
     if spec.cores > 0:
         count = min(count, int((quota.cores - usage.cores + ROUNDING_TOLERANCE) // spec.cores))
@@ -97,13 +97,15 @@
 def reallocate(
     allocations: dict[str, ResourceAmount], limit: ResourceAmount, incarnation_id: str, wanted: ResourceAmount
 ) -> dict[str, ResourceAmount]:
-    """The allocations after one controller asks for a new one: up to what is free, never past the limit.
+    """The allocations of a team after one controller requested a new one.
+
+    The controller gets the requested amount as far as it is not allocated to others; the sum never exceeds the limit.
 
     Args:
-        allocations: What each incarnation of a controller has of the team's limit.
+        allocations: The allocations of the team, by incarnation of a controller.
         limit: The team's limit.
-        incarnation_id: The controller that asks.
-        wanted: What it should have, instead of what it has.
+        incarnation_id: The incarnation that requests the allocation.
+        wanted: The requested allocation, which replaces the current one.
     """
     after = {holder: amount for holder, amount in allocations.items() if holder != incarnation_id}
     free_cores = limit.cores - sum(amount.cores for amount in after.values())
@@ -117,7 +119,7 @@
 def transfer(
     allocations: dict[str, ResourceAmount], source: str, target: str, spec: JobSpec, count: int
 ) -> dict[str, ResourceAmount]:
-    """The allocations after so many tasks of one controller were found on a machine of another."""
+    """The allocations of a team after `count` tasks claimed by `source` were found on a machine of `target`."""
     after = dict(allocations)
     source_amount = after.get(source, NOTHING)
     target_amount = after.get(target, NOTHING)
@@ -129,10 +131,10 @@
 
 
 def is_within(usage: ResourceUsage | ResourceAmount, amount: ResourceAmount) -> bool:
-    """Whether the amount covers the usage, of cores and of GPUs."""
+    """Whether the amount covers the usage, in cores as well as in GPUs."""
     return usage.cores <= amount.cores + ROUNDING_TOLERANCE and usage.gpus <= amount.gpus + ROUNDING_TOLERANCE
 
 
 def within_guarantee(team: Team, cores: float, gpus: float) -> bool:
-    """Whether so much lies within what the team is guaranteed."""
+    """Whether the team's guarantee covers this many cores and GPUs."""
     return is_within(ResourceAmount(cores, gpus), ResourceAmount(team.cpus, team.gpus))
--- a/sloeswitch/core/quota_allocation.py
+++ b/sloeswitch/core/quota_allocation.py
@@ -1,6 +1,6 @@
-"""When a controller asks for a larger or a smaller allocation of a team's limit.
+"""Decides when a controller requests a larger or a smaller allocation of a team's limit.
 
-A decision without state; `actors.quota_ledger` makes it for each team and asks for what comes out.
+The decision keeps no state; `actors.quota_ledger` makes it for each team and requests the resulting allocation.
 """
 
 from __future__ import annotations
@@ -10,27 +10,29 @@
 from sloeswitch.core.quota import ROUNDING_TOLERANCE, ResourceAmount, ResourceUsage, is_within, team_limit
 from sloeswitch.settings import Team
 
-# A limit is scarce when less than this part of it is allocated to nobody.
+# A limit is scarce when less than this share of it is unallocated.
 SCARCE_FREE_SHARE = 0.1
-# While it is not, a controller takes this many times what it could use, and at least an equal part.
+# While a limit is not scarce, a controller requests its usage times this factor, and at least an equal share.
 SPARE_MARGIN = 1.2
-# Of a scarce limit a controller returns what it has above its use, unless that leaves hardly less than it has.
+# A controller returns its surplus of a scarce limit only if it would keep less than this share of its allocation: a
+# smaller change is not worth a write.
 MIN_SHRINK_RATIO = 0.97
 
 
 @dataclass(frozen=True)
 class QuotaAllocation:
-    """One controller's part of a team's limit.
+    """The allocation of a team's limit to one controller.
 
-    Each change is a write: while much of the limit is free, whole parts of it are taken and kept. Of a limit that is
-    used up nobody keeps more than it needs: others wait for what would lie idle for the sake of a write.
+    Each change costs a write. While much of the limit is unallocated, a controller therefore takes and keeps at least
+    an equal share. When the limit is scarce, a controller keeps no more than it needs: other controllers wait for quota
+    that would otherwise be idle only to save a write.
 
     Attributes:
-        team: Whose limit it is.
-        allocated: What this controller may use now.
-        usage: What it could put to use: what runs, what waits, and what could be claimed.
-        unallocated: What of the limit is nobody's.
-        controller_count: Among how many the limit is divided.
+        team: The team.
+        allocated: The current allocation of this controller.
+        usage: The usage that is possible on this controller's machines: running, claimed and unclaimed tasks.
+        unallocated: The part of the limit that is allocated to no controller.
+        controller_count: The number of controllers that share the limit.
     """
 
     team: Team
@@ -41,7 +43,7 @@
 
     @property
     def is_scarce(self) -> bool:
-        """Whether little of the limit is free."""
+        """Whether only a small part of the limit is unallocated."""
         limit = team_limit(self.team)
         return (
             self.unallocated.cores < SCARCE_FREE_SHARE * limit.cores
@@ -50,7 +52,7 @@
 
     @property
     def target(self) -> ResourceAmount:
-        """What this controller should have."""
+        """The allocation that this controller should have."""
         limit = team_limit(self.team)
         margin, part = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controller_count)
         return ResourceAmount(
@@ -59,17 +61,17 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether more could be put to use than is allocated."""
+        """Whether the possible usage exceeds the allocation."""
         return not is_within(self.usage, self.allocated)
 
     @property
     def has_unallocated(self) -> bool:
-        """Whether there is anything to ask for."""
+        """Whether any part of the limit is unallocated, so that an increase can be granted."""
         return self.unallocated.cores > ROUNDING_TOLERANCE or self.unallocated.gpus > ROUNDING_TOLERANCE
 
     @property
     def has_surplus(self) -> bool:
-        """Whether a part that others may need lies idle."""
+        """Whether a part of the allocation is idle that other controllers may need."""
         target = self.target
         return self.is_scarce and (
             target.cores < MIN_SHRINK_RATIO * self.allocated.cores
@@ -78,12 +80,12 @@
 
     @property
     def increased(self) -> ResourceAmount:
-        """What to ask for when short: no less than there is of either resource."""
+        """The allocation to request when short: no less of either resource than is allocated now."""
         target = self.target
         return ResourceAmount(max(target.cores, self.allocated.cores), max(target.gpus, self.allocated.gpus))
 
     @property
     def decreased(self) -> ResourceAmount:
-        """What to keep when there is a surplus: no more than there is of either resource."""
+        """The allocation to keep when there is a surplus: no more of either resource than is allocated now."""
         target = self.target
         return ResourceAmount(min(self.allocated.cores, target.cores), min(self.allocated.gpus, target.gpus))
--- a/sloeswitch/core/quota_changes.py
+++ b/sloeswitch/core/quota_changes.py
@@ -20,9 +20,9 @@
 
 
 class QuotaDecrease(NamedTuple):
-    """A smaller allocation, and the revision of the team's row that it was computed from.
+    """A smaller allocation, and the revision of the team's row from which it was computed.
 
-    It is relative to that row: what the row's allocation has above it is returned.
+    The amount to return is the difference between the allocation in that row and this one.
     """
 
     mod_revision: int
@@ -35,24 +35,24 @@
 
 
 class QuotaChangeReason(StrEnum):
-    """Why a team's allocations change, as logged."""
+    """Why a team's allocations change; the values appear in the log."""
 
     ADOPTION = "adoption"
     INCREASE = "increase"
     DECREASE = "decrease"
-    # A departed controller's allocation is dropped, since the recovery is complete.
+    # The allocation of a departed controller is dropped once the recovery is complete.
     DEPARTED = "departed"
 
 
 @dataclass(frozen=True)
 class QuotaRowChange:
-    """How a transaction changes the allocations of one team.
+    """The change that a transaction makes to the allocations of one team.
 
     Attributes:
         team: The team.
         before: The stored allocations.
-        after: The allocations that are written.
-        reasons: Why, each once, in the order in which they were planned.
+        after: The allocations to write.
+        reasons: The reasons for the change, without duplicates, in the order in which they occurred.
     """
 
     team: str
@@ -62,7 +62,7 @@
 
 
 class QuotaChanges:
-    """The teams whose allocations one transaction touches, and their allocations after it."""
+    """The teams whose allocations one transaction may change, and their allocations after it."""
 
     def __init__(self, tables: Tables, incarnation_id: str, recovery_complete: bool) -> None:
         self._tables = tables
@@ -81,7 +81,11 @@
         return self._tables.quota_allocations.get(team, {})
 
     def _current(self, team: str) -> TeamAllocations:
-        """The team's allocations so far, without departed controllers' once no task that those covered can exist."""
+        """The team's allocations with the changes so far.
+
+        Once the recovery is complete, the allocations of departed controllers are left out: no task that they covered
+        can still exist.
+        """
         if team in self._allocations:
             return self._allocations[team]
         stored = self._stored(team)
@@ -91,7 +95,7 @@
         return {holder: amount for holder, amount in stored.items() if holder in members}
 
     def move_with_adoption(self, job: Job, adopted: int) -> None:
-        """Moves the part of the limit that adopted tasks use from their former holders to this controller."""
+        """Moves the allocations of adopted tasks from the controllers that claimed them to this one."""
         allocations = self._current(job.spec.team)
         for holder, tasks in job.progress.claims.items():
             if holder != self._incarnation_id and tasks & adopted:
@@ -101,21 +105,22 @@
         self._set(job.spec.team, allocations, QuotaChangeReason.ADOPTION)
 
     def increase(self, team: Team, wanted: ResourceAmount) -> None:
-        """Raises this controller's allocation to what is wanted, as far as the team's limit has it."""
+        """Raises this controller's allocation to the wanted amount, as far as the team's limit allows."""
         allocations = self._current(team.name)
-        # An adoption may have raised it since the request was made; only the requester knows when less will do.
+        # An adoption may have raised the allocation since the request was made. An increase never lowers it; only the
+        # requester can decide that less is enough.
         cores, gpus = allocations.get(self._incarnation_id, ResourceAmount())
         amount = ResourceAmount(max(wanted.cores, cores), max(wanted.gpus, gpus))
         changed = quota.reallocate(allocations, quota.team_limit(team), self._incarnation_id, amount)
         self._set(team.name, changed, QuotaChangeReason.INCREASE)
 
     def decrease(self, team: str, decrease: QuotaDecrease) -> None:
-        """Returns a part of this controller's allocation, unless the team's row changed since that was computed."""
+        """Returns a part of this controller's allocation, unless the team's row has changed since it was computed."""
         if decrease.mod_revision != self._tables.mod_revision(keys.team_key(team)):
             return
         stored = self._tables.quota_allocation(team, self._incarnation_id)
         allocations = dict(self._current(team))
-        # What this transaction's adoptions brought was not there to be returned when the decrease was computed.
+        # Subtracts the difference, rather than setting the amount, to keep what adoptions in this transaction added.
         cores, gpus = allocations.get(self._incarnation_id, ResourceAmount())
         allocations[self._incarnation_id] = ResourceAmount(
             cores - max(0.0, stored.cores - decrease.cores), gpus - max(0.0, stored.gpus - decrease.gpus)
@@ -129,7 +134,7 @@
             reasons.append(reason)
 
     def row_changes(self) -> list[QuotaRowChange]:
-        """The teams whose stored allocations change, for the log."""
+        """The changes to stored allocations, by team, for the log."""
         changes = []
         for team, after in self._allocations.items():
             before = self._stored(team)
@@ -142,7 +147,11 @@
         return changes
 
     def write_rows(self, transaction: Transaction, forced_rewrites: Set[str]) -> bool:
-        """Adds the rows of teams whose allocations change, or are to be rewritten; returns whether there is any."""
+        """Adds writes of the rows of teams whose allocations change or whose row must be rewritten.
+
+        Returns:
+            Whether any write was added.
+        """
         has_written = False
         for team, allocations in self._allocations.items():
             if allocations == self._stored(team) and team not in forced_rewrites:
@@ -155,5 +164,5 @@
 
 
 def _encode_allocations(allocations: Mapping[str, ResourceAmount]) -> dict[str, list[float]]:
-    """The value of a team's row; an empty allocation is left out."""
+    """The value of a team's row, without empty allocations."""
     return {holder: list(amount) for holder, amount in allocations.items() if amount.cores > 0 or amount.gpus > 0}
