--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -99,7 +99,7 @@
             for attempt in machine.attempts.values()
             if attempt.spec.team == spec.team
         ]
-        return preemption.victims_within_limit(spec, shortfall, preemption.preemptible(job, others, order))
+        return preemption.choose_quota_victims(spec, shortfall, preemption.preemptible(job, others, order))
 
     def _stop(self, attempts: list[Attempt]) -> None:
         keys = {attempt.key for attempt in attempts}
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -139,7 +139,7 @@
         if job.spec.gang:
             if tasks != job.all_tasks:
                 return False
-            trial = [capacity.trial() for capacity in usable]
+            trial = [capacity.copy() for capacity in usable]
             if len(placement.pack_tasks(job, tasks, trial)) < job.spec.tasks:
                 return False
         placed = placement.pack_tasks(job, tasks, usable)
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -20,7 +20,7 @@
 )
 from sloeswitch.admission.decisions import decide
 from sloeswitch.admission.limits import SURPLUS, AdmissionLimits
-from sloeswitch.core.claim_planner import shape_of
+from sloeswitch.core.claim_planner import placement_shape
 from sloeswitch.core.quota import ResourceUsage, within_guarantee
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
@@ -207,7 +207,7 @@
                 alike = (
                     None
                     if job.unfinished_prerequisites
-                    else (job.spec.team, job.spec.gang and job.spec.tasks, shape_of(job.spec))
+                    else (job.spec.team, job.spec.gang and job.spec.tasks, placement_shape(job.spec))
                 )
                 if alike not in self.no_room:
                     bundle = self.backlog.bundle(job)
--- a/sloeswitch/core/claim_order.py
+++ b/sloeswitch/core/claim_order.py
@@ -16,25 +16,27 @@
 AFFINITY_WINDOW_PER_CONTROLLER = 4
 
 
-def rotate(jobs: list[Job], controllers: int, turn: int) -> list[Job]:
-    """Splits the queue into chunks of one job per controller and rotates each chunk by `turn` jobs.
+def rotate(jobs: list[Job], controller_count: int, position: int) -> list[Job]:
+    """Splits the queue into chunks of one job per controller and rotates each chunk by `position` jobs.
 
     Each controller therefore starts at a different one of the oldest jobs, and no job leaves its chunk.
 
     Args:
         jobs: The jobs in the order of the queue.
-        controllers: The number of controllers.
-        turn: The index of this controller among them.
+        controller_count: The number of controllers.
+        position: The index of this controller among them.
     """
     rotated: list[Job] = []
-    for start in range(0, len(jobs), controllers):
-        chunk = jobs[start : start + controllers]
-        shift = turn % len(chunk)
+    for start in range(0, len(jobs), controller_count):
+        chunk = jobs[start : start + controller_count]
+        shift = position % len(chunk)
         rotated += chunk[shift:] + chunk[:shift]
     return rotated
 
 
-def deal(jobs: list[Job], controllers: int, turn: int, has_image_affinity: Callable[[Job], bool]) -> Iterator[Job]:
+def order_by_affinity(
+    jobs: list[Job], controller_count: int, position: int, has_image_affinity: Callable[[Job], bool]
+) -> Iterator[Job]:
     """The order in which one controller claims the jobs.
 
     Splits the queue into windows of consecutive jobs of equal rank. Within a window, jobs whose image has affinity to
@@ -43,17 +45,21 @@
 
     Args:
         jobs: The jobs in the order of the queue.
-        controllers: The number of controllers.
-        turn: The index of this controller among them.
+        controller_count: The number of controllers.
+        position: The index of this controller among them.
         has_image_affinity: Whether the image of a job has affinity to this controller.
     """
     start = 0
     while start < len(jobs):
-        window = _window(jobs, start, AFFINITY_WINDOW_PER_CONTROLLER * controllers)
+        window = _window(jobs, start, AFFINITY_WINDOW_PER_CONTROLLER * controller_count)
         start += len(window)
-        near = [has_image_affinity(job) for job in window]
-        yield from compress(window, near)
-        yield from rotate([job for job, is_near in zip(window, near, strict=True) if not is_near], controllers, turn)
+        affinities = [has_image_affinity(job) for job in window]
+        yield from compress(window, affinities)
+        yield from rotate(
+            [job for job, has_affinity in zip(window, affinities, strict=True) if not has_affinity],
+            controller_count,
+            position,
+        )
 
 
 def _window(jobs: list[Job], start: int, limit: int) -> list[Job]:
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -22,7 +22,7 @@
 # claims for as many jobs as one transaction takes, it stops if its scans took more than this share of the report
 # interval.
 MACHINES_SCANNED_PER_CORE_S = 200_000
-PASS_TIME_SHARE = 0.25
+MAX_SCAN_TIME_SHARE = 0.25
 # For this many ticks a new job without claimed tasks is left to the controller that its image has affinity to.
 IMAGE_AFFINITY_TICKS = 2
 
@@ -38,7 +38,7 @@
     spot: bool
 
 
-def shape_of(spec: JobSpec) -> PlacementShape:
+def placement_shape(spec: JobSpec) -> PlacementShape:
     """The placement requirements of the tasks of a job."""
     types = None if spec.types is None else tuple(spec.types)
     return PlacementShape(spec.cores, spec.gpus, spec.memory, types, spec.zone, spec.spot)
@@ -95,21 +95,21 @@
     affinity_s: float
 
     @staticmethod
-    def of(settings: Settings, txn_ops: int, pace_s: float) -> PlanLimits:
+    def of(settings: Settings, txn_ops: int, tick_interval_s: float) -> PlanLimits:
         """Computes the limits.
 
         Args:
             settings: The settings.
             txn_ops: The number of operations that a transaction takes now.
-            pace_s: The time between two ticks, in seconds.
+            tick_interval_s: The time between two ticks, in seconds.
         """
         return PlanLimits(
             max_jobs=max(1, txn_ops // 2),
-            max_capacities_scanned=PASS_TIME_SHARE
+            max_capacities_scanned=MAX_SCAN_TIME_SHARE
             * MACHINES_SCANNED_PER_CORE_S
             * settings.controller_cores
             * settings.report_s,
-            affinity_s=IMAGE_AFFINITY_TICKS * pace_s,
+            affinity_s=IMAGE_AFFINITY_TICKS * tick_interval_s,
         )
 
 
@@ -149,7 +149,7 @@
         self.tables = tables
         self.recovery_complete = tables.recovery_complete()
         self.capacities = snapshot.capacities
-        self.ahead_cores = snapshot.cores_ahead
+        self.remaining_cores_ahead = snapshot.cores_ahead
         self.capacities_scanned = 0
         # Shapes that fitted no machine. They need not be tried again, since capacity only shrinks during the pass.
         self.unplaceable_shapes: set[PlacementShape] = set()
@@ -169,8 +169,8 @@
             controller_count: The number of controllers that claim tasks.
             position: The index of this controller among them; it keeps controllers from all claiming the same job.
         """
-        for job in claim_order.deal(queue, controller_count, position, self.snapshot.has_image_affinity):
-            if not self.capacities and self.ahead_cores < self.snapshot.least_cores:
+        for job in claim_order.order_by_affinity(queue, controller_count, position, self.snapshot.has_image_affinity):
+            if not self.capacities and self.remaining_cores_ahead < self.snapshot.least_cores:
                 self.claims.remaining_capacities = []
                 break  # no later job can get capacity; with a backlog the queue is long and is scanned often
             if (
@@ -263,8 +263,8 @@
         """Places at most `count` tasks, idle claims included; returns the set of placed tasks."""
         spec = job.spec
         # A gang is tried on copies: if it does not fit as a whole, it takes no capacity.
-        capacities = [each.trial() for each in candidates] if spec.gang else candidates
-        shape = shape_of(spec)
+        capacities = [each.copy() for each in candidates] if spec.gang else candidates
+        shape = placement_shape(spec)
         if not capacities or shape in self.unplaceable_shapes:
             self.planned_tasks.setdefault(spec.id, 0)
             return 0
@@ -288,8 +288,10 @@
         placed_count = placed.bit_count()
         ahead = 0
         if not (spec.gang or spec.zone_bound):
-            ahead = min(count - placed_count, int(self.ahead_cores // max(spec.cores, quota.ROUNDING_TOLERANCE)))
-            self.ahead_cores -= ahead * spec.cores
+            ahead = min(
+                count - placed_count, int(self.remaining_cores_ahead // max(spec.cores, quota.ROUNDING_TOLERANCE))
+            )
+            self.remaining_cores_ahead -= ahead * spec.cores
         wanted = min(unclaimed.bit_count(), max(0, placed_count + ahead - idle_count))
         is_worth_a_write = placed_count > idle_count or 2 * idle_count < ahead
         claims = self.claims
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -33,7 +33,7 @@
         for prerequisite in job.spec.prerequisites:
             finished = self.finished_jobs.get(prerequisite)
             if finished is not None and finished.is_done:
-                self._count_ready_time(job, finished)
+                self._update_ready_time(job, finished)
                 continue
             job.unfinished_prerequisites += 1
             known = self.jobs.get(prerequisite)
@@ -52,10 +52,10 @@
             job = self.jobs.get(successor)
             if job is not None:
                 job.unfinished_prerequisites -= 1
-                self._count_ready_time(job, finished)
+                self._update_ready_time(job, finished)
 
     @staticmethod
-    def _count_ready_time(job: Job, finished: FinishedJob) -> None:
+    def _update_ready_time(job: Job, finished: FinishedJob) -> None:
         """Sets the ready time of a job to the completion of its last prerequisite so far.
 
         Rows written by versions that stored no completion time are older than any job that depends on them, so that
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -45,7 +45,7 @@
     """How far a job moves ahead in the queue because it has waited too long; the lowest value goes first."""
 
     # No task has started after STARVATION_LEASES.
-    NOT_BEGUN = 0
+    NOT_STARTED = 0
     # The job is not done after twice STARVATION_LEASES: it is ordered by age alone.
     NOT_DONE = 1
     # All other jobs.
@@ -53,7 +53,7 @@
 
 
 # Module constants avoid an attribute lookup for every job at every tick.
-NOT_BEGUN, NOT_DONE, ORDINARY = StarvationRank
+NOT_STARTED, NOT_DONE, ORDINARY = StarvationRank
 
 
 class QueueKey(NamedTuple):
@@ -70,7 +70,7 @@
     # Orders jobs of equal rank: the latest start or the ready time in seconds since the Unix epoch, a revision of the
     # store, or a negated estimate in seconds. The other fields determine which, so that jobs of equal rank have the
     # same kind of value here.
-    age: float
+    tie_breaker: float
 
     @property
     def rank(self) -> tuple[int, ...]:
@@ -82,23 +82,23 @@
 STARVED_PART_PRIORITY = PriorityRank.CRITICAL - 1
 
 
-def is_begun(job: Job) -> bool:
+def has_started_tasks(job: Job) -> bool:
     """Whether any task of the job is claimed or done according to the stored tables."""
     return bool(job.progress.done or job.progress.claims)
 
 
-def starvation_rank(begun: bool, age_s: float, lease_s: float) -> StarvationRank:
+def starvation_rank(started: bool, age_s: float, lease_s: float) -> StarvationRank:
     """The starvation rank of a job.
 
     Args:
-        begun: Whether any task of the job has started.
+        started: Whether any task of the job has started.
         age_s: Seconds since the job became runnable.
         lease_s: The duration of a worker's lease in seconds.
     """
     if age_s < STARVATION_LEASES * lease_s:
         return ORDINARY
-    if not begun:
-        return NOT_BEGUN
+    if not started:
+        return NOT_STARTED
     return NOT_DONE if age_s > 2 * STARVATION_LEASES * lease_s else ORDINARY
 
 
@@ -108,7 +108,7 @@
 
 
 def queue_order(
-    tables: Tables, settings: Settings, wall_clock_ms: int, has_begun: Callable[[Job], bool] = is_begun
+    tables: Tables, settings: Settings, wall_clock_ms: int, has_started: Callable[[Job], bool] = has_started_tasks
 ) -> list[Job]:
     """Returns the runnable jobs in the order in which they get free capacity; a starved job is listed twice.
 
@@ -129,10 +129,10 @@
         starvation = ORDINARY
         # A job delegated by another cell is never starved here: its origin takes it back in time.
         if job.delegated is None:
-            starvation = starvation_rank(has_begun(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
-        job.starved = starvation is NOT_BEGUN
+            starvation = starvation_rank(has_started(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
+        job.starved = starvation is NOT_STARTED
         if job.starved:
-            key = QueueKey(NOT_BEGUN, False, False, STARVED_PART_PRIORITY, 0, float(job.ready_revision))
+            key = QueueKey(NOT_STARTED, False, False, STARVED_PART_PRIORITY, 0, float(job.ready_revision))
             entries.append((key, job))
             starvation = ORDINARY
         key = _queue_key(job, starvation, priority, settings, wall_clock_ms)
@@ -166,13 +166,13 @@
         A job delegated by another cell has no guarantee here and adds nothing to its team's demand.
         """
         spec = job.spec
-        decisive = self._all_demand[spec.team]
+        counted_demand = self._all_demand[spec.team]
         if job.delegated is None:
-            decisive.add(spec, spec.tasks)
+            counted_demand.add(spec, spec.tasks)
             if priority < STANDARD:
-                decisive = self._urgent_demand[spec.team]
-                decisive.add(spec, spec.tasks)
-        return decisive
+                counted_demand = self._urgent_demand[spec.team]
+                counted_demand.add(spec, spec.tasks)
+        return counted_demand
 
     def covers(self, job: Job, demand: ResourceUsage) -> bool:
         """Whether the guarantee of the job's team covers the demand that `add_demand` returned for the job."""
@@ -188,7 +188,7 @@
     if job.guaranteed and is_urgent:
         # Goes before jobs that are ordered by age alone, too: under overload these are most of the queue, and small
         # urgent stages of pipelines would wait behind them. The guarantees limit how much work goes first this way.
-        return QueueKey(NOT_BEGUN, False, False, priority, missed, start_or_ready_s)
+        return QueueKey(NOT_STARTED, False, False, priority, missed, start_or_ready_s)
     if starvation is NOT_DONE:
         return QueueKey(starvation, False, False, 0, 0, float(job.ready_revision))
     if missed and start_by_s is None and not is_urgent:
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -69,7 +69,7 @@
         self.memory_gb -= count * spec.memory
         self.images.add(spec.image)
 
-    def trial(self) -> FreeCapacity:
+    def copy(self) -> FreeCapacity:
         """Returns a copy whose resources can be taken without changing this object. The set of images is shared."""
         return FreeCapacity(**vars(self))
 
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -107,7 +107,7 @@
 
     Empty if the task would not fit even with all candidates stopped.
     """
-    trial = capacity.trial()
+    trial = capacity.copy()
     victims: list[Attempt] = []
     for attempt in candidates:
         if trial.max_tasks(spec):
@@ -117,7 +117,7 @@
     return victims if trial.max_tasks(spec) else []
 
 
-def victims_within_limit(
+def choose_quota_victims(
     spec: JobSpec, shortfall: ResourceUsage, candidates: Iterable[Attempt]
 ) -> list[Attempt] | None:
     """The attempts of the job's own team that have to stop so that the team's limit covers the shortfall.
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -28,7 +28,7 @@
     gpus: float = 0.0
 
 
-NOTHING = ResourceAmount()
+NO_RESOURCES = ResourceAmount()
 
 
 @dataclass
@@ -121,8 +121,8 @@
 ) -> dict[str, ResourceAmount]:
     """The allocations of a team after `count` tasks claimed by `source` were found on a machine of `target`."""
     after = dict(allocations)
-    source_amount = after.get(source, NOTHING)
-    target_amount = after.get(target, NOTHING)
+    source_amount = after.get(source, NO_RESOURCES)
+    target_amount = after.get(target, NO_RESOURCES)
     cores = min(source_amount.cores, count * spec.cores)
     gpus = min(source_amount.gpus, count * spec.gpus)
     after[source] = ResourceAmount(source_amount.cores - cores, source_amount.gpus - gpus)
--- a/sloeswitch/core/quota_allocation.py
+++ b/sloeswitch/core/quota_allocation.py
@@ -54,9 +54,9 @@
     def target(self) -> ResourceAmount:
         """The allocation that this controller should have."""
         limit = team_limit(self.team)
-        margin, part = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controller_count)
+        margin, share = (1.0, 0.0) if self.is_scarce else (SPARE_MARGIN, 1.0 / self.controller_count)
         return ResourceAmount(
-            max(margin * self.usage.cores, part * limit.cores), max(margin * self.usage.gpus, part * limit.gpus)
+            max(margin * self.usage.cores, share * limit.cores), max(margin * self.usage.gpus, share * limit.gpus)
         )
 
     @property
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from sloeswitch.core.job_queue import is_begun
+from sloeswitch.core.job_queue import has_started_tasks
 from sloeswitch.core.quota import ResourceAmount, ResourceUsage, fits_type, tasks_within_quota
 from sloeswitch.core.records import Job
 from sloeswitch.core.slo_targets import slo_targets
@@ -137,8 +137,8 @@
     """
     estimate_s = max(job.spec.estimate_s, MIN_ESTIMATE_S)
     age_s = (wall_clock_ms - job.submitted_ms) / 1000
-    ahead_s = [target - age_s for target in slo_targets(job, settings.objectives) if target - age_s > estimate_s]
-    span_s = spread * ahead_s[0] if ahead_s else NO_TARGET_SPREAD * estimate_s
+    remaining_s = [target - age_s for target in slo_targets(job, settings.objectives) if target - age_s > estimate_s]
+    span_s = spread * remaining_s[0] if remaining_s else NO_TARGET_SPREAD * estimate_s
     return min(job.remaining_tasks, math.ceil(job.remaining_tasks * estimate_s / max(span_s, estimate_s)))
 
 
@@ -147,7 +147,7 @@
     return job.spec.tasks if job.spec.gang else parallel_tasks(job, settings, wall_clock_ms, spread)
 
 
-def is_released_soon(job: Job, tables: Tables) -> bool:
+def is_runnable_soon(job: Job, tables: Tables) -> bool:
     """Whether all unfinished prerequisites of the job have started and the job may not use spot machines.
 
     There are few machines that are not spot machines, so one is rented early and may be up when the job becomes
@@ -155,7 +155,7 @@
     """
     if job.spec.spot or not job.unfinished_prerequisites or job.prerequisite_cancelled:
         return False
-    return all(is_begun(tables.jobs[name]) for name in job.spec.prerequisites if name in tables.jobs)
+    return all(has_started_tasks(tables.jobs[name]) for name in job.spec.prerequisites if name in tables.jobs)
 
 
 def demand_within_quota(
@@ -184,7 +184,7 @@
 
 def current_demand(tables: Tables, settings: Settings, wall_clock_ms: int, spread: float) -> list[Demand]:
     """The demand of jobs that are runnable, or soon will be, within the teams' limits, the oldest first."""
-    jobs = (job for job in tables.jobs.values() if job.is_runnable or is_released_soon(job, tables))
+    jobs = (job for job in tables.jobs.values() if job.is_runnable or is_runnable_soon(job, tables))
     return demand_within_quota(
         jobs, RemainingQuota.of(settings), lambda job: parallel_tasks(job, settings, wall_clock_ms, spread)
     )
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -16,7 +16,11 @@
     """The deadlines of a job in seconds since its submission, one for each deadline objective of its class."""
     if spec.deadline_s is None:
         return set()
-    times = {aim.times for aim in objectives if aim.kind == ObjectiveKind.DEADLINE and aim.job_class == spec.job_class}
+    times = {
+        objective.times
+        for objective in objectives
+        if objective.kind == ObjectiveKind.DEADLINE and objective.job_class == spec.job_class
+    }
     return {each * spec.deadline_s for each in times}
 
 
--- a/tests/test_job_order.py
+++ b/tests/test_job_order.py
@@ -58,7 +58,7 @@
         urgency = "critical" if number < 6 else "standard"
         store.job(spec(f"wk-{number:06d}", urgency=urgency, kit=f"img-{number % 2}", cores=0.01))
     queue = job_queue.queue_order(store.tables, parse(SETTINGS), 1000)
-    dealt = list(claim_order.deal(queue, 2, 0, lambda job: job.spec.image == "img-1"))
+    dealt = list(claim_order.order_by_affinity(queue, 2, 0, lambda job: job.spec.image == "img-1"))
     assert {job.spec.id for job in dealt} == {job.spec.id for job in queue} and len(dealt) == 30
     assert [job.spec.image for job in dealt[:6]] == ["img-1"] * 3 + ["img-0"] * 3
     assert {job.spec.priority for job in dealt[:6]} == {"critical"}
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -79,6 +79,6 @@
 def test_at_the_limit_only_the_teams_own_tasks_are_stopped(store: Store) -> None:
     job = spec(SOLVE, **GANG)
     mixed = [*running(4, crew="blue"), *running(4)]
-    chosen = preemption.victims_within_limit(job, ResourceUsage(3.0), mixed)
+    chosen = preemption.choose_quota_victims(job, ResourceUsage(3.0), mixed)
     assert chosen is not None and {attempt.spec.team for attempt in chosen} == {"red"} and len(chosen) == 3
-    assert preemption.victims_within_limit(job, ResourceUsage(5.0), mixed) is None
+    assert preemption.choose_quota_victims(job, ResourceUsage(5.0), mixed) is None
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -82,7 +82,7 @@
     first_s, last_s = STARVATION_LEASES * LEASE_S, 2 * STARVATION_LEASES * LEASE_S
     rank = job_queue.starvation_rank
     assert rank(False, first_s - 0.1, LEASE_S) is rank(True, first_s, LEASE_S) is StarvationRank.ORDINARY
-    assert rank(False, first_s, LEASE_S) is rank(False, 2 * last_s, LEASE_S) is StarvationRank.NOT_BEGUN
+    assert rank(False, first_s, LEASE_S) is rank(False, 2 * last_s, LEASE_S) is StarvationRank.NOT_STARTED
     assert rank(True, last_s, LEASE_S) is StarvationRank.ORDINARY
     assert rank(True, last_s + 0.1, LEASE_S) is StarvationRank.NOT_DONE
 
