--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -74,7 +74,7 @@
 
     @property
     def rank(self) -> tuple[int, ...]:
-        """All fields but the last: jobs of equal rank are ordered by the last field alone."""
+        """All fields but the tie breaker, which alone orders jobs of equal rank."""
         return self[:-1]
 
 
