--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -1,4 +1,4 @@
-"""No job waits for ever: bounded waits for the first task and for the last."""
+"""Starvation: the waits for the first and for the last task of a job are bounded."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
     store.job(spec("wk-000002", urgency="critical", visits=9))  # more than the guarantee
     assert names(store, STARVATION_LEASES * LEASE_S - 1) == ["wk-000002", "wk-000001"]
     assert names(store, STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
-    store.progress("wk-000001", done=0b1)  # begun: others first again, for a while
+    # Once it has started, it goes behind the other job again until it has waited twice as long.
+    store.progress("wk-000001", done=0b1)
     store.progress("wk-000002", done=0b1)
     assert names(store, STARVATION_LEASES * LEASE_S + 1) == ["wk-000002", "wk-000001"]
     assert names(store, 2 * STARVATION_LEASES * LEASE_S + 1) == ["wk-000001", "wk-000002"]
@@ -47,8 +48,8 @@
     assert names(store, 2 * STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
 
 
-def test_every_waiting_team_and_class_begins_within_four_minutes(store: Store) -> None:
-    """Whatever keeps coming, the longest that a job with nothing begun waits for its turn is bounded."""
+def test_jobs_of_every_team_and_class_start_within_four_minutes(store: Store) -> None:
+    """The wait of a job that has not started is bounded, whatever other jobs arrive."""
     store.job(spec("wk-000001", urgency="best_effort", crew="red", visits=300))
     for number in range(2, 40):
         store.job(spec(f"wk-{number:06d}", urgency="critical", dueS=1000.0))
@@ -57,7 +58,7 @@
     assert names(store, STARVATION_LEASES * LEASE_S + 1)[0] == "wk-000001"
 
 
-def test_only_a_part_of_a_job_goes_first_for_having_waited(world: World) -> None:
+def test_only_a_part_of_a_starved_job_goes_first(world: World) -> None:
     world.store.job(spec(visits=16, cores=0.1, memoryGb=0.0))
     job, again = job_queue.queue_order(
         world.store.tables, world.settings, int((STARVATION_LEASES * LEASE_S + 1) * 1000)
@@ -65,12 +66,12 @@
     assert job is again and job.starved
     world.machines.queue.jobs = [job]
     assert world.claim_requests()[0].task_counts == {JOB: 2}
-    # In its ordinary place it gets what room is left.
+    # At its ordinary position it gets the rest of the free capacity.
     world.machines.queue.jobs = [job, job]
     assert world.claim_requests()[0].task_counts == {JOB: 16}
 
 
-def test_a_job_claimed_and_placed_nowhere_has_not_begun(world: World) -> None:
+def test_a_job_whose_claimed_tasks_are_not_placed_has_not_started(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1)
     assert not world.machines.queue._has_begun(world.store.tables.jobs[JOB])
@@ -78,7 +79,7 @@
     assert world.machines.queue._has_begun(world.store.tables.jobs[JOB])
 
 
-def test_ranks_by_age_and_by_what_has_begun() -> None:
+def test_starvation_rank_depends_on_age_and_on_started_tasks() -> None:
     first_s, last_s = STARVATION_LEASES * LEASE_S, 2 * STARVATION_LEASES * LEASE_S
     rank = job_queue.starvation_rank
     assert rank(False, first_s - 0.1, LEASE_S) is rank(True, first_s, LEASE_S) is StarvationRank.ORDINARY
@@ -87,7 +88,7 @@
     assert rank(True, last_s + 0.1, LEASE_S) is StarvationRank.NOT_DONE
 
 
-def test_jobs_of_equal_rank_differ_by_age_alone(store: Store) -> None:
+def test_rank_excludes_the_tie_breaker_and_marks_jobs_ordered_by_age(store: Store) -> None:
     store.job(spec("wk-000001", visits=1))
     store.job(spec("wk-000002", visits=1))
     store.job(spec("wk-000003", visits=1, urgency="best_effort"))
@@ -98,14 +99,14 @@
     assert key == (2, False, True, 2, 0, 7.5) and key.rank == (2, False, True, 2, 0)
     assert not job_queue.is_ordered_by_age(jobs["wk-000001"])
     names(store, 2 * STARVATION_LEASES * LEASE_S + 1)
-    assert not job_queue.is_ordered_by_age(jobs["wk-000001"])  # nothing begun: part of it goes first
+    assert not job_queue.is_ordered_by_age(jobs["wk-000001"])  # not started: a part of it goes first instead
     store.progress("wk-000001", done=0b1)
     names(store, 2 * STARVATION_LEASES * LEASE_S + 1)
     assert job_queue.is_ordered_by_age(jobs["wk-000001"])
 
 
-def test_urgent_work_counts_against_its_like_only_and_other_work_against_all(store: Store) -> None:
-    """A team of 8 guaranteed cores: its urgent job is promised its place whatever came before, the others the rest."""
+def test_urgent_jobs_count_against_urgent_jobs_only_and_other_jobs_against_all(store: Store) -> None:
+    """Of a team's 8 guaranteed cores, standard jobs get only what older jobs leave; an urgent job ignores those."""
     ledger = GuaranteeLedger(parse(SETTINGS))
     for number, urgency in enumerate(("standard", "critical", "standard")):
         store.job(spec(f"wk-00000{number}", urgency=urgency, visits=4, cores=1.0))
