--- a/tests/test_parallel_tasks.py
+++ b/tests/test_parallel_tasks.py
@@ -1,4 +1,4 @@
-"""How many tasks of a job run at once for it to be done in time."""
+"""How many tasks of a job should run at once so that it meets its deadline."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.conftest import SETTINGS, Store, spec
 
 
-def test_the_fleet_is_sized_for_the_time_left(store: Store) -> None:
+def test_parallel_tasks_increase_as_the_deadline_approaches(store: Store) -> None:
     store.job(spec("wk-000001", dueS=400.0, visits=10))
     job = store.tables.jobs["wk-000001"]
     settings = parse(SETTINGS)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -1,4 +1,4 @@
-"""What the autoscaler demands, rents and returns."""
+"""The demand that the autoscaler computes, and the machines that it rents and returns."""
 
 from __future__ import annotations
 
@@ -8,43 +8,46 @@
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec
 
 TYPES = {MACHINE_TYPE.name: MACHINE_TYPE}
-SPOT, ORDINARY = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
+SPOT, ON_DEMAND = InstanceKind("small", "a", True), InstanceKind("small", "a", False)
 
 
-def test_the_cheapest_kind_is_rented_first_and_the_refused_one_passed_over() -> None:
+def test_the_cheapest_kind_is_rented_first_and_refused_kinds_are_skipped() -> None:
     demand = [scaling.Demand(spec(), 10)]
     spot = scaling.plan_scale_out(demand, {}, TYPES, set(), 50)
     assert spot == scaling.ScaleOutPlan(SPOT, 2)
     refused = {SPOT, InstanceKind("small", "b", True)}
-    assert scaling.plan_scale_out(demand, {}, TYPES, refused, 50) == scaling.ScaleOutPlan(ORDINARY, 2)
+    assert scaling.plan_scale_out(demand, {}, TYPES, refused, 50) == scaling.ScaleOutPlan(ON_DEMAND, 2)
 
 
-def test_nothing_is_rented_for_what_fits_already() -> None:
+def test_nothing_is_rented_when_supply_meets_demand() -> None:
     assert scaling.plan_scale_out([scaling.Demand(spec(), 8)], {SPOT: 2}, TYPES, set(), 50) is None
 
 
-def test_a_job_that_forbids_spot_machines_gets_an_ordinary_one() -> None:
+def test_a_job_that_forbids_spot_machines_gets_an_on_demand_machine() -> None:
     plan = scaling.plan_scale_out([scaling.Demand(spec(loaners=False), 4)], {SPOT: 5}, TYPES, set(), 50)
-    assert plan == scaling.ScaleOutPlan(ORDINARY, 1)
+    assert plan == scaling.ScaleOutPlan(ON_DEMAND, 1)
 
 
-def test_the_dearest_machines_are_returned_with_a_margin_of_one() -> None:
+def test_the_most_expensive_machines_are_returned_and_one_is_kept_in_reserve() -> None:
     demand = [scaling.Demand(spec(), 8)]
-    assert scaling.plan_scale_in(demand, {SPOT: 2, ORDINARY: 1}, TYPES) == {}
-    assert scaling.plan_scale_in(demand, {SPOT: 2, ORDINARY: 3}, TYPES) == {ORDINARY: 2}
-    assert scaling.plan_scale_in(demand, {SPOT: 4, ORDINARY: 3}, TYPES) == {SPOT: 1, ORDINARY: 3}
+    assert scaling.plan_scale_in(demand, {SPOT: 2, ON_DEMAND: 1}, TYPES) == {}
+    assert scaling.plan_scale_in(demand, {SPOT: 2, ON_DEMAND: 3}, TYPES) == {ON_DEMAND: 2}
+    assert scaling.plan_scale_in(demand, {SPOT: 4, ON_DEMAND: 3}, TYPES) == {SPOT: 1, ON_DEMAND: 3}
     assert scaling.plan_scale_in(demand, {SPOT: 1}, TYPES) == {}
 
 
-def test_a_job_too_small_to_be_worth_a_machine_gets_one_if_there_is_none_for_it() -> None:
-    """Failure found on the bench: jobs that forbid spot machines were never started, and those after them neither."""
+def test_a_small_job_gets_a_machine_if_no_existing_one_suits_it() -> None:
+    """Guards against small jobs that never start because each would fill too little of a new machine.
+
+    This happened to jobs that forbid spot machines, and to the jobs that depend on them.
+    """
     small = [scaling.Demand(spec(loaners=False, visits=1), 1)]
-    assert scaling.plan_scale_out(small, {SPOT: 5}, TYPES, set(), 50) == scaling.ScaleOutPlan(ORDINARY, 1)
-    assert scaling.plan_scale_out([scaling.Demand(spec(), 4), *small], {ORDINARY: 1}, TYPES, set(), 50) is None
+    assert scaling.plan_scale_out(small, {SPOT: 5}, TYPES, set(), 50) == scaling.ScaleOutPlan(ON_DEMAND, 1)
+    assert scaling.plan_scale_out([scaling.Demand(spec(), 4), *small], {ON_DEMAND: 1}, TYPES, set(), 50) is None
 
 
 def test_machines_in_the_zone_to_which_a_job_is_bound_are_kept_and_rented(store: Store) -> None:
-    """Its other tasks run in zone b: room in zone a, however cheap, is of no use to what is left of it."""
+    """Its claimed tasks bind the job to zone b, so that cheap free capacity in zone a is of no use to the others."""
     settings = parse(SETTINGS)
     store.job(spec(together=True, visits=8, dueS=None))
     store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
@@ -56,8 +59,8 @@
     assert plan is not None and plan.kind == in_b
 
 
-def test_demand_is_bounded_by_what_is_left_of_the_teams_limits(store: Store) -> None:
-    """The oldest job takes first; teams that are not known demand nothing."""
+def test_demand_is_limited_by_the_remaining_quota_of_the_teams(store: Store) -> None:
+    """The oldest job goes first; jobs of unknown teams have no demand."""
     settings = parse(SETTINGS)
     limit = settings.teams["red"].cpus_max
     for number in (1, 2):
@@ -73,12 +76,12 @@
     assert not quota.has_team("nobody")
 
 
-def test_demand_is_packed_on_the_cheapest_machines_and_the_rest_is_unmet() -> None:
+def test_demand_is_packed_onto_the_cheapest_machines_and_the_rest_is_unmet() -> None:
     offers = scaling.instance_offers(TYPES)
-    packed = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 1, ORDINARY: 1}, offers)
+    packed = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 1, ON_DEMAND: 1}, offers)
     filled = scaling.machines_needed(spec(), 10, MACHINE_TYPE)
-    assert filled > 2 and packed.unused[SPOT] == packed.unused[ORDINARY] == 0
+    assert filled > 2 and packed.unused[SPOT] == packed.unused[ON_DEMAND] == 0
     (unmet,) = packed.unmet
     assert unmet.tasks == 10 - 2 * 10 / filled
-    one = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ORDINARY: 1}, offers)
-    assert one.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ORDINARY: 1.0} and not one.unmet
+    one = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ON_DEMAND: 1}, offers)
+    assert one.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ON_DEMAND: 1.0} and not one.unmet
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -1,4 +1,4 @@
-"""Jobs whose tasks are bound to one zone, or spread over several."""
+"""Zone-bound jobs: all tasks in one zone, or spread over at least two zones."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @pytest.mark.parametrize("bound", [{"together": True}, {"spread": True}])
-def test_a_job_is_bound_to_a_zone_only_while_one_of_its_tasks_is_somewhere(world: World, bound: Any) -> None:
-    """Jobs bound to a zone, arrays too, lose all machines there."""
+def test_a_job_is_bound_to_a_zone_only_while_any_of_its_tasks_is_claimed(world: World, bound: Any) -> None:
+    """Guards against jobs that stay bound to a zone after they have lost all machines there."""
     world.store.job(spec(**bound))
     world.round(
         ClaimRequest(
@@ -41,7 +41,7 @@
     world.tell_jobs(TaskUpdates(released={JOB: 0b0111}))
     later(world, 20.0)
     world.round()
-    assert job.progress.zone == "b"  # one is still claimed, and may be there
+    assert job.progress.zone == "b"  # one task is still claimed and may run there
     world.tell_jobs(TaskUpdates(released={JOB: 0b1000}))
     later(world, 20.0)
     world.round()
@@ -51,41 +51,43 @@
 
 
 @pytest.mark.parametrize("bound", [{"together": True}, {"spread": True}])
-def test_a_bound_job_is_claimed_only_with_a_zone_and_placed_by_it(world: World, bound: Any) -> None:
-    """Failure found on the bench: claimed ahead while no machine had room, a job had no zone, and its tasks went to
-    any."""
+def test_a_zone_bound_job_is_claimed_only_with_a_zone_and_placed_accordingly(world: World, bound: Any) -> None:
+    """Guards against zone-bound jobs that are claimed ahead while no machine has free capacity.
+
+    Such a job would have no stored zone, and its tasks would be placed in any zone.
+    """
     world.store.job(spec(**bound))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
-    assert all(not asked.task_counts for asked in world.claim_requests())
+    assert all(not request.task_counts for request in world.claim_requests())
     world.round(ClaimRequest(task_counts={JOB: 4}))
     assert not world.store.tables.jobs[JOB].progress.claims
     machine(world).draining = False
-    (asked,) = world.claim_requests()
-    # All that the rules allow here, and nothing that would have no room.
+    (request,) = world.claim_requests()
+    # All tasks that may run in the chosen zone, and no others.
     allowed = 0b0011 if "spread" in bound else 0b1111
-    assert asked.zones == {JOB: "a"} and asked.zone_bound_tasks == {JOB: allowed}
-    world.round(asked)
+    assert request.zones == {JOB: "a"} and request.zone_bound_tasks == {JOB: allowed}
+    world.round(request)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": allowed}
     assert world.machines.registry.placed_tasks[JOB] == allowed
 
 
-def test_tasks_for_other_zones_are_claimed_where_there_is_room_for_them(world: World) -> None:
-    """Room in another zone than the stored one is for the upper half of a job that is spread."""
+def test_free_capacity_in_another_zone_is_used_for_the_upper_half_of_a_spread_job(world: World) -> None:
+    """The lower half of the tasks may run only in the stored zone."""
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.queue.rebuild()
-    (asked,) = world.claim_requests()
-    assert asked.zone_bound_tasks == {JOB: 0b1100}
-    world.round(asked)
+    (request,) = world.claim_requests()
+    assert request.zone_bound_tasks == {JOB: 0b1100}
+    world.round(request)
     assert world.machines.registry.placed_tasks[JOB] == 0b1100
 
 
-def test_no_zone_is_chosen_while_tasks_without_one_are_somewhere(world: World) -> None:
-    """As an earlier version may have left them."""
+def test_no_zone_is_chosen_while_tasks_are_claimed_without_one(world: World) -> None:
+    """Earlier versions may have stored such claims."""
     world.store.job(spec(together=True))
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
     world.round(
@@ -99,23 +101,23 @@
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
 
 
-def test_with_room_in_the_limit_for_one_task_it_is_one_that_has_room(world: World) -> None:
+def test_when_quota_covers_one_task_a_task_that_fits_the_zone_is_claimed(world: World) -> None:
     world.store.job(spec(spread=True))
     world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.quota.available = lambda team, usage: ResourceAmount(2.0, 0.0)  # type: ignore[method-assign]
     world.machines.queue.rebuild()
-    (asked,) = world.claim_requests()
-    assert asked.zone_bound_tasks == {JOB: 0b0100}
+    (request,) = world.claim_requests()
+    assert request.zone_bound_tasks == {JOB: 0b0100}
 
 
-def test_bound_tasks_take_no_more_room_than_asked_and_none_without_a_zone(world: World) -> None:
+def test_zone_bound_tasks_are_placed_up_to_the_maximum_count_and_only_with_a_zone(world: World) -> None:
     world.store.job(spec(together=True))
     job = world.store.tables.jobs[JOB]
-    rooms = [placement.FreeCapacity("vm-1", "small", "a", True, 8.0, 0.0, 16.0)]
-    assert placement.pack_tasks(job, 0b1111, rooms) == []
-    assert [index for index, _ in placement.pack_tasks(job, 0b1111, rooms, "a", 1)] == [0]
-    assert rooms[0].cores == 6.0
-    assert placement.pack_tasks(job, 0b1110, rooms, "b") == []
+    capacities = [placement.FreeCapacity("vm-1", "small", "a", True, 8.0, 0.0, 16.0)]
+    assert placement.pack_tasks(job, 0b1111, capacities) == []
+    assert [index for index, _ in placement.pack_tasks(job, 0b1111, capacities, "a", 1)] == [0]
+    assert capacities[0].cores == 6.0
+    assert placement.pack_tasks(job, 0b1110, capacities, "b") == []
     world.store.job(spec("wk-000002", spread=True))
-    assert placement.pack_tasks(world.store.tables.jobs["wk-000002"], 0b1111, rooms) == []
+    assert placement.pack_tasks(world.store.tables.jobs["wk-000002"], 0b1111, capacities) == []
