--- a/tests/test_dependency_graph.py
+++ b/tests/test_dependency_graph.py
@@ -1,4 +1,4 @@
-"""Join counters and cancellations, whatever order the rows come in."""
+"""Join counters and cancellations with rows that arrive in any order."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 def chain(store: Store, order: tuple[str, ...]) -> None:
-    """C needs B, which needs A; read in this order."""
-    needs: dict[str, list[str]] = {A: [], B: [A], C: [B]}
+    """Stores a chain of jobs, where C depends on B and B on A; their rows are read in the given order."""
+    prerequisites: dict[str, list[str]] = {A: [], B: [A], C: [B]}
     for name in order:
-        store.job(spec(name, awaits=needs[name]))
+        store.job(spec(name, awaits=prerequisites[name]))
 
 
 def finish(store: Store, name: str, state: JobState, finished_ms: int = 0) -> None:
-    """The job is stored as over."""
+    """Stores the job as finished in the given state."""
     row: dict[str, Any] = {"s": state, "n": 4, "t": finished_ms}
     store.put(keys.job_key(name), row)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations((A, B, C))))
-def test_an_end_releases_its_successors_once(store: Store, order: tuple[str, ...]) -> None:
+def test_a_completion_releases_the_successors_once(store: Store, order: tuple[str, ...]) -> None:
     chain(store, order)
     jobs = store.tables.jobs
     assert [jobs[name].unfinished_prerequisites for name in (A, B, C)] == [0, 1, 1]
@@ -39,14 +39,14 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations((A, B, C))))
-def test_a_cancellation_reaches_all_that_need_the_job(store: Store, order: tuple[str, ...]) -> None:
+def test_a_cancellation_cancels_all_dependent_jobs(store: Store, order: tuple[str, ...]) -> None:
     chain(store, order)
     finish(store, A, JobState.CANCELLED)
     assert all(store.tables.jobs[name].is_cancelled for name in (B, C))
     assert not store.tables.graph.successors and store.tables.graph.priorities_stale
 
 
-def test_a_job_read_after_the_end_or_cancellation_of_what_it_needs(store: Store) -> None:
+def test_a_job_read_after_the_completion_or_cancellation_of_its_prerequisite(store: Store) -> None:
     finish(store, A, JobState.DONE, 5000)
     store.job(spec(B, awaits=[A]))
     assert store.tables.jobs[B].is_runnable and store.tables.jobs[B].ready_ms == 5000
@@ -55,7 +55,7 @@
     assert store.tables.jobs[C].prerequisite_cancelled and not store.tables.jobs[C].is_runnable
 
 
-def test_an_end_without_a_stored_time_leaves_the_submission(store: Store) -> None:
+def test_a_completion_without_a_stored_time_keeps_the_submission_as_the_ready_time(store: Store) -> None:
     store.job(spec(B, awaits=[A]))
     finish(store, A, JobState.DONE)
     assert store.tables.jobs[B].ready_ms == store.tables.jobs[B].submitted_ms
--- a/tests/test_quota_allocation.py
+++ b/tests/test_quota_allocation.py
@@ -1,4 +1,4 @@
-"""When a controller asks for more, or returns a part, of a team's limit."""
+"""When a controller requests a larger allocation of a team's limit, or returns a part of its allocation."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 
 def allocation(settings: Settings, allocated: float, usage: float, unallocated: float) -> QuotaAllocation:
-    """Of the limit of 20 cores, between two controllers."""
+    """The allocation of one of two controllers that share a limit of 20 cores."""
     return QuotaAllocation(
         settings.teams["red"], ResourceAmount(allocated), ResourceUsage(usage), ResourceAmount(unallocated), 2
     )
 
 
-def test_while_much_of_a_limit_is_free_an_equal_part_is_taken(settings: Settings) -> None:
-    part = allocation(settings, allocated=0.0, usage=1.0, unallocated=20.0)
-    assert part.is_short and part.has_unallocated and not part.is_scarce
-    assert part.increased == (10.0, 0.0)
+def test_a_controller_takes_an_equal_share_while_much_of_the_limit_is_unallocated(settings: Settings) -> None:
+    quota_allocation = allocation(settings, allocated=0.0, usage=1.0, unallocated=20.0)
+    assert quota_allocation.is_short and quota_allocation.has_unallocated and not quota_allocation.is_scarce
+    assert quota_allocation.increased == (10.0, 0.0)
 
 
-def test_of_a_scarce_limit_no_more_than_needed_is_taken(settings: Settings) -> None:
-    """Failure found on the bench: an idle margin of one controller made another one's checks late."""
-    part = allocation(settings, allocated=4.0, usage=5.0, unallocated=1.0)
-    assert part.is_scarce and part.is_short and part.increased == (5.0, 0.0)
+def test_a_controller_takes_no_more_of_a_scarce_limit_than_it_needs(settings: Settings) -> None:
+    """Guards against an idle margin in one controller's allocation that makes jobs of another controller late."""
+    quota_allocation = allocation(settings, allocated=4.0, usage=5.0, unallocated=1.0)
+    assert quota_allocation.is_scarce and quota_allocation.is_short and quota_allocation.increased == (5.0, 0.0)
 
 
 @pytest.mark.parametrize(
     ("allocated", "usage", "unallocated", "surplus"),
     [(10.0, 4.0, 1.0, True), (10.0, 9.8, 1.0, False), (10.0, 4.0, 8.0, False), (4.0, 4.0, 0.0, False)],
 )
-def test_what_lies_idle_is_returned_only_of_a_scarce_limit(
+def test_an_idle_part_of_an_allocation_is_returned_only_if_the_limit_is_scarce(
     settings: Settings, allocated: float, usage: float, unallocated: float, surplus: bool
 ) -> None:
-    part = allocation(settings, allocated, usage, unallocated)
-    assert part.has_surplus == surplus and not part.is_short
-    assert part.decreased.cores <= allocated
+    quota_allocation = allocation(settings, allocated, usage, unallocated)
+    assert quota_allocation.has_surplus == surplus and not quota_allocation.is_short
+    assert quota_allocation.decreased.cores <= allocated
 
 
-def test_a_reallocation_never_passes_the_limit_and_leaves_out_who_has_nothing() -> None:
+def test_a_reallocation_never_exceeds_the_limit_and_drops_empty_allocations() -> None:
     others = {"c1.2": ResourceAmount(15.0, 1.0)}
     after = quota.reallocate(others, ResourceAmount(20.0, 1.0), "c0.1", ResourceAmount(9.0, 1.0))
     assert after == {"c1.2": (15.0, 1.0), "c0.1": (5.0, 0.0)}
--- a/tests/test_quota_limits.py
+++ b/tests/test_quota_limits.py
@@ -1,4 +1,4 @@
-"""Allocations of a team's quota, and jobs that no quota or machine type covers."""
+"""Changes of quota allocations, and jobs that no quota or machine type can ever cover."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from tests.conftest import SETTINGS, Store, spec
 
 
-def test_allowances_never_pass_the_limit() -> None:
-    held = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
-    after = quota.reallocate(held, quota.ResourceAmount(20.0), "c0.1", quota.ResourceAmount(18.0))
+def test_allocations_never_exceed_the_limit() -> None:
+    allocations = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
+    after = quota.reallocate(allocations, quota.ResourceAmount(20.0), "c0.1", quota.ResourceAmount(18.0))
     assert after == {"c0.1": (14.0, 0.0), "c1.2": (6.0, 0.0)}
 
 
-def test_adopted_task_brings_its_part_of_the_limit() -> None:
-    held = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
-    after = quota.transfer(held, "c0.1", "c1.2", spec(), 2)
+def test_adopted_tasks_transfer_their_allocation() -> None:
+    allocations = {"c0.1": quota.ResourceAmount(12.0), "c1.2": quota.ResourceAmount(6.0)}
+    after = quota.transfer(allocations, "c0.1", "c1.2", spec(), 2)
     assert after == {"c0.1": (8.0, 0.0), "c1.2": (10.0, 0.0)}
-    # Never more than the giver had: the sum stays.
+    # No more than the source has, so that the sum stays the same.
     assert quota.transfer({"c0.1": quota.ResourceAmount(1.0)}, "c0.1", "c1.2", spec(), 2)["c1.2"] == (1.0, 0.0)
 
 
-def test_impossible_jobs_are_told_why(store: Store) -> None:
+def test_reason_for_which_a_job_can_never_run(store: Store) -> None:
     teams = parse(SETTINGS).teams
     types = store.tables.machine_types
     assert quota.unschedulable_reason(spec(), teams, types) is None
