--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -18,9 +18,9 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# A lower bound on how many machines one processor core scans per second when the planner places tasks. Once a pass has
-# claims for as many jobs as one transaction takes, it stops if its scans took more than this share of the report
-# interval.
+# A lower bound on how many machines one processor core scans per second when the planner places tasks. A pass that has
+# claims for as many jobs as one transaction takes stops when, at that rate, its scans have taken this share of the
+# report interval.
 MACHINES_SCANNED_PER_CORE_S = 200_000
 MAX_SCAN_TIME_SHARE = 0.25
 # For this many ticks a new job without claimed tasks is left to the controller that its image has affinity to.
@@ -86,7 +86,7 @@
 
     Attributes:
         max_jobs: The number of jobs from which one transaction can claim tasks.
-        max_capacities_scanned: The number of machines scanned after which a pass that has reached `max_jobs` ends.
+        max_capacities_scanned: The number of scanned machines above which a pass with claims for `max_jobs` jobs ends.
         affinity_s: For how long a new job is left to the controller that its image has affinity to.
     """
 
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -16,7 +16,7 @@
 
 
 class DependencyGraph:
-    """Maintains the fields of jobs that depend on their prerequisites. Only the application of rows changes it."""
+    """Maintains the fields of jobs that are derived from their prerequisites; changed only when rows are applied."""
 
     def __init__(self, jobs: dict[str, Job], finished_jobs: dict[str, FinishedJob]) -> None:
         # Shared with the tables, which change them when rows are applied.
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -7,14 +7,14 @@
 
 Jobs are sorted by these criteria, the first one being the most significant:
 
-1. Starvation. A job that has started no task for too long is in the queue twice: at the front for a part of its
-   tasks (`Job.starved`) and at its ordinary position for the rest. A job that is still not done after twice that time
-   is ordered by age alone.
-2. Urgent work within its team's guarantee goes first, also before jobs that are ordered by age alone.
-3. Jobs that can still meet a target go before jobs that cannot (`QueueKey.past_all_targets`).
-4. Jobs that were within their team's guarantee when they became runnable go before other jobs (`GuaranteeLedger`).
-5. Priority, then the number of targets that the job has missed.
-6. The latest time at which the job can start and still meet its next target, or the time at which it became runnable
+1. Starved jobs go first. A job that has started no task for too long is in the queue twice: at the front for a part of
+   its tasks (`Job.starved`) and at its ordinary position for the rest.
+2. Urgent jobs within their team's guarantee go before other jobs.
+3. Jobs that are not done after twice the time after which a job is starved come next, ordered by age alone.
+4. Jobs that can still meet a target go before jobs that cannot (`QueueKey.past_all_targets`).
+5. Jobs that were within their team's guarantee when they became runnable go before other jobs (`GuaranteeLedger`).
+6. Priority, then the number of targets that the job has missed.
+7. The latest time at which the job can start and still meet its next target, or the time at which it became runnable
    if it has no target left. Short jobs have little slack and would miss their targets behind long jobs.
 """
 
@@ -33,9 +33,9 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
-# Prevents starvation by priority, guarantees or missed targets. A job that has started no task after this many worker
-# leases goes before all others until one has started. A job that is not done after twice this many is ordered by age
-# alone. Eight leases are at most two minutes, so every job starts well within four minutes.
+# Prevents starvation by priority, guarantees or missed targets. A part of a job that has started no task after this
+# many worker leases goes before all other jobs until a task has started. A job that is not done after twice this many
+# leases is ordered by age alone. Eight leases are at most two minutes, so every job starts well within four minutes.
 STARVATION_LEASES = 8.0
 # The share of a starved job's tasks that goes to the front of the queue.
 STARVED_SHARE = 0.125
@@ -63,8 +63,8 @@
     # Whether the job can no longer meet any of its targets.
     past_all_targets: bool
     outside_guarantee: bool
-    # The effective priority of the job (see `effective_priority`), or STARVED_PART_PRIORITY for the part of a starved
-    # job that goes to the front.
+    # The effective priority of the job (see `effective_priority`), STARVED_PART_PRIORITY for the part of a starved job
+    # that goes to the front, or 0 where the priority does not count.
     priority: int
     missed_targets: int
     # Orders jobs of equal rank: the latest start or the ready time in seconds since the Unix epoch, a revision of the
@@ -186,8 +186,9 @@
     is_urgent = priority < STANDARD
     start_or_ready_s = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
     if job.guaranteed and is_urgent:
-        # Goes before jobs that are ordered by age alone, too: under overload these are most of the queue, and small
-        # urgent stages of pipelines would wait behind them. The guarantees limit how much work goes first this way.
+        # Has the rank of starved jobs to go before jobs that are ordered by age alone: under overload these are most of
+        # the queue, and small urgent stages of pipelines would wait behind them. The guarantees limit how much work
+        # goes first this way.
         return QueueKey(NOT_STARTED, False, False, priority, missed, start_or_ready_s)
     if starvation is NOT_DONE:
         return QueueKey(starvation, False, False, 0, 0, float(job.ready_revision))
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -19,7 +19,7 @@
 
 
 class Reservation(NamedTuple):
-    """Reserves the free capacity of a machine for a job until a time in seconds of the controller's monotonic clock."""
+    """Reserves the free capacity of a machine for a job; `until` is in seconds of the controller's monotonic clock."""
 
     job: str
     until: float
--- a/sloeswitch/core/quota.py
+++ b/sloeswitch/core/quota.py
@@ -17,7 +17,8 @@
 from sloeswitch.settings import Team
 from sloeswitch.wire import JobSpec, MachineType
 
-# Sums of decimal amounts (cores, GPUs, GB) have rounding errors. This is well below the precision of any real limit.
+# Sums of decimal amounts (cores, GPUs, GB) have rounding errors. The tolerance is half a unit of the last decimal place
+# that a limit could reasonably have.
 ROUNDING_TOLERANCE = 1e-6
 
 
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -225,7 +225,7 @@
 def pack_demand(
     demand: list[Demand], supply: Mapping[InstanceKind, float], offers: list[InstanceOffer]
 ) -> PackedDemand:
-    """Packs demand onto the supplied machines in the order of the offers, which are sorted by price."""
+    """Packs demand onto the supplied machines in the order of the offers, the lowest price per core first."""
     unused = {offer.kind: float(supply.get(offer.kind, 0)) for offer in offers}
     unmet: list[Demand] = []
     for wanted in demand:
