--- a/tests/test_job_order.py
+++ b/tests/test_job_order.py
@@ -33,7 +33,7 @@
     Jobs with little time left would wait behind it.
     """
     for number in range(1, 4):
-        store.job(spec(f"wk-{number:06d}", visits=4, urgency="best_effort"))  # 8 of the 8 cores guaranteed
+        store.job(spec(f"wk-{number:06d}", visits=4, urgency="best_effort"))  # each job wants all 8 guaranteed cores
     store.job(spec("wk-000004", visits=4, urgency="standard"))
 
     def queued() -> list[str]:
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -27,7 +27,7 @@
     return [job.spec.id for job in job_queue.queue_order(store.tables, parse(SETTINGS), int(wall_s * 1000))]
 
 
-def test_a_job_with_nothing_begun_goes_first_after_a_bounded_wait(store: Store) -> None:
+def test_a_job_that_has_not_started_goes_first_after_a_bounded_wait(store: Store) -> None:
     store.job(spec("wk-000001", urgency="best_effort", visits=5000))
     store.job(spec("wk-000002", urgency="critical", visits=9))  # more than the guarantee
     assert names(store, STARVATION_LEASES * LEASE_S - 1) == ["wk-000002", "wk-000001"]
