--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -1,8 +1,8 @@
 """Records of one machine and of the attempts on it.
 
-`core.machine_registry` owns them and keeps their sums up; `core.reconciliation` brings them up to date
-with reports. Times named `_at`, `_since` are seconds of the controller's monotonic clock; amounts of memory are in GB.
-The words of states, causes and verbs are those of the worker protocol (PROTOCOL, "Workers").
+`core.machine_registry` owns the records and maintains their usage totals; `core.reconciliation` updates them from
+worker reports. Times named `_at` and `_since` are seconds of the controller's monotonic clock; memory is in GB.
+The values of states and causes are those of the worker protocol (PROTOCOL, "Workers").
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 
 class AttemptState(StrEnum):
-    """The state of an attempt; all values but `PENDING` are words of reports."""
+    """The state of an attempt; workers report every value except `PENDING`."""
 
-    # Decided on by this controller, and in no report yet.
+    # Placed by this controller and not yet listed in a report.
     PENDING = "pending"
     # Waits for its image.
     FETCHING = "fetching"
-    # Of a gang: waits for the other tasks of its attempt.
+    # A gang task that waits for the other tasks of its gang.
     GATHERING = "gathering"
     RUNNING = "running"
-    # Was stopped, and saves its progress.
+    # Stopped, and saving its progress.
     FLUSHING = "flushing"
     ENDED = "ended"
 
 
-# The states that reports may show, by their words.
+# The states that a report may contain, by their value.
 REPORTED_STATES = {str(state): state for state in AttemptState if state != AttemptState.PENDING}
 
 
 class EndCause(StrEnum):
-    """Why an attempt ended, as reports say it; only the causes that a controller acts on.
+    """Why an attempt ended, as reported by the worker; only the causes that a controller acts on.
 
-    After any other one (a command, a lost gang, a refused start) the task is simply startable again.
+    After any other cause (a command, a lost gang, a refused start) the task can be started again.
     """
 
     DONE = "done"
     ERROR = "error"
-    # A refused start: the worker finds no such job or task.
+    # The worker refused the start because it found no such job or task.
     NO_SUCH_TASK = "no_such"
 
 
@@ -54,7 +54,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """What reports and commands call an attempt: the task's name, and the number of the attempt."""
+    """Identifies an attempt in reports and commands: the task's name and the number of the attempt."""
 
     task: str
     number: int
@@ -62,18 +62,19 @@
 
 @dataclass
 class Attempt:
-    """One attempt on one machine, from the decision to start it until it is gone.
+    """One attempt on one machine, from its placement until it is no longer on the machine.
 
     Attributes:
         name: The task's name in reports.
-        task: The task that is attempted.
-        key: What reports call the attempt.
+        task: The task that the attempt runs.
+        key: The attempt's identifier in reports and commands.
         reported: Whether a report of the machine has listed it.
-        sent_sequence: The heartbeat whose answer carried the start; None while it is to be sent (again).
-        kill_grace_s: The time to save that goes with the command to stop it; None while it is to go on.
-        placed_at: When the start was decided on, or the attempt was adopted.
-        killed_at: When the stop was decided on.
-        running_at: When a report first showed it to run.
+        sent_sequence: Sequence number of the heartbeat whose answer carried the start command; None while the command
+            has to be sent, or sent again.
+        kill_grace_s: The time to save its progress that the kill command grants; None if it is not to be killed.
+        placed_at: When it was placed or adopted.
+        killed_at: When the controller decided to kill it.
+        running_at: When a report first listed it as running.
     """
 
     job: str
@@ -90,16 +91,16 @@
 
     def __post_init__(self) -> None:
         self.name = task_name(self.job, self.index)
-        # Made once: they are the keys of the machine's attempts, and a take-over adds thousands of these.
+        # Built once, since both are dictionary keys that are looked up often and a takeover adds thousands of attempts.
         self.task = TaskId(self.job, self.index)
         self.key = AttemptKey(self.name, self.number)
 
 
 @dataclass
 class Machine:
-    """One machine, by its reports and by what this controller decided on.
+    """The state of one machine, from its reports and from this controller's decisions.
 
-    Written by `MachineRegistry`, by `reconcile` and by the machines actor; the autoscaler sets `surplus` only.
+    Written by `MachineRegistry`, by `reconcile` and by the machines actor. The autoscaler sets only `surplus`.
     """
 
     name: str
@@ -107,51 +108,60 @@
     type: str
     zone: str
     spot: bool
-    # The newest report that was applied: the worker's epoch, which grows each time its lease expires, and the
-    # sequence of its messages.
+    # The newest applied report: the worker's epoch, which increases each time its lease expires, and the sequence
+    # number of the report.
     agent_epoch: int = 0
     report_sequence: int = 0
-    # The last epoch whose lease is surely over: nothing that it reported can be true any more.
+    # The last epoch whose lease has certainly expired. No report of this epoch or an earlier one is valid any more.
     expired_agent_epoch: int = 0
-    # Reports under tokens from here on are ours: we have owned the machine since that view.
+    # The number of the view since which this controller has owned the machine. Reports that carry a lower fencing token
+    # belong to an earlier owner.
     owned_since_token: int = 0
-    # Since when this process has owned it without a break that it knows of, and whether it did so before this.
+    # Start of the uninterrupted ownership by this process, as far as it knows.
     watched_since: float = float("-inf")
+    # Whether this incarnation owned the machine earlier, and another controller may have owned it in between.
     formerly_owned: bool = False
+    # Whether a report was applied under the present ownership.
     reconciled: bool = False
-    # Nothing of an earlier owner can be on it any more.
+    # Whether no unknown attempt of an earlier owner can be on the machine any more.
     accounted_for: bool = False
-    # Whether the last report came from a machine seen to have received the answer before it.
+    # Whether the worker is known to receive messages: its last heartbeat confirmed the previous answer, or it answered
+    # a command.
     reachable: bool = False
     reachable_at: float = float("-inf")
+    # When a heartbeat was last answered.
     answered_at: float = float("-inf")
+    # When the last report was applied, from a heartbeat or from the answer to a command.
     last_heard_at: float = float("-inf")
-    # The last report of its own accord; the first message of any kind under this ownership counts as one.
+    # When the last heartbeat was applied. The first message of any kind under the present ownership counts as one.
     reported_at: float | None = None
-    # When its lease is surely over, so that its tasks are gone.
+    # When the worker's lease has certainly expired, so that its tasks have ended.
     lease_expires_at: float = float("inf")
-    # Seconds until the cloud takes the machine away; None while it does not.
+    # Seconds until the cloud reclaims the machine; None without a preemption notice.
     preemption_notice_s: float | None = None
     draining: bool = False
-    # When users were first confirmed a cancellation of which a task may still be on it. It outlasts the end of the
-    # lease in our state: a machine that hangs gives its tasks up only when it goes on.
+    # When a user was first sent confirmation of a cancellation whose task may still be on the machine. Kept after the
+    # lease has expired here, because a hung machine stops its tasks only once it resumes.
     cancelled_since: float | None = None
-    # Not needed: to be emptied and deleted.
+    # Not needed: to be drained and deleted.
     surplus: bool = False
     attempts: dict[TaskId, Attempt] = field(default_factory=dict)
-    # The same attempts by what reports call them, what they use together, and how many have each image.
+    # The same attempts by their identifier in reports.
     attempts_by_key: dict[tuple[str, int], Attempt] = field(default_factory=dict)
+    # Total usage of the attempts.
     usage: ResourceUsage = field(default_factory=ResourceUsage)
     used_memory_gb: float = 0.0
+    # The number of attempts by image.
     image_attempts: dict[str, int] = field(default_factory=dict)
-    # Exited attempts to be cleared, each with whether the result is a completion.
+    # Ended attempts that the worker still has to clear; the value is whether the task completed.
     ended_attempts: dict[AttemptKey, bool] = field(default_factory=dict)
-    # Attempts the worker reports that are not ours to keep; a dict, since its order is that of the commands.
+    # Attempts that the worker reports and that this controller has not accepted; they are killed. A dict, because
+    # kill commands are sent in its order.
     foreign_attempts: dict[AttemptKey, None] = field(default_factory=dict)
-    # Images that the machine has, the one used last at the end.
+    # Images present on the machine, the most recently used last.
     images: dict[str, None] = field(default_factory=dict)
 
     @property
     def is_recovered(self) -> bool:
-        """Whether what may be on the machine is known, by its report or since nothing can be."""
+        """Whether the attempts on the machine are known, from its report or because there can be none."""
         return self.reconciled or self.accounted_for
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -1,13 +1,13 @@
 """The machines that one controller owns, and the attempts that are or may be on them.
 
-The rules that keep a task from running twice, as far as ownership goes (for reports see `core.reconciliation`):
-- a machine is *reconciled* once it reported under the present view's token;
-- a silent machine's tasks count as existing until its lease is surely over or it is deleted;
-- tasks on a machine that moved to another owner are nowhere else until that owner has settled them.
-
-Sums of what attempts use are kept up as attempts come and go, so that a report of a machine on which nothing has
-changed costs nothing but look-ups. The machines actor owns the one registry of a controller and is the only one that
-changes it; its helpers and the autoscaler read it.
+These ownership rules prevent a task from running twice (the rules for reports are in `core.reconciliation`):
+- A machine is *reconciled* once it has reported under the present ownership's fencing token.
+- The tasks of a silent machine count as running until its lease has certainly expired or the machine is deleted.
+- Tasks on a machine that moved to another owner are not started elsewhere until that owner has settled them.
+
+Usage totals are updated whenever an attempt is added or removed, so that a report of an unchanged machine costs only
+look-ups. The machines actor owns the controller's registry and only it and its helpers change it; the autoscaler reads
+it.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 def _add_task(tasks: dict[str, int], task: TaskId) -> None:
-    """Adds a task to sets of tasks by job."""
+    """Adds a task to the task sets by job."""
     tasks[task.job] = tasks.get(task.job, 0) | 1 << task.task_index
 
 
 def _discard_task(tasks: dict[str, int], task: TaskId) -> None:
-    """Takes a task out of sets of tasks by job, and the job with its last task."""
+    """Removes a task from the task sets by job, and the job's entry when its set becomes empty."""
     remaining = tasks.get(task.job, 0) & ~(1 << task.task_index)
     if remaining:
         tasks[task.job] = remaining
@@ -37,19 +37,19 @@
 
 
 def _merge_tasks(first: Mapping[str, int], second: Mapping[str, int]) -> dict[str, int]:
-    """The tasks in either of two sets by job."""
+    """The union of two mappings of task sets by job."""
     return {job: first.get(job, 0) | second.get(job, 0) for job in {**first, **second}}
 
 
 def _common_tasks(first: Mapping[str, int], second: Mapping[str, int]) -> dict[str, int]:
-    """The tasks in both of two sets by job."""
+    """The intersection of two mappings of task sets by job."""
     return {job: common for job, tasks in first.items() if (common := tasks & second.get(job, 0))}
 
 
 def _unstored_tasks(tables: Tables, incarnation_id: str, job: str, tasks: int) -> int:
-    """Those of a job's tasks that are stored neither as done nor as the incarnation's claims.
+    """The subset of a job's tasks that are stored neither as done nor as claimed by the incarnation.
 
-    There are none of a job that is over or unknown.
+    Empty for a job that has finished or is unknown.
     """
     record = tables.jobs.get(job)
     if record is None:
@@ -65,15 +65,18 @@
 class MachineRegistry:
     """All machines that this controller owns under the present view.
 
+    Sets of tasks are bit sets (`core.taskset`) by job.
+
     Attributes:
-        machines: By name.
-        placed_tasks: Tasks with an attempt on a machine, as sets of tasks (`core.taskset`) by job.
-        team_usage: What the attempts of each team use.
-        handed_off_tasks: Tasks of ours that were on machines which moved to another owner; nowhere else until they
-            are settled.
+        machines: The machines by name.
+        placed_tasks: Tasks with an attempt on one of the machines.
+        team_usage: The usage of each team's attempts.
+        handed_off_tasks: Tasks of this controller on machines that moved to another owner. They are not started
+            elsewhere until that owner has settled them.
         adopting: Tasks found on machines that were taken over, whose adoption may not be stored yet.
-        found_completions: The same of tasks that had completed there, of which other controllers may not know.
-        released: Machines that this incarnation has owned and that have another owner now, by name.
+        found_completions: Tasks that had already completed on machines that were taken over. Other controllers may
+            not know of these completions yet.
+        released: Names of machines that this incarnation has owned and that now have another owner.
     """
 
     def __init__(self) -> None:
@@ -88,7 +91,7 @@
     # -- ownership
 
     def reset(self) -> None:
-        """Forgets everything: a new incarnation of the controller owns nothing yet."""
+        """Clears the registry for a new incarnation of the controller, which owns no machines yet."""
         self.machines = {}
         self.placed_tasks = {}
         self.team_usage = {}
@@ -98,14 +101,14 @@
         self.released = set()
 
     def add_machine(self, machine: Machine) -> Machine:
-        """Takes in a machine that is ours from its `owned_since_token` on."""
+        """Adds a machine that this controller owns since its `owned_since_token`."""
         self.machines[machine.name] = machine
         machine.formerly_owned = machine.name in self.released
         self.released.discard(machine.name)
         return machine
 
     def mark_unreconciled(self, machine: Machine, token: int, lease_expires_at: float) -> None:
-        """The machine may have had another owner in between: what is on it must be reported again."""
+        """Requires a new report of a machine that may have had another owner in the meantime."""
         self._hand_off_attempts(machine)
         machine.formerly_owned = True
         machine.owned_since_token = token
@@ -117,7 +120,7 @@
         machine.foreign_attempts.clear()
 
     def release_machine(self, name: str) -> None:
-        """The machine has another owner from now on."""
+        """Removes a machine that another controller now owns."""
         machine = self.machines.pop(name)
         self.released.add(name)
         self._hand_off_attempts(machine)
@@ -128,9 +131,10 @@
             self.remove_attempt(machine, attempt)
 
     def is_recovered(self, tables: Tables, incarnation_id: str, unstorable_jobs: Set[str] = frozenset()) -> bool:
-        """Whether all machines of the present view are reconciled or accounted for, and what was found is stored.
+        """Whether all machines are reconciled or accounted for, and all adoptions and completions found are settled.
 
-        That is: adopted tasks, and completions that other controllers may not know of (see `unsettled_completions`).
+        Adoptions have to be stored (see `adoptions_stored`); for completions see `unsettled_completions`. Clears both
+        sets when it returns True.
         """
         for machine in self.machines.values():
             if not machine.is_recovered:
@@ -144,11 +148,11 @@
         return True
 
     def adoptions_stored(self, tables: Tables, incarnation_id: str) -> bool:
-        """Whether all tasks that were adopted so far are stored as this controller's claims, or done."""
+        """Whether every task adopted so far is stored as this controller's claim or as done."""
         return not self.unstored_adoptions(tables, incarnation_id)
 
     def unstored_adoptions(self, tables: Tables, incarnation_id: str) -> dict[str, int]:
-        """Adopted tasks that are stored neither as this controller's claims nor as done, as sets of tasks by job."""
+        """Adopted tasks, by job, that are stored neither as this controller's claims nor as done."""
         return {
             job: tasks
             for job, adopted in self.adopting.items()
@@ -158,16 +162,18 @@
     def unsettled_completions(
         self, tables: Tables, incarnation_id: str, unstorable_jobs: Set[str] = frozenset()
     ) -> dict[str, int]:
-        """Completions found with machines that were taken over, and still claimed by whoever started the tasks.
+        """Completions found on machines that were taken over, whose tasks an earlier owner may still claim.
 
-        Once the view is recovered such a claim may be void, and the task would be started once more. A completion is
-        settled when it is stored, or when its task is this controller's claim, which no recovery voids. It is void when
-        its job is over, unknown or cancelled, so that nobody starts the task.
+        When recovery of the view completes, such a claim may become void, and the task would be started again. A
+        completion is settled when it is stored, or when this controller claims the task, because recovery does not void
+        that claim. It needs no settling if its job has finished or is unknown or cancelled, because then no controller
+        starts the task.
 
         Args:
             tables: The replicated tables.
             incarnation_id: This controller's incarnation.
-            unstorable_jobs: Jobs whose progress has no place in a row. Guards against a view that is never recovered.
+            unstorable_jobs: Jobs whose progress is too large for a row. They are ignored: their completions could never
+                be stored, and the view would never be recovered.
         """
         return {
             job: tasks
@@ -178,7 +184,7 @@
         }
 
     def pending_adoptions(self) -> dict[str, int]:
-        """Adoptions not yet known to be stored, of tasks that are still on our machines or are listed there as done."""
+        """Adoptions not known to be stored, of tasks that this controller's machines still hold or list as done."""
         listed = self._listed_completions()
         found = _merge_tasks(self.adopting, self.found_completions)
         self.adopting = _common_tasks(self.adopting, self.placed_tasks)
@@ -186,7 +192,7 @@
         return _merge_tasks(self.adopting, self.found_completions)
 
     def _listed_completions(self) -> dict[str, int]:
-        """Completed tasks that our machines list, as sets of tasks by job."""
+        """Completed tasks, by job, that the machines still list."""
         listed: dict[str, int] = {}
         for machine in self.machines.values():
             for key, is_completion in machine.ended_attempts.items():
@@ -195,7 +201,11 @@
         return listed
 
     def prune_handed_off(self, tables: Tables, incarnation_id: str) -> None:
-        """Drops tasks that a new owner adopted or saw done: ours no more, nor is their part of the quota."""
+        """Drops handed-off tasks that this controller no longer claims.
+
+        The machine's new owner has adopted them or found them done, so they no longer count towards this controller's
+        quota.
+        """
         for name in list(self.handed_off_tasks):
             job = tables.jobs.get(name)
             claimed = job.progress.claims.get(incarnation_id, 0) if job is not None else 0
@@ -206,14 +216,14 @@
                 del self.handed_off_tasks[name]
 
     def settle_handed_off(self) -> None:
-        """All members have recovered: what was on machines that moved to other owners is accounted for there."""
+        """Clears the handed-off tasks once all members have recovered, so that the new owners account for them."""
         self.handed_off_tasks.clear()
         self.released.clear()
 
     # -- attempts
 
     def add_attempt(self, machine: Machine, attempt: Attempt) -> None:
-        """Places an attempt on a machine, and counts what it uses."""
+        """Places an attempt on a machine and adds its usage to the totals."""
         spec = attempt.spec
         machine.attempts[attempt.task] = machine.attempts_by_key[attempt.key] = attempt
         machine.usage.add(spec)
@@ -223,18 +233,18 @@
         _add_task(self.placed_tasks, attempt.task)
 
     def adopt_attempt(self, machine: Machine, attempt: Attempt) -> None:
-        """Takes in an attempt that an earlier owner of the machine started."""
+        """Adds an attempt that an earlier owner of the machine started."""
         self.add_attempt(machine, attempt)
         _discard_task(self.handed_off_tasks, attempt.task)
         _add_task(self.adopting, attempt.task)
 
     def adopt_completion(self, task: TaskId) -> None:
-        """Notes a completion of a task that an earlier owner of its machine started and still claims."""
+        """Records the completion of a task that an earlier owner of its machine started and still claims."""
         _discard_task(self.handed_off_tasks, task)
         _add_task(self.found_completions, task)
 
     def remove_attempt(self, machine: Machine, attempt: Attempt) -> None:
-        """The attempt is gone; does nothing if it is not on the machine any more."""
+        """Removes an attempt; does nothing if it is no longer on the machine."""
         if machine.attempts.get(attempt.task) is not attempt:
             return
         spec = attempt.spec
@@ -242,7 +252,7 @@
         machine.usage.add(spec, -1)
         machine.used_memory_gb -= spec.memory
         if not machine.attempts:
-            machine.usage, machine.used_memory_gb = ResourceUsage(), 0.0  # so that rounding does not add up
+            machine.usage, machine.used_memory_gb = ResourceUsage(), 0.0  # discards accumulated rounding errors
         machine.image_attempts[spec.image] -= 1
         if not machine.image_attempts[spec.image]:
             del machine.image_attempts[spec.image]
@@ -252,7 +262,7 @@
             self.team_usage.clear()
 
     def fail_machine(self, machine: Machine) -> list[TaskId]:
-        """All that was on the machine is gone for certain; returns the tasks that were."""
+        """Removes all attempts of a machine that certainly runs none any more; returns their tasks."""
         lost = list(machine.attempts)
         for attempt in list(machine.attempts.values()):
             self.remove_attempt(machine, attempt)
@@ -263,39 +273,39 @@
         return lost
 
     def expire_lease(self, machine: Machine) -> list[TaskId]:
-        """The machine's lease is surely over; returns the tasks that are gone with it.
+        """Removes all attempts of a machine whose lease has certainly expired; returns their tasks.
 
-        Guards against reports of that agent epoch which were delayed on the way: they may come with sequences never
-        seen before, and would bring its tasks back to life.
+        Reports of the expired agent epoch are ignored from now on. A delayed one may carry a sequence number that was
+        not seen before, and would restore the removed attempts.
         """
         machine.expired_agent_epoch = max(machine.expired_agent_epoch, machine.agent_epoch)
         return self.fail_machine(machine)
 
     def remove_unsent(self, machine: Machine) -> int:
-        """Takes back what was placed on a machine and never sent there; returns how many attempts."""
+        """Removes the attempts that were placed on a machine but never sent to it; returns their number."""
         unsent = [a for a in machine.attempts.values() if a.sent_sequence is None and not a.reported]
         for attempt in unsent:
             self.remove_attempt(machine, attempt)
         return len(unsent)
 
     def busy_tasks(self, job: str) -> int:
-        """The set of the job's tasks that are, or may be, somewhere under this controller's responsibility."""
+        """The set of the job's tasks that are on this controller's machines, or may be on machines it handed off."""
         return self.placed_tasks.get(job, 0) | self.handed_off_tasks.get(job, 0)
 
     def unplaced_tasks(self, job: str, claimed: int, done: int) -> int:
-        """The set of tasks claimed by this controller that are nowhere: handed back, or not yet placed."""
+        """The set of tasks that this controller claims and that are not on any machine."""
         return claimed & ~done & ~self.busy_tasks(job)
 
     # -- commands
 
     def commands(self, machine: Machine, tables: Tables, heartbeat_sequence: int | None) -> list[WorkerCommand]:
-        """The commands that the machine is to be sent; notes which starts go out.
+        """The commands to send to the machine; records which start commands are sent.
 
         Args:
-            machine: One of the registry's.
-            tables: Completions are cleared on the worker only once they are stored here.
-            heartbeat_sequence: Of the heartbeat that is answered. None for a direct command, which carries no start,
-                since it could be carried out minutes late.
+            machine: A machine of this registry.
+            tables: The replicated tables. The worker is asked to clear a completion only once it is stored there.
+            heartbeat_sequence: The sequence number of the heartbeat being answered. None for a direct command, which
+                carries no start command because the worker could execute it minutes late.
         """
         commands = []
         for key, is_completion in machine.ended_attempts.items():
@@ -313,13 +323,17 @@
 
     @staticmethod
     def _is_stored_done(tables: Tables, key: AttemptKey) -> bool:
-        """Whether the task's completion is stored, or its job needs none any more."""
+        """Whether the task's completion is stored, or is not needed because its job is no longer live."""
         job, index = split_task(key.task)
         record = tables.jobs.get(job)
         return record is None or record.status != JobState.LIVE or bool(record.progress.done >> index & 1)
 
     def mark_for_kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> bool:
-        """Marks an attempt to be stopped, or takes it back if it was never sent. True when it must be sent."""
+        """Marks an attempt to be killed, or removes it if it was never sent.
+
+        Returns:
+            Whether a kill command must be sent.
+        """
         if attempt.sent_sequence is None and not attempt.reported:
             self.remove_attempt(machine, attempt)
             return False
@@ -332,11 +346,11 @@
 
     @staticmethod
     def free_cores(machine: Machine, machine_type: MachineType) -> float:
-        """Cores without an attempt; none while unwanted tasks are on the machine: of unknown size, they go soon."""
+        """Unused cores; 0 while the machine has foreign attempts, whose size is unknown and which end soon."""
         return 0.0 if machine.foreign_attempts else machine_type.cores - machine.usage.cores
 
     def free_capacity(self, machine: Machine, machine_type: MachineType) -> FreeCapacity:
-        """What is free on the machine, for placement to take from."""
+        """The machine's free capacity, for use by placement."""
         return FreeCapacity(
             machine.name,
             machine.type,
--- a/sloeswitch/core/reconciliation.py
+++ b/sloeswitch/core/reconciliation.py
@@ -1,13 +1,14 @@
 """Reconciliation of a worker's report with the attempts that this controller knows on the machine.
 
-The rules that keep a task from running twice, as far as reports go:
-- a report counts only if it is newer than what is known, and under a token that no earlier owner gave out;
-- a start counts as not carried out only when a later *heartbeat* lacks it: an answer to a heartbeat may still
-  arrive while the reply to a direct command overtakes it;
-- a report of an agent epoch that is surely over, however late it comes, says nothing any more;
-- only the first report of a machine that was taken over can bring attempts of an earlier owner to be adopted.
-
-A report lists every task of its machine, and mostly nothing has changed: such a report costs a look-up for each task.
+These rules for reports prevent a task from running twice (the rules for ownership are in `core.machine_registry`):
+- A report is applied only if it is newer than the last applied one and carries a fencing token that no earlier owner
+  issued.
+- A start command counts as not executed only when a later *heartbeat* does not list the attempt. The worker's reply to
+  a direct command does not show this: it may arrive before the worker has received the heartbeat answer with the start.
+- A report of an agent epoch whose lease has certainly expired is ignored, however late it arrives.
+- Attempts of an earlier owner are adopted only from the first report of a machine that was taken over.
+
+A report lists every task of its machine. Usually none has changed, and the report then costs one look-up per task.
 Called by the machines actor only.
 """
 
@@ -25,13 +26,13 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A report, and how it came.
+    """A report with the circumstances of its receipt.
 
     Attributes:
         report: The message.
-        is_heartbeat: Whether it came of the worker's own accord, not in answer to a direct command.
+        is_heartbeat: Whether the worker sent it as a heartbeat rather than in answer to a direct command.
         received_at: Seconds of the controller's monotonic clock.
-        fencing_token: The present view's token, the highest that a report of ours can carry.
+        fencing_token: The present view's token. A valid report carries no higher one.
     """
 
     report: WorkerReport
@@ -41,26 +42,26 @@
 
 
 class TaskOnMachine(NamedTuple):
-    """A task, and the machine on which it ended."""
+    """A task that ended, and the machine on which it ran."""
 
     task: TaskId
     machine: str
 
 
 class ForeignReason(StrEnum):
-    """Why an attempt that is not known may not go on, as logged."""
+    """Why an unknown attempt is killed, as logged."""
 
     UNKNOWN_JOB = "unknown-job"
     DONE = "done"
     # The task is on another machine of this controller.
     PLACED = "placed"
     UNCLAIMED = "unclaimed"
-    # The machine was accounted for without it.
+    # The machine was already accounted for without the attempt.
     LATE = "late"
 
 
 class ForeignAttempt(NamedTuple):
-    """A reported attempt that is stopped; the team is None and the cores are 0 where its job is not known."""
+    """A reported attempt that is killed; the team is None and the cores are 0 if its job is unknown."""
 
     team: str | None
     cores: float
@@ -69,15 +70,15 @@
 
 @dataclass
 class ReconcileResult:
-    """What a report brought to light.
+    """The result of reconciling one report.
 
     Attributes:
-        accepted: Whether the report was applied; otherwise nothing has changed.
-        done: Completed tasks; each is listed once, by the report that first shows its end.
-        failed: Tasks that ended by a fault of the machine or of the job.
-        adopted: Tasks of an earlier owner that are this controller's claims from now on, completed ones included.
-        foreign: Attempts that are stopped and that the report before did not show.
-        capacity_freed: Whether something is free that was in use.
+        accepted: Whether the report was applied; if not, nothing has changed.
+        done: Tasks that completed; each is listed once, for the first report that shows its end.
+        failed: Tasks that ended by a fault of the machine or of the job; each is listed once, like those in `done`.
+        adopted: Tasks of an earlier owner, including completed ones, that this controller claims from now on.
+        foreign: Attempts to kill that were not foreign attempts in the previous report.
+        capacity_freed: Whether capacity that was in use became free.
     """
 
     accepted: bool = False
@@ -89,10 +90,10 @@
 
 
 def reconcile(registry: MachineRegistry, machine: Machine, received: ReceivedReport, tables: Tables) -> ReconcileResult:
-    """Brings the registry up to date with a report of one of its machines.
+    """Updates the registry from a report of one of its machines.
 
     Raises:
-        MalformedError: The report lists an unknown state or task name. Nothing has changed then.
+        MalformedError: The report contains an unknown state or an invalid task name. Nothing has changed then.
     """
     report = received.report
     if is_outdated(machine, report) or not _is_fenced(machine, received):
@@ -105,7 +106,7 @@
 
 
 def is_outdated(machine: Machine, report: WorkerReport) -> bool:
-    """Whether something newer is known than what the report says, or its agent epoch is over."""
+    """Whether a report at least as new was already applied, or the lease of the report's agent epoch has expired."""
     return report.agent_epoch <= machine.expired_agent_epoch or (report.agent_epoch, report.sequence) <= (
         machine.agent_epoch,
         machine.report_sequence,
@@ -113,21 +114,21 @@
 
 
 def _is_fenced(machine: Machine, received: ReceivedReport) -> bool:
-    """Whether the worker obeys this ownership's tokens.
+    """Whether the worker has received a fencing token of the present ownership.
 
-    Guards against an earlier owner's answer, which may still act on a worker that has seen no token of ours.
+    A worker that has not may still execute commands of an earlier owner.
     """
     return machine.owned_since_token <= received.report.fencing_token <= received.fencing_token
 
 
 def _is_restarted(machine: Machine, report: WorkerReport) -> bool:
-    """Whether the worker's lease expired since its last report, so that all it had is gone."""
+    """Whether the worker's lease expired after its last applied report, which ended all its tasks."""
     return report.agent_epoch > machine.agent_epoch > 0
 
 
 def _differing_tasks(machine: Machine, report: WorkerReport) -> list[ReportedTask]:
-    """The tasks of the report that are not as they are known of the machine."""
-    # Looked up by a plain pair, which equals the AttemptKey: making one would cost more than the look-up.
+    """The reported tasks that are unknown or whose state differs from the known state."""
+    # Looked up by a plain tuple, which equals the AttemptKey: constructing one would cost more than the look-up.
     known = machine.attempts_by_key
     return [
         item
@@ -139,7 +140,10 @@
 
 
 def _is_unchanged(machine: Machine, report: WorkerReport) -> bool:
-    """Whether a report without differing tasks changes nothing: none is missing, and nothing waits for a report."""
+    """Whether a report without differing tasks leaves the machine's records unchanged.
+
+    That requires that no attempt is missing from it and that no record is waiting to be cleared by a report.
+    """
     return (
         len(report.tasks) == len(machine.attempts)
         and not machine.ended_attempts
@@ -150,7 +154,7 @@
 
 
 def _record_contact(machine: Machine, received: ReceivedReport) -> None:
-    """Records that the machine reported, whatever is on it."""
+    """Records the receipt of the report and its data on the machine itself."""
     report = received.report
     machine.agent_epoch, machine.report_sequence = report.agent_epoch, report.sequence
     machine.reconciled, machine.accounted_for = True, True
@@ -162,7 +166,7 @@
 
 
 class _Reconciliation:
-    """A report with differences on its way into the registry."""
+    """Applies one report that differs from the machine's records."""
 
     def __init__(self, registry: MachineRegistry, machine: Machine, received: ReceivedReport, tables: Tables) -> None:
         self.registry = registry
@@ -170,16 +174,16 @@
         self.received = received
         self.tables = tables
         self.result = ReconcileResult(accepted=True)
-        # Known attempts that are reported in another state, or for the first time.
+        # Known attempts that are reported in another state or for the first time.
         self.changed: list[tuple[Attempt, ReportedTask]] = []
-        # Reported attempts that are not known, with the job and the index of their tasks.
+        # Unknown attempts, with the job and the index of their tasks.
         self.unknown: list[tuple[str, int, ReportedTask]] = []
 
     def apply(self, differing: list[ReportedTask]) -> ReconcileResult:
-        """Applies the whole report, or raises MalformedError before anything has changed."""
+        """Applies the whole report, or raises MalformedError before changing anything."""
         machine, report = self.machine, self.received.report
         is_restarted = _is_restarted(machine, report)
-        # After a restart nothing is as it was, even if it is called the same.
+        # After a restart every reported task counts as unknown, even under the identifier of a known attempt.
         self._classify(report.tasks if is_restarted else differing, is_restarted)
         if is_restarted:
             self.registry.fail_machine(machine)
@@ -189,7 +193,7 @@
         if is_restarted or len(report.tasks) - len(differing) != len(machine.attempts):
             self._apply_known()
         if machine.ended_attempts:
-            # What the worker lists no more is cleared.
+            # The worker has cleared the ended attempts that it no longer lists.
             for key in machine.ended_attempts.keys() - self._reported_keys():
                 del machine.ended_attempts[key]
         if machine.cancelled_since is not None and all(a.kill_grace_s is None for a in machine.attempts.values()):
@@ -201,7 +205,7 @@
         return self.result
 
     def _classify(self, differing: list[ReportedTask], is_restarted: bool) -> None:
-        """Parts the differing tasks into changed and unknown ones; those that ended before are neither."""
+        """Sorts the differing tasks into changed and unknown attempts; skips those already recorded as ended."""
         for item in differing:
             if item.state not in REPORTED_STATES:
                 raise MalformedError(f"task state {item.state!r}")
@@ -224,7 +228,7 @@
         return {AttemptKey(item.task, item.attempt) for item in self.received.report.tasks}
 
     def _apply_missing(self, attempt: Attempt) -> None:
-        """An attempt that the report lacks is gone, or its start was not carried out."""
+        """Handles a known attempt that the report does not list: it ended, or its start was not executed."""
         received = self.received
         if attempt.reported:
             self.registry.remove_attempt(self.machine, attempt)
@@ -234,12 +238,12 @@
             and attempt.sent_sequence is not None
             and received.report.sequence > attempt.sent_sequence
         ):
-            attempt.sent_sequence = None  # the answer that carried the start was dropped: send it again
+            attempt.sent_sequence = None  # the answer with the start command was lost; send it again
             if attempt.kill_grace_s is not None:
                 self.registry.remove_attempt(self.machine, attempt)
 
     def _apply_changed(self, attempt: Attempt, state: AttemptState, cause: str | None) -> None:
-        """A known attempt is in another state than before."""
+        """Updates a known attempt that is reported for the first time or in another state."""
         attempt.reported = True
         attempt.state = state
         if state == AttemptState.RUNNING and attempt.running_at is None:
@@ -265,10 +269,10 @@
     def _apply_unknown(
         self, job: str, index: int, item: ReportedTask, is_first: bool, known_foreign: set[AttemptKey]
     ) -> None:
-        """A task on the machine that this controller did not start: an earlier owner did.
+        """Adopts or rejects an attempt that this controller does not know, or records its end.
 
-        Only the first report of a machine that was taken over can hold one to be adopted: later its machine was
-        accounted for without it, so that it may have been started elsewhere.
+        An earlier owner of the machine usually started it. An attempt is adopted only from the first report of a machine that was taken over. In later reports the machine
+        has already been accounted for without the attempt, so the task may have been started elsewhere.
         """
         state = REPORTED_STATES[item.state]
         key = AttemptKey(item.task, item.attempt)
@@ -295,10 +299,10 @@
         self.result.adopted.append(attempt.task)
 
     def _foreign_reason(self, record: Job | None, index: int) -> ForeignReason | None:
-        """Why a task may not go on here; None if it may.
+        """Why an unknown attempt of a task may not continue on the machine; None if it may.
 
-        Not if it is done or nothing is known of its job, nor if stored claims say that it cannot be here: it is
-        stopped rather than trusted.
+        A task is rejected if it is done, if its job is unknown, if it is on another machine of this controller, or if
+        no stored claim covers it.
         """
         if record is None or index >= record.spec.tasks:
             return ForeignReason.UNKNOWN_JOB
