--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -1,7 +1,7 @@
-"""Machines that may hold cancelled tasks: they are asked what they hold, and deleted in time if need be.
+"""Inspects machines that may hold cancelled tasks, and has them deleted before the tasks exceed their deadline.
 
-Owns the guard over cancelled tasks (core.cancellation_guard), and when any machine last gave a sign of life. Called by
-the machines actor at each tick and with the results of inspections, and by the monitor of this controller's machines.
+Owns the cancellation guard (core.cancellation_guard) and the time of the last contact with any machine. Called by the
+machines actor at each tick and with the results of inspections, and by the monitor of this controller's machines.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 log = logging.getLogger("machines")
 
-# Named where a machine held a cancelled task of which no record is left.
+# Job name in logs and metrics when the cancelled task on a machine is no longer recorded.
 UNKNOWN_JOB = "unknown"
-# With more machines than this and no sign of life of any, our own network is the likely reason.
+# With more machines than this and no contact with any of them, this controller's own network is the likely cause.
 NETWORK_FAULT_MIN_MACHINES = 3
 
 
 class CancelledTaskWait(NamedTuple):
-    """A machine that waits for its deletion, or for the end of a cancelled task.
+    """A machine that holds or may hold a cancelled task.
 
     Attributes:
-        machine: Its name.
-        job: The cancelled job of which a task is or may be there.
-        cancelled_s: For how long that job has been cancelled.
+        machine: The machine's name.
+        job: The cancelled job whose task is or may be there.
+        cancelled_s: The time since that job's cancellation.
     """
 
     machine: str
@@ -48,10 +48,11 @@
 
 
 class CancellationWatch:
-    """Finds machines that may hold cancelled tasks and that nobody accounts for, and has them deleted in time.
+    """Finds machines that may hold cancelled tasks and that no owner accounts for, and has them deleted in time.
 
-    Guards against a machine that hangs with a cancelled task while its owner changes again and again, each time to a
-    process that knows nothing of it, or to none at all while the state service is down.
+    This covers a hung machine that holds a cancelled task while its owner changes repeatedly. Each new owner is a
+    process without knowledge of the machine's tasks. While the state service is down, the machine may have no active
+    owner at all.
     """
 
     def __init__(
@@ -69,20 +70,19 @@
         self.commands = commands
         self.scale_in = scale_in
         self.guard = CancellationGuard(context.settings)
-        # When any machine last reported, whether or not it could be answered, or answered a request, in seconds of
-        # the clock.
+        # When any machine last sent a report, answered or not, or answered a request, in seconds of the clock.
         self.any_heard_at = float("-inf")
-        # Machines that may hold a cancelled task and that nobody has accounted for, as of the last look.
+        # Machines that may hold a cancelled task and that no owner has accounted for, as of the last tick.
         self.unaccounted: dict[str, CancelledJob] = {}
-        # Cancelled jobs that were overdue when the own machines were checked last, the oldest first.
+        # Overdue cancelled jobs as of the last check of this controller's machines, the oldest cancellation first.
         self._overdue: list[CancelledJob] = []
-        # Machines whose overdue tasks were logged.
+        # Machines whose overdue tasks have been logged.
         self._logged: set[str] = set()
 
     # -- machines of any owner
 
     def inspect_suspects(self, now: float, wall_time_ms: int) -> None:
-        """Has machines inspected, and deleted if need be, that may hold cancelled tasks and are not accounted for.
+        """Inspects machines that may hold cancelled tasks and are not accounted for; has them deleted once overdue.
 
         Args:
             now: The clock's time in seconds.
@@ -92,7 +92,7 @@
         self._logged &= self.tables.machines.keys()
         leaderless = self.leadership.is_leaderless
         if not leaderless and not self.leadership.is_leader:
-            # Who accounts for which machine is not known here.
+            # This controller cannot know which machines are accounted for.
             self.unaccounted = {}
             self.guard.suspend()
             return
@@ -109,7 +109,7 @@
             self._delete_if_overdue(name, now)
 
     def apply_inspection(self, message: InspectionReply, now: float) -> None:
-        """Records the answer of a machine that was inspected, or that there was none: another one's is none."""
+        """Records the result of an inspection; an answer from another machine counts as no answer."""
         if message.report is None or message.report.machine != message.machine:
             self.guard.record_no_answer(message.machine, now)
         else:
@@ -117,7 +117,7 @@
             self.guard.record_answer(message.report, self.tables, now)
 
     def is_deletable(self, machine: str) -> bool:
-        """Whether a machine may be deleted here for a cancelled task whoever owns it."""
+        """Whether this controller may delete a machine because of a cancelled task, regardless of its owner."""
         return self.guard.is_deletable(machine)
 
     def _find_unaccounted(self, now: float, wall_time_ms: int) -> dict[str, CancelledJob]:
@@ -128,11 +128,11 @@
         return self.guard.unaccounted(self.tables, shard, cancelled_jobs)
 
     def _own_holders(self, now: float) -> set[str]:
-        """Machines of this controller that are known to hold tasks cancelled some time ago."""
+        """This controller's machines that hold an overdue cancelled task."""
         return {machine.name for machine in self.registry.machines.values() if self.is_holding_overdue(machine, now)}
 
     def _delete_if_overdue(self, name: str, now: float) -> None:
-        """Has a machine deleted that holds a cancelled task or does not answer, once that is overdue."""
+        """Has a deletable machine deleted if the cancellation that it is suspected for is overdue."""
         machine = self.registry.machines.get(name)
         if machine is not None and self.is_holding_overdue(machine, now):
             self._scale_in(self.holder_wait(machine, now))
@@ -148,7 +148,7 @@
         self.log_overdue(wait)
 
     def log_overdue(self, wait: CancelledTaskWait) -> None:
-        """Logs why a machine is deleted, once for each machine."""
+        """Logs why a machine is deleted, once per machine."""
         if wait.machine not in self._logged:
             self._logged.add(wait.machine)
             owner = self.leadership.owner_of(wait.machine)
@@ -161,7 +161,7 @@
             )
 
     def _oldest_overdue(self, now: float) -> CancelledJob | None:
-        """What machines are suspected for that are suspected by stored claims alone."""
+        """The overdue job with the oldest cancellation; the reason for machines suspected by stored claims alone."""
         overdue = self.guard.cancelled_jobs(self.tables, now, self.clock.wall_clock_ms(), OVERDUE_SHARE)
         return overdue[0] if overdue else None
 
@@ -170,32 +170,32 @@
         return known.address if known is not None else self.tables.machines[machine].address
 
     def age_s(self, job: Job, now: float) -> float:
-        """For how long the job has been cancelled."""
+        """The time since the job's cancellation."""
         return self.guard.age_s(job.spec.id, job, now, self.clock.wall_clock_ms())
 
     # -- this controller's own machines
 
     def has_overdue(self, wall_time_ms: int) -> bool:
-        """Whether a job that was cancelled longer ago than a part of the time allowed still has claims."""
+        """Updates the overdue cancelled jobs; returns whether there are any."""
         now = self.clock.now()
         self._overdue = self.guard.cancelled_jobs(self.tables, now, wall_time_ms, OVERDUE_SHARE)
         return bool(self._overdue)
 
     def unreconciled_wait(self, machine: Machine) -> CancelledTaskWait | None:
-        """The oldest overdue cancellation of which a task may be on a machine that is not reconciled, if any.
+        """The oldest overdue cancellation that may have a task on a machine that is not reconciled, if any.
 
-        By what `has_overdue` found last.
+        Uses the jobs found by the last call of `has_overdue`.
         """
         found = first_possible_job(self._overdue, machine, self.leadership.incarnation_id, machine.formerly_owned)
         return None if found is None else CancelledTaskWait(machine.name, found.job, found.age_s)
 
     def is_holding_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether the machine is known to have held a cancelled task, for longer than a part of the time allowed."""
+        """Whether the machine holds a cancelled task that is overdue."""
         since = machine.cancelled_since
         return since is not None and now - since > OVERDUE_SHARE * self.settings.cancel_s
 
     def waits(self, now: float) -> list[CancelledTaskWait]:
-        """Machines on which a cancelled task is or may be, as far as known here; the longest cancelled first."""
+        """Machines known to this controller that hold or may hold a cancelled task, the oldest cancellation first."""
         waits = [
             CancelledTaskWait(name, cancelled.job, cancelled.age_s)
             for name, cancelled in self.unaccounted.items()
@@ -205,22 +205,22 @@
         return sorted(waits, key=lambda wait: -wait.cancelled_s)
 
     def holder_wait(self, machine: Machine, now: float) -> CancelledTaskWait:
-        """Since when a machine of this controller has held a cancelled task, and of which job as far as known."""
+        """The wait of a machine of this controller that holds a cancelled task."""
         stopped = [attempt.job for attempt in machine.attempts.values() if attempt.kill_grace_s is not None]
         since = now if machine.cancelled_since is None else machine.cancelled_since
         return CancelledTaskWait(machine.name, stopped[0] if stopped else UNKNOWN_JOB, now - since)
 
-    # -- our own network
+    # -- this controller's own network
 
     def is_network_suspected(self, now: float) -> bool:
-        """Whether no machine at all gave a sign of life for as long as one may be silent, though there are some.
+        """Whether there was no contact with any machine for `max_silence_s`, although there are several.
 
-        Our own network is the likely reason, and machines that do not answer may be well.
+        This controller's own network is then the likely cause, and machines that do not answer may be healthy.
         """
         silent_s = now - self.any_heard_at
         return len(self.tables.machines) > NETWORK_FAULT_MIN_MACHINES and silent_s > self.settings.max_silence_s
 
 
 def is_holder(machine: Machine) -> bool:
-    """Whether a cancelled task was seen on the machine, and no report since then lacks it."""
+    """Whether the machine had a cancelled task and no report has shown its end since."""
     return machine.cancelled_since is not None
--- a/sloeswitch/actors/cancelled_tasks.py
+++ b/sloeswitch/actors/cancelled_tasks.py
@@ -1,4 +1,4 @@
-"""Cancelled jobs: their tasks on this controller's machines are stopped, their unplaced claims released.
+"""Kills the tasks of cancelled jobs on this controller's machines, and releases the jobs' unplaced claims.
 
 Called by the machines actor at each tick.
 """
@@ -13,7 +13,7 @@
 
 
 class CancelledTasks:
-    """Stops tasks of jobs that are cancelled or gone, and records since when machines have held any."""
+    """Kills tasks of jobs that are cancelled or no longer stored, and records how long machines have held them."""
 
     def __init__(self, shard: ShardState, commands: CommandSender, cancellations: CancellationWatch) -> None:
         self.tables = shard.context.tables
@@ -24,7 +24,7 @@
         self.cancellations = cancellations
 
     def stop_all(self) -> None:
-        """Releases claims of cancelled jobs on tasks that are nowhere, and stops those that are on machines."""
+        """Releases this controller's claims on unplaced tasks of cancelled jobs, and kills their placed tasks."""
         self._release_unplaced()
         ended: dict[str, Job | None] = {}
         for name in self.registry.placed_tasks:
@@ -52,19 +52,20 @@
                 self.task_updates.release(job.spec.id, unplaced)
 
     def _foreign_jobs(self) -> set[str]:
-        """Jobs of which machines hold tasks that are not ours to keep.
+        """Jobs with foreign attempts on this controller's machines.
 
-        Collected once for all cancelled jobs: a pass over the machines for each of them took most of a tick in a wave
-        of cancellations on thousands of machines.
+        Collected once for all cancelled jobs. With thousands of machines and many cancellations at once, one pass over
+        the machines for each job would take most of a tick.
         """
         return {
             key[0].rpartition("/")[0] for machine in self.registry.machines.values() for key in machine.foreign_attempts
         }
 
     def _record_cancelled(self, machine: Machine, attempt: Attempt, job: Job | None, now: float) -> None:
-        """Records since when a task has been on the machine whose user may know of its cancellation.
+        """Records since when the machine has held a task whose cancellation the user may know of.
 
-        That is by our own clock; the time of the cancellation holds over changes of owner.
+        This is the earlier of two times: when this controller decided to kill the task, by its own clock, and the
+        stored time of the job's cancellation, which is the same for every owner of the machine.
         """
         attempt.killed_at = attempt.killed_at or now
         since = attempt.killed_at
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -1,10 +1,12 @@
-"""Which machines are deleted since a cancelled task may be on them: one rule, for whoever knows the cancellation.
+"""Decides which machines are deleted because a cancelled task may still be on them.
 
-A worker that merely hears nothing gives its tasks up when its lease ends; a machine that hangs keeps them until it goes
-on. So a machine is deleted once half of the time is over in which the task must be gone, if it holds one, or if one may
-be on it, its owner has not accounted for it, and it does not answer. The time counts from the cancellation alone: what
-is known of machines that do not answer outlasts views, leases and changes of owner (see *Cancelled tasks on machines
-that hang* in docs/design.md).
+A cancelled task must have ended within `cancel_s` of its cancellation. A worker that is cut off from its controller
+stops its tasks when its lease expires, but a hung machine keeps them until it resumes. A machine is therefore deleted
+once half of `cancel_s` has passed if it holds a cancelled task, or if it may hold one, its owner has not accounted for
+it, and it does not answer. Every controller that knows of the cancellation applies this rule.
+
+The time counts from the cancellation alone. It does not restart when the view, the lease or the machine's owner changes
+(see *Cancelled tasks on machines that hang* in docs/design.md).
 """
 
 from __future__ import annotations
@@ -21,24 +23,25 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import MalformedError, WorkerReport, split_task
 
-# From this part of the time on in which a cancelled task must be gone, machines that may hold one are watched.
+# The shares of `cancel_s` after which the steps of the rule apply.
+# After this share, machines that may hold a cancelled task are suspected and inspected.
 SUSPECT_SHARE = 0.25
-# From this part on such a machine is deleted. By then a worker that merely hears nothing has given up by its lease; the
-# rest is for the cloud's rate and retries.
+# After this share such a machine is deleted. By then the lease of a worker that is only cut off has expired. The
+# remaining time is for the cloud's rate limit and for retries.
 OVERDUE_SHARE = 0.5
-# From this part on a machine is inspected as soon as it is suspected, without leaving its owner the time for it.
+# After this share a machine is inspected as soon as it is suspected, without giving its owner time to account for it.
 PRESSING_SHARE = 0.6
-# Inspections in a row without an answer after which a machine is deleted.
+# The number of consecutive inspections without an answer after which a machine is deleted.
 MAX_FAILED_INSPECTIONS = 2
 
 
 class CancelledJob(NamedTuple):
-    """A cancelled job of which tasks may exist.
+    """A cancelled job whose tasks may still exist.
 
     Attributes:
         job: The job's id.
-        row: Its stored row; None where only a sibling reported the cancellation: then nothing is known of its claims.
-        age_s: For how long it has been cancelled.
+        row: The stored job; None if only a sibling reported the cancellation, so that the job's claims are unknown.
+        age_s: The time since its cancellation.
     """
 
     job: str
@@ -46,13 +49,13 @@
     age_s: float
 
     def may_be_on(self, machine: MachineAttributes, incarnation_id: str, formerly_owned: bool) -> bool:
-        """Whether a task of it can be on a machine that nobody has accounted for, as far as stored claims tell.
+        """Whether the job's constraints and stored claims allow a task of it on a machine that is not accounted for.
 
-        A task is claimed by the incarnation that owned its machine when it was started, until it is adopted.
+        Until a task is adopted, it is claimed by the incarnation that owned its machine when the task was started.
 
         Args:
             machine: The machine.
-            incarnation_id: The incarnation that asks.
+            incarnation_id: The calling controller's incarnation.
             formerly_owned: Whether that incarnation has owned the machine under an earlier view.
         """
         if self.row is None:
@@ -63,13 +66,13 @@
 
 
 class OwnShard(NamedTuple):
-    """What a controller knows of machines by owning them, or having owned them.
+    """The machines that a controller owns or has owned.
 
     Attributes:
-        member: The controller.
+        member: The controller's member name.
         incarnation_id: Its present incarnation.
-        machines: Those that it owns, by name.
-        released: Names of those that this incarnation has owned and released.
+        machines: The machines that it owns, by name.
+        released: Names of machines that this incarnation has owned and released.
     """
 
     member: str
@@ -80,12 +83,12 @@
 
 @dataclass
 class Inspection:
-    """What is known of one machine that is asked for its tasks.
+    """The state of inspecting one suspected machine; an inspection asks it which tasks it holds.
 
     Attributes:
-        failures: Inspections without an answer since the last answer.
-        inspect_at: When it is to be asked (again), in seconds of the controller's monotonic clock.
-        deletable: Whether it holds a cancelled task, or does not answer.
+        failures: The number of inspections without an answer since the last answer.
+        inspect_at: When it is to be inspected next, in seconds of the controller's monotonic clock.
+        deletable: Whether it holds a cancelled task or does not answer.
     """
 
     failures: int = 0
@@ -95,7 +98,7 @@
 
 @dataclass
 class CancellationGuard:
-    """Owns the inspections that are under way, and since when cancellations are known.
+    """Owns the inspections of suspected machines and the times at which cancellations were first observed.
 
     Called by `actors.cancellation_watch` only. Has no clock: `now` is in seconds of the controller's monotonic clock.
     """
@@ -103,32 +106,39 @@
     settings: Settings
     # By machine.
     inspections: dict[str, Inspection] = field(default_factory=dict)
-    # When a cancellation was first seen here, by job.
+    # When this process first observed each cancellation, by job.
     _observed_at: dict[str, float] = field(default_factory=dict)
-    # Since when each machine has been suspected without a break.
+    # Start of the time for which each machine has been suspected without interruption.
     _suspected_since: dict[str, float] = field(default_factory=dict)
 
     # -- cancelled jobs
 
     def observe(self, tables: Tables, now: float) -> None:
-        """Notes since when each cancellation is known here whose tasks may exist.
+        """Records when each cancellation whose tasks may still exist was first observed by this process.
 
-        Guards against a stored time that is missing or in the future, and against a cancellation that is known from a
-        sibling only: none of them may disarm the deadline.
+        The deadline of a cancellation counts from this time if its stored time is missing or in the future, or if it is
+        known only from a sibling. Without it, such a cancellation would have no deadline.
         """
         known = set(tables.peer_cancellations)
         known.update(name for name, job in tables.jobs.items() if job.is_cancelled and job.progress.claims)
         self._observed_at = {job: self._observed_at.get(job, now) for job in known}
 
     def age_s(self, name: str, job: Job | None, now: float, wall_clock_ms: int) -> float:
-        """For how long a job has been cancelled: by the stored time, or since it is known here if that is longer."""
+        """The time since a job's cancellation: by the stored time or since it was first observed, whichever is longer.
+
+        Args:
+            name: The job's id.
+            job: The stored job, if it is known.
+            now: The monotonic time.
+            wall_clock_ms: The time of day, as stored with cancellations.
+        """
         observed_s = now - self._observed_at.get(name, now)
         if job is None or job.cancelled_ms <= 0:
             return observed_s
         return max(observed_s, (wall_clock_ms - job.cancelled_ms) / 1000)
 
     def cancelled_jobs(self, tables: Tables, now: float, wall_clock_ms: int, share: float) -> list[CancelledJob]:
-        """Jobs cancelled for longer than a share of the time in which their tasks must be gone, the longest first."""
+        """Jobs whose cancellation is at least the given share of `cancel_s` old, the oldest cancellation first."""
         old: list[CancelledJob] = []
         for name, job in tables.jobs.items():
             if job.is_cancelled and job.progress.claims:
@@ -142,14 +152,15 @@
     # -- machines that may hold cancelled tasks
 
     def suspects(self, tables: Tables, incarnation_id: str, now: float, wall_clock_ms: int) -> set[str]:
-        """Machines whose tasks may include cancelled ones that are overdue, while nobody may answer machines.
+        """Machines that may hold overdue cancelled tasks while no controller may answer workers.
 
-        Only as far as that does not follow from this incarnation's own registry. What a controller that left the view
-        had claimed may be on any machine.
+        These are the machines of the other incarnations that claim such tasks; for this incarnation's own machines, its
+        registry is more precise. If an incarnation that claims a task has left the view, the task may be on any
+        machine.
         """
         incarnation_ids: set[str] = set()
         for each in self.cancelled_jobs(tables, now, wall_clock_ms, OVERDUE_SHARE):
-            # Without a row nothing is known of its claims: any controller may have some.
+            # Without a row the job's claims are unknown: any controller may hold some.
             incarnation_ids.update(tables.view.incarnation_ids if each.row is None else each.row.progress.claims)
         incarnation_ids -= {incarnation_id}
         if not incarnation_ids:
@@ -166,12 +177,15 @@
     def unaccounted(
         self, tables: Tables, shard: OwnShard, cancelled_jobs: list[CancelledJob]
     ) -> dict[str, CancelledJob]:
-        """Machines that their owners have not accounted for, with the job cancelled longest ago that may be there.
+        """Machines that may hold a cancelled task and that their owners have not accounted for.
 
         Args:
-            tables: The replicated tables, read afresh a short while ago.
-            shard: What this controller knows of machines.
-            cancelled_jobs: Those cancelled longest ago first.
+            tables: The replicated tables, which must be recent.
+            shard: The machines that this controller owns or has owned.
+            cancelled_jobs: The cancelled jobs, the oldest cancellation first.
+
+        Returns:
+            For each machine, the job with the oldest cancellation that may have a task there.
         """
         if not cancelled_jobs:
             return {}
@@ -191,7 +205,10 @@
         return found
 
     def due_suspects(self, unaccounted: dict[str, CancelledJob], now: float) -> set[str]:
-        """Machines to be inspected: their owners had the time of a report to account for them, or none is left."""
+        """Machines to inspect now.
+
+        A machine's owner first gets `late_s` to account for it, unless the deadline of the cancellation is near.
+        """
         self._suspected_since = {name: self._suspected_since.get(name, now) for name in unaccounted}
         pressing_s = PRESSING_SHARE * self.settings.cancel_s
         return {
@@ -203,20 +220,20 @@
     # -- inspections
 
     def begin_inspections(self, suspects: Iterable[str], now: float) -> list[str]:
-        """Those of the suspects that are to be asked now; forgets machines that are suspected no more."""
+        """The suspects whose next inspection is due; drops machines that are no longer suspected."""
         names = set(suspects)
         self.inspections = {name: each for name, each in self.inspections.items() if name in names}
         due: list[str] = []
         for name in sorted(names):
             inspection = self.inspections.setdefault(name, Inspection())
             if now >= inspection.inspect_at and not inspection.deletable:
-                # Until the answer, or its absence, is recorded.
+                # Prevents a second inspection until the result of this one is recorded.
                 inspection.inspect_at = now + self.settings.lease_s
                 due.append(name)
         return due
 
     def record_answer(self, report: WorkerReport, tables: Tables, now: float) -> None:
-        """A machine said what it holds."""
+        """Records a machine's answer to an inspection."""
         inspection = self.inspections.get(report.machine)
         if inspection is None:
             return
@@ -225,7 +242,7 @@
         inspection.inspect_at = now + self.settings.lease_s
 
     def record_no_answer(self, machine: str, now: float) -> None:
-        """A machine did not answer."""
+        """Records that a machine did not answer an inspection."""
         inspection = self.inspections.get(machine)
         if inspection is None:
             return
@@ -234,20 +251,23 @@
         inspection.inspect_at = now + self.settings.report_s
 
     def deletable(self) -> list[str]:
-        """Machines that are to be deleted."""
+        """Machines that the inspections found to be deletable."""
         return [name for name, inspection in self.inspections.items() if inspection.deletable]
 
     def is_inspected(self, machine: str) -> bool:
-        """Whether the machine is suspected still."""
+        """Whether the machine is still suspected."""
         return machine in self.inspections
 
     def is_deletable(self, machine: str) -> bool:
-        """Whether the machine is to be deleted."""
+        """Whether the inspections found the machine to be deletable."""
         inspection = self.inspections.get(machine)
         return inspection is not None and inspection.deletable
 
     def suspend(self) -> None:
-        """Who accounts for machines is not known here for now: what was found has to be confirmed once more."""
+        """Requires a new inspection before any machine counts as deletable.
+
+        Called while this controller cannot know which machines are accounted for.
+        """
         for inspection in self.inspections.values():
             inspection.failures = min(inspection.failures, MAX_FAILED_INSPECTIONS - 1)
             inspection.deletable = False
@@ -257,17 +277,17 @@
 def first_possible_job(
     cancelled_jobs: list[CancelledJob], machine: MachineAttributes, incarnation_id: str, formerly_owned: bool
 ) -> CancelledJob | None:
-    """The first job of which a task may be on a machine that nobody has accounted for; see `may_be_on`."""
+    """The first job that may have a task on a machine that is not accounted for; see `may_be_on`."""
     return next((each for each in cancelled_jobs if each.may_be_on(machine, incarnation_id, formerly_owned)), None)
 
 
 def holds_cancelled(report: WorkerReport, tables: Tables) -> bool:
-    """Whether a task of a cancelled job is on the machine."""
+    """Whether the report lists a task of a cancelled job that has not ended."""
     return any(item.state != AttemptState.ENDED and _is_cancelled(item.task, tables) for item in report.tasks)
 
 
 def _is_cancelled(task: str, tables: Tables) -> bool:
-    """Whether the task's job is known to be cancelled; not if the task's name is none."""
+    """Whether the task's job is known to be cancelled; False if the task's name is malformed."""
     try:
         name, _index = split_task(task)
     except MalformedError:
--- a/sloeswitch/core/cancellation_log.py
+++ b/sloeswitch/core/cancellation_log.py
@@ -1,9 +1,12 @@
-"""Stored cancellations in the order in which this process learnt of them, for its siblings (see `mesh`).
+"""Log of stored cancellations, which controllers send to their siblings over the mesh (see `mesh`).
 
-A sibling that is refused by the state service has not read what others stored since. Whoever lets it go on answering
-machines sends it the cancellations among that. Each of them is stored, so it is final, and sending it twice does no
-harm. The order of learning is this process's own (revisions may come in another, since own writes are known before what
-was stored earlier), so a position in the log means something only together with the log's id.
+A controller whose requests the state service refuses cannot read what others have stored since. Its siblings may
+confirm that it can continue to answer workers; they then send it the cancellations that it has not read. A cancellation
+in the log is stored and therefore final, so sending it twice does no harm.
+
+Entries are in the order in which this process learnt of the cancellations. This can differ from the order of their
+revisions, because a process knows its own writes before it reads earlier writes of others. A position is therefore only
+valid together with the id of its log.
 """
 
 from __future__ import annotations
@@ -15,57 +18,57 @@
 
 
 class Cancellation(NamedTuple):
-    """A cancellation that is stored."""
+    """A stored cancellation."""
 
     job: str
-    # The revision of the job's row that says so.
+    # The revision of the job's row that holds the cancellation.
     revision: int
 
 
 @dataclass
 class CancellationDelta:
-    """The cancellations that a sibling lacks, as far as they go into one answer."""
+    """The cancellations that a sibling lacks, up to the limit of one answer."""
 
     cancellations: list[Cancellation]
-    # The position in the log up to which the sibling then knows all.
+    # The sibling knows all entries up to this position once it has applied the delta.
     position: int
-    # Whether more is to come, or some was dropped that the sibling may lack.
+    # Whether entries remain to be sent, or the log has dropped entries that the sibling may lack.
     more: bool = False
 
 
 class CancellationLog:
-    """A bounded log; filled as rows are applied, read by the mesh for siblings.
+    """A bounded log of cancellations. Entries are added as rows are applied; the mesh reads them for siblings.
 
-    Positions count all entries since the start of the process, the dropped ones included.
+    A position counts all entries since the start of the process, including dropped ones.
     """
 
     def __init__(self, max_entries: int, log_id: int) -> None:
         self.max_entries = max_entries
-        # Tells the logs of two processes apart; 0 is nobody's.
+        # Identifies the log among those of all processes; 0 identifies no log.
         self.log_id = log_id
         self._entries: deque[Cancellation] = deque()
         self._dropped = 0
-        # Whoever has read all rows up to this revision lacks nothing that was dropped.
+        # A sibling that has read all rows up to this revision knows every dropped entry.
         self._dropped_revision = 0
 
     def add(self, job: str, revision: int) -> None:
-        """Adds a cancellation; beyond the limit, the one learnt first is dropped."""
+        """Adds a cancellation; drops the oldest entry when the log exceeds its limit."""
         self._entries.append(Cancellation(job, revision))
         if len(self._entries) > self.max_entries:
             self._dropped += 1
             self._dropped_revision = max(self._dropped_revision, self._entries.popleft().revision)
 
     def since(self, revision: int, log_id: int, position: int, max_entries: int) -> CancellationDelta:
-        """What a sibling lacks.
+        """The cancellations that a sibling lacks.
 
-        Where entries were dropped that the sibling may lack, nothing is sent and `more` is set, so that it does not
-        take itself for informed; it has to read the rows.
+        If the log has dropped entries that the sibling may lack, no cancellations are returned and `more` is set. The
+        sibling then knows that its state is incomplete and has to read the rows.
 
         Args:
             revision: The revision up to which the sibling has read all rows.
-            log_id: The log that the sibling's position is of.
-            position: The position up to which the sibling knows that log; one in another log counts as none.
-            max_entries: How many cancellations an answer holds at most.
+            log_id: The log to which the sibling's position refers.
+            position: The position up to which the sibling knows that log. A position in another log counts as 0.
+            max_entries: The maximum number of cancellations in the delta.
         """
         end = self._dropped + len(self._entries)
         if log_id != self.log_id or position > end:
--- a/sloeswitch/core/reconciliation.py
+++ b/sloeswitch/core/reconciliation.py
@@ -271,8 +271,9 @@
     ) -> None:
         """Adopts or rejects an attempt that this controller does not know, or records its end.
 
-        An earlier owner of the machine usually started it. An attempt is adopted only from the first report of a machine that was taken over. In later reports the machine
-        has already been accounted for without the attempt, so the task may have been started elsewhere.
+        An earlier owner of the machine usually started it. It is adopted only from the first report of a machine that
+        was taken over. When a later report lists it, the machine was already accounted for without it, so the task may
+        have been started elsewhere.
         """
         state = REPORTED_STATES[item.state]
         key = AttemptKey(item.task, item.attempt)
