--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -1,4 +1,7 @@
-"""The deadline of a cancelled task counts from its cancellation, whoever owns its machine; healthy machines stay."""
+"""The deadline for cancelled tasks on hung machines, and the safety of healthy machines.
+
+The deadline counts from the cancellation and does not restart when the machine's owner changes.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
 
 
 class Takeover:
-    """c0.1, which has just taken machines over and heard nothing of them; a job of a departed c1.9 is cancelled."""
+    """c0.1 has just taken over machines and has no contact with them; a job claimed by departed c1.9 is cancelled."""
 
     def __init__(self, store: Store, stored: dict[str, int], holder: str = "c1_9", spot: bool = True) -> None:
         self.store = store
         self.world = World(store)
         self.deleted: list[str] = []
-        # Those that are deleted since they do not respond, whatever may be on them.
+        # Machines deleted because they do not respond, regardless of cancelled tasks.
         self.silent: set[str] = set()
         self.world.machines.termination.autoscaler = self
         self.world.machines.commands.spawn = self.start
@@ -44,7 +47,7 @@
         self.tick()
 
     def start(self, call: Any, *args: Any) -> None:
-        """No command finds an answer; which machines are inspected."""
+        """Records inspections, and lets every command fail without an answer."""
         if call.__name__ == "_inspect":
             self.asked.append(args[0])
             return
@@ -54,7 +57,7 @@
         commands.record_ended(args[0])
 
     def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
-        """Takes what is deleted for a cancellation; a machine that is merely silent is another matter."""
+        """Records machines deleted for a cancellation in `deleted`, and all others in `silent`."""
         if not pressing:
             self.silent.add(machine)
         is_new = pressing and machine not in self.deleted
@@ -63,7 +66,7 @@
         return is_new
 
     def tick(self, seconds: float = 0.0) -> None:
-        """Time passes while the controller keeps its lease, and another machine is heard."""
+        """Advances the time; the controller keeps its lease and, by default, has contact with another machine."""
         world = self.world
         world.clock.time += seconds
         world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
@@ -79,7 +82,7 @@
 
 @pytest.mark.parametrize("seed", [2, 4, 16, 17, 23, 27])
 def test_a_hung_machine_is_deleted_in_time_and_no_other_however_its_owners_change(seed: int) -> None:
-    """In each of these seeds the cancelled task outlasted `cancel_s`, as each takeover began the wait anew."""
+    """Guards against a wait that restarts at each takeover: in these seeds the task then outlasts `cancel_s`."""
     world = play(seed)
     kinds = {str(kind) for kind in TakeoverKind}
     assert kinds & world.happened.keys() and world.happened["deleted"] == 1
@@ -89,7 +92,7 @@
 def test_a_cancellation_without_a_usable_time_is_overdue_from_when_it_is_known(
     store: Store, stored: dict[str, int]
 ) -> None:
-    """Guards against a stored time that is missing or in the future: the deadline never came."""
+    """Guards against a stored time that is missing or in the future, with which the deadline would never pass."""
     takeover = Takeover(store, stored)
     takeover.pass_time(OVERDUE_SHARE * CANCEL_S - 1)
     assert takeover.deleted == []
@@ -98,7 +101,7 @@
 
 
 def test_a_cancellation_that_only_a_sibling_reported_has_a_deadline_for_a_new_owner(store: Store) -> None:
-    """Guards against an owner that waits for a time which no row tells."""
+    """Guards against an owner that waits forever because no row holds the time of the cancellation."""
     takeover = Takeover(store, {})
     job = store.rows[keys.job_key(JOB)][0]
     store.put(keys.job_key(JOB), {**job, "s": JobState.LIVE})
@@ -108,7 +111,7 @@
 
 
 def test_a_new_owner_counts_from_when_the_cancellation_is_known_though_no_time_is_stored(store: Store) -> None:
-    """Guards against a machine that reports a cancelled task and receives nothing: each owner gave it all the time."""
+    """Guards against a full new wait at each owner of a machine that reports a cancelled task but receives nothing."""
     takeover = Takeover(store, {})
     takeover.pass_time(0.4 * CANCEL_S)
     message = CommandReply(report(1, 3, (f"{JOB}/0", 1, "running"), name=MACHINES[0]))
@@ -118,7 +121,7 @@
 
 
 def test_another_machines_answer_to_an_inspection_is_none(store: Store) -> None:
-    """Guards against an address that another machine has by now: its answer would clear the one that hangs."""
+    """Guards against an address that was reassigned: the new machine's answer would clear the hung machine."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
     first, second = sorted(sibling.theirs)[:2]
     sibling.pass_time_answering(4, {first, second})
@@ -129,7 +132,7 @@
 
 
 def test_a_time_far_in_the_past_deletes_nothing_that_answers(store: Store) -> None:
-    """Guards against a malformed time that makes every machine of a takeover overdue at once."""
+    """Guards against a wrong stored time that makes every machine of a takeover overdue at once."""
     takeover = Takeover(store, {"x": 1})
     world = takeover.world
     for name in MACHINES[1:]:
@@ -139,7 +142,7 @@
 
 
 def test_a_machine_that_answers_commands_under_a_newer_token_is_kept(store: Store) -> None:
-    """Guards against the deletion of machines that a newer owner has fenced: their answers count for nothing else."""
+    """Guards against the deletion of machines fenced by a newer owner: their answers have no other effect here."""
     takeover = Takeover(store, {"x": 1})
     for _ in range(10):
         for name in MACHINES:
@@ -149,7 +152,7 @@
 
 
 def test_a_machine_that_was_not_asked_yet_is_kept(store: Store) -> None:
-    """Guards against deletions at large after a takeover of thousands: commands to all of them wait for sockets."""
+    """Guards against mass deletion after a takeover of thousands of machines, when commands wait for a free socket."""
     takeover = Takeover(store, {"x": 1})
     commands = takeover.world.machines.commands
     commands._failed_at.clear()
@@ -160,7 +163,7 @@
 
 
 def test_no_machine_is_deleted_while_our_own_network_is_suspected(store: Store) -> None:
-    """Guards against a new owner without a network, which would delete all that it took over."""
+    """Guards against a new owner without network access, which would delete every machine that it took over."""
     takeover = Takeover(store, {"x": 1})
     takeover.hears_others = False
     takeover.pass_time(10)
@@ -172,14 +175,17 @@
 
 @pytest.mark.parametrize("case", ["own claims", "no spot machines"])
 def test_a_machine_that_cannot_hold_the_task_by_the_stored_claims_is_kept(store: Store, case: str) -> None:
-    """Guards against the deletion of machines taken over from another owner than the one that claimed the task."""
+    """Guards against the deletion of machines that cannot hold the task.
+
+    In one case c0.1 itself claims the task; in the other the job accepts no spot machines.
+    """
     takeover = Takeover(store, {"x": 1}, holder="c0_1" if case == "own claims" else "c1_9", spot=case == "own claims")
     takeover.pass_time(10)
     assert takeover.deleted == []
 
 
 class Sibling(Takeover):
-    """c0.1 beside c1.2, which owns machines under the present view and does not account for them."""
+    """c0.1, and sibling c1.2 that owns machines under the present view and does not account for them."""
 
     def __init__(self, store: Store, cancelled_s: float) -> None:
         self.theirs = set(MACHINES)
@@ -193,7 +199,7 @@
         self.asked.clear()
 
     def tick(self, seconds: float = 0.0) -> None:
-        """Its own machines report meanwhile."""
+        """Advances the time while the machines of c0.1 report."""
         super().tick(seconds)
         self.reports += 1
         for name in set(MACHINES) - self.theirs:
@@ -213,7 +219,7 @@
 
 
 def test_a_sibling_deletes_the_silent_machine_that_its_owner_never_accounts_for(store: Store) -> None:
-    """Guards against an owner that restarts again and again: none of its processes lives to find out."""
+    """Guards against an owner that restarts repeatedly, so that none of its processes detects the hung machine."""
     sibling = Sibling(store, 0.4 * CANCEL_S)
     silent = sorted(sibling.theirs)[0]
     assert len(sibling.theirs) > 1
@@ -244,13 +250,13 @@
 
 
 def test_a_controller_that_lost_its_lease_confirms_what_it_found_before_it_deletes(store: Store) -> None:
-    """Guards against an answer that was missing before: the machine may have answered its owner since."""
+    """Guards against outdated failures: the machine may have answered its owner while the lease was lost."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
     sibling.pass_time_answering(5, sibling.theirs)
     guard = sibling.world.machines.cancellations.guard
     assert set(guard.deletable()) == sibling.theirs and sibling.deleted == []
     world = sibling.world
-    world.clock.time += 10.0  # its lease and its last fresh read are over
+    world.clock.time += 10.0  # its lease and its last linearizable read have expired
     world.machines._tick()
     assert guard.deletable() == [] and set(guard.inspections) == sibling.theirs
     sibling.asked.clear()
@@ -259,8 +265,7 @@
 
 
 def test_the_autoscaler_deletes_a_siblings_machine_only_while_it_is_unaccounted_for(store: Store) -> None:
-    """Guards against a request that was dropped since the machine is another's, and against one that outlived its
-    reason."""
+    """Guards against a request dropped because a sibling owns the machine, and one executed after its reason ended."""
     sibling = Sibling(store, 0.4 * CANCEL_S)
     cloud: Any = Cloud()
     scale_in = ScaleIn(sibling.world.context, cloud)
@@ -280,7 +285,7 @@
 
 
 def test_of_a_fleet_that_is_taken_over_only_the_hung_machine_is_deleted() -> None:
-    """Guards against deletions at large: one overdue cancellation made every machine of the takeover a suspect."""
+    """Guards against mass deletion, when one overdue cancellation makes every machine of a takeover a suspect."""
     world = FleetWorld(200)
     outcome = world.take_over_with_a_hung_machine()
     assert outcome.deleted == [outcome.hung]
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -1,4 +1,4 @@
-"""Machines that may hold cancelled tasks while nobody may answer them: which are inspected, and which are deleted."""
+"""Inspection and deletion of machines that may hold cancelled tasks while no controller may answer workers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
-    """A cancelled job of which an incarnation of a controller holds a claim."""
+    """Stores a cancelled job of which the incarnation `tag` claims a task."""
     store.job(spec(JOB))
     store.put(keys.progress_key(JOB), encode_progress(Progress(0, {tag: 1})))
     row = store.rows[keys.job_key(JOB)][0]
@@ -62,7 +62,7 @@
 
 
 def test_a_cancellation_learnt_from_a_sibling_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
-    """Its row is not read, so that nothing is known of its claims."""
+    """The job's row has not been read, so its claims are unknown."""
     two_members(store)
     store.tables.apply_peer_cancellation(Cancellation("wk-000077", 99))
     guard = CancellationGuard(settings)
@@ -90,7 +90,10 @@
 
 
 class Outage:
-    """c0.1 in an outage, beside a sibling c1 that answers over the mesh; machines of c1 may hold a cancelled task."""
+    """c0.1 without the state service, and sibling c1 that answers over the mesh.
+
+    Machines of c1 may hold a cancelled task.
+    """
 
     def __init__(self, store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
         two_members(store)
@@ -126,7 +129,7 @@
         return pressing
 
     def inspect(self, silent: set[str]) -> None:
-        """One round of questions, which all machines answer but the silent ones."""
+        """One round of inspections, answered by all machines except the silent ones."""
         self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
         for name in self.started:
             answer = None if name in silent else report(1, 5, name=name)
@@ -173,7 +176,7 @@
     outage.set_sibling_status(5, True)
     assert deletions(world, autoscaler) == []
     outage.set_sibling_status(0, False)
-    autoscaler.wake = anyio.Event()  # of the next event loop
+    autoscaler.wake = anyio.Event()  # each run of an event loop needs its own event
     assert deletions(world, autoscaler) == [pressing]
 
 
--- a/tests/test_cancellation_log.py
+++ b/tests/test_cancellation_log.py
@@ -1,4 +1,4 @@
-"""The log of cancellations that controllers send each other."""
+"""The log of cancellations that controllers send to their siblings."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_what_was_learnt_later_is_sent_later_whatever_its_revision() -> None:
-    """Own writes are known before what others stored earlier."""
+    """A process knows its own writes before it reads earlier writes of others."""
     log = CancellationLog(100, 9)
     log.add("wk-2", 50)
     first = log.since(40, 0, 0, 10)
@@ -14,7 +14,7 @@
     log.add("wk-1", 45)
     assert log.since(40, 9, first.position, 10).cancellations == [("wk-1", 45)]
     assert log.since(47, 9, first.position, 10).cancellations == []
-    # The position in another process's log says nothing.
+    # A position in the log of another process counts as 0.
     assert len(log.since(40, 8, first.position, 10).cancellations) == 2
 
 
@@ -39,7 +39,7 @@
 
 
 def test_a_position_beyond_the_log_counts_as_none() -> None:
-    """Guards against a log id that two processes drew: nothing must be taken for known."""
+    """Guards against two processes that drew the same log id: no entry may count as known."""
     log = CancellationLog(100, 9)
     log.add("wk-10", 10)
     assert len(log.since(0, 9, 7, 10).cancellations) == 1
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -1,5 +1,9 @@
-"""The state service refuses one controller, others tell users of cancellations, then it is down for all: whoever
-goes on answering machines knows what was told, or stops in time. See "Cancellations in an outage" in docs/design.md."""
+"""Cancellations during an outage of the state service.
+
+The state service first refuses one controller while the others confirm cancellations to users; then it is down for
+all. A controller that continues to answer workers must know every confirmed cancellation, or stop answering in time.
+See "Cancellations in an outage" in docs/design.md.
+"""
 
 from __future__ import annotations
 
@@ -47,12 +51,12 @@
 def test_a_cancellation_told_elsewhere_reaches_who_cannot_read_it(world: World) -> None:
     task = running(world)
     log = CancellationLog(100, 9)
-    log.add(JOB, world.replica.applied_revision + 1)  # c1 stored it and told its user
+    log.add(JOB, world.replica.applied_revision + 1)  # c1 stored it and confirmed it to its user
     state_outage(world)
     told(log, world)
     assert world.leadership.may_answer_workers and not world.leadership.is_leader
     orders = world.heartbeat(report(5, 3, (*task, "running"))).commands
-    assert orders == []  # known, and marked at the next tick, which the news wakes
+    assert orders == []  # the cancellation is known; the task is marked for kill at the next tick
     world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
     world.machines.registry.machines["vm-1"].reconciled = True
@@ -107,7 +111,7 @@
     tables.apply_peer_cancellation(Cancellation("wk-000001", 90))
     tables.apply_peer_cancellation(Cancellation("wk-000003", 91))
     assert tables.jobs["wk-000001"].is_cancelled and tables.jobs["wk-000002"].prerequisite_cancelled
-    # A reading that was under way brings what was before.
+    # A read that was in flight returns the row as it was before the cancellation.
     store.job(spec("wk-000003"))
     assert tables.jobs["wk-000003"].is_cancelled
     tables.clear()
@@ -123,7 +127,7 @@
     store.job(spec("wk-000001"))
     store.job(spec("wk-000001"), JobState.CANCELLED)  # read
     store.job(spec("wk-000002"), JobState.CANCELLED)  # read at start
-    store.put(keys.job_key("wk-000003"), {"s": JobState.CANCELLED, "n": 1, "t": 5})  # over at once
+    store.put(keys.job_key("wk-000003"), {"s": JobState.CANCELLED, "n": 1, "t": 5})  # finished at once
     store.job(spec("wk-000004"))
     store.tables.apply_peer_cancellation(Cancellation("wk-000004", 99))  # learnt from a sibling
     store.put(keys.job_key("wk-000001"), {"s": JobState.CANCELLED, "n": 1, "t": 5})
@@ -135,14 +139,14 @@
 
 @dataclass
 class Service:
-    """The state service: cancellations by stamp."""
+    """The state service, reduced to the stored cancellations and the current revision."""
 
     epoch: int = 0
     rows: list[Cancellation] = field(default_factory=list)
 
 
 class Member:
-    """One process of a controller, from the real standing, tables, log and mesh."""
+    """One process of a controller, with the real leadership, tables, cancellation log and mesh."""
 
     def __init__(self, name: str, clock: Clock, number: int) -> None:
         others = [other for other in ("c0", "c1", "c2") if other != name]
@@ -166,13 +170,13 @@
         self.knows: set[str] = set()
 
     def join(self) -> None:
-        """All three are members of one view, which stays: what is at stake here is cancellations alone."""
+        """Joins a view of all three members, which never changes here."""
         self.leadership.incarnation = 1
         members = [["c0", 1], ["c1", 1], ["c2", 1]]
         self.tables.apply(keys.VIEW_KEY, {"n": 3, "members": members}, 1)
 
     def read(self, service: Service) -> None:
-        """A fresh read, sent now and answered at once."""
+        """A linearizable read, sent now and answered immediately."""
         for row in service.rows:
             if row.revision > self.replica.applied_revision:
                 self.tables.apply(keys.job_key(row.job), {"s": JobState.CANCELLED, "n": 1, "t": 5}, row.revision)
@@ -185,15 +189,18 @@
 
 
 def test_whoever_may_answer_knows_all_that_was_told_a_lease_ago(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Cancellations, lost answers, readings, refusals by the state service, frames under way, ends and quick
-    returns in any order. A former process may have told what its successor has forgotten."""
+    """A controller that may answer workers must know every cancellation confirmed more than a lease ago.
+
+    Random order of cancellations, lost answers, reads, refusals by the state service, frames in flight, and process
+    restarts. A process may have confirmed a cancellation that its successor does not know.
+    """
     monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
-    # The spell that this is about comes about: somebody answers on its siblings' word alone.
+    # The tested case does occur: a controller answers workers only because its siblings confirm that it may.
     assert sum(Spells(random.Random(seed)).play() for seed in range(40)) > 1000
 
 
 class Question(NamedTuple):
-    """A question under way from one process to a member, and the answer that it will get."""
+    """A status request in flight from one process to a member, and the answer that it will get."""
 
     asker: Member
     member: str
@@ -202,7 +209,7 @@
 
 
 class Spells:
-    """Three controllers and the state service, step by step."""
+    """Random steps of three controllers and the state service."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -215,10 +222,10 @@
             member.join()
         self.span_s = self.members["c0"].leadership.lease_span_s
         self.reaches = dict.fromkeys(self.members, True)
-        # When each cancellation was told to a user.
+        # When each cancellation was confirmed to a user.
         self.confirmed: dict[str, float] = {}
         self.questions: list[Question] = []
-        # How often somebody could answer machines who had not read everything.
+        # The number of checks in which a controller that had not read all rows could answer workers.
         self.answering_unread = 0
 
     def play(self) -> int:
@@ -230,7 +237,7 @@
         return self.answering_unread
 
     def happen(self, step: int, name: str) -> None:
-        """Something happens to a member, or it asks another one."""
+        """A random event at one member, or a status request to another one."""
         luck = self.rng.random()
         if luck < 0.06:
             self.reaches[name] = not self.reaches[name]
@@ -246,7 +253,7 @@
             self.ask(name)
 
     def cancel(self, job: str, member: Member) -> None:
-        """Stored; sometimes the answer is lost, and the user is told by whoever reads it."""
+        """Stores a cancellation; if the answer is lost, a later read by any member confirms it to the user."""
         self.service.epoch += 1
         self.service.rows.append(Cancellation(job, self.service.epoch))
         if self.rng.random() < 0.7:
@@ -259,7 +266,7 @@
             self.confirmed.setdefault(row.job, self.clock.time)
 
     def restart(self, name: str, number: int) -> None:
-        """A process ends. Its successor is up at once; it joins when it can read."""
+        """Ends a process and starts its successor at once, which joins only if it can read."""
         former = self.members[name]
         fresh = self.members[name] = Member(name, self.clock, number)
         self.questions = [question for question in self.questions if question.asker is not former]
@@ -276,7 +283,7 @@
         self.questions.append(Question(member, other, self.clock.time, answer))
 
     def deliver_answers(self) -> None:
-        """One question at a time between two of them; its answer takes a while."""
+        """Delivers answers with a random delay, with at most one request at a time between two members."""
         while self.questions and (self.rng.random() < 0.6 or self.is_asked_twice()):
             question = self.questions.pop(0)
             question.asker.mesh.apply_status(
@@ -286,7 +293,7 @@
             )
 
     def is_asked_twice(self) -> bool:
-        """Whether the last question has one between the same two before it."""
+        """Whether an earlier request between the same two members is still in flight."""
         return any(question[:2] == self.questions[-1][:2] for question in self.questions[:-1])
 
     def check(self, step: int) -> None:
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reports beside what is known of a machine: what differs, and what follows from it."""
+"""Reconciliation of reports with the records of a machine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Reports:
-    """A machine of which the first report, sequence 1, has shown attempt 77 of task 0 to run."""
+    """A machine whose first report, with sequence 1, listed attempt 77 of task 0 as running."""
 
     def __init__(self, store: Store) -> None:
         store.job(spec())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""What keeps a task from running twice: the accounting of machines and attempts."""
+"""The rules of the machine registry that prevent a task from running twice."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def started(store: Store) -> tuple[MachineRegistry, Machine]:
-    """A registry whose machine was sent the start of task 0 in the answer to heartbeat 1."""
+    """A registry whose machine was sent the start command for task 0 in the answer to heartbeat 1."""
     store.job(spec())
     store.progress(JOB, c0_1=0b1)
     registry = MachineRegistry()
@@ -32,7 +32,7 @@
 
 def test_start_overtaken_by_a_direct_answer_still_counts(store: Store) -> None:
     registry, machine = started(store)
-    # The answer to heartbeat 1 is under way; a direct command was answered before it arrived.
+    # The answer to heartbeat 1 is in flight; the worker answered a direct command before receiving it.
     reconcile(registry, machine, ReceivedReport(report(2, 3), False, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
     assert machine.attempts[TaskId(JOB, 0)].sent_sequence == 1
@@ -91,7 +91,7 @@
         registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
     )
     assert result.adopted == [(JOB, 1)]
-    assert not registry.is_recovered(store.tables, "c0.1")  # not before the adoption is stored
+    assert not registry.is_recovered(store.tables, "c0.1")  # the adoption is not stored yet
     store.progress(JOB, c0_1=0b10)
     assert registry.is_recovered(store.tables, "c0.1")
 
@@ -108,7 +108,7 @@
 
 
 def test_adoption_does_not_outlive_the_machines_ownership(store: Store) -> None:
-    """Failure found on the bench: an heir's late adoption took a task back from the machine's new owner."""
+    """Guards against a late adoption by a former owner, which would take the task from the machine's new owner."""
     store.job(spec())
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
@@ -123,7 +123,7 @@
     registry, _machine = started(store)
     registry.release_machine("vm-1")
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0
-    # The new owner adopted it: not ours any more.
+    # The new owner has adopted the task, so this controller no longer claims it.
     store.progress(JOB, c1_2=0b1)
     registry.prune_handed_off(store.tables, "c0.1")
     assert registry.handed_off_tasks == {}
