--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -71,11 +71,11 @@
         self.scale_in = scale_in
         self.guard = CancellationGuard(context.settings)
         # When any machine last sent a report, answered or not, or answered a request, in seconds of the clock.
-        self.any_heard_at = float("-inf")
+        self.last_machine_contact_at = float("-inf")
         # Machines that may hold a cancelled task and that no owner has accounted for, as of the last tick.
-        self.unaccounted: dict[str, CancelledJob] = {}
+        self.unaccounted_machines: dict[str, CancelledJob] = {}
         # Overdue cancelled jobs as of the last check of this controller's machines, the oldest cancellation first.
-        self._overdue: list[CancelledJob] = []
+        self._overdue_jobs: list[CancelledJob] = []
         # Machines whose overdue tasks have been logged.
         self._logged: set[str] = set()
 
@@ -88,21 +88,21 @@
             now: The clock's time in seconds.
             wall_time_ms: The time of day in milliseconds, as stored with cancellations.
         """
-        self.guard.observe(self.tables, now)
+        self.guard.observe_cancellations(self.tables, now)
         self._logged &= self.tables.machines.keys()
         leaderless = self.leadership.is_leaderless
         if not leaderless and not self.leadership.is_leader:
             # This controller cannot know which machines are accounted for.
-            self.unaccounted = {}
-            self.guard.suspend()
+            self.unaccounted_machines = {}
+            self.guard.require_reinspection()
             return
-        self.unaccounted = self._find_unaccounted(now, wall_time_ms)
-        suspects = self.guard.due_suspects(self.unaccounted, now)
+        self.unaccounted_machines = self._find_unaccounted(now, wall_time_ms)
+        suspects = self.guard.due_for_inspection(self.unaccounted_machines, now)
         if leaderless:
-            suspects |= self.guard.suspects(self.tables, self.leadership.incarnation_id, now, wall_time_ms)
-            suspects |= self._own_holders(now)
+            suspects |= self.guard.outage_suspects(self.tables, self.leadership.incarnation_id, now, wall_time_ms)
+            suspects |= self._machines_holding_overdue_tasks(now)
         for name in self.guard.begin_inspections(suspects, now):
-            self.commands.inspect(name, self._address(name), self.guard.is_inspected)
+            self.commands.inspect(name, self._address(name), self.guard.is_suspected)
         if self.is_network_suspected(now):
             return
         for name in self.guard.deletable():
@@ -113,7 +113,7 @@
         if message.report is None or message.report.machine != message.machine:
             self.guard.record_no_answer(message.machine, now)
         else:
-            self.any_heard_at = now
+            self.last_machine_contact_at = now
             self.guard.record_answer(message.report, self.tables, now)
 
     def is_deletable(self, machine: str) -> bool:
@@ -123,21 +123,24 @@
     def _find_unaccounted(self, now: float, wall_time_ms: int) -> dict[str, CancelledJob]:
         cancelled_jobs = self.guard.cancelled_jobs(self.tables, now, wall_time_ms, SUSPECT_SHARE)
         shard = OwnShard(
-            self.settings.member, self.leadership.incarnation_id, self.registry.machines, self.registry.released
+            self.settings.member,
+            self.leadership.incarnation_id,
+            self.registry.machines,
+            self.registry.released_machines,
         )
-        return self.guard.unaccounted(self.tables, shard, cancelled_jobs)
+        return self.guard.unaccounted_machines(self.tables, shard, cancelled_jobs)
 
-    def _own_holders(self, now: float) -> set[str]:
+    def _machines_holding_overdue_tasks(self, now: float) -> set[str]:
         """This controller's machines that hold an overdue cancelled task."""
-        return {machine.name for machine in self.registry.machines.values() if self.is_holding_overdue(machine, now)}
+        return {machine.name for machine in self.registry.machines.values() if self.holds_overdue_task(machine, now)}
 
     def _delete_if_overdue(self, name: str, now: float) -> None:
         """Has a deletable machine deleted if the cancellation that it is suspected for is overdue."""
         machine = self.registry.machines.get(name)
-        if machine is not None and self.is_holding_overdue(machine, now):
-            self._scale_in(self.holder_wait(machine, now))
+        if machine is not None and self.holds_overdue_task(machine, now):
+            self._scale_in(self.held_task_wait(machine, now))
             return
-        cancelled = self.unaccounted.get(name) or self._oldest_overdue(now)
+        cancelled = self.unaccounted_machines.get(name) or self._oldest_overdue(now)
         if cancelled is not None and cancelled.age_s >= OVERDUE_SHARE * self.settings.cancel_s:
             self._scale_in(CancelledTaskWait(name, cancelled.job, cancelled.age_s))
 
@@ -175,21 +178,21 @@
 
     # -- this controller's own machines
 
-    def has_overdue(self, wall_time_ms: int) -> bool:
+    def refresh_overdue_jobs(self, wall_time_ms: int) -> bool:
         """Updates the overdue cancelled jobs; returns whether there are any."""
         now = self.clock.now()
-        self._overdue = self.guard.cancelled_jobs(self.tables, now, wall_time_ms, OVERDUE_SHARE)
-        return bool(self._overdue)
+        self._overdue_jobs = self.guard.cancelled_jobs(self.tables, now, wall_time_ms, OVERDUE_SHARE)
+        return bool(self._overdue_jobs)
 
     def unreconciled_wait(self, machine: Machine) -> CancelledTaskWait | None:
         """The oldest overdue cancellation that may have a task on a machine that is not reconciled, if any.
 
-        Uses the jobs found by the last call of `has_overdue`.
+        Uses the jobs found by the last call of `refresh_overdue_jobs`.
         """
-        found = first_possible_job(self._overdue, machine, self.leadership.incarnation_id, machine.formerly_owned)
+        found = first_possible_job(self._overdue_jobs, machine, self.leadership.incarnation_id, machine.formerly_owned)
         return None if found is None else CancelledTaskWait(machine.name, found.job, found.age_s)
 
-    def is_holding_overdue(self, machine: Machine, now: float) -> bool:
+    def holds_overdue_task(self, machine: Machine, now: float) -> bool:
         """Whether the machine holds a cancelled task that is overdue."""
         since = machine.cancelled_since
         return since is not None and now - since > OVERDUE_SHARE * self.settings.cancel_s
@@ -198,13 +201,17 @@
         """Machines known to this controller that hold or may hold a cancelled task, the oldest cancellation first."""
         waits = [
             CancelledTaskWait(name, cancelled.job, cancelled.age_s)
-            for name, cancelled in self.unaccounted.items()
-            if self.guard.is_inspected(name)
+            for name, cancelled in self.unaccounted_machines.items()
+            if self.guard.is_suspected(name)
+        ]
+        waits += [
+            self.held_task_wait(machine, now)
+            for machine in self.registry.machines.values()
+            if holds_cancelled_task(machine)
         ]
-        waits += [self.holder_wait(machine, now) for machine in self.registry.machines.values() if is_holder(machine)]
         return sorted(waits, key=lambda wait: -wait.cancelled_s)
 
-    def holder_wait(self, machine: Machine, now: float) -> CancelledTaskWait:
+    def held_task_wait(self, machine: Machine, now: float) -> CancelledTaskWait:
         """The wait of a machine of this controller that holds a cancelled task."""
         stopped = [attempt.job for attempt in machine.attempts.values() if attempt.kill_grace_s is not None]
         since = now if machine.cancelled_since is None else machine.cancelled_since
@@ -217,10 +224,10 @@
 
         This controller's own network is then the likely cause, and machines that do not answer may be healthy.
         """
-        silent_s = now - self.any_heard_at
+        silent_s = now - self.last_machine_contact_at
         return len(self.tables.machines) > NETWORK_FAULT_MIN_MACHINES and silent_s > self.settings.max_silence_s
 
 
-def is_holder(machine: Machine) -> bool:
+def holds_cancelled_task(machine: Machine) -> bool:
     """Whether the machine had a cancelled task and no report has shown its end since."""
     return machine.cancelled_since is not None
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -124,7 +124,7 @@
         """Whether a command waits for a socket or for its answer, and none has failed since the machine is ours."""
         name = machine.name
         is_open = name in self._waiting or now < self._begun_at.get(name, float("-inf")) + self.timeout_s
-        return is_open and self._failed_at.get(name, float("-inf")) < machine.watched_since
+        return is_open and self._failed_at.get(name, float("-inf")) < machine.owned_since
 
     def record_reply(self, machine: str) -> None:
         """The machine reported: earlier failures count no more."""
--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -130,7 +130,7 @@
                 report.zone,
                 report.spot,
                 owned_since_token=self.leadership.view.number,
-                watched_since=now,
+                owned_since=now,
                 lease_expires_at=now + self.settings.worker_gone_s,
             )
         )
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -13,7 +13,7 @@
     NETWORK_FAULT_MIN_MACHINES,
     CancellationWatch,
     CancelledTaskWait,
-    is_holder,
+    holds_cancelled_task,
 )
 from sloeswitch.actors.commands import CommandSender
 from sloeswitch.actors.machine_termination import MachineTermination, TerminationReason
@@ -71,7 +71,7 @@
         if now < self.next_check_at:
             return False
         self.next_check_at = now + self.settings.report_s / 4
-        self.cancellation_overdue = self.cancellations.has_overdue(self.clock.wall_clock_ms())
+        self.cancellation_overdue = self.cancellations.refresh_overdue_jobs(self.clock.wall_clock_ms())
         for machine in list(self.registry.machines.values()):
             self.check_machine(machine, now)
         return True
@@ -83,15 +83,15 @@
             log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
         # It neither reported nor was answered for so long.
         silent_s = now - max(
-            machine.last_heard_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
+            machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
         )
         late_s = self.settings.late_s
         if (machine.reconciled and silent_s > late_s) or not machine.is_recovered:
             self.commands.probe(machine, now)
         # No heartbeat came, though it may answer commands; and nothing that was sent is seen to have arrived.
         no_report_s = unreachable_s = 0.0
-        if machine.reported_at is not None:
-            no_report_s = now - max(machine.reported_at, self.answering_since)
+        if machine.last_heartbeat_at is not None:
+            no_report_s = now - max(machine.last_heartbeat_at, self.answering_since)
         if machine.reconciled:
             unreachable_s = now - max(machine.reachable_at, self.answering_since)
         out_of_contact = max(silent_s, no_report_s) > late_s or not machine.reachable
@@ -144,9 +144,9 @@
         Nothing is known of what is on a machine that was taken over and does not respond. Guards against one that hangs
         with a cancelled task while its owner changes.
         """
-        if is_holder(machine):
-            overdue = self.cancellations.is_holding_overdue(machine, now)
-            return self.cancellations.holder_wait(machine, now) if overdue else None
+        if holds_cancelled_task(machine):
+            overdue = self.cancellations.holds_overdue_task(machine, now)
+            return self.cancellations.held_task_wait(machine, now) if overdue else None
         if not self.cancellation_overdue or machine.reconciled or not self._is_unresponsive(machine, now):
             return None
         if self.cancellations.is_network_suspected(now):
@@ -159,9 +159,9 @@
         A change of the view does not begin this time anew. What waits for a socket has not been asked yet.
         """
         since = max(
-            machine.last_heard_at,
+            machine.last_report_at,
             machine.answered_at,
-            machine.watched_since,
+            machine.owned_since,
             self.commands.replied_at(machine.name),
             self.answering_since,
         )
@@ -174,7 +174,8 @@
         """
         reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
         lost = sum(
-            now - min(machine.last_heard_at, machine.reported_at or 0.0) > self.settings.late_s or not machine.reachable
+            now - min(machine.last_report_at, machine.last_heartbeat_at or 0.0) > self.settings.late_s
+            or not machine.reachable
             for machine in reconciled
         )
         return len(reconciled) > NETWORK_FAULT_MIN_MACHINES and lost > NETWORK_FAULT_SHARE * len(reconciled)
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -98,7 +98,7 @@
                 row.zone,
                 row.spot,
                 owned_since_token=view_number,
-                watched_since=self.now(),
+                owned_since=self.now(),
                 lease_expires_at=lease_expires_at,
             )
         )
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -100,13 +100,13 @@
     async def handle(self, message: MachinesMessage) -> None:
         """Handles one message; requests get their reply."""
         if isinstance(message, HeartbeatRequest):
-            self.cancellations.any_heard_at = self.now()
+            self.cancellations.last_machine_contact_at = self.now()
             message.reply(self.heartbeats.answer(message.report, message.last_answer_received))
         elif isinstance(message, TickRequest):
             self._tick()
             message.reply(None)
         elif isinstance(message, CommandReply):
-            self.cancellations.any_heard_at = self.now()
+            self.cancellations.last_machine_contact_at = self.now()
             self.heartbeats.apply_command_reply(message.report)
         elif isinstance(message, InspectionReply):
             self.cancellations.apply_inspection(message, self.now())
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -30,7 +30,7 @@
 # remaining time is for the cloud's rate limit and for retries.
 OVERDUE_SHARE = 0.5
 # After this share a machine is inspected as soon as it is suspected, without giving its owner time to account for it.
-PRESSING_SHARE = 0.6
+URGENT_SHARE = 0.6
 # The number of consecutive inspections without an answer after which a machine is deleted.
 MAX_FAILED_INSPECTIONS = 2
 
@@ -72,13 +72,13 @@
         member: The controller's member name.
         incarnation_id: Its present incarnation.
         machines: The machines that it owns, by name.
-        released: Names of machines that this incarnation has owned and released.
+        released_machines: Names of machines that this incarnation has owned and released.
     """
 
     member: str
     incarnation_id: str
     machines: dict[str, Machine]
-    released: set[str]
+    released_machines: set[str]
 
 
 @dataclass
@@ -113,7 +113,7 @@
 
     # -- cancelled jobs
 
-    def observe(self, tables: Tables, now: float) -> None:
+    def observe_cancellations(self, tables: Tables, now: float) -> None:
         """Records when each cancellation whose tasks may still exist was first observed by this process.
 
         The deadline of a cancellation counts from this time if its stored time is missing or in the future, or if it is
@@ -151,7 +151,7 @@
 
     # -- machines that may hold cancelled tasks
 
-    def suspects(self, tables: Tables, incarnation_id: str, now: float, wall_clock_ms: int) -> set[str]:
+    def outage_suspects(self, tables: Tables, incarnation_id: str, now: float, wall_clock_ms: int) -> set[str]:
         """Machines that may hold overdue cancelled tasks while no controller may answer workers.
 
         These are the machines of the other incarnations that claim such tasks; for this incarnation's own machines, its
@@ -174,7 +174,7 @@
         }
         return {name for name in tables.machines if tables.view.owner(name) in members}
 
-    def unaccounted(
+    def unaccounted_machines(
         self, tables: Tables, shard: OwnShard, cancelled_jobs: list[CancelledJob]
     ) -> dict[str, CancelledJob]:
         """Machines that may hold a cancelled task and that their owners have not accounted for.
@@ -196,7 +196,7 @@
             if own is not None:
                 unaccounted, formerly_owned = not own.reconciled, own.formerly_owned
             else:
-                unaccounted, formerly_owned = tables.view.owner(name) in unrecovered, name in shard.released
+                unaccounted, formerly_owned = tables.view.owner(name) in unrecovered, name in shard.released_machines
             if not unaccounted:
                 continue
             job = first_possible_job(cancelled_jobs, row, shard.incarnation_id, formerly_owned)
@@ -204,17 +204,17 @@
                 found[name] = job
         return found
 
-    def due_suspects(self, unaccounted: dict[str, CancelledJob], now: float) -> set[str]:
+    def due_for_inspection(self, unaccounted: dict[str, CancelledJob], now: float) -> set[str]:
         """Machines to inspect now.
 
         A machine's owner first gets `late_s` to account for it, unless the deadline of the cancellation is near.
         """
         self._suspected_since = {name: self._suspected_since.get(name, now) for name in unaccounted}
-        pressing_s = PRESSING_SHARE * self.settings.cancel_s
+        urgent_s = URGENT_SHARE * self.settings.cancel_s
         return {
             name
             for name, job in unaccounted.items()
-            if job.age_s >= pressing_s or now - self._suspected_since[name] >= self.settings.late_s
+            if job.age_s >= urgent_s or now - self._suspected_since[name] >= self.settings.late_s
         }
 
     # -- inspections
@@ -238,7 +238,7 @@
         if inspection is None:
             return
         inspection.failures = 0
-        inspection.deletable = holds_cancelled(report, tables)
+        inspection.deletable = reports_cancelled_task(report, tables)
         inspection.inspect_at = now + self.settings.lease_s
 
     def record_no_answer(self, machine: str, now: float) -> None:
@@ -254,7 +254,7 @@
         """Machines that the inspections found to be deletable."""
         return [name for name, inspection in self.inspections.items() if inspection.deletable]
 
-    def is_inspected(self, machine: str) -> bool:
+    def is_suspected(self, machine: str) -> bool:
         """Whether the machine is still suspected."""
         return machine in self.inspections
 
@@ -263,7 +263,7 @@
         inspection = self.inspections.get(machine)
         return inspection is not None and inspection.deletable
 
-    def suspend(self) -> None:
+    def require_reinspection(self) -> None:
         """Requires a new inspection before any machine counts as deletable.
 
         Called while this controller cannot know which machines are accounted for.
@@ -281,7 +281,7 @@
     return next((each for each in cancelled_jobs if each.may_be_on(machine, incarnation_id, formerly_owned)), None)
 
 
-def holds_cancelled(report: WorkerReport, tables: Tables) -> bool:
+def reports_cancelled_task(report: WorkerReport, tables: Tables) -> bool:
     """Whether the report lists a task of a cancelled job that has not ended."""
     return any(item.state != AttemptState.ENDED and _is_cancelled(item.task, tables) for item in report.tasks)
 
--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -118,7 +118,7 @@
     # belong to an earlier owner.
     owned_since_token: int = 0
     # Start of the uninterrupted ownership by this process, as far as it knows.
-    watched_since: float = float("-inf")
+    owned_since: float = float("-inf")
     # Whether this incarnation owned the machine earlier, and another controller may have owned it in between.
     formerly_owned: bool = False
     # Whether a report was applied under the present ownership.
@@ -132,9 +132,9 @@
     # When a heartbeat was last answered.
     answered_at: float = float("-inf")
     # When the last report was applied, from a heartbeat or from the answer to a command.
-    last_heard_at: float = float("-inf")
+    last_report_at: float = float("-inf")
     # When the last heartbeat was applied. The first message of any kind under the present ownership counts as one.
-    reported_at: float | None = None
+    last_heartbeat_at: float | None = None
     # When the worker's lease has certainly expired, so that its tasks have ended.
     lease_expires_at: float = float("inf")
     # Seconds until the cloud reclaims the machine; None without a preemption notice.
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -76,7 +76,7 @@
         adopting: Tasks found on machines that were taken over, whose adoption may not be stored yet.
         found_completions: Tasks that had already completed on machines that were taken over. Other controllers may
             not know of these completions yet.
-        released: Names of machines that this incarnation has owned and that now have another owner.
+        released_machines: Names of machines that this incarnation has owned and that now have another owner.
     """
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
         self.handed_off_tasks: dict[str, int] = {}
         self.adopting: dict[str, int] = {}
         self.found_completions: dict[str, int] = {}
-        self.released: set[str] = set()
+        self.released_machines: set[str] = set()
 
     # -- ownership
 
@@ -98,13 +98,13 @@
         self.handed_off_tasks = {}
         self.adopting = {}
         self.found_completions = {}
-        self.released = set()
+        self.released_machines = set()
 
     def add_machine(self, machine: Machine) -> Machine:
         """Adds a machine that this controller owns since its `owned_since_token`."""
         self.machines[machine.name] = machine
-        machine.formerly_owned = machine.name in self.released
-        self.released.discard(machine.name)
+        machine.formerly_owned = machine.name in self.released_machines
+        self.released_machines.discard(machine.name)
         return machine
 
     def mark_unreconciled(self, machine: Machine, token: int, lease_expires_at: float) -> None:
@@ -113,7 +113,7 @@
         machine.formerly_owned = True
         machine.owned_since_token = token
         machine.reconciled = machine.accounted_for = False
-        machine.reported_at = None
+        machine.last_heartbeat_at = None
         machine.report_sequence = machine.agent_epoch = 0
         machine.lease_expires_at = lease_expires_at
         machine.ended_attempts.clear()
@@ -122,7 +122,7 @@
     def release_machine(self, name: str) -> None:
         """Removes a machine that another controller now owns."""
         machine = self.machines.pop(name)
-        self.released.add(name)
+        self.released_machines.add(name)
         self._hand_off_attempts(machine)
 
     def _hand_off_attempts(self, machine: Machine) -> None:
@@ -218,7 +218,7 @@
     def settle_handed_off(self) -> None:
         """Clears the handed-off tasks once all members have recovered, so that the new owners account for them."""
         self.handed_off_tasks.clear()
-        self.released.clear()
+        self.released_machines.clear()
 
     # -- attempts
 
--- a/sloeswitch/core/reconciliation.py
+++ b/sloeswitch/core/reconciliation.py
@@ -158,9 +158,9 @@
     report = received.report
     machine.agent_epoch, machine.report_sequence = report.agent_epoch, report.sequence
     machine.reconciled, machine.accounted_for = True, True
-    machine.last_heard_at = received.received_at
-    if received.is_heartbeat or machine.reported_at is None:
-        machine.reported_at = received.received_at
+    machine.last_report_at = received.received_at
+    if received.is_heartbeat or machine.last_heartbeat_at is None:
+        machine.last_heartbeat_at = received.received_at
     machine.preemption_notice_s = report.preemption_notice_s
     machine.address = report.address
 
@@ -188,7 +188,7 @@
         if is_restarted:
             self.registry.fail_machine(machine)
             self.result.capacity_freed = True
-        is_first = not machine.is_recovered
+        is_first_report = not machine.is_recovered
         _record_contact(machine, self.received)
         if is_restarted or len(report.tasks) - len(differing) != len(machine.attempts):
             self._apply_known()
@@ -201,7 +201,7 @@
         known_foreign = set(machine.foreign_attempts)
         machine.foreign_attempts.clear()
         for job, index, item in self.unknown:
-            self._apply_unknown(job, index, item, is_first, known_foreign)
+            self._apply_unknown(job, index, item, is_first_report, known_foreign)
         return self.result
 
     def _classify(self, differing: list[ReportedTask], is_restarted: bool) -> None:
@@ -267,7 +267,7 @@
             self.result.failed.append(TaskOnMachine(task, self.machine.name))
 
     def _apply_unknown(
-        self, job: str, index: int, item: ReportedTask, is_first: bool, known_foreign: set[AttemptKey]
+        self, job: str, index: int, item: ReportedTask, is_first_report: bool, known_foreign: set[AttemptKey]
     ) -> None:
         """Adopts or rejects an attempt that this controller does not know, or records its end.
 
@@ -281,11 +281,11 @@
         if state == AttemptState.ENDED:
             task = TaskId(job, index)
             self._record_ended(key, task, item.cause)
-            if is_first and item.cause == EndCause.DONE and self._foreign_reason(record, index) is None:
+            if is_first_report and item.cause == EndCause.DONE and self._foreign_reason(record, index) is None:
                 self.registry.adopt_completion(task)
                 self.result.adopted.append(task)
             return
-        reason = self._foreign_reason(record, index) if is_first else ForeignReason.LATE
+        reason = self._foreign_reason(record, index) if is_first_report else ForeignReason.LATE
         if reason is not None or record is None:
             self.machine.foreign_attempts[key] = None
             if reason is not None and key not in known_foreign:
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -14,7 +14,7 @@
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.scale_in import ScaleIn
 from sloeswitch.core import keys
-from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, PRESSING_SHARE
+from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, URGENT_SHARE
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
@@ -71,7 +71,7 @@
         world.clock.time += seconds
         world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
         if self.hears_others:
-            world.machines.cancellations.any_heard_at = world.clock.time
+            world.machines.cancellations.last_machine_contact_at = world.clock.time
         world.machines.monitor.next_check_at = 0.0
         world.machines._tick()
 
@@ -244,7 +244,7 @@
 
 
 def test_near_the_deadline_machines_are_inspected_at_once(store: Store) -> None:
-    sibling = Sibling(store, PRESSING_SHARE * CANCEL_S - 0.2)
+    sibling = Sibling(store, URGENT_SHARE * CANCEL_S - 0.2)
     sibling.tick(0.5)
     assert set(sibling.asked) == sibling.theirs
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -49,16 +49,16 @@
     two_members(store)
     cancelled_job(store, "c1.2")
     guard = CancellationGuard(settings)
-    assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == owned_by(store, "c1") != set()
-    assert guard.suspects(store.tables, "c1.2", NOW, overdue_ms(settings)) == set(), "its own registry says more"
-    assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings) - 2) == set(), "not overdue yet"
+    assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == owned_by(store, "c1") != set()
+    assert guard.outage_suspects(store.tables, "c1.2", NOW, overdue_ms(settings)) == set(), "its own registry says more"
+    assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings) - 2) == set(), "not overdue yet"
 
 
 def test_what_a_departed_incarnation_had_claimed_may_be_on_any_machine(settings: Settings, store: Store) -> None:
     two_members(store)
     cancelled_job(store, "c1.1")
     guard = CancellationGuard(settings)
-    assert guard.suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == set(MACHINES)
+    assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == set(MACHINES)
 
 
 def test_a_cancellation_learnt_from_a_sibling_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
@@ -66,10 +66,10 @@
     two_members(store)
     store.tables.apply_peer_cancellation(Cancellation("wk-000077", 99))
     guard = CancellationGuard(settings)
-    guard.observe(store.tables, NOW)
+    guard.observe_cancellations(store.tables, NOW)
     later = NOW + OVERDUE_SHARE * settings.cancel_s
-    assert guard.suspects(store.tables, "c0.1", later - 0.1, CANCELLED_MS) == set()
-    assert guard.suspects(store.tables, "c0.1", later, CANCELLED_MS) == owned_by(store, "c1")
+    assert guard.outage_suspects(store.tables, "c0.1", later - 0.1, CANCELLED_MS) == set()
+    assert guard.outage_suspects(store.tables, "c0.1", later, CANCELLED_MS) == owned_by(store, "c1")
 
 
 def test_a_machine_is_deleted_that_holds_a_cancelled_task_or_does_not_answer(settings: Settings, store: Store) -> None:
@@ -187,6 +187,6 @@
     for _ in range(2 * MAX_FAILED_INSPECTIONS):
         outage.inspect(set(MACHINES))
     assert outage.deleted == []
-    outage.world.machines.cancellations.any_heard_at = outage.world.clock.time
+    outage.world.machines.cancellations.last_machine_contact_at = outage.world.clock.time
     outage.inspect(set(MACHINES))
     assert set(outage.deleted) == owned_by(store, "c1")
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -97,7 +97,7 @@
     gone_at = machine.lease_expires_at
     later(world, 5.0)
     assert heartbeat(world, report(3, 3)).status == 503
-    assert machine.lease_expires_at == gone_at and machine.last_heard_at < world.clock.time
+    assert machine.lease_expires_at == gone_at and machine.last_report_at < world.clock.time
     assert world.machines.registry.placed_tasks[JOB] == 0b1
 
 
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -46,12 +46,12 @@
 def test_an_unchanged_report_only_shows_that_the_machine_is_there(reports: Reports) -> None:
     before = dict(reports.machine.attempts)
     assert reports.receive(RUNNING) == ReconcileResult(accepted=True)
-    assert reports.machine.attempts == before and reports.machine.last_heard_at == 2.0
+    assert reports.machine.attempts == before and reports.machine.last_report_at == 2.0
 
 
 def test_a_reply_to_a_command_counts_as_contact_and_not_as_a_heartbeat(reports: Reports) -> None:
     reports.receive(RUNNING, is_heartbeat=False)
-    assert reports.machine.last_heard_at == 2.0 and reports.machine.reported_at == 1.0
+    assert reports.machine.last_report_at == 2.0 and reports.machine.last_heartbeat_at == 1.0
 
 
 def test_the_time_of_the_first_running_report_and_the_image_last_used_are_kept(reports: Reports) -> None:
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -47,7 +47,9 @@
     reconciled, vm.reconciled = vm.reconciled, False
     world.machines.cancelled_tasks.stop_all()
     vm.reconciled = reconciled
-    world.machines.monitor.cancellation_overdue = world.machines.cancellations.has_overdue(world.clock.wall_clock_ms())
+    world.machines.monitor.cancellation_overdue = world.machines.cancellations.refresh_overdue_jobs(
+        world.clock.wall_clock_ms()
+    )
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines.monitor.check_machine(vm, world.clock.time)
 
