--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -37,8 +37,8 @@
         self.silent: set[str] = set()
         self.world.machines.termination.autoscaler = self
         self.world.machines.commands.spawn = self.start
-        self.asked: list[str] = []
-        self.hears_others = True
+        self.inspected_machines: list[str] = []
+        self.other_machines_in_contact = True
         store.put(keys.group_key("c1.9.1"), {"m": {name: ["127.0.0.1:9000", "small", "a", True] for name in MACHINES}})
         store.job(spec(visits=2, loaners=spot))
         store.progress(JOB, **{holder: 0b01})
@@ -49,7 +49,7 @@
     def start(self, call: Any, *args: Any) -> None:
         """Records inspections, and lets every command fail without an answer."""
         if call.__name__ == "_inspect":
-            self.asked.append(args[0])
+            self.inspected_machines.append(args[0])
             return
         commands = self.world.machines.commands
         commands.record_begun(args[0])
@@ -70,7 +70,7 @@
         world = self.world
         world.clock.time += seconds
         world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
-        if self.hears_others:
+        if self.other_machines_in_contact:
             world.machines.cancellations.last_machine_contact_at = world.clock.time
         world.machines.monitor.next_check_at = 0.0
         world.machines._tick()
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("seed", [2, 4, 16, 17, 23, 27])
-def test_a_hung_machine_is_deleted_in_time_and_no_other_however_its_owners_change(seed: int) -> None:
+def test_only_the_hung_machine_is_deleted_and_in_time_despite_owner_changes(seed: int) -> None:
     """Guards against a wait that restarts at each takeover: in these seeds the task then outlasts `cancel_s`."""
     world = play(seed)
     kinds = {str(kind) for kind in TakeoverKind}
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("stored", [{}, {"x": 0}, {"x": 10**15}, {"x": -5}])
-def test_a_cancellation_without_a_usable_time_is_overdue_from_when_it_is_known(
+def test_deadline_without_a_usable_stored_time_counts_from_first_observation(
     store: Store, stored: dict[str, int]
 ) -> None:
     """Guards against a stored time that is missing or in the future, with which the deadline would never pass."""
@@ -100,7 +100,7 @@
     assert set(takeover.deleted) == set(MACHINES)
 
 
-def test_a_cancellation_that_only_a_sibling_reported_has_a_deadline_for_a_new_owner(store: Store) -> None:
+def test_cancellation_known_only_from_a_sibling_has_a_deadline_at_a_new_owner(store: Store) -> None:
     """Guards against an owner that waits forever because no row holds the time of the cancellation."""
     takeover = Takeover(store, {})
     job = store.rows[keys.job_key(JOB)][0]
@@ -110,7 +110,7 @@
     assert set(takeover.deleted) == set(MACHINES)
 
 
-def test_a_new_owner_counts_from_when_the_cancellation_is_known_though_no_time_is_stored(store: Store) -> None:
+def test_deadline_of_a_reported_cancelled_task_counts_from_first_observation(store: Store) -> None:
     """Guards against a full new wait at each owner of a machine that reports a cancelled task but receives nothing."""
     takeover = Takeover(store, {})
     takeover.pass_time(0.4 * CANCEL_S)
@@ -120,10 +120,10 @@
     assert MACHINES[0] in takeover.deleted
 
 
-def test_another_machines_answer_to_an_inspection_is_none(store: Store) -> None:
+def test_inspection_answered_by_another_machine_counts_as_unanswered(store: Store) -> None:
     """Guards against an address that was reassigned: the new machine's answer would clear the hung machine."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
-    first, second = sorted(sibling.theirs)[:2]
+    first, second = sorted(sibling.sibling_machines)[:2]
     sibling.pass_time_answering(4, {first, second})
     guard = sibling.world.machines.cancellations.guard
     failures = guard.inspections[first].failures
@@ -131,7 +131,7 @@
     assert guard.inspections[first].failures == failures > 0
 
 
-def test_a_time_far_in_the_past_deletes_nothing_that_answers(store: Store) -> None:
+def test_stored_time_far_in_the_past_deletes_no_machine_that_answers(store: Store) -> None:
     """Guards against a wrong stored time that makes every machine of a takeover overdue at once."""
     takeover = Takeover(store, {"x": 1})
     world = takeover.world
@@ -151,7 +151,7 @@
     assert takeover.deleted == []
 
 
-def test_a_machine_that_was_not_asked_yet_is_kept(store: Store) -> None:
+def test_machine_whose_first_command_still_waits_is_kept(store: Store) -> None:
     """Guards against mass deletion after a takeover of thousands of machines, when commands wait for a free socket."""
     takeover = Takeover(store, {"x": 1})
     commands = takeover.world.machines.commands
@@ -162,19 +162,19 @@
     assert takeover.deleted == [MACHINES[0]]
 
 
-def test_no_machine_is_deleted_while_our_own_network_is_suspected(store: Store) -> None:
+def test_no_machine_is_deleted_while_the_controllers_own_network_is_suspected(store: Store) -> None:
     """Guards against a new owner without network access, which would delete every machine that it took over."""
     takeover = Takeover(store, {"x": 1})
-    takeover.hears_others = False
+    takeover.other_machines_in_contact = False
     takeover.pass_time(10)
     assert takeover.deleted == [] and not takeover.silent
-    takeover.hears_others = True
+    takeover.other_machines_in_contact = True
     takeover.pass_time(10)
     assert set(takeover.deleted) == set(MACHINES) == takeover.silent
 
 
 @pytest.mark.parametrize("case", ["own claims", "no spot machines"])
-def test_a_machine_that_cannot_hold_the_task_by_the_stored_claims_is_kept(store: Store, case: str) -> None:
+def test_machine_excluded_by_stored_claims_or_job_constraints_is_kept(store: Store, case: str) -> None:
     """Guards against the deletion of machines that cannot hold the task.
 
     In one case c0.1 itself claims the task; in the other the job accepts no spot machines.
@@ -188,78 +188,78 @@
     """c0.1, and sibling c1.2 that owns machines under the present view and does not account for them."""
 
     def __init__(self, store: Store, cancelled_s: float) -> None:
-        self.theirs = set(MACHINES)
-        self.reports = 0
+        self.sibling_machines = set(MACHINES)
+        self.report_count = 0
         super().__init__(store, {"x": int(1000 * (1000.0 - cancelled_s))})
         store.view(4, ("c0", 1), ("c1", 2))
         store.member("c0", 1, settled=4)
         store.member("c1", 2, settled=3)
-        self.theirs = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
+        self.sibling_machines = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
         self.tick()
-        self.asked.clear()
+        self.inspected_machines.clear()
 
     def tick(self, seconds: float = 0.0) -> None:
         """Advances the time while the machines of c0.1 report."""
         super().tick(seconds)
-        self.reports += 1
-        for name in set(MACHINES) - self.theirs:
-            message = HeartbeatRequest(report=report(self.reports, 4, name=name), last_answer_received=True)
+        self.report_count += 1
+        for name in set(MACHINES) - self.sibling_machines:
+            message = HeartbeatRequest(report=report(self.report_count, 4, name=name), last_answer_received=True)
             anyio.run(self.world.machines.handle, message)
 
-    def answer(self, silent: set[str]) -> None:
-        for name in self.asked:
+    def answer_inspections(self, silent: set[str]) -> None:
+        for name in self.inspected_machines:
             message = InspectionReply(name, None if name in silent else report(1, 4, name=name))
             anyio.run(self.world.machines.handle, message)
-        self.asked.clear()
+        self.inspected_machines.clear()
 
     def pass_time_answering(self, seconds: float, silent: set[str]) -> None:
         for _ in range(int(seconds)):
             self.tick(1.0)
-            self.answer(silent)
+            self.answer_inspections(silent)
 
 
-def test_a_sibling_deletes_the_silent_machine_that_its_owner_never_accounts_for(store: Store) -> None:
+def test_sibling_deletes_a_silent_machine_that_its_owner_never_accounts_for(store: Store) -> None:
     """Guards against an owner that restarts repeatedly, so that none of its processes detects the hung machine."""
     sibling = Sibling(store, 0.4 * CANCEL_S)
-    silent = sorted(sibling.theirs)[0]
-    assert len(sibling.theirs) > 1
+    silent = sorted(sibling.sibling_machines)[0]
+    assert len(sibling.sibling_machines) > 1
     sibling.pass_time_answering(10, {silent})
     assert sibling.deleted == [silent]
 
 
-def test_a_sibling_asks_nothing_of_machines_that_their_owner_accounts_for(store: Store) -> None:
+def test_sibling_does_not_inspect_machines_that_their_owner_accounts_for(store: Store) -> None:
     sibling = Sibling(store, 0.4 * CANCEL_S)
     store.member("c1", 2, settled=4)
     for _ in range(10):
         sibling.tick(1.0)
-    assert sibling.asked == [] and sibling.deleted == []
+    assert sibling.inspected_machines == [] and sibling.deleted == []
 
 
-def test_a_sibling_leaves_the_owner_the_time_of_a_report_unless_the_deadline_is_near(store: Store) -> None:
+def test_sibling_gives_the_owner_time_to_account_for_machines_before_it_inspects(store: Store) -> None:
     sibling = Sibling(store, 0.4 * CANCEL_S)
     sibling.tick(0.5)
-    assert sibling.asked == []
+    assert sibling.inspected_machines == []
     sibling.pass_time(3)
-    assert set(sibling.asked) == sibling.theirs
+    assert set(sibling.inspected_machines) == sibling.sibling_machines
 
 
 def test_near_the_deadline_machines_are_inspected_at_once(store: Store) -> None:
     sibling = Sibling(store, URGENT_SHARE * CANCEL_S - 0.2)
     sibling.tick(0.5)
-    assert set(sibling.asked) == sibling.theirs
+    assert set(sibling.inspected_machines) == sibling.sibling_machines
 
 
-def test_a_controller_that_lost_its_lease_confirms_what_it_found_before_it_deletes(store: Store) -> None:
+def test_controller_that_lost_its_lease_inspects_again_before_it_deletes(store: Store) -> None:
     """Guards against outdated failures: the machine may have answered its owner while the lease was lost."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
-    sibling.pass_time_answering(5, sibling.theirs)
+    sibling.pass_time_answering(5, sibling.sibling_machines)
     guard = sibling.world.machines.cancellations.guard
-    assert set(guard.deletable()) == sibling.theirs and sibling.deleted == []
+    assert set(guard.deletable()) == sibling.sibling_machines and sibling.deleted == []
     world = sibling.world
     world.clock.time += 10.0  # its lease and its last linearizable read have expired
     world.machines._tick()
-    assert guard.deletable() == [] and set(guard.inspections) == sibling.theirs
-    sibling.asked.clear()
+    assert guard.deletable() == [] and set(guard.inspections) == sibling.sibling_machines
+    sibling.inspected_machines.clear()
     sibling.pass_time_answering(MAX_FAILED_INSPECTIONS, set())
     assert sibling.deleted == []
 
@@ -271,7 +271,7 @@
     scale_in = ScaleIn(sibling.world.context, cloud)
     scale_in.machines = sibling.world.machines
     sibling.world.machines.termination.autoscaler = scale_in
-    silent = sorted(sibling.theirs)[0]
+    silent = sorted(sibling.sibling_machines)[0]
     sibling.pass_time_answering(10, {silent})
     assert list(scale_in.terminating) == [silent]
     store.member("c1", 2, settled=4)
@@ -284,7 +284,7 @@
     assert deletions(sibling.world, scale_in) == [silent]
 
 
-def test_of_a_fleet_that_is_taken_over_only_the_hung_machine_is_deleted() -> None:
+def test_takeover_of_a_fleet_deletes_only_the_hung_machine() -> None:
     """Guards against mass deletion, when one overdue cancellation makes every machine of a takeover a suspect."""
     world = FleetWorld(200)
     outcome = world.take_over_with_a_hung_machine()
@@ -293,7 +293,7 @@
     assert outcome.commands <= 1.1 * world.machine_count
 
 
-def test_metrics_name_the_machine_the_job_and_since_when(store: Store) -> None:
+def test_metrics_show_the_machine_the_job_and_the_wait(store: Store) -> None:
     takeover = Takeover(store, {"x": int(1000 * (1000.0 - 0.4 * CANCEL_S))})
     takeover.pass_time(4)
     body = ask(takeover.world, "GET", "/metrics").body.decode()
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -24,7 +24,7 @@
 MACHINES = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(8)}
 
 
-def cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
+def store_cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
     """Stores a cancelled job of which the incarnation `tag` claims a task."""
     store.job(spec(JOB))
     store.put(keys.progress_key(JOB), encode_progress(Progress(0, {tag: 1})))
@@ -32,12 +32,12 @@
     store.put(keys.job_key(JOB), {**row, "s": JobState.CANCELLED, "x": cancelled_ms})
 
 
-def two_members(store: Store) -> None:
+def store_two_members(store: Store) -> None:
     store.view(4, ("c0", 1), ("c1", 2))
     store.put(keys.group_key("c1.2.1"), {"m": MACHINES})
 
 
-def owned_by(store: Store, member: str) -> set[str]:
+def machines_owned_by(store: Store, member: str) -> set[str]:
     return {name for name in MACHINES if store.tables.view.owner(name) == member}
 
 
@@ -46,35 +46,39 @@
 
 
 def test_machines_of_the_incarnation_that_holds_the_claims_are_suspected(settings: Settings, store: Store) -> None:
-    two_members(store)
-    cancelled_job(store, "c1.2")
+    store_two_members(store)
+    store_cancelled_job(store, "c1.2")
     guard = CancellationGuard(settings)
-    assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == owned_by(store, "c1") != set()
+    assert (
+        guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings))
+        == machines_owned_by(store, "c1")
+        != set()
+    )
     assert guard.outage_suspects(store.tables, "c1.2", NOW, overdue_ms(settings)) == set(), "its own registry says more"
     assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings) - 2) == set(), "not overdue yet"
 
 
-def test_what_a_departed_incarnation_had_claimed_may_be_on_any_machine(settings: Settings, store: Store) -> None:
-    two_members(store)
-    cancelled_job(store, "c1.1")
+def test_tasks_claimed_by_a_departed_incarnation_may_be_on_any_machine(settings: Settings, store: Store) -> None:
+    store_two_members(store)
+    store_cancelled_job(store, "c1.1")
     guard = CancellationGuard(settings)
     assert guard.outage_suspects(store.tables, "c0.1", NOW, overdue_ms(settings)) == set(MACHINES)
 
 
-def test_a_cancellation_learnt_from_a_sibling_is_overdue_by_our_clock(settings: Settings, store: Store) -> None:
+def test_cancellation_known_only_from_a_sibling_is_overdue_by_the_local_clock(settings: Settings, store: Store) -> None:
     """The job's row has not been read, so its claims are unknown."""
-    two_members(store)
+    store_two_members(store)
     store.tables.apply_peer_cancellation(Cancellation("wk-000077", 99))
     guard = CancellationGuard(settings)
     guard.observe_cancellations(store.tables, NOW)
     later = NOW + OVERDUE_SHARE * settings.cancel_s
     assert guard.outage_suspects(store.tables, "c0.1", later - 0.1, CANCELLED_MS) == set()
-    assert guard.outage_suspects(store.tables, "c0.1", later, CANCELLED_MS) == owned_by(store, "c1")
+    assert guard.outage_suspects(store.tables, "c0.1", later, CANCELLED_MS) == machines_owned_by(store, "c1")
 
 
-def test_a_machine_is_deleted_that_holds_a_cancelled_task_or_does_not_answer(settings: Settings, store: Store) -> None:
-    two_members(store)
-    cancelled_job(store, "c1.2")
+def test_machine_that_holds_a_cancelled_task_or_does_not_answer_is_deletable(settings: Settings, store: Store) -> None:
+    store_two_members(store)
+    store_cancelled_job(store, "c1.2")
     guard = CancellationGuard(settings)
     names = ["vm-1", "vm-2", "vm-3"]
     assert guard.begin_inspections(names, NOW) == names
@@ -96,8 +100,8 @@
     """
 
     def __init__(self, store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
-        two_members(store)
-        cancelled_job(store, "c1.2")
+        store_two_members(store)
+        store_cancelled_job(store, "c1.2")
         self.world = world = World(store)
         store.view(5, ("c0", 1), ("c1", 2))
         monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: overdue_ms(world.settings))
@@ -109,7 +113,7 @@
             store.tables.cancellations,
         )
         self.peer = world.leadership.mesh.peers["c1"]
-        self.started: list[str] = []
+        self.inspected_machines: list[str] = []
         self.deleted: list[str] = []
         world.machines.group = self  # type: ignore[assignment]
         world.machines.termination.autoscaler = self  # type: ignore[assignment]
@@ -122,47 +126,47 @@
 
     def start_soon(self, call: Any, *args: Any) -> None:
         assert call.__name__ == "_inspect"
-        self.started.append(args[0])
+        self.inspected_machines.append(args[0])
 
     def scale_in(self, machine: str, pressing: bool) -> bool:
         self.deleted.append(machine)
         return pressing
 
-    def inspect(self, silent: set[str]) -> None:
+    def run_inspection_round(self, silent: set[str]) -> None:
         """One round of inspections, answered by all machines except the silent ones."""
         self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
-        for name in self.started:
+        for name in self.inspected_machines:
             answer = None if name in silent else report(1, 5, name=name)
             anyio.run(self.world.machines.handle, InspectionReply(name, answer))
-        self.started.clear()
+        self.inspected_machines.clear()
         self.world.clock.time += self.world.settings.report_s
         self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
 
 
-def test_only_the_silent_machines_of_a_sibling_that_restarted_are_deleted(
+def test_only_the_silent_machine_of_a_restarted_sibling_is_deleted(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outage = Outage(store, monkeypatch)
-    silent = sorted(owned_by(store, "c1"))[0]
+    silent = sorted(machines_owned_by(store, "c1"))[0]
     for _ in range(MAX_FAILED_INSPECTIONS):
-        outage.inspect({silent})
+        outage.run_inspection_round({silent})
     assert set(outage.deleted) == {silent}
 
 
-def test_a_sibling_that_reaches_the_state_service_or_knows_a_newer_view_decides_itself(
+def test_no_inspection_while_a_sibling_reaches_the_state_service_or_knows_a_newer_view(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outage = Outage(store, monkeypatch)
     for view, state_ok in ((5, True), (6, False)):
         outage.set_sibling_status(view, state_ok)
-        outage.inspect(set())
+        outage.run_inspection_round(set())
         assert not outage.world.machines.cancellations.guard.inspections
     outage.set_sibling_status(0, False)
-    outage.inspect(set())
+    outage.run_inspection_round(set())
     assert outage.world.machines.cancellations.guard.inspections
 
 
-def test_the_autoscaler_deletes_what_is_not_its_own_for_a_cancellation_while_nobody_may_answer(
+def test_autoscaler_deletes_a_siblings_machine_for_a_cancellation_only_while_no_controller_may_answer(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outage = Outage(store, monkeypatch)
@@ -170,7 +174,7 @@
     world = outage.world
     autoscaler = ScaleIn(world.context, cloud)
     autoscaler.machines = world.machines
-    pressing, other = sorted(owned_by(store, "c1"))[:2]
+    pressing, other = sorted(machines_owned_by(store, "c1"))[:2]
     autoscaler.scale_in(pressing, pressing=True)
     autoscaler.scale_in(other)
     outage.set_sibling_status(5, True)
@@ -180,13 +184,11 @@
     assert deletions(world, autoscaler) == [pressing]
 
 
-def test_nothing_is_deleted_by_a_controller_that_hears_no_machine_at_all(
-    store: Store, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_controller_without_contact_to_any_machine_deletes_none(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
     outage = Outage(store, monkeypatch)
     for _ in range(2 * MAX_FAILED_INSPECTIONS):
-        outage.inspect(set(MACHINES))
+        outage.run_inspection_round(set(MACHINES))
     assert outage.deleted == []
     outage.world.machines.cancellations.last_machine_contact_at = outage.world.clock.time
-    outage.inspect(set(MACHINES))
-    assert set(outage.deleted) == owned_by(store, "c1")
+    outage.run_inspection_round(set(MACHINES))
+    assert set(outage.deleted) == machines_owned_by(store, "c1")
--- a/tests/test_cancellation_log.py
+++ b/tests/test_cancellation_log.py
@@ -5,7 +5,7 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 
 
-def test_what_was_learnt_later_is_sent_later_whatever_its_revision() -> None:
+def test_entries_are_sent_in_the_order_of_learning_not_of_revision() -> None:
     """A process knows its own writes before it reads earlier writes of others."""
     log = CancellationLog(100, 9)
     log.add("wk-2", 50)
@@ -18,7 +18,7 @@
     assert len(log.since(40, 8, first.position, 10).cancellations) == 2
 
 
-def test_who_may_lack_what_was_dropped_is_not_confirmed() -> None:
+def test_sibling_that_may_lack_dropped_entries_gets_none_and_more_is_set() -> None:
     log = CancellationLog(2, 9)
     for revision in (10, 20, 30):
         log.add(f"wk-{revision}", revision)
@@ -28,7 +28,7 @@
     assert [entry.revision for entry in log.since(5, 9, 1, 10).cancellations] == [20, 30]
 
 
-def test_an_answer_is_bounded_and_the_next_one_goes_on_from_its_position() -> None:
+def test_delta_is_bounded_and_the_next_one_continues_at_its_position() -> None:
     log = CancellationLog(100, 9)
     for revision in (10, 20, 30, 40, 50):
         log.add(f"wk-{revision}", revision)
@@ -38,7 +38,7 @@
     assert [entry.revision for entry in rest.cancellations] == [40, 50] and not rest.more and rest.position == 5
 
 
-def test_a_position_beyond_the_log_counts_as_none() -> None:
+def test_position_beyond_the_log_counts_as_zero() -> None:
     """Guards against two processes that drew the same log id: no entry may count as known."""
     log = CancellationLog(100, 9)
     log.add("wk-10", 10)
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -48,24 +48,24 @@
     return wire.decode(answer.body, dict[str, Any]).get("status") if answer.status == 200 else answer.status
 
 
-def test_a_cancellation_told_elsewhere_reaches_who_cannot_read_it(world: World) -> None:
+def test_cancellation_confirmed_by_a_sibling_reaches_a_controller_that_cannot_read_it(world: World) -> None:
     task = running(world)
     log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied_revision + 1)  # c1 stored it and confirmed it to its user
     state_outage(world)
     told(log, world)
     assert world.leadership.may_answer_workers and not world.leadership.is_leader
-    orders = world.heartbeat(report(5, 3, (*task, "running"))).commands
-    assert orders == []  # the cancellation is known; the task is marked for kill at the next tick
+    commands = world.heartbeat(report(5, 3, (*task, "running"))).commands
+    assert commands == []  # the cancellation is known; the task is marked for kill at the next tick
     world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
     world.machines.registry.machines["vm-1"].reconciled = True
-    orders = world.heartbeat(report(6, 3, (*task, "running"))).commands
-    assert [order.verb for order in orders] == ["kill"]
+    commands = world.heartbeat(report(6, 3, (*task, "running"))).commands
+    assert [command.verb for command in commands] == ["kill"]
     assert poll(world) == wire.JobStatus.CANCELLED
 
 
-def test_nothing_claimed_of_it_is_started_any_more(world: World) -> None:
+def test_claimed_tasks_of_a_job_cancelled_at_a_sibling_are_not_started(world: World) -> None:
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.machines.registry.remove_unsent(world.machines.registry.machines["vm-1"])
@@ -78,7 +78,7 @@
     assert world.heartbeat(report(3, 3)).commands == []
 
 
-def test_a_sibling_that_has_read_nothing_since_it_started_confirms_nothing(world: World) -> None:
+def test_sibling_without_a_full_read_confirms_nothing(world: World) -> None:
     running(world)
     state_outage(world)
     told(CancellationLog(100, 9), world, whole=False)
@@ -89,22 +89,24 @@
     assert not world.leadership.may_answer_workers
 
 
-def test_a_confirmation_counts_only_with_all_that_comes_with_it(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_confirmation_counts_only_once_all_its_cancellations_are_received(
+    world: World, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
     log = CancellationLog(100, 9)
     for number in range(5):
         log.add(f"wk-{number}", world.replica.applied_revision + 1)
     state_outage(world)
-    seen = []
+    received_jobs = []
     for _ in range(3):
         answer = told(log, world)
-        seen += [entry.job for entry in answer.delta.cancellations]
-        assert world.leadership.may_answer_workers == (len(seen) == 5)
-    assert seen == [f"wk-{number}" for number in range(5)]
+        received_jobs += [entry.job for entry in answer.delta.cancellations]
+        assert world.leadership.may_answer_workers == (len(received_jobs) == 5)
+    assert received_jobs == [f"wk-{number}" for number in range(5)]
     assert told(log, world).delta.cancellations == []
 
 
-def test_what_a_sibling_told_agrees_with_the_rows(store: Store) -> None:
+def test_cancellation_known_from_a_sibling_persists_until_its_row_is_read(store: Store) -> None:
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002", awaits=["wk-000001"]))
     tables = store.tables
@@ -122,7 +124,7 @@
     assert tables.jobs["wk-000001"].is_cancelled and "wk-000001" not in tables.peer_cancellations
 
 
-def test_every_cancellation_that_may_be_told_is_in_the_log(store: Store) -> None:
+def test_every_cancellation_that_may_be_confirmed_to_users_is_in_the_log(store: Store) -> None:
     log = store.tables.cancellations
     store.job(spec("wk-000001"))
     store.job(spec("wk-000001"), JobState.CANCELLED)  # read
@@ -134,23 +136,25 @@
     assert [entry.job for entry in log.since(0, 0, 0, 10).cancellations] == [f"wk-{n:06d}" for n in range(1, 5)]
 
 
-THREE = SETTINGS.replace("[outside]", '[[siblings]]\nmember = "c2"\nzone = "b"\naddress = "127.0.0.1:8083"\n[outside]')
+THREE_MEMBER_SETTINGS = SETTINGS.replace(
+    "[outside]", '[[siblings]]\nmember = "c2"\nzone = "b"\naddress = "127.0.0.1:8083"\n[outside]'
+)
 
 
 @dataclass
-class Service:
+class StateService:
     """The state service, reduced to the stored cancellations and the current revision."""
 
     epoch: int = 0
     rows: list[Cancellation] = field(default_factory=list)
 
 
-class Member:
+class ControllerProcess:
     """One process of a controller, with the real leadership, tables, cancellation log and mesh."""
 
     def __init__(self, name: str, clock: Clock, number: int) -> None:
         others = [other for other in ("c0", "c1", "c2") if other != name]
-        text = THREE.replace('member = "c0"', f'member = "{name}"', 1)
+        text = THREE_MEMBER_SETTINGS.replace('member = "c0"', f'member = "{name}"', 1)
         for slot, other in zip(("c1", "c2"), others, strict=True):
             text = text.replace(f'[[siblings]]\nmember = "{slot}"', f'[[siblings]]\nmember = "#{other}"')
         self.settings = parse(text.replace('"#', '"'))
@@ -175,7 +179,7 @@
         members = [["c0", 1], ["c1", 1], ["c2", 1]]
         self.tables.apply(keys.VIEW_KEY, {"n": 3, "members": members}, 1)
 
-    def read(self, service: Service) -> None:
+    def read(self, service: StateService) -> None:
         """A linearizable read, sent now and answered immediately."""
         for row in service.rows:
             if row.revision > self.replica.applied_revision:
@@ -188,7 +192,9 @@
         return job in self.tables.finished_jobs or job in self.tables.peer_cancellations
 
 
-def test_whoever_may_answer_knows_all_that_was_told_a_lease_ago(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_controller_that_may_answer_workers_knows_all_cancellations_confirmed_a_lease_ago(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A controller that may answer workers must know every cancellation confirmed more than a lease ago.
 
     Random order of cancellations, lost answers, reads, refusals by the state service, frames in flight, and process
@@ -196,63 +202,63 @@
     """
     monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
     # The tested case does occur: a controller answers workers only because its siblings confirm that it may.
-    assert sum(Spells(random.Random(seed)).play() for seed in range(40)) > 1000
+    assert sum(OutageScenario(random.Random(seed)).play() for seed in range(40)) > 1000
 
 
-class Question(NamedTuple):
+class StatusPoll(NamedTuple):
     """A status request in flight from one process to a member, and the answer that it will get."""
 
-    asker: Member
+    requester: ControllerProcess
     member: str
     asked_at: float
     answer: StatusFrame
 
 
-class Spells:
+class OutageScenario:
     """Random steps of three controllers and the state service."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.clock = Clock()
-        self.service = Service(epoch=5)
+        self.service = StateService(epoch=5)
         names = ("c0", "c1", "c2")
-        self.members = {name: Member(name, self.clock, number + 1) for number, name in enumerate(names)}
+        self.members = {name: ControllerProcess(name, self.clock, number + 1) for number, name in enumerate(names)}
         for member in self.members.values():
             member.read(self.service)
             member.join()
         self.span_s = self.members["c0"].leadership.lease_span_s
-        self.reaches = dict.fromkeys(self.members, True)
+        self.reaches_service = dict.fromkeys(self.members, True)
         # When each cancellation was confirmed to a user.
         self.confirmed: dict[str, float] = {}
-        self.questions: list[Question] = []
+        self.polls_in_flight: list[StatusPoll] = []
         # The number of checks in which a controller that had not read all rows could answer workers.
-        self.answering_unread = 0
+        self.answering_without_full_read_count = 0
 
     def play(self) -> int:
         for step in range(400):
             self.clock.time += self.rng.random() * 0.3
-            self.happen(step, self.rng.choice(list(self.members)))
+            self.apply_random_event(step, self.rng.choice(list(self.members)))
             self.deliver_answers()
-            self.check(step)
-        return self.answering_unread
+            self.check_invariant(step)
+        return self.answering_without_full_read_count
 
-    def happen(self, step: int, name: str) -> None:
+    def apply_random_event(self, step: int, name: str) -> None:
         """A random event at one member, or a status request to another one."""
-        luck = self.rng.random()
-        if luck < 0.06:
-            self.reaches[name] = not self.reaches[name]
-        elif luck < 0.08:
-            self.reaches = dict.fromkeys(self.members, False)
-        elif luck < 0.2 and self.reaches[name] and self.members[name].replica.fully_read:
-            self.cancel(f"wk-{step}", self.members[name])
-        elif luck < 0.35 and self.reaches[name]:
+        draw = self.rng.random()
+        if draw < 0.06:
+            self.reaches_service[name] = not self.reaches_service[name]
+        elif draw < 0.08:
+            self.reaches_service = dict.fromkeys(self.members, False)
+        elif draw < 0.2 and self.reaches_service[name] and self.members[name].replica.fully_read:
+            self.store_cancellation(f"wk-{step}", self.members[name])
+        elif draw < 0.35 and self.reaches_service[name]:
             self.read(self.members[name])
-        elif luck < 0.37:
+        elif draw < 0.37:
             self.restart(name, 100 + step)
         else:
-            self.ask(name)
+            self.send_status_request(name)
 
-    def cancel(self, job: str, member: Member) -> None:
+    def store_cancellation(self, job: str, member: ControllerProcess) -> None:
         """Stores a cancellation; if the answer is lost, a later read by any member confirms it to the user."""
         self.service.epoch += 1
         self.service.rows.append(Cancellation(job, self.service.epoch))
@@ -260,7 +266,7 @@
             member.tables.apply(keys.job_key(job), {"s": JobState.CANCELLED, "n": 1, "t": 5}, self.service.epoch)
             self.confirmed[job] = self.clock.time
 
-    def read(self, member: Member) -> None:
+    def read(self, member: ControllerProcess) -> None:
         member.read(self.service)
         for row in self.service.rows:
             self.confirmed.setdefault(row.job, self.clock.time)
@@ -268,38 +274,40 @@
     def restart(self, name: str, number: int) -> None:
         """Ends a process and starts its successor at once, which joins only if it can read."""
         former = self.members[name]
-        fresh = self.members[name] = Member(name, self.clock, number)
-        self.questions = [question for question in self.questions if question.asker is not former]
-        if self.rng.random() < 0.5 and self.reaches[name]:
+        fresh = self.members[name] = ControllerProcess(name, self.clock, number)
+        self.polls_in_flight = [
+            status_poll for status_poll in self.polls_in_flight if status_poll.requester is not former
+        ]
+        if self.rng.random() < 0.5 and self.reaches_service[name]:
             fresh.read(self.service)
             fresh.join()
 
-    def ask(self, name: str) -> None:
+    def send_status_request(self, name: str) -> None:
         member = self.members[name]
         other = self.rng.choice([other for other in self.members if other != name])
         peer = member.mesh.peers[other]
-        question = StatusRequest(3, member.replica.applied_revision, peer.log_id, peer.log_position)
-        answer = self.members[other].mesh.status_for(question)
-        self.questions.append(Question(member, other, self.clock.time, answer))
+        request = StatusRequest(3, member.replica.applied_revision, peer.log_id, peer.log_position)
+        answer = self.members[other].mesh.status_for(request)
+        self.polls_in_flight.append(StatusPoll(member, other, self.clock.time, answer))
 
     def deliver_answers(self) -> None:
         """Delivers answers with a random delay, with at most one request at a time between two members."""
-        while self.questions and (self.rng.random() < 0.6 or self.is_asked_twice()):
-            question = self.questions.pop(0)
-            question.asker.mesh.apply_status(
-                question.asker.mesh.peers[question.member],
-                question.asked_at,
-                StatusFrame.unpack(question.answer.pack()[mesh_frames.HEADER.size :]),
+        while self.polls_in_flight and (self.rng.random() < 0.6 or self.has_duplicate_poll()):
+            status_poll = self.polls_in_flight.pop(0)
+            status_poll.requester.mesh.apply_status(
+                status_poll.requester.mesh.peers[status_poll.member],
+                status_poll.asked_at,
+                StatusFrame.unpack(status_poll.answer.pack()[mesh_frames.HEADER.size :]),
             )
 
-    def is_asked_twice(self) -> bool:
+    def has_duplicate_poll(self) -> bool:
         """Whether an earlier request between the same two members is still in flight."""
-        return any(question[:2] == self.questions[-1][:2] for question in self.questions[:-1])
+        return any(status_poll[:2] == self.polls_in_flight[-1][:2] for status_poll in self.polls_in_flight[:-1])
 
-    def check(self, step: int) -> None:
+    def check_invariant(self, step: int) -> None:
         for member in self.members.values():
             if not member.leadership.may_answer_workers:
                 continue
-            self.answering_unread += member.replica.applied_revision < self.service.epoch
+            self.answering_without_full_read_count += member.replica.applied_revision < self.service.epoch
             for job, at in self.confirmed.items():
                 assert member.knows_of(job) or self.clock.time <= at + self.span_s, (step, job)
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -43,7 +43,7 @@
     return Reports(store)
 
 
-def test_an_unchanged_report_only_shows_that_the_machine_is_there(reports: Reports) -> None:
+def test_unchanged_report_only_updates_the_last_report_time(reports: Reports) -> None:
     before = dict(reports.machine.attempts)
     assert reports.receive(RUNNING) == ReconcileResult(accepted=True)
     assert reports.machine.attempts == before and reports.machine.last_report_at == 2.0
@@ -54,7 +54,7 @@
     assert reports.machine.last_report_at == 2.0 and reports.machine.last_heartbeat_at == 1.0
 
 
-def test_the_time_of_the_first_running_report_and_the_image_last_used_are_kept(reports: Reports) -> None:
+def test_time_of_the_first_running_report_and_last_used_image_are_kept(reports: Reports) -> None:
     attempt = reports.machine.attempts[TaskId(JOB, 0)]
     reports.machine.images["img-other"] = None
     reports.receive((f"{JOB}/0", 77, "flushing"))
@@ -63,14 +63,14 @@
 
 
 @pytest.mark.parametrize("bad", [(f"{JOB}/1", 5, "pending"), (f"{JOB}/1", 5, "asleep"), ("nonsense", 5, "running")])
-def test_of_a_malformed_report_nothing_is_applied(reports: Reports, bad: tuple[object, ...]) -> None:
+def test_malformed_report_changes_nothing(reports: Reports, bad: tuple[object, ...]) -> None:
     with pytest.raises(MalformedError):
         reports.receive((f"{JOB}/0", 77, "ended", "done"), bad)
     assert reports.machine.report_sequence == 1 and TaskId(JOB, 0) in reports.machine.attempts
     assert "pending" not in REPORTED_STATES
 
 
-def test_after_a_restart_the_worker_has_nothing_even_if_it_lists_the_same(reports: Reports) -> None:
+def test_tasks_listed_after_a_worker_restart_are_foreign(reports: Reports) -> None:
     result = reports.receive(RUNNING, session=2)
     assert result.capacity_freed and not result.adopted and reports.registry.placed_tasks == {}
     assert list(reports.machine.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
@@ -83,7 +83,7 @@
     assert not reports.machine.foreign_attempts
 
 
-def test_an_end_is_a_result_once_and_is_remembered_until_the_worker_has_cleared_it(reports: Reports) -> None:
+def test_end_of_an_attempt_is_returned_once_and_kept_until_the_worker_clears_it(reports: Reports) -> None:
     ended = (f"{JOB}/0", 77, "ended", "error")
     first = reports.receive(ended)
     assert first.failed == [((JOB, 0), "vm-1")] and first.capacity_freed
@@ -93,7 +93,7 @@
     assert not reports.machine.ended_attempts
 
 
-def test_a_cancellation_is_over_for_a_machine_that_has_nothing_left_to_stop(reports: Reports) -> None:
+def test_cancelled_since_is_reset_once_no_attempt_is_left_to_kill(reports: Reports) -> None:
     reports.machine.cancelled_since = 1.0
     reports.registry.mark_for_kill(reports.machine, reports.machine.attempts[TaskId(JOB, 0)], 0.0)
     reports.receive(RUNNING)
@@ -102,19 +102,19 @@
     assert reports.machine.cancelled_since is None
 
 
-def test_reports_of_an_epoch_whose_lease_expired_are_outdated_however_new(reports: Reports) -> None:
+def test_reports_of_an_expired_epoch_are_outdated_whatever_their_sequence(reports: Reports) -> None:
     reports.registry.expire_lease(reports.machine)
     assert is_outdated(reports.machine, report(99, TOKEN, RUNNING))
     assert not is_outdated(reports.machine, report(1, TOKEN, session=2))
 
 
-def test_a_cancellation_is_over_by_an_unchanged_report_if_nothing_is_to_stop(reports: Reports) -> None:
+def test_unchanged_report_resets_cancelled_since_if_no_attempt_is_to_be_killed(reports: Reports) -> None:
     reports.machine.cancelled_since = 1.0
     reports.receive(RUNNING)
     assert reports.machine.cancelled_since is None
 
 
-def test_a_task_that_is_placed_on_another_machine_of_ours_is_not_adopted(reports: Reports) -> None:
+def test_task_placed_on_another_machine_of_this_controller_is_not_adopted(reports: Reports) -> None:
     other = Machine("vm-2", "127.0.0.1:9001", "small", "a", True, owned_since_token=TOKEN)
     reports.registry.add_machine(other)
     received = ReceivedReport(report(1, TOKEN, RUNNING, name="vm-2"), True, 2.0, TOKEN)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -10,18 +10,18 @@
 JOB = "wk-000001"
 
 
-def owned(registry: MachineRegistry, token: int = 3) -> Machine:
+def add_owned_machine(registry: MachineRegistry, token: int = 3) -> Machine:
     return registry.add_machine(
         Machine("vm-1", "127.0.0.1:9000", "small", "a", True, owned_since_token=token, lease_expires_at=100.0)
     )
 
 
-def started(store: Store) -> tuple[MachineRegistry, Machine]:
+def registry_with_started_task(store: Store) -> tuple[MachineRegistry, Machine]:
     """A registry whose machine was sent the start command for task 0 in the answer to heartbeat 1."""
     store.job(spec())
     store.progress(JOB, c0_1=0b1)
     registry = MachineRegistry()
-    machine = owned(registry)
+    machine = add_owned_machine(registry)
     reconcile(registry, machine, ReceivedReport(report(1, 3), True, 0.0, 3), store.tables)
     machine.reachable = True
     registry.add_attempt(machine, Attempt(JOB, 0, 77, spec()))
@@ -30,8 +30,8 @@
     return registry, machine
 
 
-def test_start_overtaken_by_a_direct_answer_still_counts(store: Store) -> None:
-    registry, machine = started(store)
+def test_start_missing_from_a_command_reply_is_kept(store: Store) -> None:
+    registry, machine = registry_with_started_task(store)
     # The answer to heartbeat 1 is in flight; the worker answered a direct command before receiving it.
     reconcile(registry, machine, ReceivedReport(report(2, 3), False, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
@@ -39,19 +39,19 @@
 
 
 def test_start_missing_from_a_later_heartbeat_is_sent_again(store: Store) -> None:
-    registry, machine = started(store)
+    registry, machine = registry_with_started_task(store)
     reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
     assert registry.placed_tasks[JOB] == 0b1
     assert [command.verb for command in registry.commands(machine, store.tables, 2)] == ["start"]
 
 
 def test_start_is_never_sent_by_direct_command(store: Store) -> None:
-    registry, machine = started(store)
+    registry, machine = registry_with_started_task(store)
     assert registry.commands(machine, store.tables, None) == []
 
 
-def test_late_reports_change_nothing(store: Store) -> None:
-    registry, machine = started(store)
+def test_outdated_report_changes_nothing(store: Store) -> None:
+    registry, machine = registry_with_started_task(store)
     reconcile(registry, machine, ReceivedReport(report(5, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3), store.tables)
     late = reconcile(registry, machine, ReceivedReport(report(4, 3), True, 2.0, 3), store.tables)
     assert not late.accepted
@@ -60,20 +60,20 @@
 
 def test_report_under_an_earlier_owners_token_is_not_trusted(store: Store) -> None:
     registry = MachineRegistry()
-    machine = owned(registry, token=3)
+    machine = add_owned_machine(registry, token=3)
     result = reconcile(registry, machine, ReceivedReport(report(9, 2), True, 0.0, 3), store.tables)
     assert not result.accepted and not machine.is_recovered
 
 
-def test_new_agent_epoch_means_all_tasks_are_gone(store: Store) -> None:
-    registry, machine = started(store)
+def test_new_agent_epoch_removes_all_attempts(store: Store) -> None:
+    registry, machine = registry_with_started_task(store)
     reconcile(registry, machine, ReceivedReport(report(2, 3, (f"{JOB}/0", 77, "running")), True, 1.0, 3), store.tables)
     result = reconcile(registry, machine, ReceivedReport(report(3, 3, session=2), True, 20.0, 3), store.tables)
     assert result.capacity_freed and JOB not in registry.placed_tasks
 
 
 def test_done_is_cleared_only_once_it_is_stored(store: Store) -> None:
-    registry, machine = started(store)
+    registry, machine = registry_with_started_task(store)
     ended = (f"{JOB}/0", 77, "ended", "done")
     result = reconcile(registry, machine, ReceivedReport(report(2, 3, ended), True, 1.0, 3), store.tables)
     assert result.done == [((JOB, 0), "vm-1")]
@@ -86,7 +86,7 @@
     store.job(spec())
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
-    machine = owned(registry)
+    machine = add_owned_machine(registry)
     result = reconcile(
         registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
     )
@@ -96,10 +96,10 @@
     assert registry.is_recovered(store.tables, "c0.1")
 
 
-def test_task_that_stored_claims_rule_out_is_stopped(store: Store) -> None:
+def test_reported_task_without_a_stored_claim_is_killed(store: Store) -> None:
     store.job(spec())
     registry = MachineRegistry()
-    machine = owned(registry)
+    machine = add_owned_machine(registry)
     result = reconcile(
         registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables
     )
@@ -107,12 +107,12 @@
     assert [command.verb for command in registry.commands(machine, store.tables, 1)] == ["kill"]
 
 
-def test_adoption_does_not_outlive_the_machines_ownership(store: Store) -> None:
+def test_pending_adoption_is_dropped_when_the_machine_is_released(store: Store) -> None:
     """Guards against a late adoption by a former owner, which would take the task from the machine's new owner."""
     store.job(spec())
     store.progress(JOB, c1_2=0b10)
     registry = MachineRegistry()
-    machine = owned(registry)
+    machine = add_owned_machine(registry)
     reconcile(registry, machine, ReceivedReport(report(1, 3, (f"{JOB}/1", 5, "running")), True, 0.0, 3), store.tables)
     registry.release_machine("vm-1")
     assert registry.pending_adoptions() == {}
@@ -120,7 +120,7 @@
 
 
 def test_tasks_of_a_released_machine_are_not_unplaced_until_its_owner_has_settled_them(store: Store) -> None:
-    registry, _machine = started(store)
+    registry, _machine = registry_with_started_task(store)
     registry.release_machine("vm-1")
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0
     # The new owner has adopted the task, so this controller no longer claims it.
@@ -129,23 +129,23 @@
     assert registry.handed_off_tasks == {}
 
 
-def test_silent_machine_keeps_its_tasks_until_lost(store: Store) -> None:
-    registry, machine = started(store)
+def test_silent_machine_keeps_its_tasks_until_it_is_marked_failed(store: Store) -> None:
+    registry, machine = registry_with_started_task(store)
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0
     assert registry.fail_machine(machine) == [(JOB, 0)]
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0b1
 
 
-def test_cancelled_start_not_yet_sent_is_dropped_at_once(store: Store) -> None:
+def test_cancelled_start_that_was_not_sent_is_removed_at_once(store: Store) -> None:
     registry = MachineRegistry()
-    machine = owned(registry)
+    machine = add_owned_machine(registry)
     registry.add_attempt(machine, Attempt(JOB, 0, 77, spec()))
     assert not registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
     assert registry.placed_tasks == {}
 
 
-def test_cancelled_start_in_flight_is_killed_until_a_heartbeat_lacks_it(store: Store) -> None:
-    registry, machine = started(store)
+def test_cancelled_start_in_flight_is_killed_until_a_heartbeat_omits_it(store: Store) -> None:
+    registry, machine = registry_with_started_task(store)
     assert registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
     assert [command.verb for command in registry.commands(machine, store.tables, None)] == ["kill"]
     reconcile(registry, machine, ReceivedReport(report(2, 3), True, 1.0, 3), store.tables)
