--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -229,5 +229,5 @@
 
 
 def holds_cancelled_task(machine: Machine) -> bool:
-    """Whether the machine had a cancelled task and no report has shown its end since."""
+    """Whether the machine had a cancelled task whose end no report has shown yet."""
     return machine.cancelled_since is not None
--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -114,14 +114,14 @@
     report_sequence: int = 0
     # The last epoch whose lease has certainly expired. No report of this epoch or an earlier one is valid any more.
     expired_agent_epoch: int = 0
-    # The number of the view since which this controller has owned the machine. Reports that carry a lower fencing token
-    # belong to an earlier owner.
+    # The number of the view since which this controller has owned the machine. A report with a lower fencing token is
+    # ignored, because an earlier owner issued that token.
     owned_since_token: int = 0
-    # Start of the uninterrupted ownership by this process, as far as it knows.
+    # When this process last became the owner. An owner under a view that it has missed does not change this time.
     owned_since: float = float("-inf")
     # Whether this incarnation owned the machine earlier, and another controller may have owned it in between.
     formerly_owned: bool = False
-    # Whether a report was applied under the present ownership.
+    # Whether a report was applied under the present ownership and since the worker's lease last expired.
     reconciled: bool = False
     # Whether no unknown attempt of an earlier owner can be on the machine any more.
     accounted_for: bool = False
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -1,13 +1,13 @@
 """The machines that one controller owns, and the attempts that are or may be on them.
 
 These ownership rules prevent a task from running twice (the rules for reports are in `core.reconciliation`):
-- A machine is *reconciled* once it has reported under the present ownership's fencing token.
+- A machine is *reconciled* once a report was applied whose fencing token was issued under the present ownership.
 - The tasks of a silent machine count as running until its lease has certainly expired or the machine is deleted.
 - Tasks on a machine that moved to another owner are not started elsewhere until that owner has settled them.
 
 Usage totals are updated whenever an attempt is added or removed, so that a report of an unchanged machine costs only
-look-ups. The machines actor owns the controller's registry and only it and its helpers change it; the autoscaler reads
-it.
+look-ups. The machines actor owns the controller's registry. Only this actor and its helpers change it; the autoscaler
+only reads it.
 """
 
 from __future__ import annotations
@@ -108,7 +108,10 @@
         return machine
 
     def mark_unreconciled(self, machine: Machine, token: int, lease_expires_at: float) -> None:
-        """Requires a new report of a machine that may have had another owner in the meantime."""
+        """Requires a new report of a machine that may have had another owner in the meantime.
+
+        Its attempts count as handed off until then.
+        """
         self._hand_off_attempts(machine)
         machine.formerly_owned = True
         machine.owned_since_token = token
@@ -184,7 +187,10 @@
         }
 
     def pending_adoptions(self) -> dict[str, int]:
-        """Adoptions not known to be stored, of tasks that this controller's machines still hold or list as done."""
+        """Adoptions not known to be stored, of tasks that this controller's machines still hold or list as done.
+
+        Discards the adoptions of all other tasks.
+        """
         listed = self._listed_completions()
         found = _merge_tasks(self.adopting, self.found_completions)
         self.adopting = _common_tasks(self.adopting, self.placed_tasks)
