--- a/sloeswitch/actors/cancelled_tasks.py
+++ b/sloeswitch/actors/cancelled_tasks.py
@@ -26,29 +26,29 @@
     def stop_all(self) -> None:
         """Releases this controller's claims on unplaced tasks of cancelled jobs, and kills their placed tasks."""
         self._release_unplaced()
-        ended: dict[str, Job | None] = {}
+        jobs_to_stop: dict[str, Job | None] = {}
         for name in self.registry.placed_tasks:
             job = self.tables.jobs.get(name)
             if job is None or job.is_cancelled:
-                ended[name] = job
-        if not ended:
+                jobs_to_stop[name] = job
+        if not jobs_to_stop:
             return
         now = self.clock.now()
         for machine in self.registry.machines.values():
             for attempt in list(machine.attempts.values()):
-                if attempt.job in ended:
+                if attempt.job in jobs_to_stop:
                     self.commands.kill(machine, attempt, 0.0)
                     if machine.attempts.get(attempt.task) is attempt:
-                        self._record_cancelled(machine, attempt, ended[attempt.job], now)
+                        self._record_cancelled(machine, attempt, jobs_to_stop[attempt.job], now)
 
     def _release_unplaced(self) -> None:
         cancelled = [job for job in self.tables.jobs.values() if job.is_cancelled]
         if not cancelled:
             return
-        foreign = self._foreign_jobs()
+        foreign_jobs = self._foreign_jobs()
         for job in cancelled:
             unplaced = self.task_updates.unplaced_tasks(job)
-            if unplaced and job.spec.id not in foreign:
+            if unplaced and job.spec.id not in foreign_jobs:
                 self.task_updates.release(job.spec.id, unplaced)
 
     def _foreign_jobs(self) -> set[str]:
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -139,15 +139,15 @@
 
     def cancelled_jobs(self, tables: Tables, now: float, wall_clock_ms: int, share: float) -> list[CancelledJob]:
         """Jobs whose cancellation is at least the given share of `cancel_s` old, the oldest cancellation first."""
-        old: list[CancelledJob] = []
+        candidates: list[CancelledJob] = []
         for name, job in tables.jobs.items():
             if job.is_cancelled and job.progress.claims:
-                old.append(CancelledJob(name, job, self.age_s(name, job, now, wall_clock_ms)))
+                candidates.append(CancelledJob(name, job, self.age_s(name, job, now, wall_clock_ms)))
         for name in tables.peer_cancellations:
             if name not in tables.jobs:
-                old.append(CancelledJob(name, None, self.age_s(name, None, now, wall_clock_ms)))
-        old = [each for each in old if each.age_s >= share * self.settings.cancel_s]
-        return sorted(old, key=lambda each: -each.age_s)
+                candidates.append(CancelledJob(name, None, self.age_s(name, None, now, wall_clock_ms)))
+        candidates = [each for each in candidates if each.age_s >= share * self.settings.cancel_s]
+        return sorted(candidates, key=lambda each: -each.age_s)
 
     # -- machines that may hold cancelled tasks
 
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -152,14 +152,14 @@
 class ControllerProcess:
     """One process of a controller, with the real leadership, tables, cancellation log and mesh."""
 
-    def __init__(self, name: str, clock: Clock, number: int) -> None:
+    def __init__(self, name: str, clock: Clock, log_id: int) -> None:
         others = [other for other in ("c0", "c1", "c2") if other != name]
         text = THREE_MEMBER_SETTINGS.replace('member = "c0"', f'member = "{name}"', 1)
         for slot, other in zip(("c1", "c2"), others, strict=True):
             text = text.replace(f'[[siblings]]\nmember = "{slot}"', f'[[siblings]]\nmember = "#{other}"')
         self.settings = parse(text.replace('"#', '"'))
         self.clock = clock
-        log = CancellationLog(6, number)
+        log = CancellationLog(6, log_id)
         self.tables = Tables(log)
         self.replica = Replica(StateClient(self.settings, lambda: 3, clock.now), self.tables, clock.now)
         self.leadership = Leadership(self.settings, self.tables, self.replica, clock.now)
@@ -210,7 +210,7 @@
 
     requester: ControllerProcess
     member: str
-    asked_at: float
+    sent_at: float
     answer: StatusFrame
 
 
@@ -226,7 +226,7 @@
         for member in self.members.values():
             member.read(self.service)
             member.join()
-        self.span_s = self.members["c0"].leadership.lease_span_s
+        self.lease_span_s = self.members["c0"].leadership.lease_span_s
         self.reaches_service = dict.fromkeys(self.members, True)
         # When each cancellation was confirmed to a user.
         self.confirmed: dict[str, float] = {}
@@ -271,16 +271,16 @@
         for row in self.service.rows:
             self.confirmed.setdefault(row.job, self.clock.time)
 
-    def restart(self, name: str, number: int) -> None:
+    def restart(self, name: str, log_id: int) -> None:
         """Ends a process and starts its successor at once, which joins only if it can read."""
         former = self.members[name]
-        fresh = self.members[name] = ControllerProcess(name, self.clock, number)
+        successor = self.members[name] = ControllerProcess(name, self.clock, log_id)
         self.polls_in_flight = [
             status_poll for status_poll in self.polls_in_flight if status_poll.requester is not former
         ]
         if self.rng.random() < 0.5 and self.reaches_service[name]:
-            fresh.read(self.service)
-            fresh.join()
+            successor.read(self.service)
+            successor.join()
 
     def send_status_request(self, name: str) -> None:
         member = self.members[name]
@@ -296,7 +296,7 @@
             status_poll = self.polls_in_flight.pop(0)
             status_poll.requester.mesh.apply_status(
                 status_poll.requester.mesh.peers[status_poll.member],
-                status_poll.asked_at,
+                status_poll.sent_at,
                 StatusFrame.unpack(status_poll.answer.pack()[mesh_frames.HEADER.size :]),
             )
 
@@ -310,4 +310,4 @@
                 continue
             self.answering_without_full_read_count += member.replica.applied_revision < self.service.epoch
             for job, at in self.confirmed.items():
-                assert member.knows_of(job) or self.clock.time <= at + self.span_s, (step, job)
+                assert member.knows_of(job) or self.clock.time <= at + self.lease_span_s, (step, job)
