--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -25,7 +25,7 @@
 
 
 def store_cancelled_job(store: Store, tag: str, cancelled_ms: int = CANCELLED_MS) -> None:
-    """Stores a cancelled job of which the incarnation `tag` claims a task."""
+    """Stores a cancelled job with a task that the incarnation `tag` claims."""
     store.job(spec(JOB))
     store.put(keys.progress_key(JOB), encode_progress(Progress(0, {tag: 1})))
     row = store.rows[keys.job_key(JOB)][0]
