--- a/sloeswitch/cells/__init__.py
+++ b/sloeswitch/cells/__init__.py
@@ -1,5 +1,5 @@
-"""Cells that spill over: decisions about jobs that move from one cell to another (docs/cells.md).
+"""Moving jobs between cells (docs/cells.md).
 
-Everything here is pure: no clock, no I/O, no stored tables. What is stored is a typed row, what is sent a typed
-message, and each function takes the one and returns the other.
+`handoff` and `delegation` hold the protocol as pure functions, without a clock, I/O or tables: they take a stored row
+and a received message and return the new row and the answer. `origin`, `target` and `link` do the I/O.
 """
--- a/sloeswitch/cells/delegation.py
+++ b/sloeswitch/cells/delegation.py
@@ -1,10 +1,10 @@
-"""The target's side of a handoff: what it stores, and what it answers.
+"""The target's side of a handoff: what the target stores and what it answers.
 
-A delegation is the stored record of a handoff that was accepted. It is kept until the origin acknowledges its end. What
-has no record is fenced by one stored value for each origin: handoffs up to the *floor* that are not on record are
-refused for ever. A refusal raises the floor to the refused number, and so does the dropping of a record, so that no
-copy of an old offer, however late, is accepted. Offers with smaller numbers that are still under way are refused too;
-their origin offers the job again under another number.
+A delegation is the stored record of an accepted handoff. It is kept until the origin acknowledges the handoff's final
+state. Handoffs without a record are fenced by one stored number per origin, the *floor*: a handoff that has no record
+and a number at or below the floor is always refused. Refusing a handoff and deleting a record both raise the floor to
+the handoff's number, so that a delayed copy of an old offer is never accepted. Offers with smaller numbers that are
+still in flight are refused too; their origin offers the job again with a new number.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class DelegationState(enum.Enum):
-    """What became of an accepted handoff."""
+    """The state of an accepted handoff."""
 
     ACCEPTED = "accepted"
     BEGUN = "begun"
@@ -26,13 +26,13 @@
     DONE = "done"
 
 
-# No task may start or be on a machine.
+# In these states no task of the job may start, and none is on a machine.
 FINAL_STATES = frozenset({DelegationState.CANCELLED, DelegationState.STOPPED, DelegationState.DONE})
 
 
 @dataclass(frozen=True)
 class Delegation:
-    """An accepted handoff, as the target stores it with the job."""
+    """An accepted handoff, stored by the target with the job."""
 
     handoff: HandoffId
     state: DelegationState = DelegationState.ACCEPTED
@@ -44,37 +44,40 @@
 
     @property
     def final(self) -> bool:
-        """Whether no task of it is, or will be, anywhere."""
+        """Whether no task of the job is on a machine here or will start here."""
         return self.state in FINAL_STATES
 
     def begin(self) -> Delegation:
-        """A task is claimed; stored in the same change as the claim, so that it excludes a withdrawal."""
+        """Records that a task was claimed.
+
+        Stored in the same transaction as the claim, so that a claim and a withdrawal exclude each other.
+        """
         return replace(self, state=DelegationState.BEGUN) if self.startable else self
 
     def complete(self) -> Delegation:
-        """All tasks are done; stored in the change that stores the last completion."""
+        """Records that all tasks are done; stored in the same transaction as the last completion."""
         return replace(self, state=DelegationState.DONE) if self.startable else self
 
     def give_back(self) -> Delegation:
-        """The target does not want it any more; only while nothing of it began."""
+        """Withdraws the handoff if no task of the job was claimed; otherwise changes nothing."""
         if self.state is DelegationState.ACCEPTED:
             return replace(self, state=DelegationState.CANCELLED)
         return self
 
     def stop(self) -> Delegation:
-        """No task may start any more."""
+        """Prevents any further task of the job from starting."""
         if self.state is DelegationState.ACCEPTED:
             return replace(self, state=DelegationState.STOPPED)
         return replace(self, state=DelegationState.STOPPING) if self.startable else self
 
     def stopped(self) -> Delegation:
-        """After stop(): none of its tasks is on a machine any more."""
+        """Records, after stop(), that no task of the job is on a machine any more."""
         return replace(self, state=DelegationState.STOPPED) if self.state is DelegationState.STOPPING else self
 
 
 @dataclass(frozen=True)
 class TargetRecord:
-    """What a target has stored of one origin's handoffs of one job, and the origin's floor."""
+    """What a target has stored about one origin's handoffs of one job, and the floor of that origin."""
 
     floor: int = 0
     delegation: Delegation | None = None
@@ -82,14 +85,17 @@
 
 @dataclass(frozen=True)
 class TargetDecision:
-    """What is to be stored, on condition of what was read, before the answer is given."""
+    """The record to store and the answer to send.
+
+    The record is stored, conditional on what was read, before the answer is sent.
+    """
 
     record: TargetRecord
     answer: Answer
 
 
 def decide(record: TargetRecord, handoff: HandoffId, request: Request, room: bool) -> TargetDecision:
-    """Answers a request. `room`: whether a new offer would be accepted now."""
+    """Decides on a request. `room`: whether the cell has free capacity for a new offer."""
     delegation = record.delegation
     if delegation is not None and delegation.handoff == handoff:
         return _known(record, delegation, request)
@@ -98,7 +104,7 @@
     if request is Request.OFFER and room and delegation is None and not _fenced(record, handoff):
         accepted = Delegation(handoff)
         return TargetDecision(replace(record, delegation=accepted), Answer.ACCEPTED)
-    # Not on record, and by the floor it never will be: whoever asks again is told the same.
+    # Raising the floor makes the refusal permanent, so that a repeated request gets the same answer.
     return TargetDecision(replace(record, floor=max(record.floor, handoff.number)), Answer.REFUSED)
 
 
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -1,7 +1,8 @@
-"""What cells say to each other, packed for the mesh.
+"""Encoding of the messages between cells as mesh frames.
 
-A request is a fixed part and three texts: the asking cell, the job, and for an offer the job as its user submitted it.
-An answer is a fixed part. Summaries are sent as JSON, since they grow with what a cell has.
+A request is a fixed part followed by three texts: the name of the requesting cell, the name of the job and, for an
+offer, the job specification as its user submitted it. An answer has a fixed part only. Summaries are sent as JSON
+because their size depends on the number of machine types and teams of the cell.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 ANSWER_CODES = {answer: code for code, answer in enumerate(Answer, 1)}
 REQUESTS = {code: request for request, code in REQUEST_CODES.items()}
 ANSWERS = {code: answer for answer, code in ANSWER_CODES.items()}
-# The answerer cannot tell now: it has not read its tables, or could not store what follows.
+# The target cannot answer now: it has not read its tables, or could not store the outcome.
 NO_ANSWER = 0
-# Names of cells and jobs are told with one byte for their length.
+# The length of a cell or job name is encoded in one byte.
 LONGEST_NAME = 255
-# An offer's job must leave place for the rest of the frame.
+# The largest job specification that fits into a frame beside the fixed part and two names.
 MOST_SPEC_BYTES = MAX_BODY_BYTES - REQUEST.size - 2 * LONGEST_NAME
 
 
 @dataclass(frozen=True)
 class Offer:
-    """A job as it is handed over."""
+    """The job that an offer hands over."""
 
     spec: JobSpec
     submitted_ms: int
@@ -40,15 +41,15 @@
 
 @dataclass(frozen=True)
 class CellRequest:
-    """A request of another cell."""
+    """A request from one cell to another."""
 
     message: RequestMessage
-    # Of the asking cell.
+    # The incarnation of the requesting cell.
     incarnation: int
     offer: Offer | None = None
 
     def pack(self) -> bytes:
-        """The body of a frame."""
+        """Returns the body of the frame."""
         handoff = self.message.handoff
         origin, job = handoff.origin.encode(), handoff.job.encode()
         spec = msgspec.json.encode(self.offer.spec) if self.offer is not None else b""
@@ -66,7 +67,7 @@
 
     @staticmethod
     def unpack(body: bytes) -> CellRequest:
-        """Raises FrameError for what is no request."""
+        """Decodes a frame body; raises FrameError if it is not a valid request."""
         try:
             number, incarnation, submitted_ms, code, *lengths = REQUEST.unpack_from(body)
             texts = _texts(body[REQUEST.size :], lengths)
@@ -89,18 +90,18 @@
 
 @dataclass(frozen=True)
 class CellAnswer:
-    """The answer to a request; None: it cannot be told now."""
+    """The answer to a request; `answer` is None if the target cannot answer now."""
 
     incarnation: int
     answer: Answer | None
 
     def pack(self) -> bytes:
-        """The body of a frame."""
+        """Returns the body of the frame."""
         return ANSWER.pack(self.incarnation, NO_ANSWER if self.answer is None else ANSWER_CODES[self.answer])
 
     @staticmethod
     def unpack(body: bytes) -> CellAnswer:
-        """Raises FrameError for what is no answer."""
+        """Decodes a frame body; raises FrameError if it is not a valid answer."""
         try:
             incarnation, code = ANSWER.unpack(body)
             return CellAnswer(incarnation, None if code == NO_ANSWER else ANSWERS[code])
@@ -109,12 +110,12 @@
 
 
 def pack_summary(summary: Summary | None) -> bytes:
-    """A summary, or nothing where it cannot be told now."""
+    """Encodes a summary; an empty body means that the cell has no summary now."""
     return b"" if summary is None else msgspec.json.encode(summary)
 
 
 def unpack_summary(body: bytes) -> Summary | None:
-    """Raises FrameError for what is no summary."""
+    """Decodes a frame body; None if it is empty. Raises FrameError if it is not a valid summary."""
     if not body:
         return None
     try:
--- a/sloeswitch/cells/handoff.py
+++ b/sloeswitch/cells/handoff.py
@@ -1,7 +1,7 @@
-"""The origin's side of a handoff: what it stores with the job, and what follows from a target's answer.
+"""The origin's side of a handoff: what the origin stores with the job, and how a target's answer changes it.
 
-The row is part of the job's own, so that one conditional change excludes a local claim and a handoff from each other.
-An offer that is not answered counts as accepted until the target says otherwise.
+The handoffs are stored in the job's own row, so that a local claim and a handoff exclude each other by one conditional
+transaction. An unanswered offer counts as accepted until the target answers otherwise.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Result(enum.Enum):
-    """How a job ended. Once stored it holds for ever."""
+    """How a job ended. A stored result never changes."""
 
     DONE = "done"
     CANCELLED = "cancelled"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """A handoff that may still be somewhere: the cell and the handoff's number."""
+    """A handoff that its target may still have on record: the target cell and the handoff's number."""
 
     target: str
     number: int
@@ -31,28 +31,29 @@
 
 @dataclass(frozen=True)
 class OriginRow:
-    """What the origin stores of a job beside its specification."""
+    """What the origin stores about the handoffs of a job."""
 
     cell: str
     job: str
     policy: MovePolicy
-    # Where it runs by the latest handoff; None: at home.
+    # The latest handoff, by which the job runs in another cell; None if it runs in its origin.
     away: Placement | None = None
-    # Earlier handoffs that were not waited for, to be stopped; and any handoffs left over when the job ended.
+    # Handoffs to be stopped: earlier ones whose target was unreachable for too long, and those that targets still had
+    # on record when the job ended.
     recalls: tuple[Placement, ...] = ()
-    # Whether a task of it was ever claimed at home.
+    # Whether a task of the job was ever claimed in its origin.
     begun_at_home: bool = False
-    # Whether its user asked for the cancellation, which is not confirmed yet.
+    # Whether the user requested a cancellation that is not confirmed yet.
     cancelling: bool = False
     result: Result | None = None
 
     @property
     def startable(self) -> bool:
-        """Whether tasks may be claimed at home."""
+        """Whether tasks may be claimed in the origin."""
         return self.away is None and not self.cancelling and self.result is None
 
     def handoff(self, placement: Placement) -> HandoffId:
-        """The name of a handoff of this job."""
+        """The full identifier of a handoff of this job."""
         return HandoffId(self.cell, self.job, placement.number)
 
     @property
@@ -62,51 +63,61 @@
 
 
 def can_move(row: OriginRow, target: str, idle_at_home: bool) -> bool:
-    """Whether the job may be offered to a cell. `idle_at_home`: no task of it is claimed here."""
+    """Whether the job may be offered to a cell. `idle_at_home`: no task of the job is claimed in the origin."""
     if row.policy is MovePolicy.NEVER or not row.startable or not idle_at_home:
         return False
     if row.policy is MovePolicy.ONCE and row.begun_at_home:
         return False
-    # A target has one handoff of a job on record; the former one must be over and acknowledged first.
+    # A target keeps one handoff of a job on record; an earlier one has to reach a final state first.
     return all(placement.target != target for placement in row.recalls)
 
 
 def move(row: OriginRow, target: str, number: int) -> OriginRow:
-    """The job is offered to a cell. Stored before the first offer is sent; `number` is larger than any given before."""
+    """Records that the job is offered to a cell.
+
+    The row is stored before the first offer is sent. `number` is larger than that of any earlier handoff of the job.
+    """
     return replace(row, away=Placement(target, number))
 
 
 def begin_at_home(row: OriginRow) -> OriginRow:
-    """A task is claimed at home; stored in the same change as the claim."""
+    """Records that a task was claimed in the origin; stored in the same transaction as the claim."""
     return replace(row, begun_at_home=True)
 
 
 def take_back(row: OriginRow) -> OriginRow:
-    """The target was out of reach for too long: a repeatable job may run at home beside what the target does."""
+    """Recalls a repeatable job whose target was unreachable for too long.
+
+    The job may then run in the origin although the target may run it too.
+    """
     if row.policy is not MovePolicy.REPEATABLE or row.away is None or row.result is not None:
         return row
     return replace(row, away=None, recalls=(*row.recalls, row.away))
 
 
 def end_at_home(row: OriginRow) -> OriginRow:
-    """All tasks are done at home."""
+    """Records that all tasks were completed in the origin."""
     return row if row.result is not None else replace(row, result=Result.DONE)
 
 
 def request_cancellation(row: OriginRow) -> OriginRow:
-    """The user asks for the cancellation. It is confirmed once `result` says so: at once where nothing is away."""
+    """Records that the user requested a cancellation.
+
+    It is confirmed when `result` is CANCELLED, which is immediate if no target has a handoff of the job on record.
+    """
     if row.result is not None:
         return row
     return _settled(replace(row, cancelling=True))
 
 
 def learn(row: OriginRow, message: AnswerMessage) -> OriginRow:
-    """What follows from a target's answer. Answers about other handoffs than those on record change nothing."""
+    """Applies a target's answer. An answer about a handoff that is not on record changes nothing."""
     placement = next((each for each in row.placements if _answers(row, each, message)), None)
     if placement is None:
         return row
     if message.answer is Answer.DONE and row.result is None:
-        # The first end that is stored is the result; the others are stopped and discarded.
+        # The first completion that is stored is the result; other copies of the job are stopped and their results
+        # discarded.
         row = replace(row, result=Result.DONE)
     if message.answer in ENDED:
         row = _without(row, placement)
@@ -114,9 +125,9 @@
 
 
 def requests(row: OriginRow, wanted_back: bool = False) -> Iterator[tuple[str, RequestMessage]]:
-    """What is to be asked now, and of which cell; asked again until it is answered.
+    """Yields each request to send now, with its target cell. A request is repeated until it is answered.
 
-    `wanted_back`: whether the job could start at home by now.
+    `wanted_back`: whether the job could start in its origin now, so that it is withdrawn from the target.
     """
     for placement in row.placements:
         if row.cancelling or row.result is not None or placement in row.recalls:
@@ -127,7 +138,10 @@
 
 
 def acknowledgement(message: AnswerMessage) -> RequestMessage | None:
-    """What is sent once the row is stored that followed from an answer, so that the target can forget the handoff."""
+    """The acknowledgement to send after the row changed by an answer is stored; None if the answer needs none.
+
+    It allows the target to delete its record of the handoff.
+    """
     if message.answer in ENDED and message.answer is not Answer.REFUSED:
         return RequestMessage(message.handoff, Request.ACKNOWLEDGE)
     return None
@@ -138,13 +152,13 @@
 
 
 def _without(row: OriginRow, placement: Placement) -> OriginRow:
-    """The target will not start it any more, and nothing of it is there."""
+    """Removes a handoff whose target has no task of the job and will start none."""
     recalls = tuple(each for each in row.recalls if each != placement)
     return replace(row, recalls=recalls, away=None if row.away == placement else row.away)
 
 
 def _settled(row: OriginRow) -> OriginRow:
-    """A cancellation is final once no other cell can start or hold a task."""
+    """Confirms a requested cancellation once no other cell can start a task of the job or has one on a machine."""
     if row.cancelling and row.result is None and not row.placements:
         return replace(row, result=Result.CANCELLED)
     return row
--- a/sloeswitch/cells/link.py
+++ b/sloeswitch/cells/link.py
@@ -1,4 +1,4 @@
-"""Connections to the controllers of another cell, by frames of the mesh."""
+"""Connections to the controllers of another cell, using mesh frames."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 
 
 class MeshLink:
-    """Asks one controller of a peer after the other; a connection is kept while it answers."""
+    """Sends requests to a peer cell over one connection.
+
+    The connection is kept while the controller answers; after a failure the next controller is tried.
+    """
 
     def __init__(self, own_name: str, peer: PeerCell, timeout_s: float) -> None:
         self.own_name = own_name
         self.frames = FrameLink(peer.name, peer.addresses, timeout_s)
 
     async def request(self, request: CellRequest) -> CellAnswer:
-        """Asks about a handoff; NoAnswerError when there is no answer."""
+        """Sends a request about a handoff; raises NoAnswerError if there is no valid answer."""
         try:
             return CellAnswer.unpack(await self.frames.exchange(FrameType.CELL_REQUEST, request.pack()))
         except FrameError as error:
             raise NoAnswerError(str(error)) from None
 
     async def summary(self) -> Summary | None:
-        """The peer's summary, None if it tells none; NoAnswerError when there is no answer."""
+        """Requests the peer's summary; None if it has none now. Raises NoAnswerError if there is no valid answer."""
         try:
             return unpack_summary(await self.frames.exchange(FrameType.SUMMARY_REQUEST, self.own_name.encode()))
         except FrameError as error:
@@ -33,7 +36,7 @@
 
 
 async def answer_frame(target: CellTarget, kind: int, body: bytes) -> bytes | None:
-    """The body of the answer to another cell's frame; FrameError for what is none."""
+    """Returns the body of the answer to a frame of another cell; raises FrameError if the frame is not valid."""
     if kind == FrameType.SUMMARY_REQUEST:
         return pack_summary(target.summary(body.decode(errors="replace")))
     answer = await target.answer(CellRequest.unpack(body))
--- a/sloeswitch/cells/messages.py
+++ b/sloeswitch/cells/messages.py
@@ -1,7 +1,8 @@
-"""What an origin and a target say to each other about one handoff.
+"""The messages between an origin and a target about one handoff.
 
-A handoff is named by the origin cell, the job and a number. Numbers of one origin only rise, over all its jobs, so that
-a target can fence many of them with one value (see delegation). Every message can be lost, late and repeated.
+A handoff is identified by the origin cell, the job and a number. An origin uses increasing numbers across all its jobs,
+so that a target can fence many of its handoffs with one stored value (see `delegation`). Any message can be lost,
+delayed or duplicated.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 @dataclass(frozen=True)
 class HandoffId:
-    """Names one attempt to have a job run in another cell."""
+    """Identifies one attempt to run a job in another cell."""
 
     origin: str
     job: str
@@ -20,35 +21,35 @@
 
 
 class Request(enum.Enum):
-    """What an origin asks of a target."""
+    """A request from an origin to a target."""
 
     OFFER = "offer"  # run the job
-    QUERY = "query"  # what became of it
-    WITHDRAW = "withdraw"  # give it back if nothing of it began
-    STOP = "stop"  # end it, whatever began
-    ACKNOWLEDGE = "acknowledge"  # the origin stored what became of it
+    QUERY = "query"  # report the state of the handoff
+    WITHDRAW = "withdraw"  # return the job if no task was claimed
+    STOP = "stop"  # end the job even if tasks were claimed
+    ACKNOWLEDGE = "acknowledge"  # the origin stored the final state
 
 
 class Answer(enum.Enum):
-    """What a target says of a handoff, each from what it has stored."""
+    """The state of a handoff that a target reports, always from what it has stored."""
 
-    UNKNOWN = "unknown"  # never heard of; it may still be accepted by a late offer
+    UNKNOWN = "unknown"  # not on record; a delayed offer may still be accepted
     REFUSED = "refused"  # will never be accepted
-    ACCEPTED = "accepted"  # nothing of it began
-    BEGUN = "begun"  # a task was claimed; it is not given back
-    CANCELLED = "withdrawn"  # given back, and nothing of it began
-    STOPPING = "stopping"  # no task starts any more; some may still be on machines
-    STOPPED = "stopped"  # no task starts any more, and none is on a machine
-    DONE = "done"  # complete
+    ACCEPTED = "accepted"  # no task was claimed
+    BEGUN = "begun"  # a task was claimed, so that the job is not returned
+    CANCELLED = "withdrawn"  # the job was returned and no task was claimed
+    STOPPING = "stopping"  # no task will start; some may still be on machines
+    STOPPED = "stopped"  # no task will start, and none is on a machine
+    DONE = "done"  # all tasks are done
 
 
-# From these a target never starts a task of the handoff again.
+# After one of these answers the target never starts a task of the handoff.
 ENDED = frozenset({Answer.REFUSED, Answer.CANCELLED, Answer.STOPPED, Answer.DONE})
 
 
 @dataclass(frozen=True)
 class RequestMessage:
-    """From an origin to a target."""
+    """A request about one handoff, sent by an origin to a target."""
 
     handoff: HandoffId
     request: Request
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class AnswerMessage:
-    """From a target to an origin. `target` is the answering cell."""
+    """An answer about one handoff, sent by a target to an origin. `target` is the answering cell."""
 
     handoff: HandoffId
     target: str
--- a/sloeswitch/cells/policy.py
+++ b/sloeswitch/cells/policy.py
@@ -1,4 +1,4 @@
-"""How far jobs of a class may be moved and repeated."""
+"""Whether jobs of a class may be moved to other cells and run more than once."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 
 
 class MovePolicy(enum.Enum):
-    """What may happen to a job of a class when the cell that it was moved to is out of reach."""
+    """Whether a job may move, and whether it may start again while the cell that it was moved to is unreachable."""
 
-    # It stays where it was submitted.
+    # The job stays in the cell where it was submitted.
     NEVER = "never"
-    # It moves while surely nothing of it began, and begins in one cell only: out of reach, it is waited for.
+    # The job moves only before any of its tasks was claimed, and starts in one cell only. If that cell is unreachable,
+    # the origin waits for it.
     ONCE = "once"
-    # It may begin in several cells: out of reach for long, it is run at home, and the first end counts.
+    # The job may start in several cells. If its cell is unreachable for too long, the origin runs it too, and the first
+    # completion is the result.
     REPEATABLE = "repeatable"
