--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -1,7 +1,8 @@
-"""The origin: chooses jobs that move, and sees each handoff through to its end.
+"""The origin: selects the jobs to move, and drives each handoff to its final state.
 
-Each job's handoffs are looked after by one controller of the view, chosen by hash, so that a controller that ends
-leaves its part to the others; two that look after the same job for a while only ask twice: every change is conditional.
+Each job's handoffs are managed by one controller of the view, chosen by hash, so that the other controllers take over
+the handoffs of one that leaves. If two controllers manage the same job for a while, requests are only sent twice,
+because every stored change is conditional.
 """
 
 from __future__ import annotations
@@ -37,27 +38,28 @@
 
 log = logging.getLogger("cells")
 
-# A summary counts for so many controller leases after it was asked for.
+# How long a summary is used after it was requested, in controller leases.
 SUMMARY_LEASES = 3.0
-# A repeatable job runs at home too when its target has not answered for so many worker leases.
+# A repeatable job may run in its origin too when its target has not answered for this time, in worker leases.
 TAKE_BACK_LEASES = 4.0
-# A job that could start at home is asked for back after so many worker leases, and one that came back stays as long.
+# The minimum time in one cell, in worker leases: an offered job that could start in its origin is withdrawn after this
+# time, and a returned job is not offered again before it has passed.
 STAY_LEASES = 4.0
 
 
 class Link(Protocol):
-    """The way to another cell. Both raise NoAnswerError when there is no answer."""
+    """Sends requests to another cell. Both methods raise NoAnswerError if there is no answer."""
 
     async def request(self, request: CellRequest) -> CellAnswer:
-        """Asks about a handoff."""
+        """Sends a request about a handoff."""
 
     async def summary(self) -> Summary | None:
-        """Asks for the cell's summary."""
+        """Requests the cell's summary; None if the cell has none now."""
 
 
 @dataclass
 class Contact:
-    """When a handoff was first looked after here, and when its target last answered."""
+    """When this controller first sent a request about a handoff, and when the target last answered."""
 
     since: float
     answered_at: float
@@ -65,7 +67,11 @@
 
 
 class CellOrigin:
-    """Owns the peers' summaries and how the handoffs under way were last answered; all else is in the tables."""
+    """Selects jobs to move and drives their handoffs.
+
+    Keeps only the peers' summaries and incarnations and when handoffs were last answered; all other state is in the
+    stored tables.
+    """
 
     def __init__(
         self,
@@ -94,30 +100,30 @@
     # -- loops
 
     async def select_forever(self) -> None:
-        """Offers jobs while the feature is on, and marks that this controller runs with it."""
+        """Selects jobs to move in every report interval, and records that this controller runs with the feature."""
         while True:
             await self.sleep(self.settings.report_s)
             try:
                 await self.mark()
                 await self.select()
             except Exception:
-                log.exception("while choosing jobs that move")
+                log.exception("move selection failed")
 
     async def talk_forever(self, peer: str) -> None:
-        """Asks one peer about its room and about the handoffs that it has."""
+        """Requests one peer's summary and the state of its handoffs in every report interval."""
         while True:
             await self.sleep(self.settings.report_s)
             try:
                 await self.talk(peer)
             except (NoAnswerError, StaleReplicaError) as error:
-                log.debug("%s: %s", peer, error)
+                log.debug("peer request failed: peer=%s error=%s", peer, error)
             except Exception:
-                log.exception("while talking to %s", peer)
+                log.exception("peer exchange failed: peer=%s", peer)
 
-    # -- the switch
+    # -- rollout
 
     async def mark(self) -> None:
-        """Notes that this controller runs with the feature; complete once every configured one does."""
+        """Stores that this controller runs with the feature; the rollout is complete once every configured one does."""
         await self.feature.record_member()
 
     @property
@@ -125,10 +131,10 @@
         """Whether every configured controller of this cell runs with the feature."""
         return self.feature.is_complete
 
-    # -- choosing
+    # -- selection
 
     async def select(self) -> None:
-        """Stores the moves that are to be made now; the offers follow when the peer is talked to."""
+        """Selects jobs to move and stores their handoffs; the offers are sent with the next requests to the peer."""
         if not (self.features.moving and self.switched_on and self.leadership.is_leader):
             return
         wall_clock_ms = self.clock.wall_clock_ms()
@@ -136,7 +142,7 @@
         if not movable:
             return
         found = candidates(self.waiting_jobs(), movable, self.tables, self.settings, wall_clock_ms)
-        # Every controller gives out its part of what a peer has.
+        # Each controller may use an equal share of the free capacity of a peer.
         part = 1.0 / max(1, len(self.leadership.view.members))
         peers = [_part_of(summary, part) for summary in self.book.current(self.now())]
         most = max(1, int(self.features.most_under_way * part))
@@ -168,17 +174,17 @@
         return counts
 
     async def _move(self, job: Job, cell: str) -> None:
-        # Larger than any number that this job had: that was no larger than the epoch at which it was stored.
+        # Larger than the number of any earlier handoff of the job: each is at most the revision at which it was stored.
         number = 1 + max(self.replica.applied_revision, job.mod_revision)
         row = rules.move(self.row(job), cell, number)
         conditions = {keys.progress_key(job.spec.id): job.progress_revision, **self.leadership.view_conditions()}
         if await self._store(job, row, conditions):
-            log.info("%s is offered to %s", job.spec.id, cell)
+            log.info("job offered: job=%s peer=%s", job.spec.id, cell)
 
-    # -- seeing handoffs through
+    # -- driving handoffs
 
     async def talk(self, peer: str) -> None:
-        """One round with a peer: its summary, and each handoff of this controller that it has."""
+        """One round of requests to a peer: its summary, then each handoff to it that this controller manages."""
         link = self.links[peer]
         if self.leadership.is_leader and self.switched_on:
             asked_at = self.now()
@@ -194,10 +200,10 @@
         self.contacts = {key: contact for key, contact in self.contacts.items() if key in placements}
 
     async def _acknowledge(self, summary: Summary, link: Link) -> None:
-        """Acknowledges once more what ended at the peer and is not on record here any more."""
+        """Acknowledges again the handoffs that are in a final state at the peer and no longer on record here."""
         if not summary.ended:
             return
-        # Guards against tables that lag: a handoff that another controller stored a moment ago is on record.
+        # Without this read, lagging tables may lack a handoff that another controller stored just before.
         await self.replica.read_linearizable(self.client.timeout_s)
         for name, number in summary.ended:
             row = self._current(name)
@@ -206,15 +212,18 @@
                 await link.request(CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation))
 
     def _heard(self, peer: str, incarnation: int) -> bool:
-        """Guards against a cell whose state was restored from a copy: it has forgotten what it accepted."""
+        """Records a peer's incarnation; False if it is older than the latest one.
+
+        Guards against a cell whose state was restored from a copy and lacks handoffs that it accepted.
+        """
         if incarnation < self.incarnations.get(peer, 0):
-            log.error("%s speaks as incarnation %d, which is over", peer, incarnation)
+            log.error("stale peer incarnation: peer=%s incarnation=%d", peer, incarnation)
             return False
         self.incarnations[peer] = incarnation
         return True
 
     def _rows(self) -> Iterator[tuple[str, OriginRow]]:
-        """Jobs with handoffs that may be somewhere."""
+        """Yields the jobs with handoffs that a target may still have on record."""
         for name, job in list(self.tables.jobs.items()):
             if job.handoff is not None and job.handoff.placements:
                 yield name, self.row(job)
@@ -224,7 +233,7 @@
                 yield name, self._over_row(name, over)
 
     def row(self, job: Job) -> OriginRow:
-        """What is stored of a job's handoffs, as the rules take it."""
+        """The stored handoffs of a job, completed with what the handoff rules need."""
         policy = self.features.policy(job.spec.job_class)
         row = job.handoff or OriginRow("", job.spec.id, policy)
         result = Result.CANCELLED if job.is_cancelled else None
@@ -236,7 +245,7 @@
         return replace(over.handoff, cell=self.features.name, result=result)
 
     async def _settle(self, name: str, peer: str, link: Link) -> None:
-        """Asks a peer about its handoffs of a job, and stores what follows."""
+        """Sends the pending requests about a job's handoffs to a peer, and stores the changes by its answers."""
         row = self._current(name)
         if row is None:
             return
@@ -270,15 +279,15 @@
             return
         after = rules.learn(row, message)
         if after != row and not await self._store_over_or_live(name, after):
-            return  # asked again; the target keeps it until it is acknowledged
+            return  # the request is repeated; the target keeps its record until it is acknowledged
         if after != row:
-            log.info("%s: %s by %s", name, message.answer.value, message.target)
+            log.info("handoff answered: job=%s answer=%s peer=%s", name, message.answer.value, message.target)
         acknowledgement = rules.acknowledgement(message)
         if acknowledgement is not None:
             await link.request(CellRequest(acknowledgement, self.features.incarnation))
 
     async def _take_back(self, name: str, placement: Placement, contact: Contact) -> None:
-        """A repeatable job whose target is out of reach for long may run at home."""
+        """Lets a repeatable job run in the origin too if its target was unreachable for too long."""
         row = self._current(name)
         if row is None or row.away != placement or row.cancelling:
             return
@@ -286,10 +295,13 @@
             return
         after = rules.take_back(row)
         if after != row and await self._store_over_or_live(name, after):
-            log.info("%s: %s is out of reach, it may run here too", name, placement.target)
+            log.info("job recalled: job=%s peer=%s reason=unreachable", name, placement.target)
 
     def _wanted_back(self, job: Job) -> bool:
-        """Whether a job that did not begin elsewhere could start at home by now."""
+        """Whether to withdraw a job because it could start here now.
+
+        The target refuses the withdrawal if it has claimed a task of the job.
+        """
         assert job.handoff is not None
         away = job.handoff.away
         contact = self.contacts.get((job.spec.id, away)) if away is not None else None
@@ -320,7 +332,7 @@
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
     async def _store(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> bool:
-        """Writes a job's row with its handoffs, on condition of the row as it was read."""
+        """Writes a job's row with its handoffs, conditional on the row's revision when it was read."""
         key = keys.job_key(job.spec.id)
         conditions = {**conditions, key: job.mod_revision}
         if row.result is Result.DONE:
@@ -347,7 +359,7 @@
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
-            return False  # too close to the limit for the handoff beside the job; it stays
+            return False  # the row with the handoff would exceed the value size limit, so the job is not moved
         outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         if outcome is TransactionOutcome.COMMITTED:
             self.replica.apply_own_write(epoch, writes)
@@ -357,6 +369,6 @@
 
 
 def _part_of(summary: Summary, part: float) -> Summary:
-    """What one of a cell's controllers may give out of a peer's room."""
+    """Returns a summary with the given share of the peer's free capacity."""
     teams = tuple((name, part * cores, part * gpus) for name, cores, gpus in summary.team_room)
     return replace(summary, free=Resources().plus(summary.free, part), team_room=teams)
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -1,4 +1,7 @@
-"""Which jobs move, and where: those that would miss their next target here and make it there."""
+"""Selects the jobs to move and the cell for each.
+
+A job moves if it would miss its next service level target in this cell and meet it in the other.
+"""
 
 from __future__ import annotations
 
@@ -16,35 +19,35 @@
 
 @dataclass(frozen=True)
 class MoveLimits:
-    """How cautiously jobs are moved."""
+    """Limits on moving jobs."""
 
-    # A job must be late here, and in time there, by this much more.
+    # A job must be late in this cell, and in time in the other, by more than this.
     margin_s: float
-    # What passes until the target has stored the job: the message, its answer, and a controller's next look.
+    # The time until the target has stored the job: the offer, its answer, and up to one interval of the request loop.
     transfer_s: float
-    # Jobs under way to one peer.
+    # The number of jobs that may be in flight to one peer.
     most_under_way: int
 
 
 def limits_of(settings: Settings, most_under_way: int) -> MoveLimits:
-    """The limits that follow from a cell's settings."""
+    """Derives the limits from a cell's settings."""
     return MoveLimits(settings.lease_s, settings.controller_lease_s + settings.report_s, most_under_way)
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A job of the line that may move, and what is expected of it here."""
+    """A queued job that may move, and its expected completion in this cell."""
 
     spec: JobSpec
-    # Until its next target; None when it has none that can be met.
+    # Seconds until its next target; None if it has no target that can still be met.
     left_s: float | None
-    # Until all of it would be done here.
+    # Seconds until all its tasks would be done in this cell.
     here_s: float
 
 
 @dataclass(frozen=True)
 class Move:
-    """A job that is to be offered to a cell."""
+    """A job to offer, and the cell to offer it to."""
 
     job: str
     cell: str
@@ -53,7 +56,7 @@
 def candidates(
     line: Iterable[Job], movable: set[str], tables: Tables, settings: Settings, wall_clock_ms: int
 ) -> list[Candidate]:
-    """The jobs of the line that may move, in its order, each with the work before it reckoned in."""
+    """The movable jobs in queue order; the expected completion of each includes the work queued before it."""
     cores = sum(
         tables.machine_types[row.type].cores for row in tables.machines.values() if row.type in tables.machine_types
     )
@@ -65,7 +68,7 @@
     for job in line:
         spec = job.spec
         if spec.id in seen:
-            continue  # it stands in the line twice
+            continue  # a job may be in the queue twice
         seen.add(spec.id)
         waiting_cores = tables.unclaimed_tasks(job, settled).bit_count() * spec.cores
         work_core_s = waiting_cores * spec.estimate_s
@@ -89,12 +92,12 @@
 
 
 def may_move_by_shape(spec: JobSpec) -> bool:
-    """Whether nothing in the job binds it to its cell: a zone's name means another zone elsewhere."""
+    """Whether the job is not bound to a zone: zone names are not shared between cells."""
     return spec.zone is None
 
 
 def done_there_s(spec: JobSpec, peer: Summary, free: Resources, limits: MoveLimits) -> float | None:
-    """Until all of the job would be done in another cell; None when it has no place there now."""
+    """Seconds until all tasks of the job would be done in another cell; None if it cannot start there now."""
     task = task_resources(spec)
     pools = [pool for pool in peer.pools if pool.suits(spec)]
     if not pools or peer.saturated:
@@ -112,7 +115,7 @@
 def choose(
     found: Iterable[Candidate], peers: Iterable[Summary], under_way: dict[str, int], limits: MoveLimits
 ) -> list[Move]:
-    """The moves to make now. What is given to one job is not given to the next by the same summaries."""
+    """The moves to make now. Capacity used by one job is subtracted before the next job is considered."""
     rooms = {peer.cell: peer for peer in peers}
     counts = dict(under_way)
     moves: list[Move] = []
@@ -134,7 +137,7 @@
 def _best_peer(
     candidate: Candidate, rooms: dict[str, Summary], counts: dict[str, int], limits: MoveLimits
 ) -> str | None:
-    """The cell in which the job would be done first, if that is well in time."""
+    """The cell in which the job would be done first, among those that would meet its target by the margin."""
     best: tuple[float, str] | None = None
     for cell, peer in sorted(rooms.items()):
         if counts.get(cell, 0) >= limits.most_under_way:
@@ -149,7 +152,7 @@
 
 
 def _taken(peer: Summary, spec: JobSpec) -> Summary:
-    """The summary with the job's room taken from it."""
+    """Returns the summary with the job's resources subtracted from its free capacity."""
     task = task_resources(spec)
     count = min(spec.tasks, task.times_in(peer.free))
     free = peer.free.plus(task, -count)
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -1,9 +1,9 @@
-"""What a cell tells its peers about its room and its backlog, reckoned from its tables alone.
+"""Summaries of a cell's free capacity and backlog, computed from its tables alone.
 
-Every controller of a cell reckons the same from the same tables, so that it does not matter which of them a peer asks.
+All controllers of a cell compute the same summary from the same tables, so that a peer may ask any of them.
 
-The names of the fields of `Resources`, `MachinePool` and `Summary` are the names in frames between cells (`frames.py`
-writes them without a map): renaming a field changes the wire.
+The fields of `Resources`, `MachinePool` and `Summary` are encoded under their own names in frames between cells
+(`frames.py`): renaming a field changes the wire format.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 
 @dataclass(frozen=True)
 class Resources:
-    """Amounts of what tasks take."""
+    """Amounts of the resources that tasks use."""
 
     cores: float = 0.0
     gpus: float = 0.0
     memory: float = 0.0
 
     def plus(self, other: Resources, times: float = 1.0) -> Resources:
-        """The sum with so many times the other."""
+        """Returns the sum of this and `times` multiplied by the other."""
         return Resources(
             self.cores + times * other.cores, self.gpus + times * other.gpus, self.memory + times * other.memory
         )
 
     def times_in(self, whole: Resources) -> int:
-        """How many times this fits into the whole; 0 for what takes nothing."""
+        """How many times this fits into `whole`; 0 if this uses no finite resource."""
         pairs = ((self.cores, whole.cores), (self.gpus, whole.gpus), (self.memory, whole.memory))
         counts = [
             int((room + ROUNDING_TOLERANCE) // amount) for amount, room in pairs if amount > 0 and math.isfinite(room)
@@ -41,13 +41,13 @@
 
 
 def task_resources(spec: JobSpec) -> Resources:
-    """What one task of a job takes."""
+    """The resources that one task of a job uses."""
     return Resources(spec.cores, spec.gpus, spec.memory)
 
 
 @dataclass(frozen=True)
 class MachinePool:
-    """Machines of one type, spot or ordinary, that a cell has up."""
+    """The machines of a cell of one type, either all spot or all on-demand."""
 
     type: str
     spot: bool
@@ -56,36 +56,36 @@
     machines: int
 
     def suits(self, spec: JobSpec) -> bool:
-        """Whether one task of the job may run on such a machine."""
+        """Whether a task of the job may run on a machine of this pool and fits on it."""
         allowed = spec.types is None or self.type in spec.types
         return allowed and (spec.spot or not self.spot) and task_resources(spec).times_in(self.size) >= 1
 
 
 @dataclass(frozen=True)
 class Summary:
-    """A cell's room and backlog at one moment."""
+    """A cell's free capacity and backlog at one revision of its tables."""
 
     cell: str
     incarnation: int
-    # The epoch of the tables that it was reckoned from.
+    # The revision of the tables from which the summary was computed.
     sequence: int
     pools: tuple[MachinePool, ...] = ()
-    # What no task has claimed and no waiting job of the cell's own could use.
+    # The capacity left after all claimed and all waiting tasks of the cell.
     free: Resources = field(default_factory=Resources)
-    # Seconds that the waiting work would keep all cores busy.
+    # The time for which the waiting tasks would use all cores, in seconds.
     backlog_s: float = 0.0
-    # What each team may use beyond what it has claimed and waits for: cores and accelerators.
+    # By team: the cores and accelerators left under its limit after its claimed and waiting tasks.
     team_room: tuple[tuple[str, float, float], ...] = ()
-    # Handoffs of the asking cell that have ended here and are not acknowledged: job and number.
+    # Handoffs of the requesting cell in a final state that it has not acknowledged: job and number.
     ended: tuple[tuple[str, int], ...] = ()
 
     @property
     def saturated(self) -> bool:
-        """Whether work of its own waits for room."""
+        """Whether tasks of the cell wait for free capacity."""
         return self.backlog_s > 0
 
     def room_of_team(self, team: str) -> Resources:
-        """What the team may still use; nothing for a team that the cell does not know."""
+        """What the team may still use in the cell; nothing if the cell does not know the team."""
         for name, cores, gpus in self.team_room:
             if name == team:
                 return Resources(cores, gpus, math.inf)
@@ -93,7 +93,7 @@
 
 
 def summarise(tables: Tables, settings: Settings, cell: str, incarnation: int, sequence: int) -> Summary:
-    """The summary of a cell from what its tables hold."""
+    """Computes the summary of a cell from its tables."""
     pools = _pools(tables)
     total = Resources()
     for pool in pools:
@@ -115,7 +115,7 @@
             teams[spec.team][0] -= (claimed + waiting) * spec.cores
             teams[spec.team][1] -= (claimed + waiting) * spec.gpus
     free = _free(total, used.plus(wanted))
-    # Work that finds room at once is no backlog.
+    # Waiting tasks that fit into the free cores are no backlog.
     over = wanted.cores > max(0.0, total.cores - used.cores)
     backlog_s = wanted_core_s / total.cores if over and total.cores > 0 else 0.0
     room = tuple((name, max(0.0, cores), max(0.0, gpus)) for name, (cores, gpus) in sorted(teams.items()))
@@ -141,15 +141,15 @@
 
 @dataclass
 class SummaryBook:
-    """The last summary of each peer that may be gone by."""
+    """The latest summary of each peer."""
 
     max_age_s: float
     _heard: dict[str, tuple[float, Summary]] = field(default_factory=dict)
 
     def hear(self, summary: Summary, asked_at: float) -> bool:
-        """Takes a summary in that was asked for at this time; False for one that is older than what is known.
+        """Stores a summary that was requested at `asked_at`; returns False if a newer one is already stored.
 
-        Guards against copies that come late, and against a cell that was restored from an old copy of its state.
+        Guards against delayed answers, and against a cell that was restored from an old copy of its state.
         """
         known = self._heard.get(summary.cell)
         if known is not None:
@@ -160,5 +160,5 @@
         return True
 
     def current(self, now: float) -> list[Summary]:
-        """Summaries that are young enough, by name."""
+        """The summaries that are at most `max_age_s` old, ordered by cell name."""
         return [summary for _, (at, summary) in sorted(self._heard.items()) if now - at <= self.max_age_s]
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -1,4 +1,4 @@
-"""The target: answers other cells' requests, each from what is stored, and stores first what follows from it."""
+"""The target: answers requests of other cells from the stored tables, and stores each change before it answers."""
 
 from __future__ import annotations
 
@@ -28,12 +28,15 @@
 
 log = logging.getLogger("cells")
 
-# Handoffs without an acknowledgement that are told in one summary; the others follow when these are done.
+# The number of unacknowledged handoffs listed in one summary; others are listed once these are acknowledged.
 MOST_ENDED = 100
 
 
 class CellTarget:
-    """Owns nothing but the highest incarnation heard of each cell: all else is in the tables."""
+    """Answers requests about handoffs to this cell.
+
+    Keeps only the highest incarnation received from each cell; all other state is in the stored tables.
+    """
 
     def __init__(self, context: ControllerContext, features: CellFeatures, jobs: Jobs) -> None:
         self.settings = context.settings
@@ -51,7 +54,11 @@
         return self.tables.features.get("cells", FeatureStatus()).complete
 
     def summary(self, origin: str = "") -> Summary | None:
-        """This cell's summary for another one; None while it cannot know. Without room while it takes no jobs."""
+        """This cell's summary for an origin.
+
+        None while the rollout is incomplete or this controller may not act for the cell. While `moving` is off, the
+        summary has no free capacity, so that the cell is offered no jobs.
+        """
         if not (self.switched_on and self.leadership.is_leader):
             return None
         name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied_revision
@@ -61,10 +68,10 @@
         return replace(summary, ended=self._ended(origin))
 
     def _ended(self, origin: str) -> tuple[tuple[str, int], ...]:
-        """Handoffs of an origin that it has not acknowledged.
+        """Finished handoffs that the origin has not acknowledged.
 
-        Guards against an acknowledgement that is lost: the origin has forgotten the handoff by then and asks no more,
-        and the record would be kept for ever.
+        Guards against a lost acknowledgement: the origin has deleted the handoff and sends no more requests about it,
+        so that the target's record would never be deleted.
         """
         found = (
             (name, over.delegated.number)
@@ -74,7 +81,7 @@
         return tuple(itertools.islice(found, MOST_ENDED))
 
     async def answer(self, request: CellRequest) -> Answer | None:
-        """What another cell is told; None when that cannot be said now, so that it asks again."""
+        """Answers a request of another cell; None if it cannot be answered now, and the other cell has to repeat it."""
         handoff = request.message.handoff
         if not self._heard_from(handoff.origin, request.incarnation) or not self.switched_on:
             return None
@@ -90,23 +97,23 @@
             return None
         after = self.record(handoff).delegation
         if decision.record.delegation is not None and after is not None and after.handoff == handoff:
-            # A claim may have been quicker than a withdrawal or a stop: what is stored counts.
+            # A claim may have been stored before the withdrawal or stop, so the answer is the stored state.
             return Answer(after.state.value)
         return decision.answer
 
     def _heard_from(self, origin: str, incarnation: int) -> bool:
-        """Whether the cell is a peer, in the highest incarnation that it was heard in."""
+        """Whether the cell is a peer and its incarnation is the highest received; records the incarnation."""
         if origin not in {peer.name for peer in self.features.peers}:
-            log.error("%s is no peer of this cell", origin)
+            log.error("unknown peer: cell=%s", origin)
             return False
         if incarnation < self.incarnations.get(origin, 0):
-            log.error("%s speaks as incarnation %d, which is over", origin, incarnation)
+            log.error("stale peer incarnation: peer=%s incarnation=%d", origin, incarnation)
             return False
         self.incarnations[origin] = incarnation
         return True
 
     def record(self, handoff: HandoffId) -> TargetRecord:
-        """What is stored of an origin's handoffs of one job."""
+        """The stored record of an origin's handoff of one job, and the origin's floor."""
         floor = self.tables.handoff_floors.get(handoff.origin, 0)
         job = self.tables.jobs.get(handoff.job)
         over = self.tables.finished_jobs.get(handoff.job)
@@ -122,12 +129,12 @@
         return TargetRecord(floor, Delegation(HandoffId(handoff.origin, handoff.job, delegated.number), state))
 
     def _has_room(self, handoff: HandoffId, offer: Offer | None) -> bool:
-        """Whether an offer is to be accepted: it can run here, and there is room now."""
+        """Whether the job of an offer can run in this cell and there is free capacity for it now."""
         tables, summary = self.tables, self.summary()
         if offer is None or summary is None or summary.saturated:
             return False
         spec = offer.spec
-        # A job of this cell's own users, or what is left of an earlier handoff, has the name.
+        # The name is in use by a job of this cell's own users or by an earlier handoff.
         known = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
         if known or tables.mod_revision(keys.progress_key(handoff.job)) or spec.id != handoff.job:
             return False
@@ -143,12 +150,12 @@
 
     @staticmethod
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
-        """A handed over job, as it is stored."""
+        """Encodes the row of an accepted job."""
         value = encode_job(JobState.LIVE, offer.spec, offer.submitted_ms)
         return {**value, "o": list(DelegationOrigin(handoff.origin, handoff.number))}
 
     async def _store(self, before: TargetRecord, decision: TargetDecision, request: CellRequest) -> bool:
-        """Stores what was decided, on condition of what it was decided from; whether that is stored for certain."""
+        """Stores a decision, conditional on the rows that it was made from; returns whether it is certainly stored."""
         after, name = decision.record, request.message.handoff.job
         if after == before:
             return True
