--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -1,7 +1,7 @@
-"""The features file: what is turned on beside the settings that the platform hands over.
+"""The features file: optional features that operators turn on.
 
-Every controller of a cell gets the same file (`--features`). Unlike the settings it is written by operators, so that an
-unknown field is a fault and not a field of a later version.
+Every controller of a cell gets the same file (`--features`). The platform writes the settings and a later version may
+add fields to them; operators write the features file, so that an unknown field in it is reported as a fault.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class PeerCell:
-    """Another cell, and the mesh addresses of its controllers."""
+    """Another cell and the mesh addresses of its controllers."""
 
     name: str
     addresses: tuple[Address, ...]
@@ -29,42 +29,42 @@
 
 @dataclass(frozen=True)
 class CellFeatures:
-    """This cell, its peers, and which classes of jobs may move."""
+    """Settings for moving jobs between cells: this cell, its peers, and the job classes that may move."""
 
     name: str
-    # Raised by operators when the cell's state was restored from a copy.
+    # Operators increase it when the cell's state was restored from a copy.
     incarnation: int
-    # Whether jobs are offered and accepted; what is under way is settled in any case.
+    # Whether jobs are offered and accepted. Handoffs in flight are completed even if this is off.
     moving: bool
-    # How many jobs may be under way to one peer.
+    # The number of jobs that may be in flight to one peer.
     most_under_way: int
     peers: tuple[PeerCell, ...]
-    # By job class; a class that is not named stays where it was submitted.
+    # By job class. Jobs of other classes stay in the cell where they were submitted.
     policies: dict[str, MovePolicy] = field(default_factory=dict)
 
     def policy(self, job_class: str) -> MovePolicy:
-        """How far jobs of a class may move."""
+        """Whether and how jobs of a class may move."""
         return self.policies.get(job_class, MovePolicy.NEVER)
 
 
 @dataclass(frozen=True)
 class AdmissionFeatures:
-    """Agreed admission under overload (docs/admission.md)."""
+    """Settings for coordinated admission control under overload (docs/admission.md)."""
 
-    # Whether jobs are deferred; if not, everything is admitted, and the stored cuts stay as they are.
+    # Whether jobs are deferred. If not, all jobs are admitted and the stored cuts stay unchanged.
     deferring: bool
 
 
 @dataclass(frozen=True)
 class Features:
-    """Everything that the file turns on; None: off."""
+    """The features that the file turns on; None for a feature that is off."""
 
     cells: CellFeatures | None = None
     admission: AdmissionFeatures | None = None
 
 
 def parse(text: str, settings: Settings) -> Features:
-    """Features from TOML text; raises SettingsError naming every fault."""
+    """Parses TOML text; raises SettingsError with every fault."""
     top = read_toml(text)
     top.refuse_unknown(FILE_TABLES)
     cells = _cells(top.table("cells"), settings) if "cells" in top else None
@@ -75,7 +75,7 @@
 
 
 def load(path: str, settings: Settings) -> Features:
-    """Features from a file; raises SettingsError."""
+    """Reads and parses a file; raises SettingsError."""
     return parse(read_file(path), settings)
 
 
