--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -1,4 +1,4 @@
-"""One of several cells: its controllers, what is stored, and what runs on its machines."""
+"""A simulated cell: its controllers, its stored state and the tasks on its machines."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
 
 CORES = 8.0
 
-# Less than the machines have, so that the allowances bind.
+# Fewer cores than the machines have, so that the team's limit takes effect.
 TEAM_LIMIT = 12.0
 
-# The member that has the machines of its cell; all of them look after handoffs.
+# The member that owns the machines of its cell; all members manage handoffs.
 OWNER = "c0"
 
 
 def settings_of(member: str) -> Settings:
-    """One controller's settings."""
+    """Returns the settings of one controller."""
     return parse(settings_text(member, MEMBERS).replace("cpus_max = 20.0", f"cpus_max = {TEAM_LIMIT}"))
 
 
 class Controller:
-    """One controller of a cell. A new one knows nothing but what is stored."""
+    """One controller of a cell. A new one has only the stored state, as after a crash."""
 
     def __init__(self, cell: Cell, member: str, boot: int) -> None:
         world = cell.world
@@ -73,7 +73,7 @@
         self.origin = CellOrigin(self.context, features, cell.line, links)
 
     async def look_round(self) -> None:
-        """What its loops do in about a report's time."""
+        """Runs what the loops of the origin do in one report interval."""
         await self.origin.mark()
         await self.origin.select()
         for peer in self.origin.links:
@@ -84,7 +84,7 @@
 
 
 class Cell:
-    """One cell: what is stored, its controllers, and what runs on its machines."""
+    """One cell: its stored state, its controllers and the tasks on its machines."""
 
     def __init__(self, world: CellWorld, name: str) -> None:
         self.world = world
@@ -100,20 +100,20 @@
         for member in MEMBERS:
             self.store.member(member, 1, settled=3)
         self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
-        # Task -> when it will end, by the controller's run whose claim it is.
+        # When each running task ends. Key: job, task index and the incarnation id of the controller that claimed it.
         self.running: dict[tuple[str, int, str], float] = {}
         self.ended: set[tuple[str, int, str]] = set()
 
     def any_controller(self) -> Controller:
-        """The controller that happens to be asked."""
+        """Returns a random controller of the cell."""
         return self.controllers[self.world.rng.choice(MEMBERS)]
 
     def line(self) -> list[Job]:
-        """The jobs in the order in which they get room."""
+        """The jobs in queue order."""
         return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
 
     def renew(self) -> None:
-        """Leases are renewed while the state service answers."""
+        """Renews the controllers' leases unless the state service is out."""
         for controller in self.controllers.values():
             if not self.outage:
                 controller.leadership.lease_renewed_at = controller.replica.linearizable_at = self.world.clock.time
@@ -121,11 +121,11 @@
             failing.failing_since = self.world.clock.time - 100 if self.outage else None
 
     def used(self) -> float:
-        """Cores in use."""
+        """The cores used by running tasks."""
         return sum(self.world.cores[job] for job, _, _ in self.running)
 
     async def work(self) -> None:
-        """Machines end what is cancelled or over, complete tasks, and take what is claimed for their room."""
+        """One round of the machines: stops cancelled tasks, completes finished ones, claims and starts new ones."""
         tables, now = self.store.tables, self.world.clock.time
         for key in list(self.running):
             job = tables.jobs.get(key[0])
@@ -149,7 +149,7 @@
             await self._claim()
 
     async def _learn(self, key: tuple[str, int, str], done: bool) -> None:
-        """A controller is told of a task's end, and stores it with the next round."""
+        """Reports the end of a task to the controller that claimed it, which stores it at once."""
         job, index, tag = key
         controller = self.controllers[tag.partition(".")[0]]
         sets = {job: 1 << index}
@@ -157,7 +157,7 @@
         await controller.jobs._commit_round()
 
     async def _withdrawn(self) -> None:
-        """Claims on cancelled jobs that run nowhere are released."""
+        """Releases claims on tasks of cancelled jobs that are not running."""
         for job in list(self.store.tables.jobs.values()):
             if not job.is_cancelled:
                 continue
@@ -184,7 +184,7 @@
             self._start(job.spec.id, controller)
 
     def _start(self, name: str, controller: Controller) -> None:
-        """Starts what this controller has claimed, within its allowance."""
+        """Starts the tasks that this controller has claimed, within its quota allocation."""
         job = self.store.tables.jobs.get(name)
         tag = controller.leadership.incarnation_id
         if job is None or not job.is_runnable:
@@ -206,7 +206,7 @@
 
 
 def settings_cache() -> Settings:
-    """Settings for what does not depend on the member."""
+    """Returns settings for callers that need none of a particular member."""
     if not _settings:
         _settings.append(settings_of("c0"))
     return _settings[0]
--- a/tests/support/cell_network.py
+++ b/tests/support/cell_network.py
@@ -1,4 +1,4 @@
-"""The network between cells."""
+"""The simulated network between cells."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScriptedLink:
-    """The way from one cell to another: cut, lossy, with copies that come late."""
+    """The link from one cell to another, which may be cut, lose messages and deliver delayed copies."""
 
     def __init__(self, world: CellWorld, origin: str, target: str) -> None:
         self.world = world
@@ -26,7 +26,7 @@
         return lossy or (sender, receiver) in self.world.cuts
 
     async def request(self, request: CellRequest) -> CellAnswer:
-        """Asks a controller of the target."""
+        """Sends a request to a random controller of the target."""
         world = self.world
         world.messages += 1
         world.recorder.record("cell request", self.origin, self.target, request.pack())
@@ -43,7 +43,7 @@
         return CellAnswer(1, answer)
 
     async def summary(self) -> Summary | None:
-        """Asks a controller of the target for its summary."""
+        """Requests the summary from a random controller of the target."""
         if self._lost(self.origin, self.target) or self._lost(self.target, self.origin):
             raise NoAnswerError("lost")
         summary = self.world.cells[self.target].any_controller().target.summary(self.origin)
--- a/tests/support/cell_state.py
+++ b/tests/support/cell_state.py
@@ -1,4 +1,4 @@
-"""A cell's state service, as one of its controllers reaches it."""
+"""The simulated state service of a cell."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class CellState(ScriptedState):
-    """A cell's state service as one controller reaches it; answers are lost, and some of these changes come late."""
+    """The state service of a cell as seen by one controller.
+
+    Some answers are lost: the transaction was applied, or is applied later.
+    """
 
     cell: Cell
 
@@ -40,7 +43,7 @@
 
 
 class CellReplica(ScriptedReplica):
-    """Knows all that is stored, unless the state service is out."""
+    """A replica that is always up to date; reads fail while the state service is out."""
 
     cell: Cell
 
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -1,9 +1,9 @@
-"""Three cells of three controllers in one process, seeded: the real tables, jobs actor, origins and targets; scripted
-state services, machines and network.
+"""A seeded simulation of three cells with three controllers each, in one process.
 
-Requests and answers between cells are lost, late and repeated; one direction of a way may be cut; a cell's state
-service may be out, answer nothing, or carry out what it did not answer; controllers forget all that is not stored.
-What is checked is what users were told and what machines ran, not what controllers remember.
+The tables, jobs actor, origins and targets are the real ones; the state services, machines and network are scripted.
+Requests and answers between cells are lost, delayed and duplicated; a link may be cut in one direction; a cell's state
+service may be out, lose its answer, or apply a transaction late; controllers crash and lose all that is not stored.
+The checks cover what users were answered and what machines ran, not the state of controllers.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 
 class RuleError(AssertionError):
-    """A rule does not hold in what users and machines saw."""
+    """The answers to users or the tasks on machines violate a rule of the protocol."""
 
 
 class CellWorld:
-    """Time, the ways between the cells, users, and what was seen."""
+    """The simulated clock, cells, network and users, and what users and machines observed."""
 
     def __init__(self, seed: int, moving: bool = True, troubled: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -49,21 +49,21 @@
         self.old_answers: list[tuple[str, AnswerMessage]] = []
         self.messages = 0
         self.cells = {name: Cell(self, name) for name in CELLS}
-        # Users' side: accepted jobs by the cell where they were submitted, and what was told.
+        # Users: where each job was submitted, when it was accepted, and the final status that was answered, with its time.
         self.home: dict[str, str] = {}
         self.specs: dict[str, wire.JobSpec] = {}
         self.cores: dict[str, float] = {}
         self.submitted_at: dict[str, float] = {}
         self.told: dict[str, tuple[str, float]] = {}
-        # Machines' side: where tasks of a job started, and which were completed where.
+        # Machines: how many tasks of a job started in each cell, and which were completed in each.
         self.starts: dict[str, Counter[str]] = {}
         self.results: dict[tuple[str, str], set[int]] = {}
         self.happened = Counter[str]()
 
-    # -- what machines see
+    # -- machines
 
     def started(self, cell: str, job: str) -> None:
-        """A task starts."""
+        """Records that a task starts, and checks that it may."""
         status, _ = self.told.get(job, ("", 0.0))
         if status == wire.JobStatus.CANCELLED:
             raise RuleError(f"{job} starts in {cell} after its cancellation was confirmed")
@@ -71,30 +71,30 @@
         where[cell] += 1
         policy = CLASSES[self.specs[job].job_class]
         if policy is not MovePolicy.REPEATABLE and len(where) > 1:
-            raise RuleError(f"{job} may begin in one cell and began in {', '.join(where)}")
+            raise RuleError(f"{job} may start in one cell only but started in {', '.join(where)}")
         if policy is MovePolicy.NEVER and cell != self.home[job]:
-            raise RuleError(f"{job} stays, and began in {cell}")
+            raise RuleError(f"{job} must not move but started in {cell}")
         if self.cells[cell].used() > TEAM_LIMIT:
-            raise RuleError(f"the team's limit is passed in {cell}")
+            raise RuleError(f"the team's limit is exceeded in {cell}")
 
     def completed(self, cell: str, job: str, index: int) -> None:
-        """A task is done."""
+        """Records that a task is done."""
         self.results.setdefault((cell, job), set()).add(index)
 
-    # -- what users see
+    # -- users
 
     async def submit(self, cell: str, name: str, klass: str, **changes: Any) -> None:
-        """A user submits a job; one that is refused is forgotten."""
+        """A user submits a job."""
         job = spec(name, roster=klass, **changes)
         self.specs[name], self.cores[name] = job, job.cores
         self.home[name] = cell
         accepted = await self.cells[cell].any_controller().jobs.submit(job)
-        # One that was refused may be carried out late all the same; its user does not count on it.
+        # A submission that was not confirmed may still be stored late, but no check relies on it.
         if accepted is not None:
             self.submitted_at[name] = self.clock.time
 
     async def cancel(self, name: str) -> None:
-        """A user cancels a job, and repeats that while it is refused."""
+        """A user requests a cancellation; the answer is checked if it is a final status."""
         cell = self.cells[self.home[name]]
         if not cell.outage:
             status = await cell.any_controller().jobs.cancel(name)
@@ -102,32 +102,32 @@
                 self.tell(name, status)
 
     def tell(self, name: str, status: str) -> None:
-        """A user is told a final state."""
+        """Records that a user was answered a final status, and checks it."""
         known = self.told.get(name)
         if known is None:
             self.told[name] = (status, self.clock.time)
             self.happened[status] += 1
         elif known[0] != status:
-            raise RuleError(f"{name} was {known[0]} and is {status}")
+            raise RuleError(f"{name} was reported as {known[0]} and now as {status}")
         everything = set(range(self.specs[name].tasks))
         if status == wire.JobStatus.DONE and not any(
             self.results.get((cell, name), set()) >= everything for cell in CELLS
         ):
-            raise RuleError(f"{name} is called done and no cell completed all of it")
+            raise RuleError(f"{name} is reported as done but no cell completed all its tasks")
 
     def poll_all(self) -> None:
-        """Users ask for all jobs at the cell where they submitted them."""
+        """Queries the status of each job in the cell where it was submitted."""
         for name, home in self.home.items():
             cell = self.cells[home]
             status = cell.any_controller().jobs.status(name)
             self.recorder.record("status", home, name, None if status is None else str(status))
             if status is None and name in self.submitted_at:
-                raise RuleError(f"{name} is forgotten")
+                raise RuleError(f"{name} was accepted but its cell does not know it")
             if status in (wire.JobStatus.DONE, wire.JobStatus.CANCELLED):
                 self.tell(name, status)
 
     def check_gone(self) -> None:
-        """No task of a job is on a machine for longer than the bound after its cancellation was confirmed."""
+        """Checks that tasks leave their machines within `cancel_s` after the cancellation was confirmed."""
         for cell in self.cells.values():
             for job, index, _tag in cell.running:
                 status, at = self.told.get(job, ("", 0.0))
@@ -137,11 +137,11 @@
     # -- the network
 
     async def deliver(self, target: str, request: CellRequest) -> Any:
-        """A request arrives at some controller of a cell."""
+        """Delivers a request to a random controller of a cell."""
         return await self.cells[target].any_controller().target.answer(request)
 
     async def deliver_copies(self) -> None:
-        """Copies of old requests and answers arrive."""
+        """Delivers random copies of earlier requests and answers."""
         if self.copies and self.rng.random() < 0.3:
             target, request = self.rng.choice(self.copies)
             await self.deliver(target, request)
@@ -157,7 +157,7 @@
     # -- steps
 
     async def step(self) -> None:
-        """Half a second or so."""
+        """Advances the simulation by 0.3 to 0.7 s."""
         self.clock.time += 0.3 + 0.4 * self.rng.random()
         for item in [item for item in self.late if item[0] <= self.clock.time and not item[1].outage]:
             self.late.remove(item)
@@ -175,7 +175,7 @@
         self.poll_all()
 
     def trouble(self) -> None:
-        """Something breaks or heals."""
+        """Starts or ends a random fault, with some probability."""
         luck = self.rng.random()
         if luck < 0.04:
             one, other = self.rng.sample(CELLS, 2)
@@ -196,25 +196,25 @@
             cell.controllers[member] = Controller(cell, member, 1)
             self.happened["crash"] += 1
         elif luck < 0.16:
-            # What was on them is started again in the same cell.
+            # Their tasks are started again in the same cell.
             running = self.cells[self.rng.choice(CELLS)].running
             for key in [key for key in running if self.rng.random() < 0.5]:
                 del running[key]
             self.happened["machines failed"] += 1
 
     def heal(self) -> None:
-        """All troubles are over."""
+        """Ends all faults."""
         self.troubled = False
         self.cuts.clear()
         for cell in self.cells.values():
             cell.outage = False
 
     def unfinished(self) -> set[str]:
-        """Accepted jobs whose users were not told an end."""
+        """Accepted jobs for which no final status was answered."""
         return set(self.submitted_at) - set(self.told)
 
     def left_over(self) -> Iterator[str]:
-        """What should be forgotten once everything has ended."""
+        """Yields jobs and handoff records that should have been deleted once all jobs have ended."""
         for cell in self.cells.values():
             for name in sorted(cell.store.tables.unsettled_jobs):
                 yield f"{name} in {cell.name}"
@@ -223,7 +223,7 @@
 
 
 async def play(seed: int, steps: int = 300, calm_steps: int = 900) -> CellWorld:
-    """Plays a world in which the north has more work than room; nothing goes wrong in the calm steps."""
+    """Runs a simulation in which the north is overloaded, first with faults and then without."""
     world = CellWorld(seed)
     for number in range(steps):
         if world.rng.random() < 0.5 and len(world.home) < 80:
@@ -247,11 +247,11 @@
 
 
 def play_to_the_end(seed: int) -> None:
-    """Plays a world; RuleError also for what is left once the troubles are over."""
+    """Runs a simulation; raises RuleError also for jobs and records that are left at the end."""
     world = anyio.run(play, seed)
     left = [*sorted(world.unfinished()), *world.left_over()]
     if left:
-        raise RuleError(f"left: {left[:3]}")
+        raise RuleError(f"left at the end: {left[:3]}")
 
 
 if __name__ == "__main__":
--- a/tests/support/handoff_model.py
+++ b/tests/support/handoff_model.py
@@ -1,10 +1,10 @@
-"""Every order of events of one job's handoffs, by enumeration.
+"""Exhaustive exploration of all orders of events of one job's handoffs.
 
-A state is what the origin and the target have stored, and every message that was ever sent. Messages are never taken
-off the network, so that each may be lost (never delivered), late, and delivered again at any time. Neither side keeps
-anything that is not stored, so that a crash of either is the event that does not happen, and a stored change whose
-answer was lost is one that happened. Changes are conditional on what was read, so that one that is carried out late
-either is the event itself, or fails.
+A state consists of what the origin and the target have stored and of every message sent so far. Messages are never
+removed from the network, so that each may be lost (never delivered), delayed, or delivered again at any time. Neither
+side keeps unstored state, so that a crash needs no event: it only means that some event does not happen. A stored
+change whose answer was lost is the same event as one whose answer arrived. Changes are conditional on what was read, so
+that a change that is applied late either is the event itself or fails.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 
 class BrokenRuleError(AssertionError):
-    """A rule of docs/cells.md does not hold after an event."""
+    """An event violates a rule of docs/cells.md."""
 
 
 @dataclass(frozen=True)
 class State:
-    """What is stored in both cells, what was sent, and what happened."""
+    """What both cells have stored, what was sent, and what happened."""
 
     row: OriginRow
     record: TargetRecord = NOTHING_STORED
@@ -39,32 +39,32 @@
     answers: frozenset[AnswerMessage] = frozenset()
     numbers: int = 0
     running_at_home: bool = False
-    # Where tasks of the job ever began: HOME, or the number of a handoff.
+    # Where tasks of the job ever started: HOME, or the number of a handoff.
     began: frozenset[int] = frozenset()
     completed: bool = False
-    # What its user was told.
+    # The final status that was answered to the user.
     told: Result | None = None
 
     @property
     def over(self) -> bool:
-        """Whether the job has ended, and nothing of it is on record anywhere else."""
+        """Whether the job has ended and no handoff of it is on record in either cell."""
         return self.row.result is not None and not self.row.placements and self.record.delegation is None
 
 
 @dataclass(frozen=True)
 class Model:
-    """The events that may follow a state. `most_numbers`: how often the job is moved at the most."""
+    """The events that may follow a state. `most_numbers`: how often the job may be moved."""
 
     policy: MovePolicy
     most_numbers: int = 2
 
     @property
     def start(self) -> State:
-        """The job was accepted."""
+        """The state after the job was accepted."""
         return State(OriginRow(ORIGIN, JOB, self.policy))
 
     def next_states(self, state: State) -> Iterator[tuple[str, State]]:
-        """Each event that may happen, and the state after it."""
+        """Yields each possible event and the state after it."""
         yield from self._origin_events(state)
         yield from self._target_events(state)
         for request in state.requests:
@@ -94,7 +94,7 @@
         if row.result is None and not row.cancelling:
             yield "cancellation", replace(state, row=origin_side.request_cancellation(row))
         if row.result is not None and state.told is None:
-            # What runs at home is stopped by the cell's own means once the result is stored.
+            # Tasks in the origin are stopped by the origin itself once the result is stored.
             yield "told", replace(state, told=row.result, running_at_home=False)
 
     def _target_events(self, state: State) -> Iterator[tuple[str, State]]:
@@ -114,14 +114,14 @@
     @staticmethod
     def _begun(state: State, place: int) -> State:
         if state.told is Result.CANCELLED:
-            raise BrokenRuleError("a task began after the cancellation was confirmed")
+            raise BrokenRuleError("a task started after the cancellation was confirmed")
         return replace(state, began=state.began | {place})
 
     @staticmethod
     def _deliver_request(state: State, message: RequestMessage, room: bool) -> State:
         decision = target_side.decide(state.record, message.handoff, message.request, room)
         answers = state.answers
-        if decision.answer in ENDED:  # the others change nothing at the origin
+        if decision.answer in ENDED:  # other answers change nothing at the origin
             answers |= {AnswerMessage(message.handoff, TARGET, decision.answer)}
         return replace(state, record=decision.record, answers=answers)
 
@@ -134,32 +134,32 @@
 
 
 def check(state: State, before: State) -> None:
-    """The rules of docs/cells.md for one event."""
+    """Checks the rules of docs/cells.md for one event."""
     row, held = state.row, state.record.delegation
     if row.policy is not MovePolicy.REPEATABLE and len(state.began) > 1:
-        raise BrokenRuleError("a job that may begin in one cell began in several")
+        raise BrokenRuleError("a job that may start in one cell only started in several")
     if row.policy is MovePolicy.NEVER and state.numbers:
-        raise BrokenRuleError("a job that stays was moved")
+        raise BrokenRuleError("a job that must not move was moved")
     if before.row.result is not None and row.result is not before.row.result:
         raise BrokenRuleError("the result changed")
     if row.result is Result.DONE and not state.completed:
-        raise BrokenRuleError("called done and is not")
+        raise BrokenRuleError("the result is done but not all tasks were completed")
     if state.told is Result.CANCELLED and held is not None and not held.final:
-        raise BrokenRuleError("cancelled, and a task may start or be on a machine elsewhere")
+        raise BrokenRuleError("the cancellation was confirmed while a task may start or run in the target")
     if row.away is None and row.result is None and not row.recalls and held is not None and held.startable:
-        raise BrokenRuleError("the target may start what the origin does not know of")
+        raise BrokenRuleError("the target may start a job whose handoff the origin has not on record")
 
 
 @dataclass(frozen=True)
 class Exploration:
-    """All states that can be reached, and those from which the job cannot end any more."""
+    """The number of reachable states, and of those from which the job cannot end."""
 
     states: int
     stuck: int
 
 
 def explore(model: Model) -> Exploration:
-    """Plays every order of events; raises BrokenRuleError with the events that lead to a broken rule."""
+    """Explores every order of events; raises BrokenRuleError with the events that lead to a violated rule."""
     start = model.start
     came_from: dict[State, tuple[State, str] | None] = {start: None}
     leads_to: dict[State, list[State]] = {}
@@ -188,7 +188,7 @@
 
 
 def _ending(states: dict[State, tuple[State, str] | None], leads_to: dict[State, list[State]]) -> set[State]:
-    """States from which some order of events ends the job in both cells."""
+    """The states from which some order of events ends the job in both cells."""
     ending = {state for state in states if state.over}
     queue = deque(ending)
     while queue:
@@ -200,7 +200,7 @@
 
 
 def main() -> None:
-    """Plays every order of events of up to two handoffs, for each policy; the longest takes half a minute."""
+    """Explores every order of events of up to two handoffs, for each policy; the slowest takes half a minute."""
     for policy in MovePolicy:
         found = explore(Model(policy))
         print(f"{policy.value}: {found.states} states, {found.stuck} from which the job cannot end")
--- a/tests/support/moved_job.py
+++ b/tests/support/moved_job.py
@@ -1,4 +1,4 @@
-"""A calm world of cells in which one job has moved."""
+"""A simulation of cells without faults in which one job has moved."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 
 class Moved:
-    """A calm world in which a job of the north was offered to the south, and accepted there."""
+    """A simulation without faults in which a job of the north was offered to the south.
+
+    The south has accepted it unless `accepted` is False.
+    """
 
     def __init__(self, klass: str, accepted: bool = True, visits: int = 3) -> None:
         self.world = CellWorld(1, troubled=False)
         self.north, self.south = self.world.cells["north"], self.world.cells["south"]
         self.controller = self.north.controllers["c0"]
         for controller in self.north.controllers.values():
-            # All of them look after the job, so that it does not matter which one a test takes.
+            # All controllers manage the job's handoffs, so that a test may use any of them.
             controller.origin._looked_after_here = lambda name: True  # type: ignore[method-assign]
         anyio.run(self._begin, klass, visits)
         if accepted:
@@ -57,7 +60,7 @@
         anyio.run(self.world.cells[cell].work)
 
     def run_there(self) -> None:
-        """The south starts the job and completes it."""
+        """Runs the job in the south until it is completed."""
         self.work("south")
         self.renew(30.0)
         self.work("south")
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -1,6 +1,7 @@
-"""What moving jobs between cells gains and costs: the same seeded load with and without it, no troubles.
+"""Benefit and cost of moving jobs between cells: the same seeded load with and without it, and without faults.
 
-Outside CI: `python3 -m tests.support.spill FIRST LAST` plays these seeds and prints a line for each, and the means.
+Not run by CI: `python3 -m tests.support.spill FIRST LAST` runs the seeds from FIRST to LAST - 1 and prints the results
+of each seed and the means.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True)
 class SpillResult:
-    """What users and state services saw of one run."""
+    """The results of one run, as seen by users and the state services."""
 
     in_time: float
     mean_s: float
@@ -34,7 +35,7 @@
 
 
 async def load(seed: int, moving: bool) -> SpillResult:
-    """Sixty jobs in half a minute or so, nine of ten in the north, until all are done."""
+    """Submits sixty jobs in about half a minute, nine of ten in the north, and runs until all have ended."""
     world = CellWorld(seed, moving=moving, troubled=False)
     arrivals = random.Random(seed)
     before = sum(cell.store.epoch for cell in world.cells.values())
@@ -58,7 +59,7 @@
 
 
 def main(first: int, last: int) -> None:
-    """Prints each seed's two runs, and the means with their spread."""
+    """Prints the two runs of each seed, then the mean, minimum and maximum of each result."""
     found: dict[bool, list[SpillResult]] = {False: [], True: []}
     for seed in range(first, last):
         for moving, outcomes in found.items():
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -1,4 +1,4 @@
-"""Handoffs between cells: every order of events, and what is caught when a guard is missing."""
+"""The handoff protocol: all orders of events are explored, with every guard in place and with one guard missing."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ("policy", "most_numbers"), [(MovePolicy.NEVER, 2), (MovePolicy.ONCE, 2), (MovePolicy.REPEATABLE, 1)]
 )
 def test_every_order_of_events_keeps_the_rules_and_can_end(policy: MovePolicy, most_numbers: int) -> None:
-    """Lost, late and repeated messages, changes without an answer, and crashes of either side included."""
+    """Includes lost, delayed and duplicated messages, transactions without an answer, and crashes of either side."""
     found = explore(Model(policy, most_numbers))
     assert found.states > 10 and found.stuck == 0
 
@@ -129,7 +129,7 @@
 
 
 def test_two_cells_may_offer_jobs_to_each_other_at_once() -> None:
-    """Each keeps its own job's row and the other's delegation; neither waits for the other."""
+    """Each cell stores its own job's row and the other cell's delegation; neither waits for the other."""
     there = HandoffId(TARGET, "wk-000002", 1)
     assert delegation.decide(TargetRecord(), FIRST, Request.OFFER, room=True).answer is Answer.ACCEPTED
     assert delegation.decide(TargetRecord(), there, Request.OFFER, room=True).answer is Answer.ACCEPTED
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -1,4 +1,4 @@
-"""Cells: the link over the mesh, and its frames."""
+"""Cells: the link over the mesh, and the encoding of its frames."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_a_link_talks_to_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By frames; an answer that does not come closes the connection, and the next controller is tried."""
+    """A request without an answer closes the connection, and the next request goes to the next controller."""
     world = CellWorld(1, troubled=False)
     south = world.cells["south"]
     south.renew()
@@ -56,7 +56,7 @@
             with pytest.raises(NoAnswerError):
                 await link.summary()
             with pytest.raises(NoAnswerError):
-                await link.summary()  # the feature is off there: the mesh closes the connection
+                await link.summary()  # without a handler, as with the feature off, the mesh closes the connection
             mesh.handlers[FrameType.SUMMARY_REQUEST] = mesh.handlers[FrameType.CELL_REQUEST] = partial(
                 answer_frame, target
             )
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -1,4 +1,4 @@
-"""Cells: single moves of a job, with lost answers, refusals, cancellations and outages."""
+"""Cells: one handoff of one job, with lost answers, refusals, cancellations and outages."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_users_of_the_target_know_nothing_of_a_job_that_was_handed_over() -> None:
-    """Its own user asks the origin, and is told where it is."""
+    """Its own user asks the origin, which answers with the cell that the job is in."""
     moved = Moved("once")
 
     def ask(cell: Cell, method: str, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
@@ -151,7 +151,7 @@
 
 def test_a_refused_job_comes_home_and_stays_there_for_a_while() -> None:
     moved = Moved("once", accepted=False)
-    moved.south.store.job(spec("wk-000009", visits=50))  # saturated
+    moved.south.store.job(spec("wk-000009", visits=50))  # makes the south saturated
     moved.talk()
     job = moved.at_origin
     assert job.is_runnable and job.returned_ms and not job.handoff.placements  # type: ignore[union-attr]
@@ -175,7 +175,7 @@
 
 
 def test_a_lost_acknowledgement_is_sent_again() -> None:
-    """The origin has stored the end and asks no more: the target tells what it still keeps."""
+    """The origin has stored the result and sends no more requests; the target's summary lists what it still keeps."""
     moved = Moved("once")
     moved.run_there()
     link = moved.controller.origin.links["south"]
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -1,4 +1,4 @@
-"""When a job moves to another cell, and what cells tell each other for that."""
+"""The selection of jobs to move, and the summaries that it uses."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def late_job(name: str = "wk-000001", left_s: float = 100.0, here_s: float = 200.0, **changes: object) -> Candidate:
-    """Four tasks of two cores and 40 s, with an image of 2 s; in another cell done within 47 s."""
+    """Four tasks of two cores and 40 s, with an image that takes 2 s to fetch; done in another cell within 47 s."""
     return Candidate(spec(name, **changes), left_s, here_s)
 
 
@@ -34,17 +34,17 @@
 @pytest.mark.parametrize(
     ("candidate", "summary"),
     [
-        (late_job(here_s=109.0), peer()),  # late by less than the margin
+        (late_job(here_s=109.0), peer()),  # late here by less than the margin
         (late_job(left_s=56.0), peer()),  # in time there by less than the margin
         (late_job(), peer(backlog_s=1.0)),  # saturated
-        (late_job(), peer(cores=1.0)),  # no room
-        (late_job(kit="img-9", pullGb=30.0), peer()),  # the image takes a minute
+        (late_job(), peer(cores=1.0)),  # no free capacity
+        (late_job(kit="img-9", pullGb=30.0), peer()),  # fetching the image takes a minute
         (late_job(district="a"), peer()),  # bound to a zone
         (late_job(crew="blue"), peer()),  # a team that the peer does not know
         (late_job(loaners=False), peer()),  # the peer has spot machines only
-        (late_job(builds=["large"]), peer()),  # and none of that type
-        (late_job(shape="group", visits=40), peer(cores=78.0)),  # a gang moves whole
-        (Candidate(spec(), None, 200.0), peer()),  # no target that it could still meet
+        (late_job(builds=["large"]), peer()),  # the peer has no machine of that type
+        (late_job(shape="group", visits=40), peer(cores=78.0)),  # all tasks of a gang must start together
+        (Candidate(spec(), None, 200.0), peer()),  # no target that can still be met
     ],
 )
 def test_a_job_stays(candidate: Candidate, summary: Summary) -> None:
@@ -52,7 +52,7 @@
 
 
 def test_room_is_given_once_and_the_cell_where_the_job_ends_first_is_chosen() -> None:
-    """Each job takes all eight cores; the farther one has less room, and would need two rounds."""
+    """Each job uses eight cores. The east has four, so that a job would run there in two rounds."""
     jobs = [late_job(f"wk-00000{number}", left_s=150.0, here_s=300.0) for number in range(3)]
     moves = choose(jobs, [peer("south", 8.0), peer("east", 4.0)], {}, LIMITS)
     assert moves == [Move("wk-000000", "south"), Move("wk-000001", "east")]
@@ -70,7 +70,7 @@
 
 
 class Cell:
-    """Stored tables of a cell with machines of eight cores."""
+    """The stored tables of a cell with machines of eight cores each."""
 
     def __init__(self, store: Store, settings: Settings, machines: int) -> None:
         self.store, self.settings = store, settings
@@ -113,7 +113,7 @@
     line = cell.line()
     names = {job.spec.id for job in line}
     found = candidates(line, names, store.tables, settings, 0)
-    # The first fits at once; the others wait for it, eight core-times of 40 s on eight cores each.
+    # The first job fits at once. Each of the others waits for the work before it: 8 cores for 40 s per job, on 8 cores.
     assert [item.here_s for item in found] == [40.0, 120.0, 160.0]
     assert [item.left_s for item in found] == [100.0, 100.0, 100.0]
     assert candidates(line, {"wk-000001"}, store.tables, settings, 0) == found[1:2]
@@ -142,12 +142,12 @@
 
 
 def test_what_was_handed_over_stands_behind_the_cells_own_guaranteed_work(store: Store) -> None:
-    """And takes nothing of its team's guarantee, however old it is; with the rest it stands as any other job does."""
+    """A job from another cell uses none of its team's guarantee, whatever its age; it is ordered like other jobs."""
     settings = parse(SETTINGS)
     store.put(keys.job_key("wk-000001"), encode_job(JobState.LIVE, spec("wk-000001"), 0) | {"o": ["south", 7]})
     store.job(spec("wk-000002"))
     store.job(spec("wk-000003"))
-    # Eight cores are guaranteed, and each job takes that much: only the first of the cell's own is within it.
+    # Eight cores are guaranteed and each job uses eight: only the first of the cell's own jobs is within the guarantee.
     names = [job.spec.id for job in job_queue.queue_order(store.tables, settings, 0)]
     assert names == ["wk-000002", "wk-000001", "wk-000003"]
     late_ms = int(1000 * 9 * settings.lease_s)
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -1,4 +1,4 @@
-"""Cells with real origins and targets: seeded worlds."""
+"""Cells with real origins and targets: seeded simulations with injected faults."""
 
 from __future__ import annotations
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""The features file: what is refused, on a line each, and what counts without it."""
+"""The features file: which faults are reported, and the defaults of fields that are missing."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 
 def test_check_covers_the_features_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """Each fault on a line, exit code 2."""
+    """Each fault is printed on its own line, with exit code 2."""
     settings, features = tmp_path / "settings.toml", tmp_path / "features.toml"
     settings.write_text(SETTINGS + OBJECTIVE)
     features.write_text(FEATURES)
