--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -49,7 +49,7 @@
         self.old_answers: list[tuple[str, AnswerMessage]] = []
         self.messages = 0
         self.cells = {name: Cell(self, name) for name in CELLS}
-        # Users: where each job was submitted, when it was accepted, and the final status that was answered, with its time.
+        # Users: where each job was submitted, when it was accepted, and the final status that was answered and when.
         self.home: dict[str, str] = {}
         self.specs: dict[str, wire.JobSpec] = {}
         self.cores: dict[str, float] = {}
