--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -136,7 +136,7 @@
             return _CancelAttempt(JobStatus.CANCELLED)
         if only_unclaimed and job.progress_revision:
             return _CancelAttempt()
-        if job.handoff is not None and job.handoff.placements:
+        if job.handoff is not None and job.handoff.open_handoffs:
             await self._request_cancellation(job, job.handoff)
             return _CancelAttempt()
         outcome = await self._commit(self._cancellation(job))
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -235,7 +235,7 @@
         job = self.tables.jobs[name]
         done = job.progress.done.bit_count()
         running = job.progress.claimed_tasks().bit_count()
-        placement = None if job.handoff is None else job.handoff.away
+        placement = None if job.handoff is None else job.handoff.moved_to
         cell = None if placement is None else placement.target
         return Answer(200, wire.poll_reply(name, status, done, running, cell))
 
--- a/sloeswitch/cells/delegation.py
+++ b/sloeswitch/cells/delegation.py
@@ -58,7 +58,7 @@
         """Records that all tasks are done; stored in the same transaction as the last completion."""
         return replace(self, state=DelegationState.DONE) if self.startable else self
 
-    def give_back(self) -> Delegation:
+    def withdraw(self) -> Delegation:
         """Withdraws the handoff if no task of the job was claimed; otherwise changes nothing."""
         if self.state is DelegationState.ACCEPTED:
             return replace(self, state=DelegationState.CANCELLED)
@@ -70,7 +70,7 @@
             return replace(self, state=DelegationState.STOPPED)
         return replace(self, state=DelegationState.STOPPING) if self.startable else self
 
-    def stopped(self) -> Delegation:
+    def confirm_stopped(self) -> Delegation:
         """Records, after stop(), that no task of the job is on a machine any more."""
         return replace(self, state=DelegationState.STOPPED) if self.state is DelegationState.STOPPING else self
 
@@ -94,27 +94,27 @@
     answer: Answer
 
 
-def decide(record: TargetRecord, handoff: HandoffId, request: Request, room: bool) -> TargetDecision:
-    """Decides on a request. `room`: whether the cell has free capacity for a new offer."""
+def decide(record: TargetRecord, handoff: HandoffId, request: Request, has_capacity: bool) -> TargetDecision:
+    """Decides on a request. `has_capacity`: whether the cell has free capacity for a new offer."""
     delegation = record.delegation
     if delegation is not None and delegation.handoff == handoff:
-        return _known(record, delegation, request)
-    if request is Request.QUERY and not _fenced(record, handoff):
+        return _decide_recorded(record, delegation, request)
+    if request is Request.QUERY and not _is_fenced(record, handoff):
         return TargetDecision(record, Answer.UNKNOWN)
-    if request is Request.OFFER and room and delegation is None and not _fenced(record, handoff):
+    if request is Request.OFFER and has_capacity and delegation is None and not _is_fenced(record, handoff):
         accepted = Delegation(handoff)
         return TargetDecision(replace(record, delegation=accepted), Answer.ACCEPTED)
     # Raising the floor makes the refusal permanent, so that a repeated request gets the same answer.
     return TargetDecision(replace(record, floor=max(record.floor, handoff.number)), Answer.REFUSED)
 
 
-def _fenced(record: TargetRecord, handoff: HandoffId) -> bool:
+def _is_fenced(record: TargetRecord, handoff: HandoffId) -> bool:
     return handoff.number <= record.floor
 
 
-def _known(record: TargetRecord, delegation: Delegation, request: Request) -> TargetDecision:
+def _decide_recorded(record: TargetRecord, delegation: Delegation, request: Request) -> TargetDecision:
     if request is Request.WITHDRAW:
-        delegation = delegation.give_back()
+        delegation = delegation.withdraw()
     elif request is Request.STOP:
         delegation = delegation.stop()
     elif request is Request.ACKNOWLEDGE and delegation.final:
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -26,9 +26,9 @@
 # The target cannot answer now: it has not read its tables, or could not store the outcome.
 NO_ANSWER = 0
 # The length of a cell or job name is encoded in one byte.
-LONGEST_NAME = 255
+MAX_NAME_BYTES = 255
 # The largest job specification that fits into a frame beside the fixed part and two names.
-MOST_SPEC_BYTES = MAX_BODY_BYTES - REQUEST.size - 2 * LONGEST_NAME
+MAX_SPEC_BYTES = MAX_BODY_BYTES - REQUEST.size - 2 * MAX_NAME_BYTES
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
         """Decodes a frame body; raises FrameError if it is not a valid request."""
         try:
             number, incarnation, submitted_ms, code, *lengths = REQUEST.unpack_from(body)
-            texts = _texts(body[REQUEST.size :], lengths)
+            texts = _split_texts(body[REQUEST.size :], lengths)
             handoff = HandoffId(texts[0].decode(), texts[1].decode(), number)
             offer = Offer(msgspec.json.decode(texts[2], type=JobSpec), submitted_ms) if texts[2] else None
             return CellRequest(RequestMessage(handoff, REQUESTS[code]), incarnation, offer)
@@ -78,7 +78,7 @@
             raise FrameError(f"cell request: {error!r}") from None
 
 
-def _texts(data: bytes, lengths: list[int]) -> list[bytes]:
+def _split_texts(data: bytes, lengths: list[int]) -> list[bytes]:
     if sum(lengths) != len(data):
         raise FrameError(f"cell request: {len(data)} bytes for {lengths}")
     texts: list[bytes] = []
--- a/sloeswitch/cells/handoff.py
+++ b/sloeswitch/cells/handoff.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from sloeswitch.cells.messages import ENDED, Answer, AnswerMessage, HandoffId, Request, RequestMessage
+from sloeswitch.cells.messages import FINAL_ANSWERS, Answer, AnswerMessage, HandoffId, Request, RequestMessage
 from sloeswitch.cells.policy import MovePolicy
 
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Placement:
+class OpenHandoff:
     """A handoff that its target may still have on record: the target cell and the handoff's number."""
 
     target: str
@@ -37,12 +37,12 @@
     job: str
     policy: MovePolicy
     # The latest handoff, by which the job runs in another cell; None if it runs in its origin.
-    away: Placement | None = None
+    moved_to: OpenHandoff | None = None
     # Handoffs to be stopped: earlier ones whose target was unreachable for too long, and those that targets still had
     # on record when the job ended.
-    recalls: tuple[Placement, ...] = ()
+    recalled: tuple[OpenHandoff, ...] = ()
     # Whether a task of the job was ever claimed in its origin.
-    begun_at_home: bool = False
+    claimed_in_origin: bool = False
     # Whether the user requested a cancellation that is not confirmed yet.
     cancelling: bool = False
     result: Result | None = None
@@ -50,26 +50,26 @@
     @property
     def startable(self) -> bool:
         """Whether tasks may be claimed in the origin."""
-        return self.away is None and not self.cancelling and self.result is None
+        return self.moved_to is None and not self.cancelling and self.result is None
 
-    def handoff(self, placement: Placement) -> HandoffId:
+    def handoff(self, open_handoff: OpenHandoff) -> HandoffId:
         """The full identifier of a handoff of this job."""
-        return HandoffId(self.cell, self.job, placement.number)
+        return HandoffId(self.cell, self.job, open_handoff.number)
 
     @property
-    def placements(self) -> tuple[Placement, ...]:
+    def open_handoffs(self) -> tuple[OpenHandoff, ...]:
         """All handoffs that a target may still have on record."""
-        return self.recalls if self.away is None else (*self.recalls, self.away)
+        return self.recalled if self.moved_to is None else (*self.recalled, self.moved_to)
 
 
-def can_move(row: OriginRow, target: str, idle_at_home: bool) -> bool:
-    """Whether the job may be offered to a cell. `idle_at_home`: no task of the job is claimed in the origin."""
-    if row.policy is MovePolicy.NEVER or not row.startable or not idle_at_home:
+def can_move(row: OriginRow, target: str, unclaimed_in_origin: bool) -> bool:
+    """Whether the job may be offered to a cell. `unclaimed_in_origin`: no task of the job is claimed in the origin."""
+    if row.policy is MovePolicy.NEVER or not row.startable or not unclaimed_in_origin:
         return False
-    if row.policy is MovePolicy.ONCE and row.begun_at_home:
+    if row.policy is MovePolicy.ONCE and row.claimed_in_origin:
         return False
     # A target keeps one handoff of a job on record; an earlier one has to reach a final state first.
-    return all(placement.target != target for placement in row.recalls)
+    return all(open_handoff.target != target for open_handoff in row.recalled)
 
 
 def move(row: OriginRow, target: str, number: int) -> OriginRow:
@@ -77,25 +77,25 @@
 
     The row is stored before the first offer is sent. `number` is larger than that of any earlier handoff of the job.
     """
-    return replace(row, away=Placement(target, number))
+    return replace(row, moved_to=OpenHandoff(target, number))
 
 
-def begin_at_home(row: OriginRow) -> OriginRow:
+def record_origin_claim(row: OriginRow) -> OriginRow:
     """Records that a task was claimed in the origin; stored in the same transaction as the claim."""
-    return replace(row, begun_at_home=True)
+    return replace(row, claimed_in_origin=True)
 
 
-def take_back(row: OriginRow) -> OriginRow:
+def recall(row: OriginRow) -> OriginRow:
     """Recalls a repeatable job whose target was unreachable for too long.
 
     The job may then run in the origin although the target may run it too.
     """
-    if row.policy is not MovePolicy.REPEATABLE or row.away is None or row.result is not None:
+    if row.policy is not MovePolicy.REPEATABLE or row.moved_to is None or row.result is not None:
         return row
-    return replace(row, away=None, recalls=(*row.recalls, row.away))
+    return replace(row, moved_to=None, recalled=(*row.recalled, row.moved_to))
 
 
-def end_at_home(row: OriginRow) -> OriginRow:
+def complete_in_origin(row: OriginRow) -> OriginRow:
     """Records that all tasks were completed in the origin."""
     return row if row.result is not None else replace(row, result=Result.DONE)
 
@@ -107,34 +107,34 @@
     """
     if row.result is not None:
         return row
-    return _settled(replace(row, cancelling=True))
+    return _confirm_cancellation(replace(row, cancelling=True))
 
 
-def learn(row: OriginRow, message: AnswerMessage) -> OriginRow:
+def apply_answer(row: OriginRow, message: AnswerMessage) -> OriginRow:
     """Applies a target's answer. An answer about a handoff that is not on record changes nothing."""
-    placement = next((each for each in row.placements if _answers(row, each, message)), None)
-    if placement is None:
+    open_handoff = next((each for each in row.open_handoffs if _matches(row, each, message)), None)
+    if open_handoff is None:
         return row
     if message.answer is Answer.DONE and row.result is None:
         # The first completion that is stored is the result; other copies of the job are stopped and their results
         # discarded.
         row = replace(row, result=Result.DONE)
-    if message.answer in ENDED:
-        row = _without(row, placement)
-    return _settled(row)
+    if message.answer in FINAL_ANSWERS:
+        row = _remove_handoff(row, open_handoff)
+    return _confirm_cancellation(row)
 
 
-def requests(row: OriginRow, wanted_back: bool = False) -> Iterator[tuple[str, RequestMessage]]:
+def requests(row: OriginRow, withdraw: bool = False) -> Iterator[tuple[str, RequestMessage]]:
     """Yields each request to send now, with its target cell. A request is repeated until it is answered.
 
-    `wanted_back`: whether the job could start in its origin now, so that it is withdrawn from the target.
+    `withdraw`: whether the job could start in its origin now, so that it is withdrawn from the target.
     """
-    for placement in row.placements:
-        if row.cancelling or row.result is not None or placement in row.recalls:
+    for open_handoff in row.open_handoffs:
+        if row.cancelling or row.result is not None or open_handoff in row.recalled:
             request = Request.STOP
         else:
-            request = Request.WITHDRAW if wanted_back else Request.OFFER
-        yield placement.target, RequestMessage(row.handoff(placement), request)
+            request = Request.WITHDRAW if withdraw else Request.OFFER
+        yield open_handoff.target, RequestMessage(row.handoff(open_handoff), request)
 
 
 def acknowledgement(message: AnswerMessage) -> RequestMessage | None:
@@ -142,23 +142,23 @@
 
     It allows the target to delete its record of the handoff.
     """
-    if message.answer in ENDED and message.answer is not Answer.REFUSED:
+    if message.answer in FINAL_ANSWERS and message.answer is not Answer.REFUSED:
         return RequestMessage(message.handoff, Request.ACKNOWLEDGE)
     return None
 
 
-def _answers(row: OriginRow, placement: Placement, message: AnswerMessage) -> bool:
-    return placement.target == message.target and row.handoff(placement) == message.handoff
+def _matches(row: OriginRow, open_handoff: OpenHandoff, message: AnswerMessage) -> bool:
+    return open_handoff.target == message.target and row.handoff(open_handoff) == message.handoff
 
 
-def _without(row: OriginRow, placement: Placement) -> OriginRow:
+def _remove_handoff(row: OriginRow, open_handoff: OpenHandoff) -> OriginRow:
     """Removes a handoff whose target has no task of the job and will start none."""
-    recalls = tuple(each for each in row.recalls if each != placement)
-    return replace(row, recalls=recalls, away=None if row.away == placement else row.away)
+    recalled = tuple(each for each in row.recalled if each != open_handoff)
+    return replace(row, recalled=recalled, moved_to=None if row.moved_to == open_handoff else row.moved_to)
 
 
-def _settled(row: OriginRow) -> OriginRow:
+def _confirm_cancellation(row: OriginRow) -> OriginRow:
     """Confirms a requested cancellation once no other cell can start a task of the job or has one on a machine."""
-    if row.cancelling and row.result is None and not row.placements:
+    if row.cancelling and row.result is None and not row.open_handoffs:
         return replace(row, result=Result.CANCELLED)
     return row
--- a/sloeswitch/cells/messages.py
+++ b/sloeswitch/cells/messages.py
@@ -44,7 +44,7 @@
 
 
 # After one of these answers the target never starts a task of the handoff.
-ENDED = frozenset({Answer.REFUSED, Answer.CANCELLED, Answer.STOPPED, Answer.DONE})
+FINAL_ANSWERS = frozenset({Answer.REFUSED, Answer.CANCELLED, Answer.STOPPED, Answer.DONE})
 
 
 @dataclass(frozen=True)
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -19,11 +19,11 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.cells import handoff as rules
-from sloeswitch.cells.frames import MOST_SPEC_BYTES, CellAnswer, CellRequest, Offer
-from sloeswitch.cells.handoff import OriginRow, Placement, Result
+from sloeswitch.cells.frames import MAX_SPEC_BYTES, CellAnswer, CellRequest, Offer
+from sloeswitch.cells.handoff import OpenHandoff, OriginRow, Result
 from sloeswitch.cells.messages import Answer, AnswerMessage, HandoffId, Request, RequestMessage
 from sloeswitch.cells.policy import MovePolicy
-from sloeswitch.cells.selection import candidates, choose, limits_of
+from sloeswitch.cells.selection import candidates, choose_moves, limits_of
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.records import FinishedJob, Job, JobState
@@ -94,7 +94,7 @@
         self.sleep = sleep
         self.feature = FeatureRollout("cells", context)
         self.book = SummaryBook(SUMMARY_LEASES * context.settings.controller_lease_s)
-        self.contacts: dict[tuple[str, Placement], Contact] = {}
+        self.contacts: dict[tuple[str, OpenHandoff], Contact] = {}
         self.incarnations: dict[str, int] = {}
 
     # -- loops
@@ -146,7 +146,7 @@
         part = 1.0 / max(1, len(self.leadership.view.members))
         peers = [_part_of(summary, part) for summary in self.book.current(self.now())]
         most = max(1, int(self.features.most_under_way * part))
-        for move in choose(found, peers, self._under_way(), limits_of(self.settings, most)):
+        for move in choose_moves(found, peers, self._under_way(), limits_of(self.settings, most)):
             job = self.tables.jobs.get(move.job)
             if job is not None and rules.can_move(self.row(job), move.cell, not job.progress.claims):
                 await self._move(job, move.cell)
@@ -159,7 +159,7 @@
             and not job.progress.claims
             and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
             and not (job.returned_ms and wall_clock_ms - job.returned_ms < stays_ms)
-            and len(msgspec.json.encode(job.spec)) <= MOST_SPEC_BYTES
+            and len(msgspec.json.encode(job.spec)) <= MAX_SPEC_BYTES
             and self._looked_after_here(job.spec.id)
         )
 
@@ -169,8 +169,8 @@
     def _under_way(self) -> dict[str, int]:
         counts: dict[str, int] = {}
         for name, row in self._rows():
-            if row.away is not None and self._looked_after_here(name):
-                counts[row.away.target] = counts.get(row.away.target, 0) + 1
+            if row.moved_to is not None and self._looked_after_here(name):
+                counts[row.moved_to.target] = counts.get(row.moved_to.target, 0) + 1
         return counts
 
     async def _move(self, job: Job, cell: str) -> None:
@@ -192,12 +192,12 @@
             if summary is not None and summary.cell == peer and self._heard(peer, summary.incarnation):
                 self.book.hear(summary, asked_at)
                 await self._acknowledge(summary, link)
-        names = [name for name, row in self._rows() if any(each.target == peer for each in row.placements)]
+        names = [name for name, row in self._rows() if any(each.target == peer for each in row.open_handoffs)]
         for name in names:
             if self.leadership.is_leader and self._looked_after_here(name):
                 await self._settle(name, peer, link)
-        placements = {(name, each) for name, row in self._rows() for each in row.placements}
-        self.contacts = {key: contact for key, contact in self.contacts.items() if key in placements}
+        open_handoffs = {(name, each) for name, row in self._rows() for each in row.open_handoffs}
+        self.contacts = {key: contact for key, contact in self.contacts.items() if key in open_handoffs}
 
     async def _acknowledge(self, summary: Summary, link: Link) -> None:
         """Acknowledges again the handoffs that are in a final state at the peer and no longer on record here."""
@@ -207,7 +207,7 @@
         await self.replica.read_linearizable(self.client.timeout_s)
         for name, number in summary.ended:
             row = self._current(name)
-            if row is None or Placement(summary.cell, number) not in row.placements:
+            if row is None or OpenHandoff(summary.cell, number) not in row.open_handoffs:
                 handoff = HandoffId(self.features.name, name, number)
                 await link.request(CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation))
 
@@ -225,7 +225,7 @@
     def _rows(self) -> Iterator[tuple[str, OriginRow]]:
         """Yields the jobs with handoffs that a target may still have on record."""
         for name, job in list(self.tables.jobs.items()):
-            if job.handoff is not None and job.handoff.placements:
+            if job.handoff is not None and job.handoff.open_handoffs:
                 yield name, self.row(job)
         for name in sorted(self.tables.unsettled_jobs):
             over = self.tables.finished_jobs[name]
@@ -237,7 +237,7 @@
         policy = self.features.policy(job.spec.job_class)
         row = job.handoff or OriginRow("", job.spec.id, policy)
         result = Result.CANCELLED if job.is_cancelled else None
-        return replace(row, cell=self.features.name, begun_at_home=bool(job.progress_revision), result=result)
+        return replace(row, cell=self.features.name, claimed_in_origin=bool(job.progress_revision), result=result)
 
     def _over_row(self, name: str, over: FinishedJob) -> OriginRow:
         assert over.handoff is not None
@@ -253,12 +253,12 @@
         for target, message in list(rules.requests(row, job is not None and self._wanted_back(job))):
             if target != peer:
                 continue
-            placement = Placement(target, message.handoff.number)
+            open_handoff = OpenHandoff(target, message.handoff.number)
             now = self.now()
-            contact = self.contacts.setdefault((name, placement), Contact(now, now))
+            contact = self.contacts.setdefault((name, open_handoff), Contact(now, now))
             answer = await self._ask(link, job, message)
             if answer is None:
-                await self._take_back(name, placement, contact)
+                await self._take_back(name, open_handoff, contact)
                 continue
             contact.answered_at, contact.last_answer = self.now(), answer
             await self._learn(name, AnswerMessage(message.handoff, peer, answer), link)
@@ -277,7 +277,7 @@
         row = self._current(name)
         if row is None:
             return
-        after = rules.learn(row, message)
+        after = rules.apply_answer(row, message)
         if after != row and not await self._store_over_or_live(name, after):
             return  # the request is repeated; the target keeps its record until it is acknowledged
         if after != row:
@@ -286,16 +286,16 @@
         if acknowledgement is not None:
             await link.request(CellRequest(acknowledgement, self.features.incarnation))
 
-    async def _take_back(self, name: str, placement: Placement, contact: Contact) -> None:
+    async def _take_back(self, name: str, open_handoff: OpenHandoff, contact: Contact) -> None:
         """Lets a repeatable job run in the origin too if its target was unreachable for too long."""
         row = self._current(name)
-        if row is None or row.away != placement or row.cancelling:
+        if row is None or row.moved_to != open_handoff or row.cancelling:
             return
         if self.now() - contact.answered_at < TAKE_BACK_LEASES * self.settings.lease_s:
             return
-        after = rules.take_back(row)
+        after = rules.recall(row)
         if after != row and await self._store_over_or_live(name, after):
-            log.info("job recalled: job=%s peer=%s reason=unreachable", name, placement.target)
+            log.info("job recalled: job=%s peer=%s reason=unreachable", name, open_handoff.target)
 
     def _wanted_back(self, job: Job) -> bool:
         """Whether to withdraw a job because it could start here now.
@@ -303,8 +303,8 @@
         The target refuses the withdrawal if it has claimed a task of the job.
         """
         assert job.handoff is not None
-        away = job.handoff.away
-        contact = self.contacts.get((job.spec.id, away)) if away is not None else None
+        moved_to = job.handoff.moved_to
+        contact = self.contacts.get((job.spec.id, moved_to)) if moved_to is not None else None
         if contact is None or self.now() - contact.since < STAY_LEASES * self.settings.lease_s:
             return False
         own = summarise(self.tables, self.settings, self.features.name, 0, 0)
@@ -326,7 +326,7 @@
             return await self._store(job, row, {})
         over = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
-        if row.placements:
+        if row.open_handoffs:
             value["h"] = encode_handoff(row)
         key = keys.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
@@ -337,12 +337,12 @@
         conditions = {**conditions, key: job.mod_revision}
         if row.result is Result.DONE:
             value = encode_finished_job(JobState.DONE, job.spec, self.clock.wall_clock_ms())
-            if row.placements:
+            if row.open_handoffs:
                 value["h"] = encode_handoff(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
-            came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
+            came_back = job.handoff is not None and job.handoff.moved_to is not None and row.moved_to is None
             returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
             value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
             value["h"] = encode_handoff(row, returned_ms)
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -112,7 +112,7 @@
     return limits.transfer_s + fetch_s + math.ceil(spec.tasks / at_once) * spec.estimate_s
 
 
-def choose(
+def choose_moves(
     found: Iterable[Candidate], peers: Iterable[Summary], under_way: dict[str, int], limits: MoveLimits
 ) -> list[Move]:
     """The moves to make now. Capacity used by one job is subtracted before the next job is considered."""
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from sloeswitch.cells.handoff import OriginRow, Placement
+from sloeswitch.cells.handoff import OpenHandoff, OriginRow
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.core import taskset
 from sloeswitch.core.incarnation import Incarnation
@@ -67,7 +67,7 @@
     links: StoredRow = {}
     if job.delegated is not None:
         links["o"] = list(job.delegated)
-    if job.handoff is not None and (job.handoff.placements or not over):
+    if job.handoff is not None and (job.handoff.open_handoffs or not over):
         links["h"] = encode_handoff(job.handoff, job.returned_ms)
     return links
 
@@ -158,10 +158,10 @@
         returned_ms: When the last of them came back, in milliseconds since 1970; 0 when none did.
     """
     value: StoredRow = {"p": row.policy.value}
-    if row.away is not None:
-        value["a"] = [row.away.target, row.away.number]
-    if row.recalls:
-        value["r"] = [[each.target, each.number] for each in row.recalls]
+    if row.moved_to is not None:
+        value["a"] = [row.moved_to.target, row.moved_to.number]
+    if row.recalled:
+        value["r"] = [[each.target, each.number] for each in row.recalled]
     if row.cancelling:
         value["c"] = True
     if returned_ms:
@@ -173,9 +173,9 @@
     """The handoffs that a job's row names; None when it was never offered. The cell's own name is not stored."""
     if stored is None:
         return None
-    away = Placement(*stored["a"]) if "a" in stored else None
-    recalls = tuple(Placement(*each) for each in stored.get("r", ()))
-    return OriginRow("", job_id, MovePolicy(stored["p"]), away, recalls, cancelling=stored.get("c", False))
+    moved_to = OpenHandoff(*stored["a"]) if "a" in stored else None
+    recalled = tuple(OpenHandoff(*each) for each in stored.get("r", ()))
+    return OriginRow("", job_id, MovePolicy(stored["p"]), moved_to, recalled, cancelling=stored.get("c", False))
 
 
 # -- specs in chunks
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -175,8 +175,8 @@
     """Handoffs to other cells."""
     if row is None:
         return None
-    placements = [[each.target, each.number] for each in row.recalls]
-    away = row.away and [row.away.target, row.away.number]
+    placements = [[each.target, each.number] for each in row.recalled]
+    away = row.moved_to and [row.moved_to.target, row.moved_to.number]
     return [row.job, row.policy.value, away, placements, row.cancelling]
 
 
--- a/tests/support/handoff_model.py
+++ b/tests/support/handoff_model.py
@@ -17,11 +17,11 @@
 from sloeswitch.cells import handoff as origin_side
 from sloeswitch.cells.delegation import TargetRecord
 from sloeswitch.cells.handoff import OriginRow, Result
-from sloeswitch.cells.messages import ENDED, AnswerMessage, RequestMessage
+from sloeswitch.cells.messages import FINAL_ANSWERS, AnswerMessage, RequestMessage
 from sloeswitch.cells.policy import MovePolicy
 
 ORIGIN, TARGET, JOB = "north", "south", "wk-000001"
-HOME = 0
+IN_ORIGIN = 0
 NOTHING_STORED = TargetRecord()
 
 
@@ -37,26 +37,26 @@
     record: TargetRecord = NOTHING_STORED
     requests: frozenset[RequestMessage] = frozenset()
     answers: frozenset[AnswerMessage] = frozenset()
-    numbers: int = 0
-    running_at_home: bool = False
-    # Where tasks of the job ever started: HOME, or the number of a handoff.
+    last_number: int = 0
+    running_in_origin: bool = False
+    # Where tasks of the job ever started: IN_ORIGIN, or the number of a handoff.
     began: frozenset[int] = frozenset()
     completed: bool = False
     # The final status that was answered to the user.
-    told: Result | None = None
+    reported: Result | None = None
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the job has ended and no handoff of it is on record in either cell."""
-        return self.row.result is not None and not self.row.placements and self.record.delegation is None
+        return self.row.result is not None and not self.row.open_handoffs and self.record.delegation is None
 
 
 @dataclass(frozen=True)
 class Model:
-    """The events that may follow a state. `most_numbers`: how often the job may be moved."""
+    """The events that may follow a state. `max_handoffs`: how often the job may be moved."""
 
     policy: MovePolicy
-    most_numbers: int = 2
+    max_handoffs: int = 2
 
     @property
     def start(self) -> State:
@@ -68,66 +68,69 @@
         yield from self._origin_events(state)
         yield from self._target_events(state)
         for request in state.requests:
-            for room in (True, False):
-                yield f"delivered {request} room={room}", self._deliver_request(state, request, room)
+            for has_capacity in (True, False):
+                yield (
+                    f"delivered {request} has_capacity={has_capacity}",
+                    self._deliver_request(state, request, has_capacity),
+                )
         for answer in state.answers:
             yield f"delivered {answer}", self._deliver_answer(state, answer)
 
     def _origin_events(self, state: State) -> Iterator[tuple[str, State]]:
         row = state.row
-        if state.numbers < self.most_numbers and origin_side.can_move(row, TARGET, not state.running_at_home):
-            number = state.numbers + 1
-            yield "moved", replace(state, row=origin_side.move(row, TARGET, number), numbers=number)
-        for wanted_back in (False, True):
-            sent = frozenset(message for _, message in origin_side.requests(row, wanted_back))
+        if state.last_number < self.max_handoffs and origin_side.can_move(row, TARGET, not state.running_in_origin):
+            number = state.last_number + 1
+            yield "moved", replace(state, row=origin_side.move(row, TARGET, number), last_number=number)
+        for withdraw in (False, True):
+            sent = frozenset(message for _, message in origin_side.requests(row, withdraw))
             if not sent <= state.requests:
-                yield f"asked wanted_back={wanted_back}", replace(state, requests=state.requests | sent)
-        if row.startable and not state.running_at_home:
-            began = replace(state, row=origin_side.begin_at_home(row), running_at_home=True)
-            yield "began at home", self._begun(began, HOME)
-        if state.running_at_home:
-            yield "returned at home", replace(state, running_at_home=False)
-            ended = origin_side.end_at_home(row)
-            yield "done at home", replace(state, row=ended, running_at_home=False, completed=True)
-        if row.policy is MovePolicy.REPEATABLE and row.away is not None:
-            yield "taken back", replace(state, row=origin_side.take_back(row))
+                yield f"asked withdraw={withdraw}", replace(state, requests=state.requests | sent)
+        if row.startable and not state.running_in_origin:
+            began = replace(state, row=origin_side.record_origin_claim(row), running_in_origin=True)
+            yield "began in origin", self._begun(began, IN_ORIGIN)
+        if state.running_in_origin:
+            yield "returned in origin", replace(state, running_in_origin=False)
+            ended = origin_side.complete_in_origin(row)
+            yield "done in origin", replace(state, row=ended, running_in_origin=False, completed=True)
+        if row.policy is MovePolicy.REPEATABLE and row.moved_to is not None:
+            yield "recalled", replace(state, row=origin_side.recall(row))
         if row.result is None and not row.cancelling:
             yield "cancellation", replace(state, row=origin_side.request_cancellation(row))
-        if row.result is not None and state.told is None:
+        if row.result is not None and state.reported is None:
             # Tasks in the origin are stopped by the origin itself once the result is stored.
-            yield "told", replace(state, told=row.result, running_at_home=False)
+            yield "reported", replace(state, reported=row.result, running_in_origin=False)
 
     def _target_events(self, state: State) -> Iterator[tuple[str, State]]:
-        held = state.record.delegation
-        if held is None:
+        stored = state.record.delegation
+        if stored is None:
             return
-        if held.startable:
-            begun = replace(state, record=replace(state.record, delegation=held.begin()))
-            yield "began at target", self._begun(begun, held.handoff.number)
-        for event, after in (("given back", held.give_back()), ("stopped", held.stopped())):
-            if after != held:
+        if stored.startable:
+            begun = replace(state, record=replace(state.record, delegation=stored.begin()))
+            yield "began at target", self._begun(begun, stored.handoff.number)
+        for event, after in (("withdrawn", stored.withdraw()), ("stopped", stored.confirm_stopped())):
+            if after != stored:
                 yield event, replace(state, record=replace(state.record, delegation=after))
-        if held.state is target_side.DelegationState.BEGUN:
-            done = replace(state.record, delegation=held.complete())
+        if stored.state is target_side.DelegationState.BEGUN:
+            done = replace(state.record, delegation=stored.complete())
             yield "done at target", replace(state, record=done, completed=True)
 
     @staticmethod
     def _begun(state: State, place: int) -> State:
-        if state.told is Result.CANCELLED:
+        if state.reported is Result.CANCELLED:
             raise BrokenRuleError("a task started after the cancellation was confirmed")
         return replace(state, began=state.began | {place})
 
     @staticmethod
-    def _deliver_request(state: State, message: RequestMessage, room: bool) -> State:
-        decision = target_side.decide(state.record, message.handoff, message.request, room)
+    def _deliver_request(state: State, message: RequestMessage, has_capacity: bool) -> State:
+        decision = target_side.decide(state.record, message.handoff, message.request, has_capacity)
         answers = state.answers
-        if decision.answer in ENDED:  # other answers change nothing at the origin
+        if decision.answer in FINAL_ANSWERS:  # other answers change nothing at the origin
             answers |= {AnswerMessage(message.handoff, TARGET, decision.answer)}
         return replace(state, record=decision.record, answers=answers)
 
     @staticmethod
     def _deliver_answer(state: State, message: AnswerMessage) -> State:
-        row = origin_side.learn(state.row, message)
+        row = origin_side.apply_answer(state.row, message)
         acknowledgement = origin_side.acknowledgement(message)
         requests = state.requests if acknowledgement is None else state.requests | {acknowledgement}
         return replace(state, row=row, requests=requests)
@@ -135,18 +138,18 @@
 
 def check(state: State, before: State) -> None:
     """Checks the rules of docs/cells.md for one event."""
-    row, held = state.row, state.record.delegation
+    row, stored = state.row, state.record.delegation
     if row.policy is not MovePolicy.REPEATABLE and len(state.began) > 1:
         raise BrokenRuleError("a job that may start in one cell only started in several")
-    if row.policy is MovePolicy.NEVER and state.numbers:
+    if row.policy is MovePolicy.NEVER and state.last_number:
         raise BrokenRuleError("a job that must not move was moved")
     if before.row.result is not None and row.result is not before.row.result:
         raise BrokenRuleError("the result changed")
     if row.result is Result.DONE and not state.completed:
         raise BrokenRuleError("the result is done but not all tasks were completed")
-    if state.told is Result.CANCELLED and held is not None and not held.final:
+    if state.reported is Result.CANCELLED and stored is not None and not stored.final:
         raise BrokenRuleError("the cancellation was confirmed while a task may start or run in the target")
-    if row.away is None and row.result is None and not row.recalls and held is not None and held.startable:
+    if row.moved_to is None and row.result is None and not row.recalled and stored is not None and stored.startable:
         raise BrokenRuleError("the target may start a job whose handoff the origin has not on record")
 
 
@@ -189,7 +192,7 @@
 
 def _ending(states: dict[State, tuple[State, str] | None], leads_to: dict[State, list[State]]) -> set[State]:
     """The states from which some order of events ends the job in both cells."""
-    ending = {state for state in states if state.over}
+    ending = {state for state in states if state.has_ended}
     queue = deque(ending)
     while queue:
         for before in leads_to.get(queue.popleft(), ()):
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -65,7 +65,7 @@
 def test_a_late_copy_of_an_offer_starts_nothing_after_the_job_is_over() -> None:
     moved = Moved("once")
     moved.run_there()
-    handoff = HandoffId("north", JOB, moved.at_origin.handoff.away.number)  # type: ignore[union-attr]
+    handoff = HandoffId("north", JOB, moved.at_origin.handoff.moved_to.number)  # type: ignore[union-attr]
     offer = CellRequest(RequestMessage(handoff, Request.OFFER), 1, Offer(moved.world.specs[JOB], 0))
     moved.talk()
     moved.renew()
@@ -154,7 +154,7 @@
     moved.south.store.job(spec("wk-000009", visits=50))  # makes the south saturated
     moved.talk()
     job = moved.at_origin
-    assert job.is_runnable and job.returned_ms and not job.handoff.placements  # type: ignore[union-attr]
+    assert job.is_runnable and job.returned_ms and not job.handoff.open_handoffs  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._movable(job, job.returned_ms + 1)
     assert origin._movable(job, job.returned_ms + 1 + int(1000 * STAY_LEASES * settings_cache().lease_s))
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sloeswitch.cells.selection import Candidate, Move, MoveLimits, candidates, choose, limits_of
+from sloeswitch.cells.selection import Candidate, Move, MoveLimits, candidates, choose_moves, limits_of
 from sloeswitch.cells.summary import MachinePool, Resources, Summary, SummaryBook, summarise
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.records import Job, JobState
@@ -28,7 +28,7 @@
 
 
 def test_a_job_that_is_late_here_and_in_time_there_moves() -> None:
-    assert choose([late_job()], [peer()], {}, LIMITS) == [Move("wk-000001", "south")]
+    assert choose_moves([late_job()], [peer()], {}, LIMITS) == [Move("wk-000001", "south")]
 
 
 @pytest.mark.parametrize(
@@ -48,25 +48,25 @@
     ],
 )
 def test_a_job_stays(candidate: Candidate, summary: Summary) -> None:
-    assert choose([candidate], [summary], {}, LIMITS) == []
+    assert choose_moves([candidate], [summary], {}, LIMITS) == []
 
 
 def test_room_is_given_once_and_the_cell_where_the_job_ends_first_is_chosen() -> None:
     """Each job uses eight cores. The east has four, so that a job would run there in two rounds."""
     jobs = [late_job(f"wk-00000{number}", left_s=150.0, here_s=300.0) for number in range(3)]
-    moves = choose(jobs, [peer("south", 8.0), peer("east", 4.0)], {}, LIMITS)
+    moves = choose_moves(jobs, [peer("south", 8.0), peer("east", 4.0)], {}, LIMITS)
     assert moves == [Move("wk-000000", "south"), Move("wk-000001", "east")]
 
 
 def test_no_more_than_a_stated_number_is_under_way_to_a_peer() -> None:
     jobs = [late_job(f"wk-00000{number}") for number in range(5)]
-    assert len(choose(jobs, [peer()], {}, LIMITS)) == LIMITS.most_under_way
-    assert choose(jobs, [peer()], {"south": LIMITS.most_under_way}, LIMITS) == []
+    assert len(choose_moves(jobs, [peer()], {}, LIMITS)) == LIMITS.most_under_way
+    assert choose_moves(jobs, [peer()], {"south": LIMITS.most_under_way}, LIMITS) == []
 
 
 def test_two_saturated_cells_move_nothing() -> None:
     north, south = peer("north", backlog_s=30.0), peer("south", backlog_s=30.0)
-    assert choose([late_job()], [south], {}, LIMITS) == choose([late_job()], [north], {}, LIMITS) == []
+    assert choose_moves([late_job()], [south], {}, LIMITS) == choose_moves([late_job()], [north], {}, LIMITS) == []
 
 
 class Cell:
@@ -117,7 +117,7 @@
     assert [item.here_s for item in found] == [40.0, 120.0, 160.0]
     assert [item.left_s for item in found] == [100.0, 100.0, 100.0]
     assert candidates(line, {"wk-000001"}, store.tables, settings, 0) == found[1:2]
-    moves = choose(found, [peer()], {}, limits_of(settings, 5))
+    moves = choose_moves(found, [peer()], {}, limits_of(settings, 5))
     assert moves == [Move("wk-000001", "south"), Move("wk-000002", "south")]
 
 
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -193,7 +193,7 @@
     "limits": lambda: [
         mesh_frames.MAX_BODY_BYTES,
         mesh_frames.MAX_CANCELLATIONS,
-        cell_frames.MOST_SPEC_BYTES,
+        cell_frames.MAX_SPEC_BYTES,
         admission_frames.MOST_ENTRIES,
     ],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
--- a/tests/test_row_codec.py
+++ b/tests/test_row_codec.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from sloeswitch.cells.handoff import OriginRow, Placement
+from sloeswitch.cells.handoff import OpenHandoff, OriginRow
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.core import row_codec
 from sloeswitch.core.incarnation import Incarnation
@@ -58,7 +58,7 @@
 
 
 def test_links_to_other_cells_survive_storing() -> None:
-    handoff = OriginRow("", JOB, MovePolicy.ONCE, Placement("south", 7), (Placement("west", 6),), cancelling=True)
+    handoff = OriginRow("", JOB, MovePolicy.ONCE, OpenHandoff("south", 7), (OpenHandoff("west", 6),), cancelling=True)
     job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, handoff=handoff, returned_ms=9)
     job.delegated = DelegationOrigin("north", 4)
     row = row_codec.decode_job_row(JOB, {"s": "live"} | row_codec.encode_job_links(job), 1)
