--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -23,8 +23,8 @@
 from sloeswitch.cells.handoff import OpenHandoff, OriginRow, Result
 from sloeswitch.cells.messages import Answer, AnswerMessage, HandoffId, Request, RequestMessage
 from sloeswitch.cells.policy import MovePolicy
-from sloeswitch.cells.selection import candidates, choose_moves, limits_of
-from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
+from sloeswitch.cells.selection import choose_moves, find_candidates, move_limits
+from sloeswitch.cells.summary import Resources, Summary, SummaryCache, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.records import FinishedJob, Job, JobState
 from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
@@ -39,12 +39,12 @@
 log = logging.getLogger("cells")
 
 # How long a summary is used after it was requested, in controller leases.
-SUMMARY_LEASES = 3.0
+SUMMARY_MAX_AGE_LEASES = 3.0
 # A repeatable job may run in its origin too when its target has not answered for this time, in worker leases.
-TAKE_BACK_LEASES = 4.0
+RECALL_LEASES = 4.0
 # The minimum time in one cell, in worker leases: an offered job that could start in its origin is withdrawn after this
 # time, and a returned job is not offered again before it has passed.
-STAY_LEASES = 4.0
+MIN_STAY_LEASES = 4.0
 
 
 class Link(Protocol):
@@ -58,11 +58,11 @@
 
 
 @dataclass
-class Contact:
+class HandoffContact:
     """When this controller first sent a request about a handoff, and when the target last answered."""
 
-    since: float
-    answered_at: float
+    first_request_at: float
+    last_answer_at: float
     last_answer: Answer | None = None
 
 
@@ -93,28 +93,28 @@
         self.now = context.clock.now
         self.sleep = sleep
         self.feature = FeatureRollout("cells", context)
-        self.book = SummaryBook(SUMMARY_LEASES * context.settings.controller_lease_s)
-        self.contacts: dict[tuple[str, OpenHandoff], Contact] = {}
+        self.summaries = SummaryCache(SUMMARY_MAX_AGE_LEASES * context.settings.controller_lease_s)
+        self.contacts: dict[tuple[str, OpenHandoff], HandoffContact] = {}
         self.incarnations: dict[str, int] = {}
 
     # -- loops
 
-    async def select_forever(self) -> None:
+    async def select_moves_forever(self) -> None:
         """Selects jobs to move in every report interval, and records that this controller runs with the feature."""
         while True:
             await self.sleep(self.settings.report_s)
             try:
-                await self.mark()
-                await self.select()
+                await self.record_member()
+                await self.select_moves()
             except Exception:
                 log.exception("move selection failed")
 
-    async def talk_forever(self, peer: str) -> None:
+    async def poll_peer_forever(self, peer: str) -> None:
         """Requests one peer's summary and the state of its handoffs in every report interval."""
         while True:
             await self.sleep(self.settings.report_s)
             try:
-                await self.talk(peer)
+                await self.poll_peer(peer)
             except (NoAnswerError, StaleReplicaError) as error:
                 log.debug("peer request failed: peer=%s error=%s", peer, error)
             except Exception:
@@ -122,37 +122,39 @@
 
     # -- rollout
 
-    async def mark(self) -> None:
+    async def record_member(self) -> None:
         """Stores that this controller runs with the feature; the rollout is complete once every configured one does."""
         await self.feature.record_member()
 
     @property
-    def switched_on(self) -> bool:
+    def rollout_complete(self) -> bool:
         """Whether every configured controller of this cell runs with the feature."""
         return self.feature.is_complete
 
     # -- selection
 
-    async def select(self) -> None:
+    async def select_moves(self) -> None:
         """Selects jobs to move and stores their handoffs; the offers are sent with the next requests to the peer."""
-        if not (self.features.moving and self.switched_on and self.leadership.is_leader):
+        if not (self.features.moving and self.rollout_complete and self.leadership.is_leader):
             return
         wall_clock_ms = self.clock.wall_clock_ms()
         movable = {job.spec.id for job in self.waiting_jobs() if self._movable(job, wall_clock_ms)}
         if not movable:
             return
-        found = candidates(self.waiting_jobs(), movable, self.tables, self.settings, wall_clock_ms)
+        candidates = find_candidates(self.waiting_jobs(), movable, self.tables, self.settings, wall_clock_ms)
         # Each controller may use an equal share of the free capacity of a peer.
-        part = 1.0 / max(1, len(self.leadership.view.members))
-        peers = [_part_of(summary, part) for summary in self.book.current(self.now())]
-        most = max(1, int(self.features.most_under_way * part))
-        for move in choose_moves(found, peers, self._under_way(), limits_of(self.settings, most)):
+        share = 1.0 / max(1, len(self.leadership.view.members))
+        peers = [_scale_summary(summary, share) for summary in self.summaries.current(self.now())]
+        max_in_flight = max(1, int(self.features.max_in_flight * share))
+        for move in choose_moves(
+            candidates, peers, self._in_flight_by_target(), move_limits(self.settings, max_in_flight)
+        ):
             job = self.tables.jobs.get(move.job)
             if job is not None and rules.can_move(self.row(job), move.cell, not job.progress.claims):
                 await self._move(job, move.cell)
 
     def _movable(self, job: Job, wall_clock_ms: int) -> bool:
-        stays_ms = 1000 * STAY_LEASES * self.settings.lease_s
+        stays_ms = 1000 * MIN_STAY_LEASES * self.settings.lease_s
         return (
             job.delegated is None
             and job.spec_chunks is None
@@ -160,16 +162,16 @@
             and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
             and not (job.returned_ms and wall_clock_ms - job.returned_ms < stays_ms)
             and len(msgspec.json.encode(job.spec)) <= MAX_SPEC_BYTES
-            and self._looked_after_here(job.spec.id)
+            and self._manages_handoffs_of(job.spec.id)
         )
 
-    def _looked_after_here(self, name: str) -> bool:
+    def _manages_handoffs_of(self, name: str) -> bool:
         return self.leadership.owner_of("handoff " + name) == self.settings.member
 
-    def _under_way(self) -> dict[str, int]:
+    def _in_flight_by_target(self) -> dict[str, int]:
         counts: dict[str, int] = {}
-        for name, row in self._rows():
-            if row.moved_to is not None and self._looked_after_here(name):
+        for name, row in self._rows_with_handoffs():
+            if row.moved_to is not None and self._manages_handoffs_of(name):
                 counts[row.moved_to.target] = counts.get(row.moved_to.target, 0) + 1
         return counts
 
@@ -183,20 +185,22 @@
 
     # -- driving handoffs
 
-    async def talk(self, peer: str) -> None:
+    async def poll_peer(self, peer: str) -> None:
         """One round of requests to a peer: its summary, then each handoff to it that this controller manages."""
         link = self.links[peer]
-        if self.leadership.is_leader and self.switched_on:
+        if self.leadership.is_leader and self.rollout_complete:
             asked_at = self.now()
             summary = await link.summary()
-            if summary is not None and summary.cell == peer and self._heard(peer, summary.incarnation):
-                self.book.hear(summary, asked_at)
+            if summary is not None and summary.cell == peer and self._accept_incarnation(peer, summary.incarnation):
+                self.summaries.add(summary, asked_at)
                 await self._acknowledge(summary, link)
-        names = [name for name, row in self._rows() if any(each.target == peer for each in row.open_handoffs)]
+        names = [
+            name for name, row in self._rows_with_handoffs() if any(each.target == peer for each in row.open_handoffs)
+        ]
         for name in names:
-            if self.leadership.is_leader and self._looked_after_here(name):
-                await self._settle(name, peer, link)
-        open_handoffs = {(name, each) for name, row in self._rows() for each in row.open_handoffs}
+            if self.leadership.is_leader and self._manages_handoffs_of(name):
+                await self._send_requests(name, peer, link)
+        open_handoffs = {(name, each) for name, row in self._rows_with_handoffs() for each in row.open_handoffs}
         self.contacts = {key: contact for key, contact in self.contacts.items() if key in open_handoffs}
 
     async def _acknowledge(self, summary: Summary, link: Link) -> None:
@@ -211,7 +215,7 @@
                 handoff = HandoffId(self.features.name, name, number)
                 await link.request(CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation))
 
-    def _heard(self, peer: str, incarnation: int) -> bool:
+    def _accept_incarnation(self, peer: str, incarnation: int) -> bool:
         """Records a peer's incarnation; False if it is older than the latest one.
 
         Guards against a cell whose state was restored from a copy and lacks handoffs that it accepted.
@@ -222,15 +226,15 @@
         self.incarnations[peer] = incarnation
         return True
 
-    def _rows(self) -> Iterator[tuple[str, OriginRow]]:
+    def _rows_with_handoffs(self) -> Iterator[tuple[str, OriginRow]]:
         """Yields the jobs with handoffs that a target may still have on record."""
         for name, job in list(self.tables.jobs.items()):
             if job.handoff is not None and job.handoff.open_handoffs:
                 yield name, self.row(job)
         for name in sorted(self.tables.unsettled_jobs):
-            over = self.tables.finished_jobs[name]
-            if over.handoff is not None:
-                yield name, self._over_row(name, over)
+            finished = self.tables.finished_jobs[name]
+            if finished.handoff is not None:
+                yield name, self._finished_row(name, finished)
 
     def row(self, job: Job) -> OriginRow:
         """The stored handoffs of a job, completed with what the handoff rules need."""
@@ -239,29 +243,29 @@
         result = Result.CANCELLED if job.is_cancelled else None
         return replace(row, cell=self.features.name, claimed_in_origin=bool(job.progress_revision), result=result)
 
-    def _over_row(self, name: str, over: FinishedJob) -> OriginRow:
-        assert over.handoff is not None
-        result = Result.DONE if over.is_done else Result.CANCELLED
-        return replace(over.handoff, cell=self.features.name, result=result)
+    def _finished_row(self, name: str, finished: FinishedJob) -> OriginRow:
+        assert finished.handoff is not None
+        result = Result.DONE if finished.is_done else Result.CANCELLED
+        return replace(finished.handoff, cell=self.features.name, result=result)
 
-    async def _settle(self, name: str, peer: str, link: Link) -> None:
+    async def _send_requests(self, name: str, peer: str, link: Link) -> None:
         """Sends the pending requests about a job's handoffs to a peer, and stores the changes by its answers."""
         row = self._current(name)
         if row is None:
             return
         job = self.tables.jobs.get(name)
-        for target, message in list(rules.requests(row, job is not None and self._wanted_back(job))):
+        for target, message in list(rules.requests(row, job is not None and self._should_withdraw(job))):
             if target != peer:
                 continue
             open_handoff = OpenHandoff(target, message.handoff.number)
             now = self.now()
-            contact = self.contacts.setdefault((name, open_handoff), Contact(now, now))
+            contact = self.contacts.setdefault((name, open_handoff), HandoffContact(now, now))
             answer = await self._ask(link, job, message)
             if answer is None:
-                await self._take_back(name, open_handoff, contact)
+                await self._recall_if_unreachable(name, open_handoff, contact)
                 continue
-            contact.answered_at, contact.last_answer = self.now(), answer
-            await self._learn(name, AnswerMessage(message.handoff, peer, answer), link)
+            contact.last_answer_at, contact.last_answer = self.now(), answer
+            await self._apply_answer(name, AnswerMessage(message.handoff, peer, answer), link)
 
     async def _ask(self, link: Link, job: Job | None, message: RequestMessage) -> Answer | None:
         offer = None
@@ -273,12 +277,12 @@
             return None
         return reply.answer
 
-    async def _learn(self, name: str, message: AnswerMessage, link: Link) -> None:
+    async def _apply_answer(self, name: str, message: AnswerMessage, link: Link) -> None:
         row = self._current(name)
         if row is None:
             return
         after = rules.apply_answer(row, message)
-        if after != row and not await self._store_over_or_live(name, after):
+        if after != row and not await self._store_row(name, after):
             return  # the request is repeated; the target keeps its record until it is acknowledged
         if after != row:
             log.info("handoff answered: job=%s answer=%s peer=%s", name, message.answer.value, message.target)
@@ -286,18 +290,18 @@
         if acknowledgement is not None:
             await link.request(CellRequest(acknowledgement, self.features.incarnation))
 
-    async def _take_back(self, name: str, open_handoff: OpenHandoff, contact: Contact) -> None:
+    async def _recall_if_unreachable(self, name: str, open_handoff: OpenHandoff, contact: HandoffContact) -> None:
         """Lets a repeatable job run in the origin too if its target was unreachable for too long."""
         row = self._current(name)
         if row is None or row.moved_to != open_handoff or row.cancelling:
             return
-        if self.now() - contact.answered_at < TAKE_BACK_LEASES * self.settings.lease_s:
+        if self.now() - contact.last_answer_at < RECALL_LEASES * self.settings.lease_s:
             return
         after = rules.recall(row)
-        if after != row and await self._store_over_or_live(name, after):
+        if after != row and await self._store_row(name, after):
             log.info("job recalled: job=%s peer=%s reason=unreachable", name, open_handoff.target)
 
-    def _wanted_back(self, job: Job) -> bool:
+    def _should_withdraw(self, job: Job) -> bool:
         """Whether to withdraw a job because it could start here now.
 
         The target refuses the withdrawal if it has claimed a task of the job.
@@ -305,27 +309,27 @@
         assert job.handoff is not None
         moved_to = job.handoff.moved_to
         contact = self.contacts.get((job.spec.id, moved_to)) if moved_to is not None else None
-        if contact is None or self.now() - contact.since < STAY_LEASES * self.settings.lease_s:
+        if contact is None or self.now() - contact.first_request_at < MIN_STAY_LEASES * self.settings.lease_s:
             return False
-        own = summarise(self.tables, self.settings, self.features.name, 0, 0)
+        summary = summarise(self.tables, self.settings, self.features.name, 0, 0)
         task = task_resources(job.spec)
-        room = min(task.times_in(own.free), task.times_in(own.room_of_team(job.spec.team)))
-        return not own.saturated and room >= job.spec.tasks
+        startable = min(task.max_copies_in(summary.free), task.max_copies_in(summary.free_for_team(job.spec.team)))
+        return not summary.saturated and startable >= job.spec.tasks
 
     # -- storing
 
     def _current(self, name: str) -> OriginRow | None:
-        job, over = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
+        job, finished = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         if job is not None:
             return self.row(job) if job.handoff is not None else None
-        return self._over_row(name, over) if over is not None and over.handoff is not None else None
+        return self._finished_row(name, finished) if finished is not None and finished.handoff is not None else None
 
-    async def _store_over_or_live(self, name: str, row: OriginRow) -> bool:
+    async def _store_row(self, name: str, row: OriginRow) -> bool:
         job = self.tables.jobs.get(name)
         if job is not None:
             return await self._store(job, row, {})
-        over = self.tables.finished_jobs[name]
-        value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
+        finished = self.tables.finished_jobs[name]
+        value: dict[str, Any] = {"s": finished.status, "n": finished.tasks, "t": finished.finished_ms}
         if row.open_handoffs:
             value["h"] = encode_handoff(row)
         key = keys.job_key(name)
@@ -340,7 +344,7 @@
             if row.open_handoffs:
                 value["h"] = encode_handoff(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
-            value = self._cancelled(job, row, conditions)
+            value = self._encode_cancelled(job, row, conditions)
         else:
             came_back = job.handoff is not None and job.handoff.moved_to is not None and row.moved_to is None
             returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
@@ -350,7 +354,7 @@
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
 
-    def _cancelled(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
+    def _encode_cancelled(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> dict[str, Any]:
         if not job.progress_revision:
             conditions[keys.progress_key(job.spec.id)] = 0
             return encode_finished_job(JobState.CANCELLED, job.spec, self.clock.wall_clock_ms())
@@ -368,7 +372,7 @@
         return outcome is TransactionOutcome.COMMITTED
 
 
-def _part_of(summary: Summary, part: float) -> Summary:
+def _scale_summary(summary: Summary, share: float) -> Summary:
     """Returns a summary with the given share of the peer's free capacity."""
-    teams = tuple((name, part * cores, part * gpus) for name, cores, gpus in summary.team_room)
-    return replace(summary, free=Resources().plus(summary.free, part), team_room=teams)
+    teams = tuple((name, share * cores, share * gpus) for name, cores, gpus in summary.team_room)
+    return replace(summary, free=Resources().plus(summary.free, share), team_room=teams)
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -25,17 +25,19 @@
     gpus: float = 0.0
     memory: float = 0.0
 
-    def plus(self, other: Resources, times: float = 1.0) -> Resources:
-        """Returns the sum of this and `times` multiplied by the other."""
+    def plus(self, other: Resources, factor: float = 1.0) -> Resources:
+        """Returns the sum of this and `factor` times the other."""
         return Resources(
-            self.cores + times * other.cores, self.gpus + times * other.gpus, self.memory + times * other.memory
+            self.cores + factor * other.cores, self.gpus + factor * other.gpus, self.memory + factor * other.memory
         )
 
-    def times_in(self, whole: Resources) -> int:
-        """How many times this fits into `whole`; 0 if this uses no finite resource."""
-        pairs = ((self.cores, whole.cores), (self.gpus, whole.gpus), (self.memory, whole.memory))
+    def max_copies_in(self, capacity: Resources) -> int:
+        """How many times this fits into `capacity`; 0 if this uses no finite resource."""
+        pairs = ((self.cores, capacity.cores), (self.gpus, capacity.gpus), (self.memory, capacity.memory))
         counts = [
-            int((room + ROUNDING_TOLERANCE) // amount) for amount, room in pairs if amount > 0 and math.isfinite(room)
+            int((available + ROUNDING_TOLERANCE) // amount)
+            for amount, available in pairs
+            if amount > 0 and math.isfinite(available)
         ]
         return max(0, min(counts, default=0))
 
@@ -55,10 +57,10 @@
     fetch_gb_s: float
     machines: int
 
-    def suits(self, spec: JobSpec) -> bool:
+    def can_run(self, spec: JobSpec) -> bool:
         """Whether a task of the job may run on a machine of this pool and fits on it."""
         allowed = spec.types is None or self.type in spec.types
-        return allowed and (spec.spot or not self.spot) and task_resources(spec).times_in(self.size) >= 1
+        return allowed and (spec.spot or not self.spot) and task_resources(spec).max_copies_in(self.size) >= 1
 
 
 @dataclass(frozen=True)
@@ -84,7 +86,7 @@
         """Whether tasks of the cell wait for free capacity."""
         return self.backlog_s > 0
 
-    def room_of_team(self, team: str) -> Resources:
+    def free_for_team(self, team: str) -> Resources:
         """What the team may still use in the cell; nothing if the cell does not know the team."""
         for name, cores, gpus in self.team_room:
             if name == team:
@@ -101,13 +103,13 @@
     used, wanted = Resources(), Resources()
     wanted_core_s = 0.0
     teams = {name: [team.cpus_max, team.gpus_max] for name, team in settings.teams.items()}
-    settled = tables.recovery_complete()
+    recovered = tables.recovery_complete()
     for job in tables.jobs.values():
         if not job.is_runnable:
             continue
         spec = job.spec
         claimed = (job.progress.claimed_tasks() & ~job.progress.done).bit_count()
-        waiting = tables.unclaimed_tasks(job, settled).bit_count()
+        waiting = tables.unclaimed_tasks(job, recovered).bit_count()
         used = used.plus(task_resources(spec), claimed)
         wanted = wanted.plus(task_resources(spec), waiting)
         wanted_core_s += waiting * spec.cores * spec.estimate_s
@@ -116,10 +118,10 @@
             teams[spec.team][1] -= (claimed + waiting) * spec.gpus
     free = _free(total, used.plus(wanted))
     # Waiting tasks that fit into the free cores are no backlog.
-    over = wanted.cores > max(0.0, total.cores - used.cores)
-    backlog_s = wanted_core_s / total.cores if over and total.cores > 0 else 0.0
-    room = tuple((name, max(0.0, cores), max(0.0, gpus)) for name, (cores, gpus) in sorted(teams.items()))
-    return Summary(cell, incarnation, sequence, pools, free, backlog_s, room)
+    has_backlog = wanted.cores > max(0.0, total.cores - used.cores)
+    backlog_s = wanted_core_s / total.cores if has_backlog and total.cores > 0 else 0.0
+    team_room = tuple((name, max(0.0, cores), max(0.0, gpus)) for name, (cores, gpus) in sorted(teams.items()))
+    return Summary(cell, incarnation, sequence, pools, free, backlog_s, team_room)
 
 
 def _free(total: Resources, taken: Resources) -> Resources:
@@ -140,25 +142,25 @@
 
 
 @dataclass
-class SummaryBook:
+class SummaryCache:
     """The latest summary of each peer."""
 
     max_age_s: float
-    _heard: dict[str, tuple[float, Summary]] = field(default_factory=dict)
+    _summaries: dict[str, tuple[float, Summary]] = field(default_factory=dict)
 
-    def hear(self, summary: Summary, asked_at: float) -> bool:
+    def add(self, summary: Summary, asked_at: float) -> bool:
         """Stores a summary that was requested at `asked_at`; returns False if a newer one is already stored.
 
         Guards against delayed answers, and against a cell that was restored from an old copy of its state.
         """
-        known = self._heard.get(summary.cell)
+        known = self._summaries.get(summary.cell)
         if known is not None:
             at, last = known
             if (summary.incarnation, summary.sequence) < (last.incarnation, last.sequence) or asked_at < at:
                 return False
-        self._heard[summary.cell] = (asked_at, summary)
+        self._summaries[summary.cell] = (asked_at, summary)
         return True
 
     def current(self, now: float) -> list[Summary]:
         """The summaries that are at most `max_age_s` old, ordered by cell name."""
-        return [summary for _, (at, summary) in sorted(self._heard.items()) if now - at <= self.max_age_s]
+        return [summary for _, (at, summary) in sorted(self._summaries.items()) if now - at <= self.max_age_s]
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -13,7 +13,7 @@
 from sloeswitch.cells.delegation import Delegation, DelegationState, TargetDecision, TargetRecord, decide
 from sloeswitch.cells.frames import CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request
-from sloeswitch.cells.selection import may_move_by_shape
+from sloeswitch.cells.selection import is_zone_independent
 from sloeswitch.cells.summary import Summary, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.quota import unschedulable_reason
@@ -29,7 +29,7 @@
 log = logging.getLogger("cells")
 
 # The number of unacknowledged handoffs listed in one summary; others are listed once these are acknowledged.
-MOST_ENDED = 100
+MAX_ENDED_HANDOFFS = 100
 
 
 class CellTarget:
@@ -49,7 +49,7 @@
         self.incarnations: dict[str, int] = {}
 
     @property
-    def switched_on(self) -> bool:
+    def rollout_complete(self) -> bool:
         """Whether every configured controller of this cell runs with the feature."""
         return self.tables.features.get("cells", FeatureStatus()).complete
 
@@ -59,7 +59,7 @@
         None while the rollout is incomplete or this controller may not act for the cell. While `moving` is off, the
         summary has no free capacity, so that the cell is offered no jobs.
         """
-        if not (self.switched_on and self.leadership.is_leader):
+        if not (self.rollout_complete and self.leadership.is_leader):
             return None
         name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied_revision
         if not self.features.moving:
@@ -73,17 +73,18 @@
         Guards against a lost acknowledgement: the origin has deleted the handoff and sends no more requests about it,
         so that the target's record would never be deleted.
         """
-        found = (
-            (name, over.delegated.number)
+        ended = (
+            (name, finished.delegated.number)
             for name in sorted(self.tables.unsettled_jobs)
-            if (over := self.tables.finished_jobs[name]).delegated is not None and over.delegated.origin == origin
+            if (finished := self.tables.finished_jobs[name]).delegated is not None
+            and finished.delegated.origin == origin
         )
-        return tuple(itertools.islice(found, MOST_ENDED))
+        return tuple(itertools.islice(ended, MAX_ENDED_HANDOFFS))
 
     async def answer(self, request: CellRequest) -> Answer | None:
         """Answers a request of another cell; None if it cannot be answered now, and the other cell has to repeat it."""
         handoff = request.message.handoff
-        if not self._heard_from(handoff.origin, request.incarnation) or not self.switched_on:
+        if not self._accept_sender(handoff.origin, request.incarnation) or not self.rollout_complete:
             return None
         if not self.replica.loaded or not self.leadership.is_leader:
             return None
@@ -92,7 +93,7 @@
         except StaleReplicaError:
             return None
         record = self.record(handoff)
-        decision = decide(record, handoff, request.message.request, self._has_room(handoff, request.offer))
+        decision = decide(record, handoff, request.message.request, self._can_accept(handoff, request.offer))
         if not await self._store(record, decision, request):
             return None
         after = self.record(handoff).delegation
@@ -101,7 +102,7 @@
             return Answer(after.state.value)
         return decision.answer
 
-    def _heard_from(self, origin: str, incarnation: int) -> bool:
+    def _accept_sender(self, origin: str, incarnation: int) -> bool:
         """Whether the cell is a peer and its incarnation is the highest received; records the incarnation."""
         if origin not in {peer.name for peer in self.features.peers}:
             log.error("unknown peer: cell=%s", origin)
@@ -116,19 +117,19 @@
         """The stored record of an origin's handoff of one job, and the origin's floor."""
         floor = self.tables.handoff_floors.get(handoff.origin, 0)
         job = self.tables.jobs.get(handoff.job)
-        over = self.tables.finished_jobs.get(handoff.job)
-        delegated = job.delegated if job is not None else over.delegated if over is not None else None
+        finished = self.tables.finished_jobs.get(handoff.job)
+        delegated = job.delegated if job is not None else finished.delegated if finished is not None else None
         if delegated is None or delegated.origin != handoff.origin:
             return TargetRecord(floor)
         if job is None:
-            state = DelegationState.DONE if over is not None and over.is_done else DelegationState.STOPPED
+            state = DelegationState.DONE if finished is not None and finished.is_done else DelegationState.STOPPED
         elif job.is_cancelled:
             state = DelegationState.STOPPING
         else:
             state = DelegationState.BEGUN if job.progress_revision else DelegationState.ACCEPTED
         return TargetRecord(floor, Delegation(HandoffId(handoff.origin, handoff.job, delegated.number), state))
 
-    def _has_room(self, handoff: HandoffId, offer: Offer | None) -> bool:
+    def _can_accept(self, handoff: HandoffId, offer: Offer | None) -> bool:
         """Whether the job of an offer can run in this cell and there is free capacity for it now."""
         tables, summary = self.tables, self.summary()
         if offer is None or summary is None or summary.saturated:
@@ -138,15 +139,15 @@
         known = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
         if known or tables.mod_revision(keys.progress_key(handoff.job)) or spec.id != handoff.job:
             return False
-        if spec.prerequisites or not may_move_by_shape(spec):
+        if spec.prerequisites or not is_zone_independent(spec):
             return False
         if unschedulable_reason(spec, self.settings.teams, tables.machine_types) is not None:
             return False
         if len(wire.encode(self._delegated_job(handoff, offer))) > self.client.value_bytes:
             return False
         task = task_resources(spec)
-        least = spec.tasks if spec.gang else 1
-        return min(task.times_in(summary.free), task.times_in(summary.room_of_team(spec.team))) >= least
+        required = spec.tasks if spec.gang else 1
+        return min(task.max_copies_in(summary.free), task.max_copies_in(summary.free_for_team(spec.team))) >= required
 
     @staticmethod
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -181,9 +181,9 @@
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
     origin = CellOrigin(context, features, machines.queue.waiting_jobs, links)
-    group.start_soon(origin.select_forever)
+    group.start_soon(origin.select_moves_forever)
     for peer in features.peers:
-        group.start_soon(origin.talk_forever, peer.name)
+        group.start_soon(origin.poll_peer_forever, peer.name)
 
 
 def start_admission(
--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -37,7 +37,7 @@
     # Whether jobs are offered and accepted. Handoffs in flight are completed even if this is off.
     moving: bool
     # The number of jobs that may be in flight to one peer.
-    most_under_way: int
+    max_in_flight: int
     peers: tuple[PeerCell, ...]
     # By job class. Jobs of other classes stay in the cell where they were submitted.
     policies: dict[str, MovePolicy] = field(default_factory=dict)
@@ -92,7 +92,7 @@
         name=name,
         incarnation=table.integer("incarnation"),
         moving=table.switch("moving"),
-        most_under_way=table.integer("most_under_way"),
+        max_in_flight=table.integer("most_under_way"),
         peers=peers,
         policies=_policies(table.optional_table("classes"), {objective.job_class for objective in settings.objectives}),
     )
--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -74,11 +74,11 @@
 
     async def look_round(self) -> None:
         """Runs what the loops of the origin do in one report interval."""
-        await self.origin.mark()
-        await self.origin.select()
+        await self.origin.record_member()
+        await self.origin.select_moves()
         for peer in self.origin.links:
             try:
-                await self.origin.talk(peer)
+                await self.origin.poll_peer(peer)
             except (NoAnswerError, StaleReplicaError):
                 continue
 
@@ -132,7 +132,7 @@
             if job is None or job.is_cancelled:
                 del self.running[key]
                 if job is not None:
-                    await self._learn(key, done=False)
+                    await self._report_end(key, done=False)
             elif now >= self.running[key]:
                 del self.running[key]
                 self.ended.add(key)
@@ -142,13 +142,13 @@
             if job is None or job.progress.done >> key[1] & 1:
                 self.ended.discard(key)
             else:
-                await self._learn(key, done=True)
+                await self._report_end(key, done=True)
         await self._withdrawn()
         if not self.outage:
             await self.controllers[OWNER].jobs._commit_round()
             await self._claim()
 
-    async def _learn(self, key: tuple[str, int, str], done: bool) -> None:
+    async def _report_end(self, key: tuple[str, int, str], done: bool) -> None:
         """Reports the end of a task to the controller that claimed it, which stores it at once."""
         job, index, tag = key
         controller = self.controllers[tag.partition(".")[0]]
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -152,7 +152,7 @@
             link = controller.origin.links[message.target]
             self.happened["copy of an answer"] += 1
             with contextlib.suppress(NoAnswerError):
-                await controller.origin._learn(message.handoff.job, message, link)
+                await controller.origin._apply_answer(message.handoff.job, message, link)
 
     # -- steps
 
--- a/tests/support/moved_job.py
+++ b/tests/support/moved_job.py
@@ -23,7 +23,7 @@
         self.controller = self.north.controllers["c0"]
         for controller in self.north.controllers.values():
             # All controllers manage the job's handoffs, so that a test may use any of them.
-            controller.origin._looked_after_here = lambda name: True  # type: ignore[method-assign]
+            controller.origin._manages_handoffs_of = lambda name: True  # type: ignore[method-assign]
         anyio.run(self._begin, klass, visits)
         if accepted:
             self.talk()
@@ -32,7 +32,7 @@
         for cell in self.world.cells.values():
             cell.renew()
             for controller in cell.controllers.values():
-                await controller.origin.mark()
+                await controller.origin.record_member()
         await self.world.submit("north", JOB, klass, visits=visits, expectedS=10.0)
         job = self.north.store.tables.jobs[JOB]
         await self.controller.origin._move(job, "south")
@@ -45,10 +45,10 @@
     def talk(self) -> None:
         async def talk() -> None:
             try:
-                await self.controller.origin.talk("south")
+                await self.controller.origin.poll_peer("south")
             except (NoAnswerError, StaleReplicaError):
-                for name, _row in list(self.controller.origin._rows()):
-                    await self.controller.origin._settle(name, "south", self.controller.origin.links["south"])
+                for name, _row in list(self.controller.origin._rows_with_handoffs()):
+                    await self.controller.origin._send_requests(name, "south", self.controller.origin.links["south"])
 
         self.renew()
         anyio.run(talk)
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -35,7 +35,7 @@
 
     async def run() -> None:
         for controller in south.controllers.values():
-            await controller.origin.mark()
+            await controller.origin.record_member()
         mesh = Mesh(
             (),
             1.0,
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -10,7 +10,7 @@
 from sloeswitch.actors.users import Users
 from sloeswitch.cells.frames import CellAnswer, CellRequest, Offer
 from sloeswitch.cells.messages import Answer, HandoffId, Request, RequestMessage
-from sloeswitch.cells.origin import STAY_LEASES, TAKE_BACK_LEASES
+from sloeswitch.cells.origin import MIN_STAY_LEASES, RECALL_LEASES
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
 from tests.conftest import spec, submission
@@ -77,7 +77,7 @@
     moved = Moved("once")
     moved.cut(*BOTH_WAYS)
     moved.talk()
-    moved.renew(2 * TAKE_BACK_LEASES * settings_cache().lease_s)
+    moved.renew(2 * RECALL_LEASES * settings_cache().lease_s)
     moved.talk()
     moved.work("north")
     assert JOB not in moved.world.starts and moved.cancel() is None
@@ -96,7 +96,7 @@
     moved.cut(*BOTH_WAYS)
     moved.talk()
     moved.work("south")
-    moved.renew(TAKE_BACK_LEASES * settings_cache().lease_s - 1.0)
+    moved.renew(RECALL_LEASES * settings_cache().lease_s - 1.0)
     moved.talk()
     assert not moved.at_origin.is_runnable, "not yet"
     moved.renew(2.0)
@@ -157,19 +157,19 @@
     assert job.is_runnable and job.returned_ms and not job.handoff.open_handoffs  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._movable(job, job.returned_ms + 1)
-    assert origin._movable(job, job.returned_ms + 1 + int(1000 * STAY_LEASES * settings_cache().lease_s))
+    assert origin._movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * settings_cache().lease_s))
 
 
 def test_a_job_that_could_start_at_home_is_asked_for_back_unless_it_began() -> None:
     moved = Moved("once")
     moved.talk()
-    moved.renew(STAY_LEASES * settings_cache().lease_s + 1)
+    moved.renew(MIN_STAY_LEASES * settings_cache().lease_s + 1)
     moved.talk()
     assert moved.at_origin.is_runnable and JOB not in moved.south.store.tables.jobs
     begun = Moved("once")
     begun.work("south")
     begun.talk()
-    begun.renew(STAY_LEASES * settings_cache().lease_s + 1)
+    begun.renew(MIN_STAY_LEASES * settings_cache().lease_s + 1)
     begun.talk()
     assert not begun.at_origin.is_runnable and JOB in begun.south.store.tables.jobs
 
@@ -222,7 +222,7 @@
     older = CellRequest(RequestMessage(handoff, Request.OFFER), 1, offer)
     assert anyio.run(target.answer, older) is None
     origin = moved.controller.origin
-    assert origin._heard("south", 3) and not origin._heard("south", 2)
+    assert origin._accept_incarnation("south", 3) and not origin._accept_incarnation("south", 2)
 
 
 def test_nothing_moves_before_every_configured_controller_has_the_feature() -> None:
@@ -232,17 +232,17 @@
 
     async def mark(*members: str) -> None:
         for member in members:
-            await north.controllers[member].origin.mark()
+            await north.controllers[member].origin.record_member()
 
     anyio.run(mark, "c0", "c1")
     target = north.controllers["c0"].target
-    assert not target.switched_on and target.summary() is None
+    assert not target.rollout_complete and target.summary() is None
     offer = CellRequest(RequestMessage(HandoffId("south", JOB, 1), Request.OFFER), 1, Offer(spec(JOB), 0))
     epoch = north.store.epoch
     assert anyio.run(target.answer, offer) is None
     assert north.store.epoch == epoch, "no row that an earlier version does not know"
     anyio.run(mark, "c2")
-    assert target.switched_on and target.summary() is not None
+    assert target.rollout_complete and target.summary() is not None
 
 
 def test_a_name_that_the_target_knows_is_refused_and_its_own_job_left_alone() -> None:
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from sloeswitch.cells.selection import Candidate, Move, MoveLimits, candidates, choose_moves, limits_of
-from sloeswitch.cells.summary import MachinePool, Resources, Summary, SummaryBook, summarise
+from sloeswitch.cells.selection import Candidate, Move, MoveLimits, choose_moves, find_candidates, move_limits
+from sloeswitch.cells.summary import MachinePool, Resources, Summary, SummaryCache, summarise
 from sloeswitch.core import job_queue, keys
 from sloeswitch.core.records import Job, JobState
 from sloeswitch.core.row_codec import encode_job
 from sloeswitch.settings import Settings, parse
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec
 
-LIMITS = MoveLimits(margin_s=10.0, transfer_s=5.0, most_under_way=2)
+LIMITS = MoveLimits(margin_s=10.0, transfer_s=5.0, max_in_flight=2)
 POOL = MachinePool("small", True, Resources(8.0, 0.0, 16.0), 0.5, 10)
 TEAM_ROOM = (("red", 80.0, 0.0),)
 
@@ -22,9 +22,11 @@
     return Summary(cell, 1, 10, (POOL,), free, backlog_s, TEAM_ROOM)
 
 
-def late_job(name: str = "wk-000001", left_s: float = 100.0, here_s: float = 200.0, **changes: object) -> Candidate:
+def late_job(
+    name: str = "wk-000001", until_target_s: float = 100.0, local_completion_s: float = 200.0, **changes: object
+) -> Candidate:
     """Four tasks of two cores and 40 s, with an image that takes 2 s to fetch; done in another cell within 47 s."""
-    return Candidate(spec(name, **changes), left_s, here_s)
+    return Candidate(spec(name, **changes), until_target_s, local_completion_s)
 
 
 def test_a_job_that_is_late_here_and_in_time_there_moves() -> None:
@@ -34,8 +36,8 @@
 @pytest.mark.parametrize(
     ("candidate", "summary"),
     [
-        (late_job(here_s=109.0), peer()),  # late here by less than the margin
-        (late_job(left_s=56.0), peer()),  # in time there by less than the margin
+        (late_job(local_completion_s=109.0), peer()),  # late here by less than the margin
+        (late_job(until_target_s=56.0), peer()),  # in time there by less than the margin
         (late_job(), peer(backlog_s=1.0)),  # saturated
         (late_job(), peer(cores=1.0)),  # no free capacity
         (late_job(kit="img-9", pullGb=30.0), peer()),  # fetching the image takes a minute
@@ -53,15 +55,15 @@
 
 def test_room_is_given_once_and_the_cell_where_the_job_ends_first_is_chosen() -> None:
     """Each job uses eight cores. The east has four, so that a job would run there in two rounds."""
-    jobs = [late_job(f"wk-00000{number}", left_s=150.0, here_s=300.0) for number in range(3)]
+    jobs = [late_job(f"wk-00000{number}", until_target_s=150.0, local_completion_s=300.0) for number in range(3)]
     moves = choose_moves(jobs, [peer("south", 8.0), peer("east", 4.0)], {}, LIMITS)
     assert moves == [Move("wk-000000", "south"), Move("wk-000001", "east")]
 
 
 def test_no_more_than_a_stated_number_is_under_way_to_a_peer() -> None:
     jobs = [late_job(f"wk-00000{number}") for number in range(5)]
-    assert len(choose_moves(jobs, [peer()], {}, LIMITS)) == LIMITS.most_under_way
-    assert choose_moves(jobs, [peer()], {"south": LIMITS.most_under_way}, LIMITS) == []
+    assert len(choose_moves(jobs, [peer()], {}, LIMITS)) == LIMITS.max_in_flight
+    assert choose_moves(jobs, [peer()], {"south": LIMITS.max_in_flight}, LIMITS) == []
 
 
 def test_two_saturated_cells_move_nothing() -> None:
@@ -93,8 +95,8 @@
     store.progress("wk-000001", c0_1=0b0011)
     summary = cell.summary()
     assert summary.free.cores == 24.0 and not summary.saturated
-    assert summary.room_of_team("red").cores == 20.0 - 8.0
-    assert summary.room_of_team("blue") == Resources()
+    assert summary.free_for_team("red").cores == 20.0 - 8.0
+    assert summary.free_for_team("blue") == Resources()
     assert summary.pools == (MachinePool("small", True, Resources(8.0, 0.0, 16.0), MACHINE_TYPE.fetch_gb_s, 4),)
 
 
@@ -112,25 +114,25 @@
         store.job(spec(f"wk-00000{number}", dueS=100.0))
     line = cell.line()
     names = {job.spec.id for job in line}
-    found = candidates(line, names, store.tables, settings, 0)
+    found = find_candidates(line, names, store.tables, settings, 0)
     # The first job fits at once. Each of the others waits for the work before it: 8 cores for 40 s per job, on 8 cores.
-    assert [item.here_s for item in found] == [40.0, 120.0, 160.0]
-    assert [item.left_s for item in found] == [100.0, 100.0, 100.0]
-    assert candidates(line, {"wk-000001"}, store.tables, settings, 0) == found[1:2]
-    moves = choose_moves(found, [peer()], {}, limits_of(settings, 5))
+    assert [item.local_completion_s for item in found] == [40.0, 120.0, 160.0]
+    assert [item.until_target_s for item in found] == [100.0, 100.0, 100.0]
+    assert find_candidates(line, {"wk-000001"}, store.tables, settings, 0) == found[1:2]
+    moves = choose_moves(found, [peer()], {}, move_limits(settings, 5))
     assert moves == [Move("wk-000001", "south"), Move("wk-000002", "south")]
 
 
 def test_summaries_that_are_old_late_or_of_an_older_incarnation_count_for_nothing() -> None:
-    book = SummaryBook(max_age_s=10.0)
+    cache = SummaryCache(max_age_s=10.0)
     young = Summary("south", 2, 50)
-    assert book.hear(young, 100.0) and book.current(110.0) == [young]
-    assert book.current(110.1) == []
-    assert not book.hear(Summary("south", 1, 90), 101.0), "restored from a copy"
-    assert not book.hear(Summary("south", 2, 49), 101.0), "a lagging controller"
-    assert not book.hear(Summary("south", 2, 51), 99.0), "an answer to an earlier question"
+    assert cache.add(young, 100.0) and cache.current(110.0) == [young]
+    assert cache.current(110.1) == []
+    assert not cache.add(Summary("south", 1, 90), 101.0), "restored from a copy"
+    assert not cache.add(Summary("south", 2, 49), 101.0), "a lagging controller"
+    assert not cache.add(Summary("south", 2, 51), 99.0), "an answer to an earlier question"
     newer = Summary("south", 3, 7)
-    assert book.hear(newer, 101.0) and book.current(101.0) == [newer]
+    assert cache.add(newer, 101.0) and cache.current(101.0) == [newer]
 
 
 def test_what_waits_for_others_is_no_backlog(settings: Settings, store: Store) -> None:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -371,46 +371,46 @@
     each = origin(world, None, None, Answer.ACCEPTED)
     world.given("job")
     world.run(each._move, world.store.tables.jobs[JOB], "south")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
     world.later(50.0)
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def moved_and_given_back(world: Recorder) -> None:
     each = origin(world, Answer.REFUSED)
     world.given("job offered to a cell")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def moved_and_done(world: Recorder) -> None:
     each = origin(world, Answer.DONE)
     world.given("job offered to a cell")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def every_handoff_field(world: Recorder) -> None:
     each = origin(world, Answer.STOPPED)
     world.given("job with every field of a handoff")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def done_elsewhere_with_a_handoff_left(world: Recorder) -> None:
     each = origin(world, Answer.DONE)
     world.given("job with every field of a handoff")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def over_with_handoffs(world: Recorder) -> None:
     each = origin(world, Answer.STOPPED, Answer.STOPPED)
     world.given("jobs over that await other cells")
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def cancellation_of_a_moved_job(world: Recorder) -> None:
     each = origin(world, Answer.STOPPED)
     world.given("job offered to a cell")
     assert world.run(world.jobs.cancel, JOB) is None
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def cancellation_of_a_moved_job_with_tasks(world: Recorder) -> None:
@@ -418,7 +418,7 @@
     world.given("job offered to a cell")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     assert world.run(world.jobs.cancel, JOB) is None
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def handoffs_beside_the_end(world: Recorder) -> None:
@@ -445,13 +445,13 @@
     each = origin(world, Answer.STOPPED)
     world.store.put(keys.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
-    world.run(each.talk, "south")
+    world.run(each.poll_peer, "south")
 
 
 def target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
     world.given("layout mark, complete", "feature marks, complete")
     each = CellTarget(world.context, cell_features(), world.jobs)
-    monkeypatch.setattr(each, "_has_room", lambda handoff, offer: offer is not None)
+    monkeypatch.setattr(each, "_can_accept", lambda handoff, offer: offer is not None)
     return each
 
 
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -81,7 +81,7 @@
         "cells.name": lambda f: f.cells.name,
         "cells.incarnation": lambda f: f.cells.incarnation,
         "cells.moving": lambda f: f.cells.moving,
-        "cells.most_under_way": lambda f: f.cells.most_under_way,
+        "cells.most_under_way": lambda f: f.cells.max_in_flight,
         "cells.classes.train": lambda f: classes(f.cells),
         "cells.peers.name": lambda f: f.cells.peers[0].name,
         "cells.peers.addresses": lambda f: [address(each) for each in f.cells.peers[0].addresses],
