--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -45,7 +45,7 @@
 OWNER = "c0"
 
 
-def settings_of(member: str) -> Settings:
+def member_settings(member: str) -> Settings:
     """Returns the settings of one controller."""
     return parse(settings_text(member, MEMBERS).replace("cpus_max = 20.0", f"cpus_max = {TEAM_LIMIT}"))
 
@@ -55,7 +55,7 @@
 
     def __init__(self, cell: Cell, member: str, boot: int) -> None:
         world = cell.world
-        settings = settings_of(member)
+        settings = member_settings(member)
         client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
         client.store, client.late, client.cell = cell.store, [], cell
         self.replica = CellReplica(client, cell.store.tables, world.clock.now)
@@ -70,9 +70,9 @@
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
         self.target = CellTarget(self.context, features, self.jobs)
         links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
-        self.origin = CellOrigin(self.context, features, cell.line, links)
+        self.origin = CellOrigin(self.context, features, cell.queue, links)
 
-    async def look_round(self) -> None:
+    async def run_interval(self) -> None:
         """Runs what the loops of the origin do in one report interval."""
         await self.origin.record_member()
         await self.origin.select_moves()
@@ -108,9 +108,9 @@
         """Returns a random controller of the cell."""
         return self.controllers[self.world.rng.choice(MEMBERS)]
 
-    def line(self) -> list[Job]:
+    def queue(self) -> list[Job]:
         """The jobs in queue order."""
-        return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
+        return job_queue.queue_order(self.store.tables, shared_settings(), int(self.world.clock.time * 1000))
 
     def renew(self) -> None:
         """Renews the controllers' leases unless the state service is out."""
@@ -143,7 +143,7 @@
                 self.ended.discard(key)
             else:
                 await self._report_end(key, done=True)
-        await self._withdrawn()
+        await self._release_cancelled()
         if not self.outage:
             await self.controllers[OWNER].jobs._commit_round()
             await self._claim()
@@ -156,7 +156,7 @@
         await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
         await controller.jobs._commit_round()
 
-    async def _withdrawn(self) -> None:
+    async def _release_cancelled(self) -> None:
         """Releases claims on tasks of cancelled jobs that are not running."""
         for job in list(self.store.tables.jobs.values()):
             if not job.is_cancelled:
@@ -168,17 +168,17 @@
                     await controller.jobs._commit_round()
 
     async def _claim(self) -> None:
-        for job in self.line():
+        for job in self.queue():
             free = MACHINES * CORES - self.used()
             count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used()) // job.spec.cores))
             if count <= 0:
                 return
             controller = self.controllers[OWNER]
-            held = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
+            allocated = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
             used = sum(
                 self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
             )
-            want = ResourceAmount(max(held, used + count * job.spec.cores))
+            want = ResourceAmount(max(allocated, used + count * job.spec.cores))
             await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
             await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
@@ -202,11 +202,11 @@
             self.world.started(self.name, name)
 
 
-_settings: list[Settings] = []
+_cached_settings: list[Settings] = []
 
 
-def settings_cache() -> Settings:
+def shared_settings() -> Settings:
     """Returns settings for callers that need none of a particular member."""
-    if not _settings:
-        _settings.append(settings_of("c0"))
-    return _settings[0]
+    if not _cached_settings:
+        _cached_settings.append(member_settings("c0"))
+    return _cached_settings[0]
--- a/tests/support/cell_network.py
+++ b/tests/support/cell_network.py
@@ -22,7 +22,7 @@
         self.target = target
 
     def _lost(self, sender: str, receiver: str) -> bool:
-        lossy = self.world.troubled and self.world.rng.random() < 0.1
+        lossy = self.world.faults_enabled and self.world.rng.random() < 0.1
         return lossy or (sender, receiver) in self.world.cuts
 
     async def request(self, request: CellRequest) -> CellAnswer:
@@ -30,14 +30,14 @@
         world = self.world
         world.messages += 1
         world.recorder.record("cell request", self.origin, self.target, request.pack())
-        if world.troubled:
-            world.copies.append((self.target, request))
+        if world.faults_enabled:
+            world.request_copies.append((self.target, request))
         if self._lost(self.origin, self.target):
             raise NoAnswerError("lost")
         answer = await world.deliver(self.target, request)
         world.recorder.record("cell answer", self.target, self.origin, CellAnswer(1, answer).pack())
-        if world.troubled and answer is not None:
-            world.old_answers.append((self.origin, AnswerMessage(request.message.handoff, self.target, answer)))
+        if world.faults_enabled and answer is not None:
+            world.answer_copies.append((self.origin, AnswerMessage(request.message.handoff, self.target, answer)))
         if self._lost(self.target, self.origin):
             raise NoAnswerError("answer lost")
         return CellAnswer(1, answer)
--- a/tests/support/cell_state.py
+++ b/tests/support/cell_state.py
@@ -34,12 +34,14 @@
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, leases)
         if cell.outage:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
-        luck = world.rng.random() if world.troubled else 1.0
-        if luck < 0.03:
-            world.late.append((world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops)))
+        draw = world.rng.random() if world.faults_enabled else 1.0
+        if draw < 0.03:
+            world.late_transactions.append(
+                (world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops))
+            )
             return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         outcome = self.apply(conditions, writes, drops)
-        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.06 else outcome
+        return TransactionResult(TransactionOutcome.UNKNOWN) if draw < 0.06 else outcome
 
 
 class CellReplica(ScriptedReplica):
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -23,7 +23,7 @@
 from sloeswitch.cells.policy import MovePolicy
 from sloeswitch.frame_link import NoAnswerError
 from tests.conftest import spec
-from tests.support.cell import CELLS, CLASSES, MEMBERS, TEAM_LIMIT, Cell, Controller, settings_cache
+from tests.support.cell import CELLS, CLASSES, MEMBERS, TEAM_LIMIT, Cell, Controller, shared_settings
 from tests.support.cell_state import CellState
 from tests.support.clock import Clock
 from tests.support.recorder import TraceRecorder
@@ -37,34 +37,34 @@
 class CellWorld:
     """The simulated clock, cells, network and users, and what users and machines observed."""
 
-    def __init__(self, seed: int, moving: bool = True, troubled: bool = True) -> None:
+    def __init__(self, seed: int, moving: bool = True, faults_enabled: bool = True) -> None:
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.moving = moving
-        self.troubled = troubled
+        self.faults_enabled = faults_enabled
         self.recorder = TraceRecorder()
         self.cuts: set[tuple[str, str]] = set()
-        self.late: list[tuple[float, Cell, CellState, tuple[Any, Any, Any]]] = []
-        self.copies: list[tuple[str, CellRequest]] = []
-        self.old_answers: list[tuple[str, AnswerMessage]] = []
+        self.late_transactions: list[tuple[float, Cell, CellState, tuple[Any, Any, Any]]] = []
+        self.request_copies: list[tuple[str, CellRequest]] = []
+        self.answer_copies: list[tuple[str, AnswerMessage]] = []
         self.messages = 0
         self.cells = {name: Cell(self, name) for name in CELLS}
         # Users: where each job was submitted, when it was accepted, and the final status that was answered and when.
-        self.home: dict[str, str] = {}
+        self.origins: dict[str, str] = {}
         self.specs: dict[str, wire.JobSpec] = {}
         self.cores: dict[str, float] = {}
-        self.submitted_at: dict[str, float] = {}
-        self.told: dict[str, tuple[str, float]] = {}
+        self.accepted_at: dict[str, float] = {}
+        self.reported: dict[str, tuple[str, float]] = {}
         # Machines: how many tasks of a job started in each cell, and which were completed in each.
         self.starts: dict[str, Counter[str]] = {}
         self.results: dict[tuple[str, str], set[int]] = {}
-        self.happened = Counter[str]()
+        self.event_counts = Counter[str]()
 
     # -- machines
 
     def started(self, cell: str, job: str) -> None:
         """Records that a task starts, and checks that it may."""
-        status, _ = self.told.get(job, ("", 0.0))
+        status, _ = self.reported.get(job, ("", 0.0))
         if status == wire.JobStatus.CANCELLED:
             raise RuleError(f"{job} starts in {cell} after its cancellation was confirmed")
         where = self.starts.setdefault(job, Counter())
@@ -72,7 +72,7 @@
         policy = CLASSES[self.specs[job].job_class]
         if policy is not MovePolicy.REPEATABLE and len(where) > 1:
             raise RuleError(f"{job} may start in one cell only but started in {', '.join(where)}")
-        if policy is MovePolicy.NEVER and cell != self.home[job]:
+        if policy is MovePolicy.NEVER and cell != self.origins[job]:
             raise RuleError(f"{job} must not move but started in {cell}")
         if self.cells[cell].used() > TEAM_LIMIT:
             raise RuleError(f"the team's limit is exceeded in {cell}")
@@ -83,30 +83,30 @@
 
     # -- users
 
-    async def submit(self, cell: str, name: str, klass: str, **changes: Any) -> None:
+    async def submit(self, cell: str, name: str, job_class: str, **changes: Any) -> None:
         """A user submits a job."""
-        job = spec(name, roster=klass, **changes)
+        job = spec(name, roster=job_class, **changes)
         self.specs[name], self.cores[name] = job, job.cores
-        self.home[name] = cell
+        self.origins[name] = cell
         accepted = await self.cells[cell].any_controller().jobs.submit(job)
         # A submission that was not confirmed may still be stored late, but no check relies on it.
         if accepted is not None:
-            self.submitted_at[name] = self.clock.time
+            self.accepted_at[name] = self.clock.time
 
     async def cancel(self, name: str) -> None:
         """A user requests a cancellation; the answer is checked if it is a final status."""
-        cell = self.cells[self.home[name]]
+        cell = self.cells[self.origins[name]]
         if not cell.outage:
             status = await cell.any_controller().jobs.cancel(name)
             if status in (wire.JobStatus.CANCELLED, wire.JobStatus.DONE):
-                self.tell(name, status)
+                self.report_status(name, status)
 
-    def tell(self, name: str, status: str) -> None:
+    def report_status(self, name: str, status: str) -> None:
         """Records that a user was answered a final status, and checks it."""
-        known = self.told.get(name)
+        known = self.reported.get(name)
         if known is None:
-            self.told[name] = (status, self.clock.time)
-            self.happened[status] += 1
+            self.reported[name] = (status, self.clock.time)
+            self.event_counts[status] += 1
         elif known[0] != status:
             raise RuleError(f"{name} was reported as {known[0]} and now as {status}")
         everything = set(range(self.specs[name].tasks))
@@ -115,23 +115,23 @@
         ):
             raise RuleError(f"{name} is reported as done but no cell completed all its tasks")
 
-    def poll_all(self) -> None:
+    def poll_statuses(self) -> None:
         """Queries the status of each job in the cell where it was submitted."""
-        for name, home in self.home.items():
-            cell = self.cells[home]
+        for name, origin in self.origins.items():
+            cell = self.cells[origin]
             status = cell.any_controller().jobs.status(name)
-            self.recorder.record("status", home, name, None if status is None else str(status))
-            if status is None and name in self.submitted_at:
+            self.recorder.record("status", origin, name, None if status is None else str(status))
+            if status is None and name in self.accepted_at:
                 raise RuleError(f"{name} was accepted but its cell does not know it")
             if status in (wire.JobStatus.DONE, wire.JobStatus.CANCELLED):
-                self.tell(name, status)
+                self.report_status(name, status)
 
-    def check_gone(self) -> None:
+    def check_cancelled_tasks_stopped(self) -> None:
         """Checks that tasks leave their machines within `cancel_s` after the cancellation was confirmed."""
         for cell in self.cells.values():
             for job, index, _tag in cell.running:
-                status, at = self.told.get(job, ("", 0.0))
-                if status == wire.JobStatus.CANCELLED and self.clock.time - at > settings_cache().cancel_s:
+                status, at = self.reported.get(job, ("", 0.0))
+                if status == wire.JobStatus.CANCELLED and self.clock.time - at > shared_settings().cancel_s:
                     raise RuleError(f"{job}/{index} is on a machine of {cell.name} long after its cancellation")
 
     # -- the network
@@ -142,15 +142,15 @@
 
     async def deliver_copies(self) -> None:
         """Delivers random copies of earlier requests and answers."""
-        if self.copies and self.rng.random() < 0.3:
-            target, request = self.rng.choice(self.copies)
+        if self.request_copies and self.rng.random() < 0.3:
+            target, request = self.rng.choice(self.request_copies)
             await self.deliver(target, request)
-            self.happened["copy of a request"] += 1
-        if self.old_answers and self.rng.random() < 0.3:
-            origin, message = self.rng.choice(self.old_answers)
+            self.event_counts["copy of a request"] += 1
+        if self.answer_copies and self.rng.random() < 0.3:
+            origin, message = self.rng.choice(self.answer_copies)
             controller = self.cells[origin].any_controller()
             link = controller.origin.links[message.target]
-            self.happened["copy of an answer"] += 1
+            self.event_counts["copy of an answer"] += 1
             with contextlib.suppress(NoAnswerError):
                 await controller.origin._apply_answer(message.handoff.job, message, link)
 
@@ -159,61 +159,61 @@
     async def step(self) -> None:
         """Advances the simulation by 0.3 to 0.7 s."""
         self.clock.time += 0.3 + 0.4 * self.rng.random()
-        for item in [item for item in self.late if item[0] <= self.clock.time and not item[1].outage]:
-            self.late.remove(item)
+        for item in [item for item in self.late_transactions if item[0] <= self.clock.time and not item[1].outage]:
+            self.late_transactions.remove(item)
             item[2].apply(*item[3])
-            self.happened["late change"] += 1
+            self.event_counts["late change"] += 1
         for cell in self.cells.values():
             cell.renew()
             await cell.work()
             for controller in list(cell.controllers.values()):
                 if self.rng.random() < 0.5:
-                    await controller.look_round()
-        if self.troubled:
+                    await controller.run_interval()
+        if self.faults_enabled:
             await self.deliver_copies()
-        self.check_gone()
-        self.poll_all()
+        self.check_cancelled_tasks_stopped()
+        self.poll_statuses()
 
-    def trouble(self) -> None:
+    def inject_fault(self) -> None:
         """Starts or ends a random fault, with some probability."""
-        luck = self.rng.random()
-        if luck < 0.04:
+        draw = self.rng.random()
+        if draw < 0.04:
             one, other = self.rng.sample(CELLS, 2)
             self.cuts ^= {(one, other)}
-            self.happened["cut in one direction"] += 1
-        elif luck < 0.06:
-            lone = self.rng.choice(CELLS)
-            ways = {way for other in CELLS if other != lone for way in ((lone, other), (other, lone))}
-            self.cuts = self.cuts - ways if ways <= self.cuts else self.cuts | ways
-            self.happened["cell cut off"] += 1
-        elif luck < 0.08:
+            self.event_counts["cut in one direction"] += 1
+        elif draw < 0.06:
+            isolated = self.rng.choice(CELLS)
+            links = {link for other in CELLS if other != isolated for link in ((isolated, other), (other, isolated))}
+            self.cuts = self.cuts - links if links <= self.cuts else self.cuts | links
+            self.event_counts["cell cut off"] += 1
+        elif draw < 0.08:
             cell = self.cells[self.rng.choice(CELLS)]
             cell.outage = not cell.outage
-            self.happened["outage"] += 1
-        elif luck < 0.14:
+            self.event_counts["outage"] += 1
+        elif draw < 0.14:
             cell = self.cells[self.rng.choice(CELLS)]
             member = self.rng.choice(MEMBERS)
             cell.controllers[member] = Controller(cell, member, 1)
-            self.happened["crash"] += 1
-        elif luck < 0.16:
+            self.event_counts["crash"] += 1
+        elif draw < 0.16:
             # Their tasks are started again in the same cell.
             running = self.cells[self.rng.choice(CELLS)].running
             for key in [key for key in running if self.rng.random() < 0.5]:
                 del running[key]
-            self.happened["machines failed"] += 1
+            self.event_counts["machines failed"] += 1
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Ends all faults."""
-        self.troubled = False
+        self.faults_enabled = False
         self.cuts.clear()
         for cell in self.cells.values():
             cell.outage = False
 
     def unfinished(self) -> set[str]:
         """Accepted jobs for which no final status was answered."""
-        return set(self.submitted_at) - set(self.told)
+        return set(self.accepted_at) - set(self.reported)
 
-    def left_over(self) -> Iterator[str]:
+    def leftovers(self) -> Iterator[str]:
         """Yields jobs and handoff records that should have been deleted once all jobs have ended."""
         for cell in self.cells.values():
             for name in sorted(cell.store.tables.unsettled_jobs):
@@ -222,37 +222,37 @@
                 yield f"{name} in {cell.name}: {job.status}"
 
 
-async def play(seed: int, steps: int = 300, calm_steps: int = 900) -> CellWorld:
+async def play(seed: int, steps: int = 300, fault_free_steps: int = 900) -> CellWorld:
     """Runs a simulation in which the north is overloaded, first with faults and then without."""
     world = CellWorld(seed)
     for number in range(steps):
-        if world.rng.random() < 0.5 and len(world.home) < 80:
+        if world.rng.random() < 0.5 and len(world.origins) < 80:
             cell = "north" if world.rng.random() < 0.9 else world.rng.choice(CELLS)
             name = f"wk-{len(world.specs):06d}"
             visits = world.rng.randint(1, 6)
             await world.submit(
                 cell, name, world.rng.choice(list(CLASSES)), visits=visits, expectedS=12.0, dueS=60.0, pullGb=0.1
             )
-        if world.rng.random() < 0.05 and world.submitted_at:
-            await world.cancel(world.rng.choice(sorted(world.submitted_at)))
+        if world.rng.random() < 0.05 and world.accepted_at:
+            await world.cancel(world.rng.choice(sorted(world.accepted_at)))
         if number > 20:
-            world.trouble()
+            world.inject_fault()
         await world.step()
-    world.heal()
-    for _ in range(calm_steps):
+    world.clear_faults()
+    for _ in range(fault_free_steps):
         await world.step()
-        if not world.unfinished() and not list(world.left_over()):
+        if not world.unfinished() and not list(world.leftovers()):
             break
     return world
 
 
-def play_to_the_end(seed: int) -> None:
+def check_seed(seed: int) -> None:
     """Runs a simulation; raises RuleError also for jobs and records that are left at the end."""
     world = anyio.run(play, seed)
-    left = [*sorted(world.unfinished()), *world.left_over()]
+    left = [*sorted(world.unfinished()), *world.leftovers()]
     if left:
         raise RuleError(f"left at the end: {left[:3]}")
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(play_to_the_end, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(play_seeds(check_seed, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/handoff_model.py
+++ b/tests/support/handoff_model.py
@@ -205,8 +205,8 @@
 def main() -> None:
     """Explores every order of events of up to two handoffs, for each policy; the slowest takes half a minute."""
     for policy in MovePolicy:
-        found = explore(Model(policy))
-        print(f"{policy.value}: {found.states} states, {found.stuck} from which the job cannot end")
+        exploration = explore(Model(policy))
+        print(f"{policy.value}: {exploration.states} states, {exploration.stuck} from which the job cannot end")
 
 
 if __name__ == "__main__":
--- a/tests/support/moved_job.py
+++ b/tests/support/moved_job.py
@@ -11,29 +11,29 @@
 from tests.support.single_controller import JOB
 
 
-class Moved:
+class MovedJob:
     """A simulation without faults in which a job of the north was offered to the south.
 
     The south has accepted it unless `accepted` is False.
     """
 
-    def __init__(self, klass: str, accepted: bool = True, visits: int = 3) -> None:
-        self.world = CellWorld(1, troubled=False)
+    def __init__(self, job_class: str, accepted: bool = True, visits: int = 3) -> None:
+        self.world = CellWorld(1, faults_enabled=False)
         self.north, self.south = self.world.cells["north"], self.world.cells["south"]
         self.controller = self.north.controllers["c0"]
         for controller in self.north.controllers.values():
             # All controllers manage the job's handoffs, so that a test may use any of them.
             controller.origin._manages_handoffs_of = lambda name: True  # type: ignore[method-assign]
-        anyio.run(self._begin, klass, visits)
+        anyio.run(self._begin, job_class, visits)
         if accepted:
-            self.talk()
+            self.poll_peer()
 
-    async def _begin(self, klass: str, visits: int) -> None:
+    async def _begin(self, job_class: str, visits: int) -> None:
         for cell in self.world.cells.values():
             cell.renew()
             for controller in cell.controllers.values():
                 await controller.origin.record_member()
-        await self.world.submit("north", JOB, klass, visits=visits, expectedS=10.0)
+        await self.world.submit("north", JOB, job_class, visits=visits, expectedS=10.0)
         job = self.north.store.tables.jobs[JOB]
         await self.controller.origin._move(job, "south")
 
@@ -42,8 +42,8 @@
         for cell in self.world.cells.values():
             cell.renew()
 
-    def talk(self) -> None:
-        async def talk() -> None:
+    def poll_peer(self) -> None:
+        async def poll_peer() -> None:
             try:
                 await self.controller.origin.poll_peer("south")
             except (NoAnswerError, StaleReplicaError):
@@ -51,7 +51,7 @@
                     await self.controller.origin._send_requests(name, "south", self.controller.origin.links["south"])
 
         self.renew()
-        anyio.run(talk)
+        anyio.run(poll_peer)
 
     def cut(self, *ways: tuple[str, str]) -> None:
         self.world.cuts = set(ways)
@@ -59,7 +59,7 @@
     def work(self, cell: str) -> None:
         anyio.run(self.world.cells[cell].work)
 
-    def run_there(self) -> None:
+    def run_in_target(self) -> None:
         """Runs the job in the south until it is completed."""
         self.work("south")
         self.renew(30.0)
@@ -67,7 +67,7 @@
         self.work("south")
 
     @property
-    def at_origin(self) -> Job:
+    def origin_job(self) -> Job:
         return self.north.store.tables.jobs[JOB]
 
     def status(self) -> str | None:
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -34,25 +34,27 @@
     unfinished: int
 
 
-async def load(seed: int, moving: bool) -> SpillResult:
+async def run_load(seed: int, moving: bool) -> SpillResult:
     """Submits sixty jobs in about half a minute, nine of ten in the north, and runs until all have ended."""
-    world = CellWorld(seed, moving=moving, troubled=False)
+    world = CellWorld(seed, moving=moving, faults_enabled=False)
     arrivals = random.Random(seed)
     before = sum(cell.store.epoch for cell in world.cells.values())
-    while len(world.home) < JOBS or world.unfinished():
-        if len(world.home) < JOBS and arrivals.random() < 0.8:
+    while len(world.origins) < JOBS or world.unfinished():
+        if len(world.origins) < JOBS and arrivals.random() < 0.8:
             cell = "north" if arrivals.random() < 0.9 else arrivals.choice(CELLS)
-            name = f"wk-{len(world.home):06d}"
-            klass = arrivals.choice(["once", "again"])
+            name = f"wk-{len(world.origins):06d}"
+            job_class = arrivals.choice(["once", "again"])
             visits = arrivals.randint(1, 6)
-            await world.submit(cell, name, klass, visits=visits, expectedS=12.0, dueS=DUE_S, pullGb=0.1)
+            await world.submit(cell, name, job_class, visits=visits, expectedS=12.0, dueS=DUE_S, pullGb=0.1)
         await world.step()
         if world.clock.time > 3000:
             break
-    times = [at - world.submitted_at[job] for job, (status, at) in world.told.items() if status == wire.JobStatus.DONE]
-    moved = sum(set(where) != {world.home[job]} for job, where in world.starts.items())
+    times = [
+        at - world.accepted_at[job] for job, (status, at) in world.reported.items() if status == wire.JobStatus.DONE
+    ]
+    moved = sum(set(where) != {world.origins[job]} for job, where in world.starts.items())
     changes = sum(cell.store.epoch for cell in world.cells.values()) - before
-    in_time = sum(each <= DUE_S for each in times) / len(world.home)
+    in_time = sum(each <= DUE_S for each in times) / len(world.origins)
     return SpillResult(
         in_time, statistics.mean(times), max(times), moved, changes, world.messages, len(world.unfinished())
     )
@@ -60,12 +62,12 @@
 
 def main(first: int, last: int) -> None:
     """Prints the two runs of each seed, then the mean, minimum and maximum of each result."""
-    found: dict[bool, list[SpillResult]] = {False: [], True: []}
+    results: dict[bool, list[SpillResult]] = {False: [], True: []}
     for seed in range(first, last):
-        for moving, outcomes in found.items():
-            outcomes.append(anyio.run(load, seed, moving))
+        for moving, outcomes in results.items():
+            outcomes.append(anyio.run(run_load, seed, moving))
             print(seed, "moving" if moving else "staying", outcomes[-1])
-    for moving, outcomes in found.items():
+    for moving, outcomes in results.items():
         print("moving" if moving else "staying")
         for name in ("in_time", "mean_s", "longest_s", "moved", "changes", "messages", "unfinished"):
             values = [float(getattr(outcome, name)) for outcome in outcomes]
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -24,8 +24,8 @@
 )
 def test_every_order_of_events_keeps_the_rules_and_can_end(policy: MovePolicy, max_handoffs: int) -> None:
     """Includes lost, delayed and duplicated messages, transactions without an answer, and crashes of either side."""
-    found = explore(Model(policy, max_handoffs))
-    assert found.states > 10 and found.stuck == 0
+    exploration = explore(Model(policy, max_handoffs))
+    assert exploration.states > 10 and exploration.stuck == 0
 
 
 def _keep_floor(record: TargetRecord, stored: Delegation, request: Request) -> TargetDecision:
@@ -84,7 +84,7 @@
         explore(Model(policy, 1 if policy is MovePolicy.REPEATABLE else 2))
 
 
-def test_without_acknowledgements_a_target_never_forgets(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_target_keeps_its_record_without_an_acknowledgement(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(handoff, "acknowledgement", _acknowledge_nothing)
     assert explore(Model(MovePolicy.ONCE, 1)).stuck > 0
 
@@ -104,7 +104,7 @@
     assert delegation.decide(record, FIRST, Request.OFFER, has_capacity=True).answer is Answer.REFUSED
 
 
-def test_a_question_about_a_handoff_that_was_never_heard_of_settles_nothing() -> None:
+def test_a_query_for_an_unknown_handoff_changes_nothing() -> None:
     decision = delegation.decide(TargetRecord(), FIRST, Request.QUERY, has_capacity=True)
     assert decision == TargetDecision(TargetRecord(), Answer.UNKNOWN)
     row = handoff.move(OriginRow(ORIGIN, JOB, MovePolicy.ONCE), TARGET, 1)
@@ -116,7 +116,7 @@
     assert delegation.decide(record, FIRST, Request.OFFER, has_capacity=True).answer is Answer.REFUSED
 
 
-def test_what_began_is_not_given_back_but_can_be_stopped() -> None:
+def test_a_begun_handoff_is_not_withdrawn_but_can_be_stopped() -> None:
     begun = replace(accepted(), delegation=Delegation(FIRST).begin())
     assert delegation.decide(begun, FIRST, Request.WITHDRAW, has_capacity=True).answer is Answer.BEGUN
     stopping = delegation.decide(begun, FIRST, Request.STOP, has_capacity=True)
@@ -125,7 +125,7 @@
     assert stored is not None and not stored.final and stored.confirm_stopped().final
 
 
-def test_a_handoff_that_may_be_running_is_not_forgotten_by_an_acknowledgement() -> None:
+def test_an_acknowledgement_does_not_delete_a_handoff_that_is_not_final() -> None:
     decision = delegation.decide(accepted(), FIRST, Request.ACKNOWLEDGE, has_capacity=True)
     assert decision == TargetDecision(accepted(), Answer.ACCEPTED)
 
@@ -149,7 +149,7 @@
     assert late.result is Result.DONE and late.open_handoffs == ()
 
 
-def test_a_job_that_may_begin_once_waits_for_a_target_out_of_reach() -> None:
+def test_a_once_job_is_not_recalled_from_an_unreachable_target() -> None:
     row = handoff.move(OriginRow(ORIGIN, JOB, MovePolicy.ONCE), TARGET, 1)
     assert handoff.recall(row) == row
     assert [message.request for _, message in handoff.requests(row)] == [Request.OFFER]
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -25,9 +25,9 @@
 JOB = "wk-000001"
 
 
-def test_a_link_talks_to_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_link_exchanges_frames_with_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
     """A request without an answer closes the connection, and the next request goes to the next controller."""
-    world = CellWorld(1, troubled=False)
+    world = CellWorld(1, faults_enabled=False)
     south = world.cells["south"]
     south.renew()
     target = south.controllers["c0"].target
@@ -72,7 +72,7 @@
     anyio.run(run)
 
 
-def test_frames_survive_the_way_and_what_is_none_is_refused() -> None:
+def test_frames_round_trip_and_invalid_frames_are_refused() -> None:
     handoff = HandoffId("north", JOB, 77)
     request = CellRequest(RequestMessage(handoff, Request.OFFER), 3, Offer(spec(JOB), 1234))
     assert CellRequest.unpack(request.pack()) == request
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -14,31 +14,31 @@
 from sloeswitch.frame_link import NoAnswerError
 from sloeswitch.http import Request as HttpRequest
 from tests.conftest import spec, submission
-from tests.support.cell import Cell, settings_cache
+from tests.support.cell import Cell, shared_settings
 from tests.support.cells import CellWorld
-from tests.support.moved_job import Moved
+from tests.support.moved_job import MovedJob
 
 JOB = "wk-000001"
 
 BOTH_WAYS = (("north", "south"), ("south", "north"))
 
 
-def test_a_job_that_moved_is_not_claimed_at_home_and_its_end_is_the_origins_result() -> None:
-    moved = Moved("once")
-    assert not moved.at_origin.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
+def test_a_moved_job_is_not_claimed_in_its_origin_which_stores_its_result() -> None:
+    moved = MovedJob("once")
+    assert not moved.origin_job.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
     moved.work("north")
     assert JOB not in moved.world.starts
-    moved.run_there()
+    moved.run_in_target()
     assert moved.status() == wire.JobStatus.QUEUED
-    moved.talk()
+    moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE and moved.world.starts[JOB].keys() == {"south"}
     tables = moved.south.store.tables
     assert JOB not in tables.finished_jobs and tables.handoff_floors["north"] > 0, "acknowledged, and fenced"
 
 
-def test_users_of_the_target_know_nothing_of_a_job_that_was_handed_over() -> None:
+def test_a_moved_job_is_hidden_from_users_of_its_target() -> None:
     """Its own user asks the origin, which answers with the cell that the job is in."""
-    moved = Moved("once")
+    moved = MovedJob("once")
 
     def ask(cell: Cell, method: str, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
         controller = cell.controllers["c0"]
@@ -62,45 +62,45 @@
     assert ask(moved.north, "POST", f"/submissions/{JOB}/cancel")[0] == 503
 
 
-def test_a_late_copy_of_an_offer_starts_nothing_after_the_job_is_over() -> None:
-    moved = Moved("once")
-    moved.run_there()
-    handoff = HandoffId("north", JOB, moved.at_origin.handoff.moved_to.number)  # type: ignore[union-attr]
+def test_a_delayed_offer_is_refused_after_the_job_has_ended() -> None:
+    moved = MovedJob("once")
+    moved.run_in_target()
+    handoff = HandoffId("north", JOB, moved.origin_job.handoff.moved_to.number)  # type: ignore[union-attr]
     offer = CellRequest(RequestMessage(handoff, Request.OFFER), 1, Offer(moved.world.specs[JOB], 0))
-    moved.talk()
+    moved.poll_peer()
     moved.renew()
     assert anyio.run(moved.world.deliver, "south", offer) is Answer.REFUSED
     assert JOB not in moved.south.store.tables.jobs
 
 
-def test_a_once_job_waits_for_a_cell_out_of_reach_and_its_cancellation_is_not_confirmed() -> None:
-    moved = Moved("once")
+def test_a_once_job_waits_for_an_unreachable_target_and_its_cancellation_is_not_confirmed() -> None:
+    moved = MovedJob("once")
     moved.cut(*BOTH_WAYS)
-    moved.talk()
-    moved.renew(2 * RECALL_LEASES * settings_cache().lease_s)
-    moved.talk()
+    moved.poll_peer()
+    moved.renew(2 * RECALL_LEASES * shared_settings().lease_s)
+    moved.poll_peer()
     moved.work("north")
     assert JOB not in moved.world.starts and moved.cancel() is None
     moved.work("south")
     assert moved.world.starts[JOB].keys() == {"south"}
     moved.cut()
     for _ in range(3):
-        moved.talk()
+        moved.poll_peer()
         moved.work("south")
     assert moved.cancel() == wire.JobStatus.CANCELLED
     assert not moved.south.running
 
 
-def test_a_repeatable_job_runs_at_home_when_its_target_is_out_of_reach_and_ends_once() -> None:
-    moved = Moved("again")
+def test_a_repeatable_job_runs_in_its_origin_when_its_target_is_unreachable_and_ends_once() -> None:
+    moved = MovedJob("again")
     moved.cut(*BOTH_WAYS)
-    moved.talk()
+    moved.poll_peer()
     moved.work("south")
-    moved.renew(RECALL_LEASES * settings_cache().lease_s - 1.0)
-    moved.talk()
-    assert not moved.at_origin.is_runnable, "not yet"
+    moved.renew(RECALL_LEASES * shared_settings().lease_s - 1.0)
+    moved.poll_peer()
+    assert not moved.origin_job.is_runnable, "not yet"
     moved.renew(2.0)
-    moved.talk()
+    moved.poll_peer()
     moved.work("north")
     moved.renew(30.0)
     moved.work("north")
@@ -110,74 +110,74 @@
     moved.work("south")
     moved.cut()
     for _ in range(3):
-        moved.talk()
+        moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE
     assert JOB not in moved.north.store.tables.unsettled_jobs and JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_cancellation_stops_the_job_where_it_runs_and_is_then_confirmed() -> None:
-    moved = Moved("once")
+    moved = MovedJob("once")
     moved.work("south")
     assert moved.south.running and moved.cancel() is None
-    moved.talk()
+    moved.poll_peer()
     moved.work("south")
     moved.work("south")
     assert not moved.south.running
-    moved.talk()
+    moved.poll_peer()
     assert moved.cancel() == wire.JobStatus.CANCELLED
 
 
-def test_a_cancellation_that_meets_the_end_is_answered_done() -> None:
-    moved = Moved("once")
+def test_a_cancellation_of_a_job_that_completed_meanwhile_is_answered_done() -> None:
+    moved = MovedJob("once")
     moved.work("south")
     assert moved.cancel() is None
     moved.renew(30.0)
     moved.work("south")
     moved.work("south")
-    moved.talk()
+    moved.poll_peer()
     assert moved.cancel() == wire.JobStatus.DONE
 
 
 def test_an_offer_whose_answer_is_lost_counts_as_accepted() -> None:
-    moved = Moved("once", accepted=False)
+    moved = MovedJob("once", accepted=False)
     moved.cut(("south", "north"))
-    moved.talk()
-    assert JOB in moved.south.store.tables.jobs and not moved.at_origin.is_runnable
+    moved.poll_peer()
+    assert JOB in moved.south.store.tables.jobs and not moved.origin_job.is_runnable
     moved.cut()
-    moved.run_there()
-    moved.talk()
+    moved.run_in_target()
+    moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE
 
 
-def test_a_refused_job_comes_home_and_stays_there_for_a_while() -> None:
-    moved = Moved("once", accepted=False)
+def test_a_refused_job_returns_and_is_not_offered_again_at_once() -> None:
+    moved = MovedJob("once", accepted=False)
     moved.south.store.job(spec("wk-000009", visits=50))  # makes the south saturated
-    moved.talk()
-    job = moved.at_origin
+    moved.poll_peer()
+    job = moved.origin_job
     assert job.is_runnable and job.returned_ms and not job.handoff.open_handoffs  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._movable(job, job.returned_ms + 1)
-    assert origin._movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * settings_cache().lease_s))
+    assert origin._movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * shared_settings().lease_s))
 
 
-def test_a_job_that_could_start_at_home_is_asked_for_back_unless_it_began() -> None:
-    moved = Moved("once")
-    moved.talk()
-    moved.renew(MIN_STAY_LEASES * settings_cache().lease_s + 1)
-    moved.talk()
-    assert moved.at_origin.is_runnable and JOB not in moved.south.store.tables.jobs
-    begun = Moved("once")
+def test_a_job_that_could_start_in_its_origin_is_withdrawn_unless_it_began() -> None:
+    moved = MovedJob("once")
+    moved.poll_peer()
+    moved.renew(MIN_STAY_LEASES * shared_settings().lease_s + 1)
+    moved.poll_peer()
+    assert moved.origin_job.is_runnable and JOB not in moved.south.store.tables.jobs
+    begun = MovedJob("once")
     begun.work("south")
-    begun.talk()
-    begun.renew(MIN_STAY_LEASES * settings_cache().lease_s + 1)
-    begun.talk()
-    assert not begun.at_origin.is_runnable and JOB in begun.south.store.tables.jobs
+    begun.poll_peer()
+    begun.renew(MIN_STAY_LEASES * shared_settings().lease_s + 1)
+    begun.poll_peer()
+    assert not begun.origin_job.is_runnable and JOB in begun.south.store.tables.jobs
 
 
 def test_a_lost_acknowledgement_is_sent_again() -> None:
     """The origin has stored the result and sends no more requests; the target's summary lists what it still keeps."""
-    moved = Moved("once")
-    moved.run_there()
+    moved = MovedJob("once")
+    moved.run_in_target()
     link = moved.controller.origin.links["south"]
     send = link.request
 
@@ -187,33 +187,33 @@
         return await send(request)
 
     link.request = lossy  # type: ignore[method-assign]
-    moved.talk()
+    moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE and JOB in moved.south.store.tables.finished_jobs
     link.request = send  # type: ignore[method-assign]
-    moved.talk()
+    moved.poll_peer()
     assert JOB not in moved.south.store.tables.finished_jobs
 
 
 def test_a_target_without_its_state_service_answers_nothing() -> None:
-    moved = Moved("once", accepted=False)
+    moved = MovedJob("once", accepted=False)
     moved.south.outage = True
-    moved.talk()
-    assert JOB not in moved.south.store.tables.jobs and not moved.at_origin.is_runnable
+    moved.poll_peer()
+    assert JOB not in moved.south.store.tables.jobs and not moved.origin_job.is_runnable
 
 
-def test_an_origin_without_its_state_service_forgets_no_end() -> None:
-    moved = Moved("once")
-    moved.run_there()
+def test_an_origin_without_its_state_service_acknowledges_no_result() -> None:
+    moved = MovedJob("once")
+    moved.run_in_target()
     moved.north.outage = True
-    moved.talk()
+    moved.poll_peer()
     assert moved.status() == wire.JobStatus.QUEUED and JOB in moved.south.store.tables.finished_jobs, "not acknowledged"
     moved.north.outage = False
-    moved.talk()
+    moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE and JOB not in moved.south.store.tables.finished_jobs
 
 
-def test_a_cell_restored_from_a_copy_is_not_listened_to() -> None:
-    moved = Moved("once", accepted=False)
+def test_messages_of_an_older_incarnation_are_ignored() -> None:
+    moved = MovedJob("once", accepted=False)
     target = moved.south.controllers["c0"].target
     offer = Offer(moved.world.specs[JOB], 0)
     handoff = HandoffId("north", JOB, 1)
@@ -226,7 +226,7 @@
 
 
 def test_nothing_moves_before_every_configured_controller_has_the_feature() -> None:
-    world = CellWorld(1, troubled=False)
+    world = CellWorld(1, faults_enabled=False)
     north = world.cells["north"]
     north.renew()
 
@@ -245,9 +245,9 @@
     assert target.rollout_complete and target.summary() is not None
 
 
-def test_a_name_that_the_target_knows_is_refused_and_its_own_job_left_alone() -> None:
-    moved = Moved("once", accepted=False)
+def test_an_offer_with_a_job_id_in_use_is_refused_and_the_targets_job_is_unchanged() -> None:
+    moved = MovedJob("once", accepted=False)
     moved.south.store.job(spec(JOB, visits=1))
-    moved.talk()
+    moved.poll_peer()
     assert moved.south.store.tables.jobs[JOB].delegated is None
-    assert moved.at_origin.is_runnable
+    assert moved.origin_job.is_runnable
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -49,18 +49,18 @@
         (Candidate(spec(), None, 200.0), peer()),  # no target that can still be met
     ],
 )
-def test_a_job_stays(candidate: Candidate, summary: Summary) -> None:
+def test_a_job_is_not_moved(candidate: Candidate, summary: Summary) -> None:
     assert choose_moves([candidate], [summary], {}, LIMITS) == []
 
 
-def test_room_is_given_once_and_the_cell_where_the_job_ends_first_is_chosen() -> None:
+def test_capacity_is_used_once_and_the_cell_that_completes_first_is_chosen() -> None:
     """Each job uses eight cores. The east has four, so that a job would run there in two rounds."""
     jobs = [late_job(f"wk-00000{number}", until_target_s=150.0, local_completion_s=300.0) for number in range(3)]
     moves = choose_moves(jobs, [peer("south", 8.0), peer("east", 4.0)], {}, LIMITS)
     assert moves == [Move("wk-000000", "south"), Move("wk-000001", "east")]
 
 
-def test_no_more_than_a_stated_number_is_under_way_to_a_peer() -> None:
+def test_jobs_in_flight_to_a_peer_are_limited() -> None:
     jobs = [late_job(f"wk-00000{number}") for number in range(5)]
     assert len(choose_moves(jobs, [peer()], {}, LIMITS)) == LIMITS.max_in_flight
     assert choose_moves(jobs, [peer()], {"south": LIMITS.max_in_flight}, LIMITS) == []
@@ -71,7 +71,7 @@
     assert choose_moves([late_job()], [south], {}, LIMITS) == choose_moves([late_job()], [north], {}, LIMITS) == []
 
 
-class Cell:
+class StoredCell:
     """The stored tables of a cell with machines of eight cores each."""
 
     def __init__(self, store: Store, settings: Settings, machines: int) -> None:
@@ -84,12 +84,12 @@
     def summary(self) -> Summary:
         return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
 
-    def line(self) -> list[Job]:
+    def queue(self) -> list[Job]:
         return job_queue.queue_order(self.store.tables, self.settings, 0)
 
 
-def test_a_summary_counts_what_runs_and_what_waits_as_taken(settings: Settings, store: Store) -> None:
-    cell = Cell(store, settings, 4)
+def test_claimed_and_waiting_tasks_reduce_the_free_capacity_of_a_summary(settings: Settings, store: Store) -> None:
+    cell = StoredCell(store, settings, 4)
     assert cell.summary().free == Resources(32.0, 0.0, 64.0) and not cell.summary().saturated
     store.job(spec("wk-000001"))
     store.progress("wk-000001", c0_1=0b0011)
@@ -100,30 +100,30 @@
     assert summary.pools == (MachinePool("small", True, Resources(8.0, 0.0, 16.0), MACHINE_TYPE.fetch_gb_s, 4),)
 
 
-def test_a_cell_whose_work_finds_no_room_is_saturated(settings: Settings, store: Store) -> None:
-    cell = Cell(store, settings, 1)
+def test_a_cell_with_waiting_tasks_that_do_not_fit_is_saturated(settings: Settings, store: Store) -> None:
+    cell = StoredCell(store, settings, 1)
     store.job(spec("wk-000001", visits=10))
     summary = cell.summary()
     assert summary.saturated and summary.backlog_s == 10 * 2.0 * 40.0 / 8.0 and summary.free.cores == 0.0
 
 
-def test_the_work_before_a_job_in_the_line_counts(store: Store) -> None:
+def test_work_queued_before_a_job_delays_it(store: Store) -> None:
     settings = parse(SETTINGS)
-    cell = Cell(store, settings, 1)
+    cell = StoredCell(store, settings, 1)
     for number in range(3):
         store.job(spec(f"wk-00000{number}", dueS=100.0))
-    line = cell.line()
-    names = {job.spec.id for job in line}
-    found = find_candidates(line, names, store.tables, settings, 0)
+    queue = cell.queue()
+    names = {job.spec.id for job in queue}
+    candidates = find_candidates(queue, names, store.tables, settings, 0)
     # The first job fits at once. Each of the others waits for the work before it: 8 cores for 40 s per job, on 8 cores.
-    assert [item.local_completion_s for item in found] == [40.0, 120.0, 160.0]
-    assert [item.until_target_s for item in found] == [100.0, 100.0, 100.0]
-    assert find_candidates(line, {"wk-000001"}, store.tables, settings, 0) == found[1:2]
-    moves = choose_moves(found, [peer()], {}, move_limits(settings, 5))
+    assert [item.local_completion_s for item in candidates] == [40.0, 120.0, 160.0]
+    assert [item.until_target_s for item in candidates] == [100.0, 100.0, 100.0]
+    assert find_candidates(queue, {"wk-000001"}, store.tables, settings, 0) == candidates[1:2]
+    moves = choose_moves(candidates, [peer()], {}, move_limits(settings, 5))
     assert moves == [Move("wk-000001", "south"), Move("wk-000002", "south")]
 
 
-def test_summaries_that_are_old_late_or_of_an_older_incarnation_count_for_nothing() -> None:
+def test_outdated_summaries_are_ignored() -> None:
     cache = SummaryCache(max_age_s=10.0)
     young = Summary("south", 2, 50)
     assert cache.add(young, 100.0) and cache.current(110.0) == [young]
@@ -135,15 +135,15 @@
     assert cache.add(newer, 101.0) and cache.current(101.0) == [newer]
 
 
-def test_what_waits_for_others_is_no_backlog(settings: Settings, store: Store) -> None:
-    cell = Cell(store, settings, 1)
+def test_jobs_with_unfinished_prerequisites_are_no_backlog(settings: Settings, store: Store) -> None:
+    cell = StoredCell(store, settings, 1)
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002", visits=50, awaits=["wk-000001"]))
     assert store.tables.jobs["wk-000002"].unfinished_prerequisites == 1
     assert not cell.summary().saturated
 
 
-def test_what_was_handed_over_stands_behind_the_cells_own_guaranteed_work(store: Store) -> None:
+def test_moved_jobs_are_queued_behind_the_cells_own_guaranteed_jobs(store: Store) -> None:
     """A job from another cell uses none of its team's guarantee, whatever its age; it is ordered like other jobs."""
     settings = parse(SETTINGS)
     store.put(keys.job_key("wk-000001"), encode_job(JobState.LIVE, spec("wk-000001"), 0) | {"o": ["south", 7]})
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -12,10 +12,10 @@
 
 
 @pytest.mark.parametrize("seed", [4, 5, 6])
-def test_no_rule_breaks_among_three_cells_and_every_job_ends_once_the_troubles_are_over(seed: int) -> None:
+def test_three_cells_keep_the_rules_and_every_job_ends_after_the_faults(seed: int) -> None:
     world = anyio.run(play, seed)
-    assert world.unfinished() == set() and list(world.left_over()) == []
-    moved = [job for job, where in world.starts.items() if set(where) != {world.home[job]}]
+    assert world.unfinished() == set() and list(world.leftovers()) == []
+    moved = [job for job, where in world.starts.items() if set(where) != {world.origins[job]}]
     kinds = {
         "late change",
         "crash",
@@ -25,18 +25,18 @@
         "copy of an answer",
         "machines failed",
     }
-    assert moved and kinds <= world.happened.keys()
-    assert world.happened[wire.JobStatus.DONE] > 20 and world.happened[wire.JobStatus.CANCELLED] > 2
+    assert moved and kinds <= world.event_counts.keys()
+    assert world.event_counts[wire.JobStatus.DONE] > 20 and world.event_counts[wire.JobStatus.CANCELLED] > 2
 
 
 def test_the_checker_catches_a_job_that_begins_in_two_cells() -> None:
-    world = CellWorld(1, troubled=False)
+    world = CellWorld(1, faults_enabled=False)
     anyio.run(world.submit, "north", JOB, "once")
     world.started("north", JOB)
     with pytest.raises(RuleError):
         world.started("south", JOB)
-    world.told[JOB] = (wire.JobStatus.CANCELLED, 0.0)
+    world.reported[JOB] = (wire.JobStatus.CANCELLED, 0.0)
     with pytest.raises(RuleError):
         world.started("north", JOB)
     with pytest.raises(RuleError):
-        world.tell(JOB, wire.JobStatus.DONE)
+        world.report_status(JOB, wire.JobStatus.DONE)
