--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -19,6 +19,7 @@
 
 REQUEST = struct.Struct("!QQQBBBH")
 ANSWER = struct.Struct("!QB")
+# The codes on the wire follow the order of the members of `Request` and `Answer`.
 REQUEST_CODES = {request: code for code, request in enumerate(Request, 1)}
 ANSWER_CODES = {answer: code for code, answer in enumerate(Answer, 1)}
 REQUESTS = {code: request for request, code in REQUEST_CODES.items()}
--- a/sloeswitch/cells/link.py
+++ b/sloeswitch/cells/link.py
@@ -13,7 +13,7 @@
 class MeshLink:
     """Sends requests to a peer cell over one connection.
 
-    The connection is kept while the controller answers; after a failure the next controller is tried.
+    The connection is kept while its controller answers. After a failure the next request goes to the next controller.
     """
 
     def __init__(self, own_name: str, peer: PeerCell, timeout_s: float) -> None:
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -138,7 +138,7 @@
         if not (self.features.moving and self.rollout_complete and self.leadership.is_leader):
             return
         wall_clock_ms = self.clock.wall_clock_ms()
-        movable = {job.spec.id for job in self.waiting_jobs() if self._movable(job, wall_clock_ms)}
+        movable = {job.spec.id for job in self.waiting_jobs() if self._is_movable(job, wall_clock_ms)}
         if not movable:
             return
         candidates = find_candidates(self.waiting_jobs(), movable, self.tables, self.settings, wall_clock_ms)
@@ -151,16 +151,16 @@
         ):
             job = self.tables.jobs.get(move.job)
             if job is not None and rules.can_move(self.row(job), move.cell, not job.progress.claims):
-                await self._move(job, move.cell)
+                await self._start_handoff(job, move.cell)
 
-    def _movable(self, job: Job, wall_clock_ms: int) -> bool:
-        stays_ms = 1000 * MIN_STAY_LEASES * self.settings.lease_s
+    def _is_movable(self, job: Job, wall_clock_ms: int) -> bool:
+        min_stay_ms = 1000 * MIN_STAY_LEASES * self.settings.lease_s
         return (
             job.delegated is None
             and job.spec_chunks is None
             and not job.progress.claims
             and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
-            and not (job.returned_ms and wall_clock_ms - job.returned_ms < stays_ms)
+            and not (job.returned_ms and wall_clock_ms - job.returned_ms < min_stay_ms)
             and len(msgspec.json.encode(job.spec)) <= MAX_SPEC_BYTES
             and self._manages_handoffs_of(job.spec.id)
         )
@@ -175,12 +175,12 @@
                 counts[row.moved_to.target] = counts.get(row.moved_to.target, 0) + 1
         return counts
 
-    async def _move(self, job: Job, cell: str) -> None:
+    async def _start_handoff(self, job: Job, cell: str) -> None:
         # Larger than the number of any earlier handoff of the job: each is at most the revision at which it was stored.
         number = 1 + max(self.replica.applied_revision, job.mod_revision)
         row = rules.move(self.row(job), cell, number)
         conditions = {keys.progress_key(job.spec.id): job.progress_revision, **self.leadership.view_conditions()}
-        if await self._store(job, row, conditions):
+        if await self._store_live_row(job, row, conditions):
             log.info("job offered: job=%s peer=%s", job.spec.id, cell)
 
     # -- driving handoffs
@@ -189,10 +189,10 @@
         """One round of requests to a peer: its summary, then each handoff to it that this controller manages."""
         link = self.links[peer]
         if self.leadership.is_leader and self.rollout_complete:
-            asked_at = self.now()
+            requested_at = self.now()
             summary = await link.summary()
             if summary is not None and summary.cell == peer and self._accept_incarnation(peer, summary.incarnation):
-                self.summaries.add(summary, asked_at)
+                self.summaries.add(summary, requested_at)
                 await self._acknowledge(summary, link)
         names = [
             name for name, row in self._rows_with_handoffs() if any(each.target == peer for each in row.open_handoffs)
@@ -210,7 +210,7 @@
         # Without this read, lagging tables may lack a handoff that another controller stored just before.
         await self.replica.read_linearizable(self.client.timeout_s)
         for name, number in summary.ended:
-            row = self._current(name)
+            row = self._current_row(name)
             if row is None or OpenHandoff(summary.cell, number) not in row.open_handoffs:
                 handoff = HandoffId(self.features.name, name, number)
                 await link.request(CellRequest(RequestMessage(handoff, Request.ACKNOWLEDGE), self.features.incarnation))
@@ -250,7 +250,7 @@
 
     async def _send_requests(self, name: str, peer: str, link: Link) -> None:
         """Sends the pending requests about a job's handoffs to a peer, and stores the changes by its answers."""
-        row = self._current(name)
+        row = self._current_row(name)
         if row is None:
             return
         job = self.tables.jobs.get(name)
@@ -278,7 +278,7 @@
         return reply.answer
 
     async def _apply_answer(self, name: str, message: AnswerMessage, link: Link) -> None:
-        row = self._current(name)
+        row = self._current_row(name)
         if row is None:
             return
         after = rules.apply_answer(row, message)
@@ -292,7 +292,7 @@
 
     async def _recall_if_unreachable(self, name: str, open_handoff: OpenHandoff, contact: HandoffContact) -> None:
         """Lets a repeatable job run in the origin too if its target was unreachable for too long."""
-        row = self._current(name)
+        row = self._current_row(name)
         if row is None or row.moved_to != open_handoff or row.cancelling:
             return
         if self.now() - contact.last_answer_at < RECALL_LEASES * self.settings.lease_s:
@@ -318,7 +318,7 @@
 
     # -- storing
 
-    def _current(self, name: str) -> OriginRow | None:
+    def _current_row(self, name: str) -> OriginRow | None:
         job, finished = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         if job is not None:
             return self.row(job) if job.handoff is not None else None
@@ -327,7 +327,7 @@
     async def _store_row(self, name: str, row: OriginRow) -> bool:
         job = self.tables.jobs.get(name)
         if job is not None:
-            return await self._store(job, row, {})
+            return await self._store_live_row(job, row, {})
         finished = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": finished.status, "n": finished.tasks, "t": finished.finished_ms}
         if row.open_handoffs:
@@ -335,7 +335,7 @@
         key = keys.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
-    async def _store(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> bool:
+    async def _store_live_row(self, job: Job, row: OriginRow, conditions: dict[str, int]) -> bool:
         """Writes a job's row with its handoffs, conditional on the row's revision when it was read."""
         key = keys.job_key(job.spec.id)
         conditions = {**conditions, key: job.mod_revision}
@@ -346,8 +346,8 @@
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._encode_cancelled(job, row, conditions)
         else:
-            came_back = job.handoff is not None and job.handoff.moved_to is not None and row.moved_to is None
-            returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
+            returned = job.handoff is not None and job.handoff.moved_to is not None and row.moved_to is None
+            returned_ms = self.clock.wall_clock_ms() if returned else job.returned_ms
             value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
             value["h"] = encode_handoff(row, returned_ms)
             if job.cancelled_ms:
@@ -364,9 +364,9 @@
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
         if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
             return False  # the row with the handoff would exceed the value size limit, so the job is not moved
-        outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
+        outcome, revision = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         if outcome is TransactionOutcome.COMMITTED:
-            self.replica.apply_own_write(epoch, writes)
+            self.replica.apply_own_write(revision, writes)
         else:
             self.replica.request_read()
         return outcome is TransactionOutcome.COMMITTED
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -25,7 +25,7 @@
     margin_s: float
     # The time until the target has stored the job: the offer, its answer, and up to one interval of the request loop.
     transfer_s: float
-    # The number of jobs that may be in flight to one peer.
+    # The number of jobs that may be moved to one peer at a time: offered there and not yet ended.
     max_in_flight: int
 
 
--- a/sloeswitch/cells/summary.py
+++ b/sloeswitch/cells/summary.py
@@ -96,7 +96,7 @@
 
 def summarise(tables: Tables, settings: Settings, cell: str, incarnation: int, sequence: int) -> Summary:
     """Computes the summary of a cell from its tables."""
-    pools = _pools(tables)
+    pools = _machine_pools(tables)
     total = Resources()
     for pool in pools:
         total = total.plus(pool.size, pool.machines)
@@ -116,7 +116,7 @@
         if spec.team in teams:
             teams[spec.team][0] -= (claimed + waiting) * spec.cores
             teams[spec.team][1] -= (claimed + waiting) * spec.gpus
-    free = _free(total, used.plus(wanted))
+    free = _subtract(total, used.plus(wanted))
     # Waiting tasks that fit into the free cores are no backlog.
     has_backlog = wanted.cores > max(0.0, total.cores - used.cores)
     backlog_s = wanted_core_s / total.cores if has_backlog and total.cores > 0 else 0.0
@@ -124,21 +124,30 @@
     return Summary(cell, incarnation, sequence, pools, free, backlog_s, team_room)
 
 
-def _free(total: Resources, taken: Resources) -> Resources:
+def _subtract(total: Resources, taken: Resources) -> Resources:
     left = total.plus(taken, -1.0)
     return Resources(max(0.0, left.cores), max(0.0, left.gpus), max(0.0, left.memory))
 
 
-def _pools(tables: Tables) -> tuple[MachinePool, ...]:
+def _machine_pools(tables: Tables) -> tuple[MachinePool, ...]:
     counts: dict[tuple[str, bool], int] = {}
     for row in tables.machines.values():
         if row.type in tables.machine_types:
             counts[row.type, row.spot] = counts.get((row.type, row.spot), 0) + 1
-    return tuple(_pool(tables.machine_types[kind], spot, count) for (kind, spot), count in sorted(counts.items()))
+    return tuple(
+        _machine_pool(tables.machine_types[type_name], spot, count)
+        for (type_name, spot), count in sorted(counts.items())
+    )
 
 
-def _pool(kind: MachineType, spot: bool, count: int) -> MachinePool:
-    return MachinePool(kind.name, spot, Resources(kind.cores, kind.gpus, kind.memory), kind.fetch_gb_s, count)
+def _machine_pool(machine_type: MachineType, spot: bool, count: int) -> MachinePool:
+    return MachinePool(
+        machine_type.name,
+        spot,
+        Resources(machine_type.cores, machine_type.gpus, machine_type.memory),
+        machine_type.fetch_gb_s,
+        count,
+    )
 
 
 @dataclass
@@ -148,17 +157,17 @@
     max_age_s: float
     _summaries: dict[str, tuple[float, Summary]] = field(default_factory=dict)
 
-    def add(self, summary: Summary, asked_at: float) -> bool:
-        """Stores a summary that was requested at `asked_at`; returns False if a newer one is already stored.
+    def add(self, summary: Summary, requested_at: float) -> bool:
+        """Stores a summary that was requested at `requested_at`; returns False if a newer one is already stored.
 
         Guards against delayed answers, and against a cell that was restored from an old copy of its state.
         """
         known = self._summaries.get(summary.cell)
         if known is not None:
-            at, last = known
-            if (summary.incarnation, summary.sequence) < (last.incarnation, last.sequence) or asked_at < at:
+            last_at, last = known
+            if (summary.incarnation, summary.sequence) < (last.incarnation, last.sequence) or requested_at < last_at:
                 return False
-        self._summaries[summary.cell] = (asked_at, summary)
+        self._summaries[summary.cell] = (requested_at, summary)
         return True
 
     def current(self, now: float) -> list[Summary]:
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -63,11 +63,11 @@
             return None
         name, incarnation, sequence = self.features.name, self.features.incarnation, self.replica.applied_revision
         if not self.features.moving:
-            return Summary(name, incarnation, sequence, ended=self._ended(origin))
+            return Summary(name, incarnation, sequence, ended=self._unacknowledged(origin))
         summary = summarise(self.tables, self.settings, name, incarnation, sequence)
-        return replace(summary, ended=self._ended(origin))
+        return replace(summary, ended=self._unacknowledged(origin))
 
-    def _ended(self, origin: str) -> tuple[tuple[str, int], ...]:
+    def _unacknowledged(self, origin: str) -> tuple[tuple[str, int], ...]:
         """Finished handoffs that the origin has not acknowledged.
 
         Guards against a lost acknowledgement: the origin has deleted the handoff and sends no more requests about it,
@@ -136,8 +136,8 @@
             return False
         spec = offer.spec
         # The name is in use by a job of this cell's own users or by an earlier handoff.
-        known = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
-        if known or tables.mod_revision(keys.progress_key(handoff.job)) or spec.id != handoff.job:
+        name_in_use = handoff.job in tables.jobs or handoff.job in tables.finished_jobs
+        if name_in_use or tables.mod_revision(keys.progress_key(handoff.job)) or spec.id != handoff.job:
             return False
         if spec.prerequisites or not is_zone_independent(spec):
             return False
@@ -167,20 +167,20 @@
         floor, job = keys.handoff_floor_key(origin), keys.job_key(name)
         conditions = {floor: self.tables.mod_revision(floor), **self.leadership.view_conditions()}
         writes: dict[str, Any] = {}
-        drops: list[str] = []
+        deletes: list[str] = []
         if after.floor != before.floor:
             writes[floor] = {"n": after.floor}
         if before.delegation is not None:
             conditions[job] = self.tables.mod_revision(job)
-            drops.append(job)
+            deletes.append(job)
         elif after.delegation is not None:
             assert request.offer is not None
             conditions[job] = conditions[keys.progress_key(name)] = 0
             writes[job] = self._delegated_job(after.delegation.handoff, request.offer)
-        outcome, epoch = await self.client.compare_and_swap(
-            Transaction(conditions, writes, drops), RequestPriority.CLAIM
+        outcome, revision = await self.client.compare_and_swap(
+            Transaction(conditions, writes, deletes), RequestPriority.CLAIM
         )
-        if outcome is TransactionOutcome.COMMITTED and not drops:
-            self.replica.apply_own_write(epoch, writes)
+        if outcome is TransactionOutcome.COMMITTED and not deletes:
+            self.replica.apply_own_write(revision, writes)
         self.replica.request_read()
         return outcome is TransactionOutcome.COMMITTED
--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -36,7 +36,7 @@
     incarnation: int
     # Whether jobs are offered and accepted. Handoffs in flight are completed even if this is off.
     moving: bool
-    # The number of jobs that may be in flight to one peer.
+    # The number of jobs that may be moved to one peer at a time: offered there and not yet ended.
     max_in_flight: int
     peers: tuple[PeerCell, ...]
     # By job class. Jobs of other classes stay in the cell where they were submitted.
@@ -113,12 +113,12 @@
 
 def _policies(table: TableReader, known_classes: set[str]) -> dict[str, MovePolicy]:
     policies: dict[str, MovePolicy] = {}
-    words = ", ".join(policy.value for policy in MovePolicy)
-    for job_class, word in table.values.items():
+    allowed = ", ".join(policy.value for policy in MovePolicy)
+    for job_class, value in table.values.items():
         if job_class not in known_classes:
             table.add_fault(job_class, "no such class in the settings' objectives")
         try:
-            policies[job_class] = MovePolicy(word)
+            policies[job_class] = MovePolicy(value)
         except ValueError:
-            table.add_fault(job_class, f"must be one of {words}, is {word!r}")
+            table.add_fault(job_class, f"must be one of {allowed}, is {value!r}")
     return policies
--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -104,7 +104,7 @@
         self.running: dict[tuple[str, int, str], float] = {}
         self.ended: set[tuple[str, int, str]] = set()
 
-    def any_controller(self) -> Controller:
+    def random_controller(self) -> Controller:
         """Returns a random controller of the cell."""
         return self.controllers[self.world.rng.choice(MEMBERS)]
 
@@ -120,11 +120,11 @@
             failing = controller.target.client
             failing.failing_since = self.world.clock.time - 100 if self.outage else None
 
-    def used(self) -> float:
+    def used_cores(self) -> float:
         """The cores used by running tasks."""
         return sum(self.world.cores[job] for job, _, _ in self.running)
 
-    async def work(self) -> None:
+    async def run_machines(self) -> None:
         """One round of the machines: stops cancelled tasks, completes finished ones, claims and starts new ones."""
         tables, now = self.store.tables, self.world.clock.time
         for key in list(self.running):
@@ -150,8 +150,8 @@
 
     async def _report_end(self, key: tuple[str, int, str], done: bool) -> None:
         """Reports the end of a task to the controller that claimed it, which stores it at once."""
-        job, index, tag = key
-        controller = self.controllers[tag.partition(".")[0]]
+        job, index, incarnation_id = key
+        controller = self.controllers[incarnation_id.partition(".")[0]]
         sets = {job: 1 << index}
         await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
         await controller.jobs._commit_round()
@@ -161,24 +161,24 @@
         for job in list(self.store.tables.jobs.values()):
             if not job.is_cancelled:
                 continue
-            for tag, mask in job.progress.claims.items():
-                if not any(key[0] == job.spec.id and key[2] == tag for key in self.running):
-                    controller = self.controllers[tag.partition(".")[0]]
+            for incarnation_id, mask in job.progress.claims.items():
+                if not any(key[0] == job.spec.id and key[2] == incarnation_id for key in self.running):
+                    controller = self.controllers[incarnation_id.partition(".")[0]]
                     await controller.jobs.handle(TaskUpdates(released={job.spec.id: mask}))
                     await controller.jobs._commit_round()
 
     async def _claim(self) -> None:
         for job in self.queue():
-            free = MACHINES * CORES - self.used()
-            count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used()) // job.spec.cores))
+            free = MACHINES * CORES - self.used_cores()
+            count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used_cores()) // job.spec.cores))
             if count <= 0:
                 return
             controller = self.controllers[OWNER]
             allocated = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
-            used = sum(
+            used_cores = sum(
                 self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
             )
-            want = ResourceAmount(max(allocated, used + count * job.spec.cores))
+            want = ResourceAmount(max(allocated, used_cores + count * job.spec.cores))
             await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
             await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
@@ -186,17 +186,17 @@
     def _start(self, name: str, controller: Controller) -> None:
         """Starts the tasks that this controller has claimed, within its quota allocation."""
         job = self.store.tables.jobs.get(name)
-        tag = controller.leadership.incarnation_id
+        incarnation_id = controller.leadership.incarnation_id
         if job is None or not job.is_runnable:
             return
-        mask = job.progress.claims.get(tag, 0) & ~job.progress.done
-        allowed = self.store.tables.quota_allocation("red", tag)[0]
+        mask = job.progress.claims.get(incarnation_id, 0) & ~job.progress.done
+        allowed = self.store.tables.quota_allocation("red", incarnation_id)[0]
         for index in range(job.spec.tasks):
-            key = (name, index, tag)
+            key = (name, index, incarnation_id)
             if not mask >> index & 1 or key in self.running or key in self.ended:
                 continue
-            used = sum(self.world.cores[each[0]] for each in self.running if each[2] == tag)
-            if used + job.spec.cores > allowed:
+            used_cores = sum(self.world.cores[each[0]] for each in self.running if each[2] == incarnation_id)
+            if used_cores + job.spec.cores > allowed:
                 return
             self.running[key] = self.world.clock.time + job.spec.estimate_s * (0.5 + self.world.rng.random())
             self.world.started(self.name, name)
--- a/tests/support/cell_network.py
+++ b/tests/support/cell_network.py
@@ -46,6 +46,6 @@
         """Requests the summary from a random controller of the target."""
         if self._lost(self.origin, self.target) or self._lost(self.target, self.origin):
             raise NoAnswerError("lost")
-        summary = self.world.cells[self.target].any_controller().target.summary(self.origin)
+        summary = self.world.cells[self.target].random_controller().target.summary(self.origin)
         self.world.recorder.record("summary", self.target, self.origin, pack_summary(summary))
         return summary
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -74,7 +74,7 @@
             raise RuleError(f"{job} may start in one cell only but started in {', '.join(where)}")
         if policy is MovePolicy.NEVER and cell != self.origins[job]:
             raise RuleError(f"{job} must not move but started in {cell}")
-        if self.cells[cell].used() > TEAM_LIMIT:
+        if self.cells[cell].used_cores() > TEAM_LIMIT:
             raise RuleError(f"the team's limit is exceeded in {cell}")
 
     def completed(self, cell: str, job: str, index: int) -> None:
@@ -88,7 +88,7 @@
         job = spec(name, roster=job_class, **changes)
         self.specs[name], self.cores[name] = job, job.cores
         self.origins[name] = cell
-        accepted = await self.cells[cell].any_controller().jobs.submit(job)
+        accepted = await self.cells[cell].random_controller().jobs.submit(job)
         # A submission that was not confirmed may still be stored late, but no check relies on it.
         if accepted is not None:
             self.accepted_at[name] = self.clock.time
@@ -97,7 +97,7 @@
         """A user requests a cancellation; the answer is checked if it is a final status."""
         cell = self.cells[self.origins[name]]
         if not cell.outage:
-            status = await cell.any_controller().jobs.cancel(name)
+            status = await cell.random_controller().jobs.cancel(name)
             if status in (wire.JobStatus.CANCELLED, wire.JobStatus.DONE):
                 self.report_status(name, status)
 
@@ -119,7 +119,7 @@
         """Queries the status of each job in the cell where it was submitted."""
         for name, origin in self.origins.items():
             cell = self.cells[origin]
-            status = cell.any_controller().jobs.status(name)
+            status = cell.random_controller().jobs.status(name)
             self.recorder.record("status", origin, name, None if status is None else str(status))
             if status is None and name in self.accepted_at:
                 raise RuleError(f"{name} was accepted but its cell does not know it")
@@ -129,7 +129,7 @@
     def check_cancelled_tasks_stopped(self) -> None:
         """Checks that tasks leave their machines within `cancel_s` after the cancellation was confirmed."""
         for cell in self.cells.values():
-            for job, index, _tag in cell.running:
+            for job, index, _incarnation_id in cell.running:
                 status, at = self.reported.get(job, ("", 0.0))
                 if status == wire.JobStatus.CANCELLED and self.clock.time - at > shared_settings().cancel_s:
                     raise RuleError(f"{job}/{index} is on a machine of {cell.name} long after its cancellation")
@@ -138,7 +138,7 @@
 
     async def deliver(self, target: str, request: CellRequest) -> Any:
         """Delivers a request to a random controller of a cell."""
-        return await self.cells[target].any_controller().target.answer(request)
+        return await self.cells[target].random_controller().target.answer(request)
 
     async def deliver_copies(self) -> None:
         """Delivers random copies of earlier requests and answers."""
@@ -148,7 +148,7 @@
             self.event_counts["copy of a request"] += 1
         if self.answer_copies and self.rng.random() < 0.3:
             origin, message = self.rng.choice(self.answer_copies)
-            controller = self.cells[origin].any_controller()
+            controller = self.cells[origin].random_controller()
             link = controller.origin.links[message.target]
             self.event_counts["copy of an answer"] += 1
             with contextlib.suppress(NoAnswerError):
@@ -165,7 +165,7 @@
             self.event_counts["late change"] += 1
         for cell in self.cells.values():
             cell.renew()
-            await cell.work()
+            await cell.run_machines()
             for controller in list(cell.controllers.values()):
                 if self.rng.random() < 0.5:
                     await controller.run_interval()
--- a/tests/support/moved_job.py
+++ b/tests/support/moved_job.py
@@ -35,7 +35,7 @@
                 await controller.origin.record_member()
         await self.world.submit("north", JOB, job_class, visits=visits, expectedS=10.0)
         job = self.north.store.tables.jobs[JOB]
-        await self.controller.origin._move(job, "south")
+        await self.controller.origin._start_handoff(job, "south")
 
     def renew(self, later_s: float = 0.0) -> None:
         self.world.clock.time += later_s
@@ -56,15 +56,15 @@
     def cut(self, *ways: tuple[str, str]) -> None:
         self.world.cuts = set(ways)
 
-    def work(self, cell: str) -> None:
-        anyio.run(self.world.cells[cell].work)
+    def run_machines(self, cell: str) -> None:
+        anyio.run(self.world.cells[cell].run_machines)
 
     def run_in_target(self) -> None:
         """Runs the job in the south until it is completed."""
-        self.work("south")
+        self.run_machines("south")
         self.renew(30.0)
-        self.work("south")
-        self.work("south")
+        self.run_machines("south")
+        self.run_machines("south")
 
     @property
     def origin_job(self) -> Job:
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -26,7 +26,7 @@
 def test_a_moved_job_is_not_claimed_in_its_origin_which_stores_its_result() -> None:
     moved = MovedJob("once")
     assert not moved.origin_job.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
-    moved.work("north")
+    moved.run_machines("north")
     assert JOB not in moved.world.starts
     moved.run_in_target()
     assert moved.status() == wire.JobStatus.QUEUED
@@ -42,11 +42,11 @@
 
     def ask(cell: Cell, method: str, path: str, body: dict[str, Any] | None = None) -> tuple[int, dict[str, Any]]:
         controller = cell.controllers["c0"]
-        nobody: Any = None
+        machines: Any = None
         users = Users(
             controller.context,
             controller.jobs,
-            nobody,
+            machines,
         )
         data = b"" if body is None else wire.encode(body)
         answer = anyio.run(users.handle, HttpRequest(method, path, data))
@@ -79,14 +79,14 @@
     moved.poll_peer()
     moved.renew(2 * RECALL_LEASES * shared_settings().lease_s)
     moved.poll_peer()
-    moved.work("north")
+    moved.run_machines("north")
     assert JOB not in moved.world.starts and moved.cancel() is None
-    moved.work("south")
+    moved.run_machines("south")
     assert moved.world.starts[JOB].keys() == {"south"}
     moved.cut()
     for _ in range(3):
         moved.poll_peer()
-        moved.work("south")
+        moved.run_machines("south")
     assert moved.cancel() == wire.JobStatus.CANCELLED
     assert not moved.south.running
 
@@ -95,19 +95,19 @@
     moved = MovedJob("again")
     moved.cut(*BOTH_WAYS)
     moved.poll_peer()
-    moved.work("south")
+    moved.run_machines("south")
     moved.renew(RECALL_LEASES * shared_settings().lease_s - 1.0)
     moved.poll_peer()
     assert not moved.origin_job.is_runnable, "not yet"
     moved.renew(2.0)
     moved.poll_peer()
-    moved.work("north")
+    moved.run_machines("north")
     moved.renew(30.0)
-    moved.work("north")
-    moved.work("north")
+    moved.run_machines("north")
+    moved.run_machines("north")
     assert moved.status() == wire.JobStatus.DONE and set(moved.world.starts[JOB]) == {"north", "south"}
-    moved.work("south")
-    moved.work("south")
+    moved.run_machines("south")
+    moved.run_machines("south")
     moved.cut()
     for _ in range(3):
         moved.poll_peer()
@@ -117,11 +117,11 @@
 
 def test_a_cancellation_stops_the_job_where_it_runs_and_is_then_confirmed() -> None:
     moved = MovedJob("once")
-    moved.work("south")
+    moved.run_machines("south")
     assert moved.south.running and moved.cancel() is None
     moved.poll_peer()
-    moved.work("south")
-    moved.work("south")
+    moved.run_machines("south")
+    moved.run_machines("south")
     assert not moved.south.running
     moved.poll_peer()
     assert moved.cancel() == wire.JobStatus.CANCELLED
@@ -129,11 +129,11 @@
 
 def test_a_cancellation_of_a_job_that_completed_meanwhile_is_answered_done() -> None:
     moved = MovedJob("once")
-    moved.work("south")
+    moved.run_machines("south")
     assert moved.cancel() is None
     moved.renew(30.0)
-    moved.work("south")
-    moved.work("south")
+    moved.run_machines("south")
+    moved.run_machines("south")
     moved.poll_peer()
     assert moved.cancel() == wire.JobStatus.DONE
 
@@ -156,8 +156,8 @@
     job = moved.origin_job
     assert job.is_runnable and job.returned_ms and not job.handoff.open_handoffs  # type: ignore[union-attr]
     origin = moved.controller.origin
-    assert not origin._movable(job, job.returned_ms + 1)
-    assert origin._movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * shared_settings().lease_s))
+    assert not origin._is_movable(job, job.returned_ms + 1)
+    assert origin._is_movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * shared_settings().lease_s))
 
 
 def test_a_job_that_could_start_in_its_origin_is_withdrawn_unless_it_began() -> None:
@@ -167,7 +167,7 @@
     moved.poll_peer()
     assert moved.origin_job.is_runnable and JOB not in moved.south.store.tables.jobs
     begun = MovedJob("once")
-    begun.work("south")
+    begun.run_machines("south")
     begun.poll_peer()
     begun.renew(MIN_STAY_LEASES * shared_settings().lease_s + 1)
     begun.poll_peer()
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -370,7 +370,7 @@
 def moved_and_taken_back(world: Recorder) -> None:
     each = origin(world, None, None, Answer.ACCEPTED)
     world.given("job")
-    world.run(each._move, world.store.tables.jobs[JOB], "south")
+    world.run(each._start_handoff, world.store.tables.jobs[JOB], "south")
     world.run(each.poll_peer, "south")
     world.later(50.0)
     world.run(each.poll_peer, "south")
