--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -178,8 +178,8 @@
         """Starts or ends a random fault, with some probability."""
         draw = self.rng.random()
         if draw < 0.04:
-            one, other = self.rng.sample(CELLS, 2)
-            self.cuts ^= {(one, other)}
+            sender, receiver = self.rng.sample(CELLS, 2)
+            self.cuts ^= {(sender, receiver)}
             self.event_counts["cut in one direction"] += 1
         elif draw < 0.06:
             isolated = self.rng.choice(CELLS)
--- a/tests/support/moved_job.py
+++ b/tests/support/moved_job.py
@@ -53,8 +53,8 @@
         self.renew()
         anyio.run(poll_peer)
 
-    def cut(self, *ways: tuple[str, str]) -> None:
-        self.world.cuts = set(ways)
+    def cut(self, *links: tuple[str, str]) -> None:
+        self.world.cuts = set(links)
 
     def run_machines(self, cell: str) -> None:
         anyio.run(self.world.cells[cell].run_machines)
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -44,7 +44,7 @@
     return replace(stored, state=DelegationState.CANCELLED) if stored.startable else stored
 
 
-def _any_number(row: OriginRow, open_handoff: OpenHandoff, message: AnswerMessage) -> bool:
+def _match_any_number(row: OriginRow, open_handoff: OpenHandoff, message: AnswerMessage) -> bool:
     return open_handoff.target == message.target
 
 
@@ -69,7 +69,7 @@
         (delegation, "_decide_recorded", _keep_floor, MovePolicy.ONCE),
         (delegation, "decide", _forget_refusals, MovePolicy.ONCE),
         (Delegation, "withdraw", _withdraw_begun, MovePolicy.ONCE),
-        (handoff, "_matches", _any_number, MovePolicy.ONCE),
+        (handoff, "_matches", _match_any_number, MovePolicy.ONCE),
         (handoff, "_confirm_cancellation", _confirm_at_once, MovePolicy.ONCE),
         (handoff, "_confirm_cancellation", _confirm_at_once, MovePolicy.REPEATABLE),
         (handoff, "can_move", _move_begun, MovePolicy.ONCE),
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -144,7 +144,7 @@
 
 
 def test_moved_jobs_are_queued_behind_the_cells_own_guaranteed_jobs(store: Store) -> None:
-    """A job from another cell uses none of its team's guarantee, whatever its age; it is ordered like other jobs."""
+    """A job from another cell uses none of its team's guarantee, at any age; otherwise it is ordered like any job."""
     settings = parse(SETTINGS)
     store.put(keys.job_key("wk-000001"), encode_job(JobState.LIVE, spec("wk-000001"), 0) | {"o": ["south", 7]})
     store.job(spec("wk-000002"))
