--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -1,4 +1,4 @@
-"""One of several cells: its controllers, what is stored, and what runs on its machines."""
+"""A simulated cell: its controllers, its stored state and the tasks on its machines."""
 
 from __future__ import annotations
 
@@ -38,24 +38,24 @@
 
 CORES = 8.0
 
-# Less than the machines have, so that the allowances bind.
+# Fewer cores than the machines have, so that the team's limit takes effect.
 TEAM_LIMIT = 12.0
 
-# The member that has the machines of its cell; all of them look after handoffs.
+# The member that owns the machines of its cell; all members manage handoffs.
 OWNER = "c0"
 
 
-def settings_of(member: str) -> Settings:
-    """One controller's settings."""
+def member_settings(member: str) -> Settings:
+    """Returns the settings of one controller."""
     return parse(settings_text(member, MEMBERS).replace("cpus_max = 20.0", f"cpus_max = {TEAM_LIMIT}"))
 
 
 class Controller:
-    """One controller of a cell. A new one knows nothing but what is stored."""
+    """One controller of a cell. A new one has only the stored state, as after a crash."""
 
     def __init__(self, cell: Cell, member: str, boot: int) -> None:
         world = cell.world
-        settings = settings_of(member)
+        settings = member_settings(member)
         client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
         client.store, client.late, client.cell = cell.store, [], cell
         self.replica = CellReplica(client, cell.store.tables, world.clock.now)
@@ -70,21 +70,21 @@
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
         self.target = CellTarget(self.context, features, self.jobs)
         links: dict[str, Any] = {peer.name: ScriptedLink(world, cell.name, peer.name) for peer in peers}
-        self.origin = CellOrigin(self.context, features, cell.line, links)
+        self.origin = CellOrigin(self.context, features, cell.queue, links)
 
-    async def look_round(self) -> None:
-        """What its loops do in about a report's time."""
-        await self.origin.mark()
-        await self.origin.select()
+    async def run_interval(self) -> None:
+        """Runs what the loops of the origin do in one report interval."""
+        await self.origin.record_member()
+        await self.origin.select_moves()
         for peer in self.origin.links:
             try:
-                await self.origin.talk(peer)
+                await self.origin.poll_peer(peer)
             except (NoAnswerError, StaleReplicaError):
                 continue
 
 
 class Cell:
-    """One cell: what is stored, its controllers, and what runs on its machines."""
+    """One cell: its stored state, its controllers and the tasks on its machines."""
 
     def __init__(self, world: CellWorld, name: str) -> None:
         self.world = world
@@ -100,39 +100,39 @@
         for member in MEMBERS:
             self.store.member(member, 1, settled=3)
         self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
-        # Task -> when it will end, by the controller's run whose claim it is.
+        # When each running task ends. Key: job, task index and the incarnation id of the controller that claimed it.
         self.running: dict[tuple[str, int, str], float] = {}
         self.ended: set[tuple[str, int, str]] = set()
 
-    def any_controller(self) -> Controller:
-        """The controller that happens to be asked."""
+    def random_controller(self) -> Controller:
+        """Returns a random controller of the cell."""
         return self.controllers[self.world.rng.choice(MEMBERS)]
 
-    def line(self) -> list[Job]:
-        """The jobs in the order in which they get room."""
-        return job_queue.queue_order(self.store.tables, settings_cache(), int(self.world.clock.time * 1000))
+    def queue(self) -> list[Job]:
+        """The jobs in queue order."""
+        return job_queue.queue_order(self.store.tables, shared_settings(), int(self.world.clock.time * 1000))
 
     def renew(self) -> None:
-        """Leases are renewed while the state service answers."""
+        """Renews the controllers' leases unless the state service is out."""
         for controller in self.controllers.values():
             if not self.outage:
                 controller.leadership.lease_renewed_at = controller.replica.linearizable_at = self.world.clock.time
             failing = controller.target.client
             failing.failing_since = self.world.clock.time - 100 if self.outage else None
 
-    def used(self) -> float:
-        """Cores in use."""
+    def used_cores(self) -> float:
+        """The cores used by running tasks."""
         return sum(self.world.cores[job] for job, _, _ in self.running)
 
-    async def work(self) -> None:
-        """Machines end what is cancelled or over, complete tasks, and take what is claimed for their room."""
+    async def run_machines(self) -> None:
+        """One round of the machines: stops cancelled tasks, completes finished ones, claims and starts new ones."""
         tables, now = self.store.tables, self.world.clock.time
         for key in list(self.running):
             job = tables.jobs.get(key[0])
             if job is None or job.is_cancelled:
                 del self.running[key]
                 if job is not None:
-                    await self._learn(key, done=False)
+                    await self._report_end(key, done=False)
             elif now >= self.running[key]:
                 del self.running[key]
                 self.ended.add(key)
@@ -142,71 +142,71 @@
             if job is None or job.progress.done >> key[1] & 1:
                 self.ended.discard(key)
             else:
-                await self._learn(key, done=True)
-        await self._withdrawn()
+                await self._report_end(key, done=True)
+        await self._release_cancelled()
         if not self.outage:
             await self.controllers[OWNER].jobs._commit_round()
             await self._claim()
 
-    async def _learn(self, key: tuple[str, int, str], done: bool) -> None:
-        """A controller is told of a task's end, and stores it with the next round."""
-        job, index, tag = key
-        controller = self.controllers[tag.partition(".")[0]]
+    async def _report_end(self, key: tuple[str, int, str], done: bool) -> None:
+        """Reports the end of a task to the controller that claimed it, which stores it at once."""
+        job, index, incarnation_id = key
+        controller = self.controllers[incarnation_id.partition(".")[0]]
         sets = {job: 1 << index}
         await controller.jobs.handle(TaskUpdates(done=sets) if done else TaskUpdates(released=sets))
         await controller.jobs._commit_round()
 
-    async def _withdrawn(self) -> None:
-        """Claims on cancelled jobs that run nowhere are released."""
+    async def _release_cancelled(self) -> None:
+        """Releases claims on tasks of cancelled jobs that are not running."""
         for job in list(self.store.tables.jobs.values()):
             if not job.is_cancelled:
                 continue
-            for tag, mask in job.progress.claims.items():
-                if not any(key[0] == job.spec.id and key[2] == tag for key in self.running):
-                    controller = self.controllers[tag.partition(".")[0]]
+            for incarnation_id, mask in job.progress.claims.items():
+                if not any(key[0] == job.spec.id and key[2] == incarnation_id for key in self.running):
+                    controller = self.controllers[incarnation_id.partition(".")[0]]
                     await controller.jobs.handle(TaskUpdates(released={job.spec.id: mask}))
                     await controller.jobs._commit_round()
 
     async def _claim(self) -> None:
-        for job in self.line():
-            free = MACHINES * CORES - self.used()
-            count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used()) // job.spec.cores))
+        for job in self.queue():
+            free = MACHINES * CORES - self.used_cores()
+            count = min(int(free // job.spec.cores), int((TEAM_LIMIT - self.used_cores()) // job.spec.cores))
             if count <= 0:
                 return
             controller = self.controllers[OWNER]
-            held = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
-            used = sum(
+            allocated = self.store.tables.quota_allocation("red", controller.leadership.incarnation_id)[0]
+            used_cores = sum(
                 self.world.cores[key[0]] for key in self.running if key[2] == controller.leadership.incarnation_id
             )
-            want = ResourceAmount(max(held, used + count * job.spec.cores))
+            want = ResourceAmount(max(allocated, used_cores + count * job.spec.cores))
             await controller.jobs.handle(ClaimRequest(task_counts={job.spec.id: count}, quota_increases={"red": want}))
             await controller.jobs._commit_round()
             self._start(job.spec.id, controller)
 
     def _start(self, name: str, controller: Controller) -> None:
-        """Starts what this controller has claimed, within its allowance."""
+        """Starts the tasks that this controller has claimed, within its quota allocation."""
         job = self.store.tables.jobs.get(name)
-        tag = controller.leadership.incarnation_id
+        incarnation_id = controller.leadership.incarnation_id
         if job is None or not job.is_runnable:
             return
-        mask = job.progress.claims.get(tag, 0) & ~job.progress.done
-        allowed = self.store.tables.quota_allocation("red", tag)[0]
+        mask = job.progress.claims.get(incarnation_id, 0) & ~job.progress.done
+        allowed = self.store.tables.quota_allocation("red", incarnation_id)[0]
         for index in range(job.spec.tasks):
-            key = (name, index, tag)
+            key = (name, index, incarnation_id)
             if not mask >> index & 1 or key in self.running or key in self.ended:
                 continue
-            used = sum(self.world.cores[each[0]] for each in self.running if each[2] == tag)
-            if used + job.spec.cores > allowed:
+            used_cores = sum(self.world.cores[each[0]] for each in self.running if each[2] == incarnation_id)
+            if used_cores + job.spec.cores > allowed:
                 return
             self.running[key] = self.world.clock.time + job.spec.estimate_s * (0.5 + self.world.rng.random())
             self.world.started(self.name, name)
 
 
-_settings: list[Settings] = []
+_cached_settings: list[Settings] = []
 
 
-def settings_cache() -> Settings:
-    """Settings for what does not depend on the member."""
-    if not _settings:
-        _settings.append(settings_of("c0"))
-    return _settings[0]
+def shared_settings() -> Settings:
+    """Returns settings for callers that need none of a particular member."""
+    if not _cached_settings:
+        _cached_settings.append(member_settings("c0"))
+    return _cached_settings[0]
