--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -1,4 +1,8 @@
-"""Deferred jobs by lane, and what admitting one of them takes."""
+"""The deferred jobs by lane, and the resources that admitting one of them takes.
+
+A lane queues the jobs of one team, class and priority in ticket (submission) order; its cut is the highest admitted
+ticket. Admitting a job raises the cut to the job's ticket.
+"""
 
 from __future__ import annotations
 
@@ -18,9 +22,9 @@
 
 @dataclass(frozen=True)
 class JobBundle:
-    """The jobs that are admitted together: one, and the deferred ones among the jobs that it needs.
+    """The jobs that are admitted together: a job and its deferred prerequisites.
 
-    Only released jobs take capacity; those that wait for others cost nothing.
+    Only released jobs, which wait for no prerequisite, take capacity; the others cost nothing.
     """
 
     head: Job
@@ -28,11 +32,11 @@
 
     @property
     def cost(self) -> float:
-        """What it costs the round robin: the cores of all remaining tasks."""
+        """The deficit that admitting the bundle takes: the cores of all its remaining tasks."""
         return sum(job.remaining_tasks * job.spec.cores for job in self.released)
 
     def use_of(self, team: str) -> ResourceUsage:
-        """What it uses of a team's guarantee."""
+        """Returns what the bundle uses of a team's guarantee."""
         use = ResourceUsage()
         for job in self.released:
             if job.spec.team == team:
@@ -40,7 +44,7 @@
         return use
 
     def fits(self, capacity: Capacity) -> bool:
-        """Whether each of its released jobs could put some of what is left to use: a gang only with all its tasks."""
+        """Tells whether each released job can start at least one task on what is left; a gang needs all its tasks."""
         for job in self.released:
             least = job.spec.tasks if job.spec.gang else 1
             if capacity.tasks_that_fit(job.spec, least) < least:
@@ -48,40 +52,40 @@
         return True
 
     def take(self, capacity: Capacity, settings: Settings, wall_clock_ms: int) -> None:
-        """Takes what should run at once."""
+        """Takes the capacity of the tasks that should run concurrently."""
         for job in self.released:
             capacity.take(job.spec, scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED))
 
 
 @dataclass
 class LaneQueue:
-    """A lane's deferred jobs in the order of their tickets, and its cut as it rises in this epoch."""
+    """A lane's deferred jobs in ticket order, and its cut, which admissions of this epoch raise."""
 
     lane: Lane
     cut: LaneCut
     waiting: list[tuple[Ticket, Job]] = field(default_factory=list)
     risen: bool = False
-    # Jobs before this place found no room in this epoch.
+    # The jobs before this index do not fit the free capacity of this epoch.
     looked: int = 0
 
     @property
     def head(self) -> Job | None:
-        """The job with the earliest ticket."""
+        """The job with the lowest ticket."""
         return self.waiting[0][1] if self.waiting else None
 
     def since_ms(self) -> int:
-        """Since when the head waits as a head."""
+        """Returns since when the head has been the first job of its lane, in Unix milliseconds."""
         return max(self.waiting[0][0].submitted_ms, self.cut.risen_ms)
 
     def raise_to(self, place: int, wall_clock_ms: int) -> None:
-        """Admits all up to this place in the queue."""
+        """Admits the job at this index and those before it."""
         self.cut = LaneCut(self.waiting[place][0], wall_clock_ms)
         del self.waiting[: place + 1]
         self.looked, self.risen = 0, True
 
 
 class Backlog:
-    """All deferred jobs."""
+    """All deferred jobs, by lane."""
 
     def __init__(self, tables: Tables, decisions: Mapping[str, Decision]) -> None:
         self.tables = tables
@@ -114,18 +118,18 @@
         return sorted({lane.team for lane, queue in self.lanes.items() if queue.waiting})
 
     def of_team(self, team: str) -> list[LaneQueue]:
-        """A team's lanes with deferred jobs: by priority, then by the ticket of the head."""
+        """Returns a team's lanes with deferred jobs, ordered by priority, then by the ticket of the head."""
         found = [queue for queue in self._of_team.get(team, ()) if queue.waiting]
         return sorted(found, key=lambda queue: (PRIORITY_RANKS[queue.lane.priority], queue.waiting[0][0], queue.lane))
 
     def bundle(self, job: Job) -> JobBundle:
-        """The job with all deferred ones that it needs."""
+        """Returns the job with its deferred prerequisites, direct and indirect."""
         needed = (each for each in ancestors(job, self.tables) if not self.decisions[each.spec.id].admitted)
         released = [each for each in (job, *(needed if job.unfinished_prerequisites else ())) if each.is_runnable]
         return JobBundle(job, tuple(released))
 
     def risen(self) -> Iterator[LaneQueue]:
-        """Lanes whose cuts rose in this epoch."""
+        """Returns the lanes whose cuts this epoch raised."""
         return (queue for queue in self.lanes.values() if queue.risen)
 
 
@@ -134,16 +138,16 @@
 
 
 def _may_enter(job: Job) -> bool:
-    """Whether there is anything to be admitted: not cancelled, and not with another cell."""
+    """Tells whether the job still has to run here: live, not cancelled, and not handed to another cell."""
     return (
         job.status == JobState.LIVE and not job.is_cancelled and bool(job.is_runnable or job.unfinished_prerequisites)
     )
 
 
 def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
-    """What each team's admitted jobs use of its guarantee: all that is left of those that are released.
+    """Returns what each team's admitted jobs use of its guarantee: the remaining tasks of released jobs.
 
-    Jobs that another cell handed over use nothing of a guarantee.
+    Jobs that another cell delegated to this one use none of it.
     """
     uses: dict[str, ResourceUsage] = {}
     for job in jobs:
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -1,4 +1,8 @@
-"""Room by kind of machine: what admitted work leaves of it, and what of that a job may take."""
+"""Free capacity by kind of machine: what admitted work leaves of the machines, and what a job may take of it.
+
+Capacity is counted in machines, as fractions, without assigning tasks to particular machines. It is what one epoch may
+admit jobs for.
+"""
 
 from __future__ import annotations
 
@@ -12,25 +16,32 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# Less than this of a machine is nothing.
+# A smaller fraction of a machine counts as none; it may be a rounding error.
 LEAST_MACHINES = 1e-6
 
 
 @dataclass(frozen=True)
 class IdleCapacity:
-    """Room of one kind that no admitted job could take, as its owner told, in machines, and for how many seconds."""
+    """Free capacity that no admitted job could use, as reported by the machines' owner.
+
+    Attributes:
+        kind: The kind of machine.
+        machines: How much, as a fractional number of machines.
+        age_s: For how long it has been left unused.
+    """
 
     kind: InstanceKind
     machines: float
     age_s: float
 
 
-# Needs are spread over the whole time to the next target: what is in time is no overload.
+# A job's work is spread over the whole time left to its next target. A job that meets its target this way is no
+# overload.
 SPREAD_ADMITTED = 1.0
 
 
 class Capacity:
-    """Room on paper: by kind of machine, and by team."""
+    """Free capacity by kind of machine and remaining quota by team, while jobs are admitted."""
 
     def __init__(
         self,
@@ -59,22 +70,24 @@
             lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED),
         )
         self.left, short = scaling.pack_demand(needs, _with_surplus(supply, surplus), self.offers)
-        # Whether what should run at once finds no machine.
+        # Whether the machines cannot take all tasks that should run concurrently.
         self.overloaded = bool(short)
         told: dict[InstanceKind, float] = {}
         for room in idle:
             told[room.kind] = told.get(room.kind, 0.0) + room.machines
+        # Capacity that is reported idle counts as free, even if admitted work should take it: that work cannot use it,
+        # for example after failures, or without a quota allocation at the machines' owner.
         for kind, machines in told.items():
             if kind in self.left:
                 self.left[kind] = max(self.left[kind], machines)
 
     @property
     def any_left(self) -> bool:
-        """Whether anything is left to be taken."""
+        """Whether any machine has free capacity."""
         return any(machines > LEAST_MACHINES for machines in self.left.values())
 
     def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
-        """How many of so many tasks find room now, by machines and by the team's limit."""
+        """Returns how many tasks, up to `most`, fit the free capacity and the team's limit."""
         most = min(most, self.limits.tasks_within(spec))
         found = 0.0
         for offer in self.offers:
@@ -86,11 +99,11 @@
 
     def _tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
         part = scaling.machines_needed(spec, 1, offer.type)
-        # Less room than one task takes is none.
+        # Only whole tasks count.
         return self.left[offer.kind] // part if part > LEAST_MACHINES else float(spec.tasks)
 
     def take(self, spec: JobSpec, tasks: int) -> None:
-        """Takes room for so many tasks, as far as there is."""
+        """Takes the capacity of this many tasks, or of as many as fit."""
         self.limits.take(spec, tasks)
         for offer in self.offers:
             if tasks <= 0:
--- a/sloeswitch/admission/compare.py
+++ b/sloeswitch/admission/compare.py
@@ -1,10 +1,16 @@
-"""Compares the decisions that several controllers logged.
-
-Two records of the same row and number must name the same cuts. By its own cut a job is deferred up to some number and
-admitted from a higher one on, and so in all logs: what one controller admitted at a number, no other may have deferred
-at that number or a later one. A controller that logs a job as deferred, then applies further numbers, and then logs it
-as admitted, deferred it at those numbers too. What is admitted since another job needs it goes by that job's cut.
-Whether work had begun, which one controller read later than another, plays no part.
+"""Checks the decision logs of several controllers for contradictions.
+
+A log holds two kinds of records: versions (numbers) of rows that a controller applied, each with a digest of its cuts
+(admission watermarks), and decisions on jobs, each with the number of the row that it was made by. The rules:
+
+- Records of the same row and number must have the same digest.
+- Cuts are never lowered, so a job is deferred by its own cut up to some number and admitted at all higher ones. If one
+  controller admitted it at a number, no other may have deferred it at that number or a higher one.
+- If a controller logs a job as deferred, then applies further numbers, and then logs the job as admitted, it deferred
+  the job at the numbers in between as well.
+- A job that was admitted as a prerequisite of another ("needed") is not compared: it depends on the other job's cut.
+- A job that was admitted since its work had begun ("begun") counts as deferred by its cut: controllers learn of that
+  work at different times.
 """
 
 from __future__ import annotations
@@ -18,17 +24,17 @@
 from sloeswitch.admission.decision_log import DecisionRecord, EpochRecord, Record, decode
 from sloeswitch.admission.decisions import Ground
 
-# What stands before a record in a controller's log.
+# The text before a record in a line of a controller's log, up to the record's first character.
 MARK = " admission: {"
 
 
 class LogError(Exception):
-    """A log that cannot be read, with file and line."""
+    """A log cannot be read; the message names the file and, for a malformed record, the line."""
 
 
 @dataclass(frozen=True)
 class Line:
-    """A record and where it stands."""
+    """A record with its file and line number."""
 
     file: str
     number: int
@@ -41,14 +47,14 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """The first two lines that do not agree."""
+    """The first two lines that contradict each other."""
 
     one: Line
     other: Line
 
 
 def records(name: str, lines: Iterable[str]) -> Iterator[Line]:
-    """The records of a log; other lines are passed over. LogError names a record that is malformed."""
+    """Yields the records of a log and skips other lines; raises LogError for a malformed record."""
     for number, line in enumerate(lines, 1):
         _, mark, rest = line.partition(MARK)
         if not mark:
@@ -61,16 +67,16 @@
 
 
 class Comparison:
-    """What the logs that were read so far say."""
+    """Collects the records of the logs read so far and compares further ones with them."""
 
     def __init__(self) -> None:
         self._digests: dict[tuple[str, int], Line] = {}
-        # By job: the lowest number at which it was admitted, and the highest at which it was deferred.
+        # By job: the lowest row number at which it was admitted, and the highest at which it was deferred.
         self._admitted: dict[str, tuple[int, Line]] = {}
         self._deferred: dict[str, tuple[int, Line]] = {}
 
     def read(self, name: str, lines: Iterable[str]) -> Difference | None:
-        """Reads one controller's log; the first line that does not agree with what was read before."""
+        """Reads one controller's log; returns the first contradiction to what was read before, or None."""
         applied: list[tuple[EpochRecord, Line]] = []
         deferred_here: dict[str, int] = {}
         for line in records(name, lines):
@@ -95,7 +101,10 @@
         return None
 
     def _note_implied(self, admitted: DecisionRecord, applied: list[tuple[EpochRecord, Line]]) -> Difference | None:
-        """Numbers of its row, or of the rows that this was split from, that were applied while it was deferred."""
+        """Notes an admitted job as deferred at the earlier numbers that were applied while it was deferred.
+
+        These are numbers of its row, or of the rows that its row was split from.
+        """
         for record, line in applied:
             if record.number < admitted.number and admitted.row.startswith(record.row):
                 difference = self._note_deferred(admitted.job, record.number, line)
@@ -119,7 +128,7 @@
 
 
 def compare(logs: Iterable[tuple[str, Iterable[str]]]) -> Difference | None:
-    """The first difference, in the order of the logs; None where there is none."""
+    """Returns the first contradiction, in the order of the logs; None if they agree."""
     comparison = Comparison()
     for name, lines in logs:
         difference = comparison.read(name, lines)
@@ -129,7 +138,7 @@
 
 
 def main(paths: list[str], out: TextIO, errors: TextIO) -> int:
-    """Compares log files; 0 where they agree, 1 with the first difference, 2 for what cannot be read."""
+    """Compares log files; returns the exit code: 0 if they agree, 1 if not, 2 if a log cannot be read."""
     try:
         logs = [(path, _read(path)) for path in paths]
         difference = compare(logs)
@@ -144,7 +153,7 @@
 
 
 def _read(path: str) -> Iterator[str]:
-    """A file's lines, one by one: a log may be large."""
+    """Yields the lines of a file without loading it whole, since a log may be large."""
     try:
         with open(path, encoding="utf-8") as file:
             yield from file
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -1,4 +1,8 @@
-"""The coordinator's part: asks owners for idle capacity, computes the next cuts, and stores them."""
+"""Runs admission epochs on the controller that is the coordinator.
+
+In an epoch the coordinator computes higher cuts, which are the admission watermarks of the lanes, and stores them. For
+this it asks the other controllers (siblings) for the idle capacity of the machines that they own.
+"""
 
 from __future__ import annotations
 
@@ -24,22 +28,22 @@
 
 log = logging.getLogger("admission")
 
-# For how many epochs a report of a sibling counts.
+# For how many epochs a sibling's report remains valid.
 REPORT_VALID_EPOCHS = 3.0
 
 
 @dataclass(frozen=True)
 class ReportedIdleCapacity:
-    """A sibling's idle capacity, and when it was asked for."""
+    """A sibling's idle capacity, and when it was requested, in seconds of this controller's clock."""
 
     asked_at: float
     rooms: list[IdleCapacity]
 
 
 class AdmissionCoordinator:
-    """Owns the idle capacity that siblings reported, and when each row was last written.
+    """Keeps the idle capacity that siblings reported, and when each row was last written.
 
-    All else is in the tables, so that the next coordinator goes on from there.
+    All other state is in the tables, so that a new coordinator continues from there.
     """
 
     def __init__(
@@ -67,13 +71,13 @@
 
     @property
     def switched_on(self) -> bool:
-        """Whether jobs are deferred here: turned on, and every configured controller has run with the feature."""
+        """Whether jobs are deferred: the setting is on, and every configured controller has run with the feature."""
         return self.features.deferring and self.feature.is_complete
 
     # -- loops
 
     async def coordinate_forever(self) -> None:
-        """Marks that this controller runs with the feature, and runs an epoch while it coordinates."""
+        """Records that this controller runs the feature, and runs epochs while it is the coordinator."""
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
@@ -82,21 +86,25 @@
             except StaleReplicaError:
                 pass
             except Exception:
-                log.exception("epoch failed")
+                log.exception("admission epoch failed")
 
     async def ask_forever(self, member: str) -> None:
-        """Asks one sibling for its idle room while this controller coordinates."""
+        """Asks one sibling for its idle capacity, repeatedly, while this controller is the coordinator."""
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
                 await self.ask(member)
             except NoAnswerError as error:
-                log.debug("%s", error)
+                log.debug("idle capacity request not answered: error=%s", error)
             except Exception:
-                log.exception("while asking %s", member)
+                log.exception("idle capacity request failed: member=%s", member)
 
     async def ask(self, member: str) -> None:
-        """One question to a sibling. Sent only once every controller knows the frame."""
+        """Asks a sibling once for its idle capacity, if jobs are deferred and this controller is the coordinator.
+
+        Otherwise drops the sibling's last report. The frame is not sent before every controller knows it, since jobs
+        are deferred only once every controller has run with the feature.
+        """
         if not (self.switched_on and self.leadership.is_coordinator):
             self.reported.pop(member, None)
             return
@@ -106,10 +114,10 @@
     # -- epochs
 
     async def epoch(self) -> None:
-        """Reckons the cuts from the tables as they are, and stores what rises, on condition of what was read."""
+        """Computes the cuts from the tables, and stores the raised ones if the rows are unchanged since the read."""
         if not (self.switched_on and self.leadership.is_coordinator):
             return
-        # Guards against tables that lag: cuts computed from them would fail or be low.
+        # With stale tables the cuts would be too low, or the conditional write would fail.
         await self.replica.read_linearizable(self.client.timeout_s)
         tables = self.replica.tables
         changes = next_rows(
@@ -124,8 +132,8 @@
         if not chosen:
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
-        # On the rows' own stamps rests that no cut falls (docs/admission.md); the coordinator's key only spares a
-        # deposed one its changes.
+        # The conditions on the rows' revisions ensure that no cut is lowered (docs/admission.md). The condition on the
+        # coordinator's key only saves a deposed coordinator useless changes.
         conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
         outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         now = self.now()
@@ -136,7 +144,7 @@
             self.replica.request_read()
 
     def _known_idle_capacity(self) -> list[IdleCapacity]:
-        """All idle capacity that was reported lately, each as old as it is by now."""
+        """Returns this controller's idle capacity and the valid reports of siblings, with their ages as of now."""
         now = self.now()
         found = list(self.own_idle_capacity())
         for reported in self.reported.values():
--- a/sloeswitch/admission/cuts.py
+++ b/sloeswitch/admission/cuts.py
@@ -1,4 +1,9 @@
-"""Admission cuts: tickets, lanes, the rows that hold cuts, and how a lane finds its row."""
+"""Admission cuts and the stored rows that hold them.
+
+A cut is a lane's admission watermark: the highest ticket that is admitted. A lane holds the jobs of one team, class and
+priority; a ticket is a job's place in the order of submission. The rows form a binary tree over a hash of the lane: the
+root row holds the cuts of all lanes until its value grows too large, and is then split into two child rows.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +15,14 @@
 
 import msgspec
 
-# Bits of a lane's hash, and so the deepest that rows can be split.
+# Bits of a lane's hash, which is also the maximum depth of the tree of rows.
 HASH_BITS = 32
-# The row in which a lane is first looked for.
+# The path of the root row, where the lookup of a lane starts.
 ROOT = ""
 
 
 class Ticket(NamedTuple):
-    """A job's place in the order of submission: the stored time of day in milliseconds, then the id."""
+    """A job's place in the order of submission: its stored submission time in Unix milliseconds, then its id."""
 
     submitted_ms: int
     job: str
@@ -27,7 +32,7 @@
 
 
 class Lane(NamedTuple):
-    """Jobs that are admitted in the order of their tickets. The priority is the job's own, not an inherited one."""
+    """A queue of jobs that are admitted in ticket order. The priority is the one the job was submitted with."""
 
     team: str
     job_class: str
@@ -35,12 +40,12 @@
 
 
 def team_lane(team: str) -> Lane:
-    """The lane whose row keeps what a team is owed. No job is of it: classes have names."""
+    """Returns the lane whose row stores the team's deficit. It holds no jobs, since no class has an empty name."""
     return Lane(team, "", "")
 
 
 class LaneCut(NamedTuple):
-    """Up to where a lane's jobs are admitted, and when that last rose, by the clock of whoever stored it."""
+    """The highest admitted ticket of a lane, and when it was last raised, by the clock of the coordinator then."""
 
     cut: Ticket
     risen_ms: int
@@ -51,27 +56,27 @@
 
 @dataclass(frozen=True)
 class AdmissionRow:
-    """One stored value: the cuts of all lanes that belong to it."""
+    """The cuts of all lanes whose hash leads to this row, stored as one value."""
 
-    # Rises by one with each change of the row.
+    # The version, incremented by each change of the row.
     number: int = 0
-    # For lanes that are not named.
+    # The cut of lanes that have no entry in `lanes`.
     common: LaneCut = NOTHING_ADMITTED
     lanes: Mapping[Lane, LaneCut] = field(default_factory=dict)
-    # What teams are owed by the round robin, in cores.
+    # The teams' deficits in the deficit round robin, in cores.
     deficits: Mapping[str, float] = field(default_factory=dict)
-    # Its lanes belong to its two children, for good.
+    # Whether the lanes have moved to the two child rows. A split is never reverted.
     split: bool = False
 
     def of(self, lane: Lane) -> LaneCut:
-        """The cut of a lane, which is never below the common one."""
+        """Returns the cut of a lane, which is at least the common one."""
         own = self.lanes.get(lane)
         return self.common if own is None or own.cut < self.common.cut else own
 
     def raised(self, common: LaneCut, lanes: Mapping[Lane, LaneCut], deficits: Mapping[str, float]) -> AdmissionRow:
-        """The row with these cuts where they are above its own.
+        """Returns the row with each cut raised to the given one; lower ones are ignored.
 
-        No cut falls, whatever is asked for: that is why a reader that lags admits nothing that others defer.
+        A cut is never lowered, so a controller that reads rows late admits no job that others defer.
         """
         common = max(self.common, common, key=_cut_of)
         merged = dict(self.lanes)
@@ -82,7 +87,7 @@
         return self if changed == self else replace(changed, number=self.number + 1)
 
     def children(self, path: str) -> tuple[AdmissionRow, dict[str, AdmissionRow]]:
-        """The row marked as split, and the two rows that take its lanes, with the same cuts."""
+        """Returns the row marked as split, and its two child rows by path, which hold its lanes with unchanged cuts."""
         number = self.number + 1
         parts = {
             path + bit: AdmissionRow(
@@ -96,10 +101,10 @@
         return replace(self, number=number, lanes={}, deficits={}, split=True), parts
 
     def stored(self) -> dict[str, Any]:
-        """The value of the row.
+        """Returns the row as a value for the state service.
 
-        Lanes are grouped by team and class, so that each name is stored once; times are relative to the common cut,
-        so that they are short.
+        Lanes are grouped by team and class, so that each name is stored once. Times are stored relative to the common
+        cut, which makes them shorter.
         """
         base_ms = self.common.cut.submitted_ms
         lanes: dict[str, dict[str, list[list[Any]]]] = {}
@@ -118,7 +123,7 @@
 
     @staticmethod
     def from_stored(value: dict[str, Any]) -> AdmissionRow:
-        """Raises KeyError, TypeError or ValueError for what is no row."""
+        """Decodes a stored row; raises KeyError, TypeError or ValueError if it is malformed."""
         base_ms, job, risen_ms = value["c"]
         lanes = {
             Lane(team, klass, priority): LaneCut(Ticket(base_ms + cut_ms, cut_job), base_ms + lane_risen_ms)
@@ -131,12 +136,12 @@
 
     @property
     def size_bytes(self) -> int:
-        """How large the stored value is."""
+        """The size of the stored value."""
         return len(msgspec.json.encode(self.stored()))
 
     @property
     def digest(self) -> str:
-        """Names the cuts: equal where they are equal."""
+        """A hash of the stored value, by which logs of several controllers are compared."""
         return hashlib.blake2b(msgspec.json.encode(self.stored()), digest_size=8).hexdigest()
 
 
@@ -146,14 +151,14 @@
 
 @lru_cache(maxsize=4096)
 def hash_bits(lane: Lane) -> str:
-    """The bits by which a lane finds its row."""
+    """Returns the hash of a lane as text of 0 and 1; its leading bits are the path of the lane's row."""
     text = "\0".join(lane).encode()
     number = int.from_bytes(hashlib.blake2b(text, digest_size=HASH_BITS // 8).digest(), "big")
     return format(number, f"0{HASH_BITS}b")
 
 
 def row_of(rows: Mapping[str, AdmissionRow], lane: Lane) -> str | None:
-    """The path of the row that a lane belongs to; None while that is not known here, so that nothing is admitted."""
+    """Returns the path of the row that holds a lane's cut; None, so that nothing is admitted, until it is read."""
     path = ROOT
     bits = hash_bits(lane)
     while path in rows and rows[path].split:
@@ -162,5 +167,5 @@
 
 
 def leaves(rows: Mapping[str, AdmissionRow]) -> dict[str, AdmissionRow]:
-    """The rows to which lanes belong."""
+    """Returns the rows that are not split, by path."""
     return {path: row for path, row in sorted(rows.items()) if not row.split}
--- a/sloeswitch/admission/decision_log.py
+++ b/sloeswitch/admission/decision_log.py
@@ -1,4 +1,4 @@
-"""Decisions as they are logged: one JSON object a line, so that those of several controllers can be compared."""
+"""The log of admission decisions: one JSON object per line, which `admission.compare` reads."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 class EpochRecord(msgspec.Struct, tag="epoch", frozen=True):
-    """A change of a row that a controller applied."""
+    """A changed row of cuts (admission watermarks) that a controller applied."""
 
     row: str
     number: int
-    # Names the cuts (see AdmissionRow.digest).
+    # A hash of the row (see AdmissionRow.digest).
     digest: str
 
 
 class DecisionRecord(msgspec.Struct, tag="decision", frozen=True):
-    """A decision that a controller took about a job: the first one, and each that differs."""
+    """A decision on a job, logged when the job is first decided on and when the reason changes."""
 
     job: str
-    # The row and its number by which it was taken; empty and 0 while the row was not known.
+    # The row and its number that the decision was made by; empty and 0 if the row had not been read.
     row: str
     number: int
-    # Why (see decisions.Ground), and the job whose cut decided.
+    # The reason (see decisions.Ground), and the job whose lane's cut decided.
     ground: str
     by: str
 
@@ -38,24 +38,24 @@
 
 
 def encode(record: Record) -> str:
-    """A record as it is logged."""
+    """Encodes a record as it is logged."""
     return msgspec.json.encode(record).decode()
 
 
 def decode(text: str | bytes) -> Record:
-    """Raises msgspec.MsgspecError for what is no record."""
+    """Decodes a record; raises msgspec.MsgspecError if it is malformed."""
     return msgspec.json.decode(text, type=Record)
 
 
 class DecisionLog:
-    """Logs epochs at the level `info` and decisions at `debug`.
+    """Logs changed rows at the level `info` and decisions at `debug`.
 
-    There are as many epochs as rows are changed, at most a tenth of the state service's changes, and mostly one or two
-    decisions for each job.
+    There is one record for each change of a row, which is at most a tenth of the state service's write rate, and mostly
+    one or two decisions for each job.
     """
 
     def epochs(self, before: Mapping[str, AdmissionRow], after: Mapping[str, AdmissionRow]) -> None:
-        """Rows that changed."""
+        """Logs the rows that changed."""
         if not log.isEnabledFor(logging.INFO):
             return
         for path, row in after.items():
@@ -63,7 +63,7 @@
                 log.info("%s", encode(EpochRecord("r" + path, row.number, row.digest)))
 
     def decision(self, job: str, decision: Decision) -> None:
-        """A job's decision."""
+        """Logs the decision on a job."""
         if log.isEnabledFor(logging.DEBUG):
             row = "" if decision.row is None else "r" + decision.row
             log.debug("%s", encode(DecisionRecord(job, row, decision.number, decision.ground.value, decision.by)))
--- a/sloeswitch/admission/decisions.py
+++ b/sloeswitch/admission/decisions.py
@@ -1,4 +1,9 @@
-"""Which jobs are admitted, from the tables alone: a comparison with a stored cut, and what follows along pipelines."""
+"""Which jobs are admitted, derived from the tables alone, so that all controllers agree.
+
+A job is admitted if its ticket (place in the order of submission) is at or below the stored cut (admission watermark)
+of its lane, which holds the jobs of one team, class and priority. An admitted job also admits its prerequisites. A job
+that has begun is admitted without regard to the cut.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +18,7 @@
 
 
 class Ground(Enum):
-    """Why a job is admitted, or not."""
+    """The reason why a job is admitted or deferred."""
 
     CUT = "cut"
     NEEDED = "needed"
@@ -22,47 +27,53 @@
 
 
 class Decision(NamedTuple):
-    """One job's decision, and the row that it depends on. A tuple, since there is one for each job that is not over."""
+    """The decision on one job, and the row that it depends on.
+
+    A tuple, which is cheap to create, since there is one for each unfinished job.
+    """
 
     ground: Ground
-    # The row's path and number; None while the row is not known.
+    # The path and version of the row; None and 0 while the row has not been read.
     row: str | None = None
     number: int = 0
-    # The job whose cut decided: this one, or one that needs it.
+    # The job whose lane's cut decided: this job, or one that has it as a prerequisite.
     by: str = ""
 
     @property
     def admitted(self) -> bool:
-        """Whether the job may enter the line."""
+        """Whether the job may enter the queue."""
         return self.ground is not Ground.DEFERRED
 
 
 def lane_of(spec: JobSpec) -> Lane:
-    """The lane in which a job stands."""
+    """Returns the lane of a job."""
     return Lane(spec.team, spec.job_class, spec.priority)
 
 
 def ticket_of(job: Job) -> Ticket:
-    """A job's place in its lane."""
+    """Returns a job's ticket, which orders it within its lane."""
     return Ticket(job.submitted_ms, job.spec.id)
 
 
 class CutReader:
-    """Looks decisions up by the rows as they are now; each lane's row and cut once."""
+    """Decides on jobs by a fixed set of rows; looks up each lane only once."""
 
     def __init__(self, rows: Mapping[str, AdmissionRow]) -> None:
         self.rows = rows
         self._lanes: dict[tuple[str, str, str], tuple[str | None, int, Ticket]] = {}
 
     def cut_of(self, lane: Lane) -> tuple[str | None, int, Ticket]:
-        """The path and number of a lane's row, and its cut; None, 0 and the first ticket while that is not known."""
+        """Returns the path and version of a lane's row, and its cut.
+
+        None, 0 and the first ticket while the row has not been read.
+        """
         path = row_of(self.rows, lane)
         if path is None:
             return None, 0, FIRST_TICKET
         return path, self.rows[path].number, self.rows[path].of(lane).cut
 
     def cut(self, spec: JobSpec) -> tuple[str | None, int, Ticket]:
-        """The same for a job's lane."""
+        """As `cut_of`, for the lane of a job, from a cache."""
         key = (spec.team, spec.job_class, spec.priority)
         found = self._lanes.get(key)
         if found is None:
@@ -70,12 +81,13 @@
         return found
 
     def decide(self, job: Job) -> Decision:
-        """A job's decision by its own cut, or since work on it has begun."""
+        """Decides on a job by the cut of its lane, or since its work has begun."""
         path, number, cut = self.cut(job.spec)
         if path is not None and (job.submitted_ms, job.spec.id) <= cut:
             ground = Ground.CUT
         elif job.progress_revision:
-            # Begun under a cut that is not read yet here, or before the feature was on: it must not stand still.
+            # The job began under a cut that this controller has not read yet, or before the feature was enabled.
+            # Deferring it now would stall it.
             ground = Ground.BEGUN
         else:
             ground = Ground.DEFERRED
@@ -83,7 +95,7 @@
 
 
 def ancestors(job: Job, tables: Tables) -> Iterable[Job]:
-    """The jobs that this one needs, directly or through others, and that are not over."""
+    """Yields the unfinished prerequisites of a job, direct and indirect."""
     seen: set[str] = set()
     stack = list(job.spec.prerequisites)
     while stack:
@@ -97,7 +109,7 @@
 
 
 def decide(tables: Tables, names: Iterable[str] | None = None) -> dict[str, Decision]:
-    """The decisions of the jobs that are not over. `names`: only these, and those that they need."""
+    """Returns the decisions on all unfinished jobs; with `names`, on these and prerequisites of the admitted ones."""
     reader = CutReader(tables.admission_rows)
     found: dict[str, Decision] = {}
     waiting: list[Job] = []
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -1,4 +1,16 @@
-"""The next cuts: a pure function of the stored rows, the time of day and the idle capacity that owners reported."""
+"""Computes the cuts of the next epoch from the stored rows, the time of day and the reported idle capacity.
+
+A cut is a lane's admission watermark: the highest ticket (place in the order of submission) that is admitted. A lane
+holds the jobs of one team, class and priority. An epoch is one run of this computation; it raises cuts in three steps:
+
+1. Jobs that fit their team's guarantee.
+2. Jobs that fit the free capacity, chosen by deficit round robin between the teams. Each round adds a team's quantum
+   (a number of cores in proportion to its guarantee) to its deficit. A job is admitted once the deficit covers the
+   cores of all its tasks, which are then subtracted.
+3. The first job of each lane whose cut has not been raised for the starvation timeout, whether or not it fits.
+
+The computation does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -26,20 +38,20 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, Team
 
-# What a team without any guarantee counts in the round robin, as a part of an even share.
+# The weight of a team without any guarantee in the round robin, as a fraction of an even share.
 LEAST_WEIGHT = 0.1
 
 
 @dataclass(frozen=True)
 class RowChange:
-    """One change of a row, or its split: the rows to be written on condition that the first is as it was read."""
+    """A row to change, or to split into two children, and the rows to write for it in one transaction."""
 
     path: str
     rows: Mapping[str, AdmissionRow]
 
 
 class Epoch:
-    """One computation of the cuts."""
+    """One computation of the cuts; it collects admissions and what they take."""
 
     def __init__(
         self,
@@ -61,11 +73,12 @@
         self.uses = admitted_use(admitted, self.decisions)
         self.deficits = self._stored_deficits()
         self.admissions = 0
-        # What found no room in this epoch: nothing alike does. Room only becomes less.
+        # Task shapes that did not fit the free capacity. It only shrinks during an epoch, so that jobs of such a shape
+        # need no second check.
         self.no_room: set[tuple[object, ...]] = set()
 
     def changes(self, value_bytes: int) -> list[RowChange]:
-        """What is to be stored: nothing where no cut rises. Rows that would pass the value limit are split."""
+        """Returns the changes to store: none for rows without a raised cut. Rows above the value limit are split."""
         rows = self.tables.admission_rows
         if not rows:
             return [RowChange(ROOT, {ROOT: AdmissionRow().raised(self._ahead(), {}, {})})]
@@ -105,7 +118,10 @@
         return RowChange(path, {path: marked, **children})
 
     def _ahead(self) -> LaneCut:
-        """The common cut while nothing is deferred: ahead of the clock, so that nothing will be for a while."""
+        """Returns the common cut for times without overload: two leads ahead of the clock.
+
+        New jobs are then admitted at once, and the row is written only about once in a lead.
+        """
         return LaneCut(Ticket(self.wall_clock_ms + int(2000 * self.limits.lead_s), ""), self.wall_clock_ms)
 
     def _stored_deficits(self) -> dict[str, float]:
@@ -116,10 +132,10 @@
                 found[team] = self.tables.admission_rows[path].deficits.get(team, 0.0)
         return found
 
-    # -- guarantees
+    # -- step 1: guarantees
 
     def _admit_guaranteed(self) -> None:
-        """Heads that fit their team's guarantee, beside its admitted unfinished work: that is promised."""
+        """Admits the heads of lanes that fit their team's guarantee together with its admitted unfinished work."""
         for team in self.backlog.teams:
             promised = self.settings.teams.get(team)
             if promised is None:
@@ -136,7 +152,7 @@
         return within_guarantee(team, use.cores + more.cores, use.gpus + more.gpus)
 
     def _admit(self, queue: LaneQueue, place: int, bundle: JobBundle) -> None:
-        """Raises a lane up to a job, and takes the room of what enters the line with it."""
+        """Raises a lane's cut to the job at an index, and takes the capacity and guarantee of its bundle."""
         bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
             if job.delegated is None:
@@ -148,12 +164,13 @@
     def _may_go_on(self) -> bool:
         return self.admissions < self.limits.max_admissions
 
-    # -- the budget
+    # -- step 2: deficit round robin
 
     def _spend_budget(self) -> None:
-        """Deficit round robin over the teams, for as long as something that is left fits a waiting job.
+        """Admits jobs by deficit round robin between the teams until no waiting job fits the free capacity.
 
-        Rounds in which nobody could pay are granted at once: a job of thousands of tasks waits for many of them.
+        While no team's deficit covers its next job, the rounds until one does are added in one step: a job of
+        thousands of tasks would need many rounds.
         """
         weights = self._weights()
         found = {team: self._next_fitting(team) for team in self.backlog.teams}
@@ -169,7 +186,7 @@
             queue, place, bundle = fitting[team]
             self.deficits[team] = self.deficits.get(team, 0.0) - bundle.cost
             self._admit(queue, place, bundle)
-            # Room only becomes less: what fitted may not fit any more, and what did not still does not.
+            # Free capacity only shrinks: jobs that fitted are checked again, those that did not need no check.
             found = {
                 other: each if other != team and each is not None and each[2].fits(self.capacity) else None
                 for other, each in found.items()
@@ -177,7 +194,7 @@
             found |= {other: self._next_fitting(other) for other in fitting if found[other] is None}
 
     def _grant(self, fitting: Mapping[str, tuple[LaneQueue, int, JobBundle]], weights: Mapping[str, float]) -> None:
-        """As many rounds as it takes until one team can pay."""
+        """Adds as many rounds of quanta as it takes until one team's deficit covers its next job."""
         rounds = min(
             max(1, math.ceil((bundle.cost - self.deficits.get(team, 0.0)) / self._quantum(team, weights)))
             for team, (_, _, bundle) in fitting.items()
@@ -186,10 +203,11 @@
             self.deficits[team] = self.deficits.get(team, 0.0) + rounds * self._quantum(team, weights)
 
     def _quantum(self, team: str, weights: Mapping[str, float]) -> float:
+        """Returns the cores that one round adds to a team's deficit."""
         return max(1.0, self.capacity.cores / 16) * weights[team]
 
     def _weights(self) -> dict[str, float]:
-        """Each team's share of all guarantees."""
+        """Returns the weight of each team: its share of all guarantees, of cores or GPUs, whichever is larger."""
         teams = self.settings.teams.values()
         cores = sum(team.cpus for team in teams) or 1.0
         gpus = sum(team.gpus for team in teams) or 1.0
@@ -198,7 +216,10 @@
         return {team: weights.get(team, least) for team in {*weights, *self.backlog.teams}}
 
     def _next_fitting(self, team: str) -> tuple[LaneQueue, int, JobBundle] | None:
-        """The team's next job that could use what is left. Those before it in its lane cannot, and are passed over."""
+        """Returns the team's next job that fits the free capacity, with its lane and index; None if no job fits.
+
+        Jobs before it in its lane do not fit and are skipped. They are admitted with it, since the cut passes them.
+        """
         if not self.capacity.any_left:
             return None
         for queue in self.backlog.of_team(team):
@@ -218,10 +239,10 @@
                 queue.looked += 1
         return None
 
-    # -- patience
+    # -- step 3: starvation
 
     def _admit_patient(self) -> None:
-        """One job of each lane that has not risen for long, whatever the room: no lane waits for ever."""
+        """Admits the head of each lane that was not raised within the starvation timeout, even if it does not fit."""
         for queue in self.backlog.lanes.values():
             if queue.head is None or queue.risen:
                 continue
@@ -237,16 +258,17 @@
     wall_clock_ms: int,
     value_bytes: int,
 ) -> list[RowChange]:
-    """The changes of one epoch."""
+    """Computes the changes of one epoch."""
     return Epoch(tables, settings, limits, idle, wall_clock_ms).changes(value_bytes)
 
 
 def chosen_changes(
     changes: Iterable[RowChange], written_at: Mapping[str, float], max_changes: int, txn_ops: int
 ) -> list[RowChange]:
-    """What one transaction takes: the rows that were written longest ago first.
+    """Selects the changes for one transaction, those of the least recently written rows first.
 
-    A split comes once and may exceed the share of the state service's changes, so that it is over soon.
+    A split may exceed `max_changes`, the epoch's share of the write rate, up to the operations of a transaction: it
+    happens only once for a row and should not be delayed.
     """
     found: list[RowChange] = []
     count = 0
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -1,7 +1,7 @@
-"""The mesh frame by which owners tell idle room: packed by hand, as all that controllers say to each other.
+"""The mesh frame by which a machine owner reports idle capacity to the coordinator; packed by hand as all mesh frames.
 
-A request has no body. An answer is a count, then for each kind of machine the lengths of its type's and zone's names, a
-flag for spot machines, how much is free in machines, since how many seconds, and the names.
+A request has no body. An answer is a count, followed by one entry for each kind of machine: the lengths of the names of
+its type and zone in bytes, a flag for spot machines, the free capacity in machines, its age in seconds, and the names.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 COUNT = struct.Struct("!H")
 ENTRY = struct.Struct("!BB?df")
-# Names have one byte for their length.
+# The length of a name is stored in one byte.
 LONGEST_NAME = 255
 MOST_ENTRIES = (MAX_BODY_BYTES - COUNT.size) // (ENTRY.size + 2 * LONGEST_NAME)
 
 
 class IdleCapacityLink(Protocol):
-    """The way to another controller."""
+    """The connection to a sibling, which is another controller of this deployment."""
 
     async def idle_capacity(self) -> list[IdleCapacity]:
-        """Asks for its idle room; NoAnswerError when there is no answer."""
+        """Asks for the sibling's idle capacity; raises NoAnswerError if there is no answer."""
 
 
 def pack_idle_capacity(rooms: Iterable[IdleCapacity]) -> bytes:
-    """The body of an answer. What would not fit is left out: it costs order only."""
+    """Packs the body of an answer. Entries that do not fit are left out; this only affects the order of admission."""
     entries: list[bytes] = []
     for room in rooms:
         kind, zone, spot = room.kind
@@ -42,7 +42,7 @@
 
 
 def unpack_idle_capacity(body: bytes) -> list[IdleCapacity]:
-    """Raises FrameError for what is no answer."""
+    """Unpacks the body of an answer; raises FrameError if it is malformed."""
     try:
         (count,) = COUNT.unpack_from(body)
         at = COUNT.size
@@ -53,13 +53,13 @@
             end = at + kind_length + zone_length
             names = body[at : at + kind_length].decode(), body[at + kind_length : end].decode()
             if end > len(body) or not (machines >= 0 and age_s >= 0):
-                raise FrameError(f"idle room: entry at {at}")
+                raise FrameError(f"idle capacity answer: invalid entry at byte {at}")
             at = end
             found.append(IdleCapacity(InstanceKind(*names, spot), machines, age_s))
     except (struct.error, UnicodeDecodeError) as error:
-        raise FrameError(f"idle room: {error!r}") from None
+        raise FrameError(f"idle capacity answer: {error!r}") from None
     if at != len(body):
-        raise FrameError(f"idle room: {len(body) - at} bytes too many")
+        raise FrameError(f"idle capacity answer: {len(body) - at} bytes after the last entry")
     return found
 
 
@@ -70,7 +70,7 @@
         self.frames = frames
 
     async def idle_capacity(self) -> list[IdleCapacity]:
-        """Its idle room; NoAnswerError when there is no answer."""
+        """Returns the sibling's idle capacity; raises NoAnswerError if there is no valid answer."""
         try:
             return unpack_idle_capacity(await self.frames.exchange(FrameType.IDLE_CAPACITY_REQUEST, b""))
         except FrameError as error:
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -1,4 +1,8 @@
-"""The gate before the line: marks deferred jobs, and logs what this controller applies."""
+"""The admission gate in front of the queue: marks deferred jobs and logs this controller's decisions.
+
+A lane holds the jobs of one team, class and priority. Its cut, stored in one of the rows, is the highest admitted
+ticket (place in the order of submission).
+"""
 
 from __future__ import annotations
 
@@ -12,10 +16,11 @@
 
 
 class AdmissionGate:
-    """Owns this controller's view of the decisions; `Job.deferred` follows from it.
+    """Caches this controller's decisions and sets `Job.deferred` by them.
 
-    Decisions are taken anew for jobs that are new, and when a row changes for what its lane's cut, another job or begun
-    work decides. Nothing else can change them but a dependent that is cancelled, which counts with the next row.
+    A new job is decided on with its dependents. When a row changes, jobs are decided on again if their lane's cut
+    changed, or if their decision depends on another job or on begun work. The only other change that matters, the
+    cancellation of a dependent, takes effect with the next change of a row.
     """
 
     def __init__(self, tables: Tables, log: DecisionLog, switched_on: Callable[[], bool]) -> None:
@@ -23,14 +28,15 @@
         self.log = log
         self.switched_on = switched_on
         self._rows: Mapping[str, AdmissionRow] | None = None
-        # With the job itself: the tables make new ones when they are read afresh. Its id alone may come again.
+        # Decisions by job id, with the job object they were made for. When the tables are read again from the start,
+        # they hold new objects under the same ids, whose marks have to be set again.
         self._decided: dict[str, tuple[Job, Decision]] = {}
-        # Jobs that are deferred by their own cut, by lane, with the cut.
+        # The ids of deferred jobs by lane, and the row's path and cut that each lane had at the last change of a row.
         self._deferred: dict[Lane, set[str]] = {}
         self._cuts: dict[Lane, tuple[str | None, tuple[int, str]]] = {}
 
     def apply(self) -> None:
-        """Brings the marks up to date."""
+        """Updates the marks of all jobs."""
         if not self.switched_on():
             self._open()
             return
@@ -52,7 +58,7 @@
             self._forget_over()
 
     def _forget_over(self) -> None:
-        """Forgets jobs that are over."""
+        """Drops what is cached for finished jobs."""
         jobs = self.tables.jobs
         self._decided = {name: known for name, known in self._decided.items() if name in jobs}
         self._deferred = {lane: names & jobs.keys() for lane, names in self._deferred.items()}
@@ -60,7 +66,7 @@
         self._cuts = {lane: cut for lane, cut in self._cuts.items() if lane in self._deferred}
 
     def _of_changed_lanes(self) -> set[str]:
-        """Deferred jobs of lanes whose cut rose. With thousands of them most lanes stand still in an epoch."""
+        """Returns the deferred jobs of lanes whose cut changed: with thousands of jobs, a small part in most epochs."""
         reader = CutReader(self.tables.admission_rows)
         found: set[str] = set()
         for lane, names in self._deferred.items():
@@ -71,7 +77,7 @@
         return found
 
     def _uncertain(self) -> set[str]:
-        """Jobs whose decision follows from others, or from work that had begun, and those that wait for others."""
+        """Returns jobs that were admitted for a dependent or for begun work, or that wait for prerequisites."""
         return {
             name
             for name, (_, decision) in self._decided.items()
@@ -80,7 +86,7 @@
         }
 
     def _dependents(self, names: set[str]) -> set[str]:
-        """The jobs that need these, directly or through others: an admitted one admits what it needs."""
+        """Returns the direct and indirect dependents of these jobs: an admitted job admits its prerequisites."""
         successors = self.tables.graph.successors
         found: set[str] = set()
         stack = [name for name in names if name in successors]
@@ -103,7 +109,7 @@
             (deferred.add if job.deferred else deferred.discard)(name)
 
     def _open(self) -> None:
-        """The feature is off: everything is admitted."""
+        """Clears all marks while the feature is off."""
         if self._rows is None and not self._decided:
             return
         for job in self.tables.jobs.values():
--- a/sloeswitch/admission/idle_capacity.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -1,4 +1,7 @@
-"""Room that no admitted job could take, as the owner of the machines sees it."""
+"""Tracks the idle capacity of the machines that this controller owns.
+
+Idle capacity is what remains free after every queued job, all of which are admitted, was considered for placement.
+"""
 
 from __future__ import annotations
 
@@ -11,20 +14,20 @@
 
 
 def free_part(room: FreeCapacity, kind: MachineType) -> float:
-    """The part of a machine that is free, by what is scarcest on it."""
+    """Returns the free fraction of a machine, by its scarcest resource."""
     pairs = ((room.cores, kind.cores), (room.gpus, kind.gpus), (room.memory_gb, kind.memory))
     return max(0.0, min((free / whole for free, whole in pairs if whole > 0), default=0.0))
 
 
 class IdleCapacityTracker:
-    """Since when room of each kind was left over after every admitted job had a look."""
+    """Records how much capacity of each kind of machine is idle, and since when."""
 
     def __init__(self) -> None:
         self._machines: dict[InstanceKind, float] = {}
         self._since: dict[InstanceKind, float] = {}
 
     def observe(self, rooms: Iterable[FreeCapacity], types: Mapping[str, MachineType], now: float) -> None:
-        """What is left after a look in which the whole line was considered."""
+        """Takes in the capacity that a planning pass over the whole queue left free."""
         found: dict[InstanceKind, float] = {}
         for room in rooms:
             kind = types.get(room.type)
@@ -35,7 +38,7 @@
         self._since = {key: self._since.get(key, now) for key in self._machines}
 
     def report(self, now: float) -> list[IdleCapacity]:
-        """What the coordinator is told."""
+        """Returns the idle capacity by kind of machine, for the coordinator."""
         return [
             IdleCapacity(kind, machines, now - self._since[kind]) for kind, machines in sorted(self._machines.items())
         ]
--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -1,4 +1,7 @@
-"""What follows from the settings: how often cuts are reckoned, how long a lane stands still at most, and the bounds."""
+"""Timing and size limits of admission, derived from the settings, and the resulting bounds on a deferred job's wait.
+
+An epoch is one computation of the cuts, which are the lanes' admission watermarks.
+"""
 
 from __future__ import annotations
 
@@ -7,44 +10,45 @@
 
 from sloeswitch.settings import Settings
 
-# A lane with a head rises after so many worker leases, and after this part of the longest that the users let a job wait
-# beside room that fits (90 s, a rule of the protocol) at the latest.
+# The first job of a lane (its head) is admitted without regard to free capacity after STARVATION_LEASES worker leases,
+# and at the latest after PATIENCE_OF_LONGEST_WAIT of LONGEST_WAIT_S. LONGEST_WAIT_S is the longest that the protocol
+# lets a job wait while there is free capacity that fits it.
 STARVATION_LEASES = 2.0
 LONGEST_WAIT_S = 90.0
 PATIENCE_OF_LONGEST_WAIT = 0.4
-# Cuts are reckoned so many times in a worker lease, but not more often than machines report.
+# Epochs per worker lease. Epochs are never more frequent than the reports of the machines.
 EPOCHS_PER_LEASE = 8.0
-# The part of the state service's changes that epochs may take.
+# The fraction of the state service's write rate that epochs may use.
 CHANGE_SHARE = 0.1
-# A lead is so many times what passes until all have read an epoch.
+# The lead, as a multiple of the time until every controller has read the cuts of an epoch.
 LEAD_ROUNDS = 2.0
-# Admitted work may exceed the machines by this part, so that none falls empty within an epoch.
+# The fraction by which admitted work may exceed the machines, so that no machine runs empty between two epochs.
 SURPLUS = 0.25
-# How many jobs a processor core admits on paper in a second, at the least; an epoch takes no more than a quarter of the
-# time between two for it. Guards against an epoch that outlasts the controller's lease when thousands of jobs fit.
+# A low estimate of the admissions that one processor core computes per second. They may take at most EPOCH_SHARE of the
+# interval between epochs. Without this limit an epoch could outlast the controller's lease when thousands of jobs fit.
 ADMISSIONS_PER_CORE_S = 4000
 EPOCH_SHARE = 0.25
-# Room counts as idle when it was left over for so many reports.
+# Free capacity counts as idle once it has been left unused for this many report intervals.
 IDLE_REPORTS = 2.0
 
 
 @dataclass(frozen=True)
 class AdmissionLimits:
-    """Times in seconds."""
+    """Limits of epochs; times are in seconds."""
 
     patience_s: float
     epoch_s: float
-    # The common cut runs ahead of the clock by one to two of these while nothing is deferred.
+    # While nothing is deferred, the common cut is kept between one and two leads ahead of the clock.
     lead_s: float
     clock_error_s: float
     idle_s: float
     max_changes: int
-    # Jobs that one epoch admits by guarantee and budget; the others follow with the next.
+    # The most jobs that one epoch admits by guarantee and round robin; the next epoch continues from there.
     max_admissions: int
 
     @staticmethod
     def of(settings: Settings) -> AdmissionLimits:
-        """The limits by a deployment's settings."""
+        """Derives the limits from a deployment's settings."""
         epoch_s = max(settings.report_s, settings.lease_s / EPOCHS_PER_LEASE)
         read_s = epoch_s + settings.controller_lease_s + 2 * settings.clock_error_s
         return AdmissionLimits(
@@ -58,17 +62,26 @@
         )
 
     def _looks_s(self, rows: int) -> float:
-        """Until a row that is to change is stored: a look, and its turn among the others."""
+        """Returns the longest time until a row that is to change is stored.
+
+        That is one epoch, and as many as it takes to write all rows, since one epoch writes at most `max_changes`.
+        """
         return (1 + math.ceil(rows / self.max_changes)) * self.epoch_s
 
     def head_bound_s(self, rows: int = 1) -> float:
-        """Until a lane's head is admitted, from its submission or its lane's last rise, outside outages."""
+        """Returns the longest wait of a lane's head for admission, outside outages.
+
+        The wait begins with the job's submission or when the lane's cut was last raised, whichever is later.
+        """
         return self.patience_s + self._looks_s(rows) + 2 * self.clock_error_s
 
     def bound_s(self, before: int, rows: int = 1) -> float:
-        """Until a job with so many before it in its lane is admitted."""
+        """Returns the longest wait for admission of a job that is behind `before` others in its lane."""
         return (before + 1) * self.head_bound_s(rows)
 
     def guarantee_bound_s(self, rows: int = 1) -> float:
-        """Until a lane's head is admitted that fits its team's guarantee, while no more than `max_admissions` do."""
+        """Returns the longest wait for admission of a head that fits its team's guarantee.
+
+        Holds while no more than `max_admissions` such jobs wait.
+        """
         return self._looks_s(rows) + 2 * self.clock_error_s
