--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -1,7 +1,10 @@
-"""A seeded world of four controllers with admission on, under more work than room.
+"""A seeded simulation of four controllers with admission enabled, under overload.
 
-What is checked is what controllers logged, what is stored, what users were told and what machines ran: decisions are
-alike, no stored cut falls, no lane stands still beyond its bound, and in calm times no job waits beside room.
+Checks logs, stored rows, answers to users, and what machines ran: all controllers decide alike, no stored cut (a lane's
+admission watermark) is lowered, no lane waits longer than its bound, and without failures no job waits for long while
+there is free capacity for it.
+
+    python3 -m tests.support.admission FIRST LAST    # long simulations of these seeds, outside CI
 """
 
 from __future__ import annotations
@@ -43,7 +46,7 @@
 
 
 def cluster_text(teams: dict[str, tuple[float, float]] | None = None) -> str:
-    """Settings with these teams: name -> guarantee and limit, in cores."""
+    """Settings with these teams: by name, the guarantee and the limit in cores."""
     rows = "".join(
         f'[[deployment.teams]]\nname = "{name}"\ncpus = {cpus}\ncpus_max = {most}\ngpus = 0.0\ngpus_max = 0.0\n'
         for name, (cpus, most) in (teams or TEAMS).items()
@@ -54,7 +57,7 @@
 
 
 class RecordingLog(DecisionLog):
-    """Keeps what a controller logs, as lines of its log."""
+    """Appends what a controller logs to a list, as lines of its log."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
@@ -73,7 +76,7 @@
 
 
 class ScriptedIdleLink:
-    """The way from one controller to another, which may be cut in one direction."""
+    """The connection from one controller to another; it may be interrupted."""
 
     def __init__(self, world: AdmissionWorld, sender: str, receiver: str) -> None:
         self.world = world
@@ -81,7 +84,7 @@
         self.receiver = receiver
 
     async def idle_capacity(self) -> list[IdleCapacity]:
-        """Asks for idle room; lost where a way is cut."""
+        """Asks for idle capacity; there is no answer if a message is lost in either direction."""
         world = self.world
         lost = world.troubled and world.rng.random() < 0.1
         if lost or (self.sender, self.receiver) in world.cuts or (self.receiver, self.sender) in world.cuts:
@@ -94,7 +97,7 @@
 
 
 class AdmissionNode(Node):
-    """One process of a controller, with admission."""
+    """A controller process with admission."""
 
     world: AdmissionWorld
 
@@ -115,7 +118,7 @@
         self.look_at = 0.0
 
     def look(self) -> None:
-        """What the coordinator's loops do in the time of an epoch."""
+        """Runs the coordinator's loops once, about once in an epoch."""
         if self.world.clock.time < self.look_at:
             return
         self.look_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
@@ -138,7 +141,7 @@
 
 
 class AdmissionWorld(World):
-    """Time, what is stored, the workers, and the rules of admission besides those of the protocol."""
+    """The simulated cluster, with checks of admission in addition to those of the protocol."""
 
     nodes: dict[str, Any]
 
@@ -153,14 +156,14 @@
         self.deferring = deferring
         self.logs: dict[str, list[str]] = {}
         self.cuts: set[tuple[str, str]] = set()
-        # The highest cut that was stored, by lane.
+        # The highest stored cut, by lane.
         self.highest: dict[Lane, Ticket] = {}
-        # Deferred jobs that are their lane's head: since when, in time in which a coordinator looked.
+        # Since when each deferred head of a lane has been the head, in the time of `undisturbed_s`.
         self.head_since: dict[str, float] = {}
         self.longest_as_head_s = 0.0
         self.undisturbed_s = 0.0
         self.looked_at = 0.0
-        # Since when machines have room, and jobs could start that do not.
+        # Since when each machine has had free capacity, and since when each job could have started but has not.
         self.room_since: dict[str, float] = {}
         self.waits_since: dict[str, float] = {}
         self.limits = AdmissionLimits.of(parse(settings_text("c0", MEMBERS, text or cluster_text())))
@@ -179,7 +182,7 @@
             self.happened["coordinator"] += 1
 
     def looked(self) -> None:
-        """A coordinator that reaches the state service has reckoned an epoch."""
+        """Counts an epoch of a coordinator that reaches the state service."""
         self.undisturbed_s += min(self.limits.epoch_s, self.clock.time - self.looked_at)
         self.looked_at = self.clock.time
         self.happened["look"] += 1
@@ -187,7 +190,7 @@
     # -- steps
 
     def happen(self, luck: float, node: Node) -> None:
-        """More troubles of controllers, and more work than room."""
+        """Injects failures of controllers, connections and the state service, cancellations, and mesh status requests."""
         if not self.troubled:
             return
         if luck < 0.003 or (self.outage and luck < 0.03):
@@ -212,12 +215,12 @@
 
     @property
     def past_lead(self) -> bool:
-        """Whether the common cut is behind the clock, so that what comes now may be deferred."""
+        """Whether the common cut is behind the clock, so that new jobs may be deferred."""
         root = self.store.tables.admission_rows.get(ROOT)
         return root is not None and root.common.cut.submitted_ms < 1000 * self.clock.time
 
     def submit_some(self, most: int) -> None:
-        """Users submit jobs of all teams and classes, some of which wait for others."""
+        """Submits a job of a random team and class from time to time; some have a prerequisite."""
         if self.rng.random() > 0.35 or len(self.sizes) >= most or (len(self.sizes) >= most / 2 and not self.past_lead):
             return
         self.number += 1
@@ -251,10 +254,10 @@
         self.cuts.clear()
         self.waits_since.clear()
 
-    # -- rules
+    # -- checks
 
     def check_cuts(self) -> None:
-        """No stored cut falls, and no controller holds one above it."""
+        """Checks that no stored cut is lowered, and that no controller has a higher one than is stored."""
         rows = self.store.tables.admission_rows
         for lane in {lane_of(job.spec) for job in self.store.tables.jobs.values()} | self.highest.keys():
             path = row_of(rows, lane)
@@ -267,7 +270,7 @@
                 assert cut is None or cut.cut <= stored, f"{node.settings.member} is ahead: {lane}"
 
     def check_bound(self) -> None:
-        """A lane's head is admitted within its bound, reckoned in time in which a coordinator looks undisturbed."""
+        """Checks that each head of a lane is admitted within its bound, in time with a working coordinator."""
         tables = self.store.tables
         heads: dict[Lane, Any] = {}
         for name, decision in decide(tables).items():
@@ -282,13 +285,15 @@
             since = self.head_since.setdefault(name, self.undisturbed_s)
             waited = self.undisturbed_s - since
             self.longest_as_head_s = max(self.longest_as_head_s, waited)
-            # Lost and late changes cost a look each; a few of them may follow one another.
+            # Each lost or late write costs one epoch; several may follow one another.
             allowed = self.limits.head_bound_s(len(tables.admission_rows)) + 6 * self.limits.epoch_s
             assert waited <= allowed, f"a lane stands still: {name}"
 
     def check_idle_room(self) -> None:
-        """No job waits while a machine has room that fits, one and the same all the time, and its team is under its
-        limit. Tasks that end leave room on some machine at most moments."""
+        """Checks that no job within its team's limit waits for long while a machine has free capacity for it.
+
+        It has to be the same machine all the time: at most moments some machine has capacity, since tasks end.
+        """
         now = self.clock.time
         tasks = [task for task, _ in self.present()]
         cores: Counter[str] = Counter()
@@ -303,7 +308,7 @@
             assert now - max(since, longest) < LONGEST_WAIT_S, f"waits beside room: {name}"
 
     def _could_start(self, name: str, tasks: list[str]) -> bool:
-        """Whether a task of the job is open and within the limit of its team."""
+        """Whether the job has an unclaimed task that its team's limit allows."""
         job = self.store.tables.jobs.get(name)
         if job is None or not job.is_runnable or not self.store.tables.unclaimed_tasks(job, True):
             return False
@@ -311,18 +316,18 @@
         return bool(self.used(job.spec.team, tasks) + job.spec.cores <= limit)
 
     def check_logs(self) -> None:
-        """All controllers logged the same decisions."""
+        """Checks that all controllers logged the same decisions."""
         difference = compare.compare(list(self.logs.items()))
         assert difference is None, f"decisions differ: {difference.one} | {difference.other}"
 
     def deferred(self) -> int:
-        """How many jobs were deferred when they were first decided on, by any controller."""
+        """Returns how many jobs any controller logged as deferred."""
         lines = [line for lines in self.logs.values() for line in lines]
         return len({line.partition('"job":')[2].partition(",")[0] for line in lines if '"deferred"' in line})
 
 
 def play(seed: int, steps: int, calm_steps: int = 0, jobs: int = 120) -> AdmissionWorld:
-    """Plays a world of overload, and then calm times in which everything is to end."""
+    """Simulates overload with failures, then a time without failures in which all jobs have to end."""
     world = AdmissionWorld(seed)
     world.start()
     for _ in range(steps):
@@ -338,12 +343,12 @@
 
 
 def play_long(seed: int) -> None:
-    """Ten simulated minutes of overload, and the calm after it."""
+    """Simulates ten minutes of overload, and then a time without failures."""
     world = play(seed, 4000, 16_000, jobs=600)
     left = sorted(world.unfinished())
     assert not left, f"left: {len(left)} of {len(world.sizes)}, first {left[:3]}"
 
 
 if __name__ == "__main__":
-    # Long worlds of these seeds, outside CI.
+    # Long simulations of these seeds.
     sys.exit(play_seeds(play_long, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -1,4 +1,4 @@
-"""Admission decided from stored rows: a cluster without actors, and one controller that coordinates."""
+"""Fixtures of admission tests: stored rows of a cluster without controllers, and a controller that coordinates."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Cluster:
-    """What is stored, with a clock that stands where it is put; two small machines for 16 cores."""
+    """Stored rows and a clock that only the test moves; by default two small machines with 16 cores together."""
 
     def __init__(self, teams: dict[str, tuple[float, float]] | None = None, machines: int = 2) -> None:
         self.store = Store()
@@ -50,7 +50,7 @@
         self.now_ms += int(1000 * seconds)
 
     def after_lead(self) -> None:
-        """Past the common cut."""
+        """Moves the clock past the common cut, so that new jobs are deferred."""
         self.later(2 * self.limits.lead_s + 1)
 
     def submit(self, name: str, at_ms: int | None = None, **changes: Any) -> None:
@@ -66,7 +66,7 @@
         return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
 
     def epoch(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> int:
-        """Stores all changes of an epoch; how many values that were."""
+        """Stores all changes of an epoch; returns the number of rows written."""
         count = 0
         for change in self.changes(idle, value_bytes):
             for path, row in change.rows.items():
@@ -75,7 +75,7 @@
         return count
 
     def overload(self, count: int = 20, **changes: Any) -> list[str]:
-        """More work than room: one job that fills the machines and is admitted, and then others."""
+        """Submits more work than fits: an admitted job that fills the machines, and then `count` deferred ones."""
         self.after_lead()
         self.submit("wk-000000", at_ms=START_MS, visits=1000)
         names = [f"wk-{number + 1:06d}" for number in range(count)]
@@ -95,7 +95,7 @@
 
 
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
-    """A controller that coordinates, with a lane of deferred jobs and no machine."""
+    """A controller that coordinates, with a lane of deferred jobs and without machines."""
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
     each = coordinator(world)
     anyio.run(each.epoch)
@@ -114,7 +114,7 @@
 
 
 class ScriptedLink:
-    """A sibling that tells one room, or does not answer."""
+    """A sibling that reports one kind of idle capacity, or does not answer."""
 
     def __init__(self) -> None:
         self.asked = 0
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -1,8 +1,8 @@
-"""What agreed admission gains and costs: the same seeded overload with and without it, no troubles.
+"""Benchmark of admission control: the same seeded overload with and without it, free of failures.
 
 Outside CI, with requirements-tools.txt installed:
 
-    python3 -m tests.support.overload FIRST LAST REPORT.html   # these seeds: a line a run, means, and a page with plots
+    python3 -m tests.support.overload FIRST LAST REPORT.html   # one line per run, means, and a page with plots
     python3 -m tests.support.overload scale                    # 10,000 deferred jobs on 4,000 machines
 """
 
@@ -32,7 +32,7 @@
 from tests.support.cluster_worker import Worker
 from tests.support.fleet import FleetWorld, job_name
 
-# A flood of one team, and one urgent job of a small team at a time.
+# The load: many jobs of one team within FLOOD_S, and every URGENT_EVERY_S one urgent job of a small team.
 FLOOD_JOBS = 100
 FLOOD_S = 60.0
 URGENT_JOBS = 8
@@ -40,8 +40,8 @@
 DUE_S = 120.0
 TRIES = 10
 WORKERS = 8
-# The flood's team may use more than there is, so that room is what is short and not its limit; an urgent job fits
-# its team's guarantee.
+# The limit of the flooding team exceeds the machines, so that jobs wait for machines and not for quota. An urgent job
+# fits its team's guarantee.
 FLOODED = {**TEAMS, "red": (8.0, 64.0), "green": (4.0, 12.0)}
 LONGEST_MS = 3_600_000
 WITHOUT, WITH = "without", "with admission"
@@ -51,7 +51,7 @@
 
 @dataclass
 class LoadResult:
-    """One run: waits from submission to the first start, in milliseconds, by kind of job."""
+    """The results of one run. Waits are from submission to the first start, in milliseconds."""
 
     flood_ms: list[int] = field(default_factory=list)
     urgent_ms: list[int] = field(default_factory=list)
@@ -63,7 +63,7 @@
 
 
 class LoadWorld(AdmissionWorld):
-    """Notes when jobs start and end."""
+    """Records when jobs are submitted and first start."""
 
     def __init__(self, seed: int, deferring: bool) -> None:
         super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOODED))
@@ -76,7 +76,7 @@
 
 
 def load(seed: int, deferring: bool) -> LoadResult:
-    """A flood of the red team's jobs in a minute, and green's urgent ones beside it, until all are done."""
+    """Submits a flood of jobs of team red and urgent jobs of team green, and runs until all are done."""
     world = LoadWorld(seed, deferring)
     arrivals = random.Random(seed)
     world.start()
@@ -85,7 +85,7 @@
     begin = world.clock.time
     flood = sorted(begin + FLOOD_S * arrivals.random() for _ in range(FLOOD_JOBS))
     urgent = [begin + URGENT_EVERY_S * (number + arrivals.random()) for number in range(URGENT_JOBS)]
-    # Both teams' classes are dealt out by the load's own random numbers, so that with and without it is the same load.
+    # Drawn from a separate random generator, so that the load is the same with and without admission.
     plan = sorted([(at, "red") for at in flood] + [(at, "green") for at in urgent])
     shapes = [(arrivals.randint(1, 5), arrivals.choice(("train", "index"))) for _ in plan]
     ended_at: dict[str, float] = {}
@@ -112,20 +112,20 @@
 
 
 def submit_one(world: LoadWorld, number: int, team: str, visits: int, klass: str) -> None:
-    """A user submits the next job."""
+    """Submits the next job of the load."""
     urgency = "urgent" if team == "green" else "best_effort"
     name = f"wk-{number:06d}"
     visits = min(visits, 2) if team == "green" else visits
     job = spec(name, crew=team, roster=klass, visits=visits, urgency=urgency, expectedS=12.0, pullGb=0.1, dueS=DUE_S)
     world.submitted_at[name] = world.clock.time
-    # Answers are lost here too; users repeat a submission, at another controller.
+    # Answers may be lost in this simulation too; a user then submits again at another controller.
     for turn in range(TRIES):
         if world.submit(world.nodes[world.members[(number + turn) % len(world.members)]], job):
             return
 
 
 def histogram(waits_ms: list[int]) -> Any:
-    """Waits in a histogram of the library."""
+    """Returns a histogram of the waits."""
     from hdrh.histogram import HdrHistogram
 
     found = HdrHistogram(1, LONGEST_MS, 3)
@@ -135,7 +135,7 @@
 
 
 def report(found: dict[str, list[LoadResult]], path: str) -> None:
-    """A page with the waits of both loads, with and without."""
+    """Writes a page that plots the waits of both kinds of jobs, with and without admission."""
     import plotly.graph_objects as graph
 
     figure: Any = graph.Figure()
@@ -152,12 +152,12 @@
 
 
 def play(seed: int, mode: str) -> LoadResult:
-    """One run, in a process of its own."""
+    """Performs one run, in a worker process."""
     return load(seed, mode != WITHOUT)
 
 
 def main(first: int, last: int, path: str) -> None:
-    """Prints each seed's two runs and the means with their spread, and writes the page."""
+    """Prints two runs for each seed and the means with their ranges, and writes the page."""
     runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT, WITH)]
     found: dict[str, list[LoadResult]] = {WITHOUT: [], WITH: []}
     with ProcessPoolExecutor(WORKERS) as pool:
@@ -173,7 +173,7 @@
 
 
 def summary(outcomes: list[LoadResult]) -> str:
-    """Waits of several runs together."""
+    """Summarizes the waits of several runs."""
     texts: list[str] = []
     for title, waits_ms in (
         ("flood", [wait for each in outcomes for wait in each.flood_ms]),
@@ -188,7 +188,7 @@
 
 
 def scale() -> None:
-    """A tick and an epoch with many deferred jobs and machines, with and without admission in one run."""
+    """Times a tick and an epoch with many deferred jobs and machines, with and without admission."""
 
     def timed(title: str, call: Callable[[], Any]) -> None:
         best = min(_seconds(call) for _ in range(5))
--- a/tests/test_admission_compare.py
+++ b/tests/test_admission_compare.py
@@ -1,4 +1,4 @@
-"""Admission: the comparison of decision logs."""
+"""The comparison of admission decision logs, which `sloeswitch admission compare` runs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def logged(cluster: Cluster, until: int) -> list[str]:
-    """The log of a controller that read everything up to an epoch of the state service, change by change."""
+    """The log of a controller that applied the stored changes one by one, up to a revision of the state service."""
     tables = Tables()
     lines: list[str] = ["I machines: 3 machines up\n"]
     gate = AdmissionGate(tables, RecordingLog(lines), lambda: True)
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -1,4 +1,4 @@
-"""Admission: all controllers decide alike from stored cuts, which never fall."""
+"""Admission decisions: all controllers derive the same ones from the stored cuts, which are never lowered."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     names = cluster.overload()
     other = Store()
     for key, (value, stamp) in cluster.store.rows.items():
-        # The other has read every second job only.
+        # The other controller has read only every second job.
         if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
             other.tables.apply(key, value, stamp)
     cluster.later(cluster.limits.patience_s)
@@ -67,7 +67,7 @@
     names = cluster.overload(3)
     cluster.later(cluster.limits.patience_s)
     cluster.epoch()
-    # Accepted only now, by a clock that is behind.
+    # Accepted only now, by a controller whose clock is behind.
     cluster.submit("wk-000099", at_ms=cluster.now_ms - 10**6)
     assert {"wk-000099", names[0]} <= set(cluster.admitted()) and names[-1] not in cluster.admitted()
 
@@ -118,14 +118,17 @@
 
 
 def test_of_two_that_believe_that_they_coordinate_one_succeeds(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The leader changes between computing and writing: the deposed one's change fails, by its row's stamp alone."""
+    """Guards against a coordinator that is deposed between computing and writing.
+
+    The condition on the row's revision alone has to reject its write.
+    """
     world, each = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
     anyio.run(each.epoch)
     conditions, writes, drops = world.client.late[0]
     conditions = {key: stamp for key, stamp in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
-    anyio.run(each.epoch)  # deposed, so that it reckons no more
+    anyio.run(each.epoch)  # no longer the coordinator, so it computes no epoch
     assert store.tables.admission_rows[cuts.ROOT].number == 1
     row = AdmissionRow.from_stored(writes[keys.admission_key(cuts.ROOT)])
     store.put(keys.admission_key(cuts.ROOT), row.raised(row.common, {}, {"red": 1.0}).stored())
--- a/tests/test_admission_epochs.py
+++ b/tests/test_admission_epochs.py
@@ -1,4 +1,4 @@
-"""Admission: what an epoch admits, by budget, guarantee, patience and fit."""
+"""Admission epochs: which jobs are admitted by guarantee, round robin, starvation timeout and free capacity."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 
 @pytest.mark.parametrize("before", [0, 3])
 def test_the_bound_holds_for_a_lanes_head_and_those_behind_it(before: int) -> None:
-    """No room at all: patience alone."""
+    """Without any free capacity only the starvation timeout admits jobs."""
     cluster = Cluster()
     names = cluster.overload(before + 1)
     submitted_ms = cluster.now_ms
-    # The first look is as late as it may be.
+    # The first epoch runs as late as is allowed.
     while names[-1] not in cluster.admitted():
         cluster.later(cluster.limits.epoch_s)
         cluster.epoch()
@@ -57,7 +57,7 @@
 
 
 def test_an_epoch_admits_no_more_than_it_has_time_for_and_patience_goes_on() -> None:
-    """Failure found by measuring: with thousands of jobs that fit an epoch took longer than a controller's lease."""
+    """Guards against an epoch that takes longer than a controller's lease, as with thousands of jobs that fit."""
     cluster = Cluster(machines=3000)
     cluster.after_lead()
     cluster.submit("wk-000000", at_ms=START_MS)
@@ -132,7 +132,7 @@
 
 
 def test_a_head_that_fits_only_a_full_type_holds_up_none_that_fits_an_idle_one() -> None:
-    """By cores alone there would be no way to tell: large machines are full, small ones idle."""
+    """Large machines are full and small ones idle, which a sum of free cores would not show."""
     cluster = Cluster(machines=0)
     cluster.machines("large", 1)
     cluster.after_lead()
@@ -148,7 +148,7 @@
 
 
 def test_room_of_a_type_that_a_job_does_not_fit_is_no_budget_for_it() -> None:
-    """Reckoned by cores alone it would be, and the job would stand in a line in which it can't start."""
+    """A sum of free cores would admit the job to the queue although it cannot start."""
     cluster = Cluster(machines=4)
     cluster.machines("large", 1)
     cluster.after_lead()
@@ -160,7 +160,7 @@
 
 
 def test_room_that_an_owner_tells_is_budget_once_it_is_old_enough() -> None:
-    """The rows don't tell of it: what is admitted can't use it, for faults or allowances."""
+    """The tables do not show that admitted work cannot use it, for example after failures or for lack of quota."""
     cluster = Cluster()
     names = cluster.overload(3)
     kind = InstanceKind("small", "a", True)
@@ -208,7 +208,7 @@
     decisions = decide(cluster.store.tables)
     assert decisions["wk-990002"].ground is Ground.CUT
     assert (decisions["wk-990001"].ground, decisions["wk-990001"].by) == (Ground.NEEDED, "wk-990002")
-    # The first stage's cost came first: the job before it in its lane does not fit the guarantee any more.
+    # The prerequisite took its part of the guarantee first, so the job before it in its lane no longer fits.
     assert not decisions["wk-990000"].admitted
 
 
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -1,4 +1,4 @@
-"""Admission: which jobs the gate keeps out of the queue."""
+"""The admission gate: which jobs it keeps out of the queue."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     cluster.store.progress(names[1], c0_1=1)
     switch[0] = True
     gate.apply()
-    # What began meanwhile goes on; the cuts are those that were stored.
+    # A job that began while admission was off stays admitted; the stored cuts are unchanged.
     assert line_of(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
     cluster.later(cluster.limits.patience_s)
     cluster.epoch()
@@ -60,7 +60,7 @@
         assert not cluster.store.tables.jobs["wk-990001"].deferred
         cluster.later(cluster.limits.patience_s)
         cluster.epoch()
-    # Its dependent is cancelled: what has not begun is deferred again if its own cut says so.
+    # The prerequisite is still admitted for its dependent.
     fresh = decide(cluster.store.tables)["wk-990001"]
     assert fresh.admitted
 
@@ -77,7 +77,7 @@
     cluster.store.tables.clear()
     for key, (value, stamp) in cluster.store.rows.items():
         cluster.store.tables.apply(key, value, stamp)
-    # No cut is another one, and yet each job is.
+    # The cuts are the same, but the tables hold new job objects.
     gate.apply()
     assert line_of(cluster) == ["wk-000000", "wk-000001"]
 
@@ -103,7 +103,7 @@
     world.machines.queue.rebuild()
 
     def names(jobs: list[Job]) -> list[str]:
-        # Having waited for long, it stands in the line twice.
+        # A job that has waited for long is in the queue twice.
         return list(dict.fromkeys(job.spec.id for job in jobs))
 
     assert names(world.machines.queue.jobs) == ["wk-000002"]
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -1,4 +1,4 @@
-"""Admission: idle capacity, how it is told, and who asks for it."""
+"""Idle capacity: how it is tracked, sent over the mesh, and requested by the coordinator."""
 
 from __future__ import annotations
 
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -1,4 +1,4 @@
-"""Four controllers that fail, under more work than room: all decide alike, no lane stands still, everything ends."""
+"""Four controllers with failures, under overload: decisions agree, no lane starves, and all jobs end."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_all_decide_alike_and_everything_ends_once_the_troubles_are_over(seed: int) -> None:
     world = play(seed, STEPS, CALM_STEPS, JOBS)
     assert world.unfinished() == set()
-    # The world is one in which something happens.
+    # The simulation did exercise deferral, starts, crashes and epochs.
     assert world.deferred() > 5 and world.starts > 50 and world.happened["crash"] and world.happened["look"] > 50
 
 
