--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -190,7 +190,7 @@
     # -- steps
 
     def happen(self, luck: float, node: Node) -> None:
-        """Injects failures of controllers, connections and the state service, cancellations, and mesh status requests."""
+        """Injects failures of controllers, links and the state service, cancellations, and mesh status requests."""
         if not self.troubled:
             return
         if luck < 0.003 or (self.outage and luck < 0.03):
