--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from sloeswitch.admission.capacity import SPREAD_ADMITTED, Capacity
-from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_of
+from sloeswitch.admission.capacity import ADMITTED_SPREAD, Capacity
+from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut, Ticket, row_path
 from sloeswitch.admission.decisions import Decision, ancestors, lane_of, ticket_of
 from sloeswitch.core import scaling
 from sloeswitch.core.job_priority import PRIORITY_RANKS
@@ -35,26 +35,26 @@
         """The deficit that admitting the bundle takes: the cores of all its remaining tasks."""
         return sum(job.remaining_tasks * job.spec.cores for job in self.released)
 
-    def use_of(self, team: str) -> ResourceUsage:
+    def usage_of(self, team: str) -> ResourceUsage:
         """Returns what the bundle uses of a team's guarantee."""
-        use = ResourceUsage()
+        usage = ResourceUsage()
         for job in self.released:
             if job.spec.team == team:
-                use.add(job.spec, job.remaining_tasks)
-        return use
+                usage.add(job.spec, job.remaining_tasks)
+        return usage
 
     def fits(self, capacity: Capacity) -> bool:
         """Tells whether each released job can start at least one task on what is left; a gang needs all its tasks."""
         for job in self.released:
-            least = job.spec.tasks if job.spec.gang else 1
-            if capacity.tasks_that_fit(job.spec, least) < least:
+            min_tasks = job.spec.tasks if job.spec.gang else 1
+            if capacity.tasks_that_fit(job.spec, min_tasks) < min_tasks:
                 return False
         return True
 
     def take(self, capacity: Capacity, settings: Settings, wall_clock_ms: int) -> None:
         """Takes the capacity of the tasks that should run concurrently."""
         for job in self.released:
-            capacity.take(job.spec, scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED))
+            capacity.take(job.spec, scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, ADMITTED_SPREAD))
 
 
 @dataclass
@@ -64,24 +64,24 @@
     lane: Lane
     cut: LaneCut
     waiting: list[tuple[Ticket, Job]] = field(default_factory=list)
-    risen: bool = False
+    is_raised: bool = False
     # The jobs before this index do not fit the free capacity of this epoch.
-    looked: int = 0
+    scanned: int = 0
 
     @property
     def head(self) -> Job | None:
         """The job with the lowest ticket."""
         return self.waiting[0][1] if self.waiting else None
 
-    def since_ms(self) -> int:
+    def head_since_ms(self) -> int:
         """Returns since when the head has been the first job of its lane, in Unix milliseconds."""
-        return max(self.waiting[0][0].submitted_ms, self.cut.risen_ms)
+        return max(self.waiting[0][0].submitted_ms, self.cut.raised_ms)
 
-    def raise_to(self, place: int, wall_clock_ms: int) -> None:
+    def admit_through(self, index: int, wall_clock_ms: int) -> None:
         """Admits the job at this index and those before it."""
-        self.cut = LaneCut(self.waiting[place][0], wall_clock_ms)
-        del self.waiting[: place + 1]
-        self.looked, self.risen = 0, True
+        self.cut = LaneCut(self.waiting[index][0], wall_clock_ms)
+        del self.waiting[: index + 1]
+        self.scanned, self.is_raised = 0, True
 
 
 class Backlog:
@@ -94,20 +94,20 @@
         rows: Mapping[str, AdmissionRow] = tables.admission_rows
         for name, decision in decisions.items():
             job = tables.jobs[name]
-            if decision.admitted or not _may_enter(job):
+            if decision.admitted or not _is_admissible(job):
                 continue
             lane = lane_of(job.spec)
             queue = self.lanes.get(lane)
             if queue is None:
-                path = row_of(rows, lane)
+                path = row_path(rows, lane)
                 if path is None:
                     continue
-                queue = self.lanes[lane] = LaneQueue(lane, rows[path].of(lane))
+                queue = self.lanes[lane] = LaneQueue(lane, rows[path].cut_of(lane))
             queue.waiting.append((ticket_of(job), job))
-        self._of_team: dict[str, list[LaneQueue]] = {}
+        self._lanes_by_team: dict[str, list[LaneQueue]] = {}
         for queue in self.lanes.values():
-            queue.waiting.sort(key=_ticket)
-            self._of_team.setdefault(queue.lane.team, []).append(queue)
+            queue.waiting.sort(key=_entry_ticket)
+            self._lanes_by_team.setdefault(queue.lane.team, []).append(queue)
 
     def __bool__(self) -> bool:
         return any(queue.waiting for queue in self.lanes.values())
@@ -117,41 +117,43 @@
         """Teams with deferred jobs."""
         return sorted({lane.team for lane, queue in self.lanes.items() if queue.waiting})
 
-    def of_team(self, team: str) -> list[LaneQueue]:
+    def lanes_of_team(self, team: str) -> list[LaneQueue]:
         """Returns a team's lanes with deferred jobs, ordered by priority, then by the ticket of the head."""
-        found = [queue for queue in self._of_team.get(team, ()) if queue.waiting]
-        return sorted(found, key=lambda queue: (PRIORITY_RANKS[queue.lane.priority], queue.waiting[0][0], queue.lane))
+        queues = [queue for queue in self._lanes_by_team.get(team, ()) if queue.waiting]
+        return sorted(queues, key=lambda queue: (PRIORITY_RANKS[queue.lane.priority], queue.waiting[0][0], queue.lane))
 
     def bundle(self, job: Job) -> JobBundle:
         """Returns the job with its deferred prerequisites, direct and indirect."""
-        needed = (each for each in ancestors(job, self.tables) if not self.decisions[each.spec.id].admitted)
-        released = [each for each in (job, *(needed if job.unfinished_prerequisites else ())) if each.is_runnable]
+        prerequisites = (each for each in ancestors(job, self.tables) if not self.decisions[each.spec.id].admitted)
+        released = [
+            each for each in (job, *(prerequisites if job.unfinished_prerequisites else ())) if each.is_runnable
+        ]
         return JobBundle(job, tuple(released))
 
-    def risen(self) -> Iterator[LaneQueue]:
+    def raised_lanes(self) -> Iterator[LaneQueue]:
         """Returns the lanes whose cuts this epoch raised."""
-        return (queue for queue in self.lanes.values() if queue.risen)
+        return (queue for queue in self.lanes.values() if queue.is_raised)
 
 
-def _ticket(entry: tuple[Ticket, Job]) -> Ticket:
+def _entry_ticket(entry: tuple[Ticket, Job]) -> Ticket:
     return entry[0]
 
 
-def _may_enter(job: Job) -> bool:
+def _is_admissible(job: Job) -> bool:
     """Tells whether the job still has to run here: live, not cancelled, and not handed to another cell."""
     return (
         job.status == JobState.LIVE and not job.is_cancelled and bool(job.is_runnable or job.unfinished_prerequisites)
     )
 
 
-def admitted_use(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
+def admitted_usage(jobs: Iterable[Job], decisions: Mapping[str, Decision]) -> dict[str, ResourceUsage]:
     """Returns what each team's admitted jobs use of its guarantee: the remaining tasks of released jobs.
 
     Jobs that another cell delegated to this one use none of it.
     """
-    uses: dict[str, ResourceUsage] = {}
+    usages: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
         if decision is not None and decision.admitted and job.is_runnable and job.delegated is None:
-            uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
-    return uses
+            usages.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
+    return usages
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -17,7 +17,7 @@
 from sloeswitch.wire import JobSpec
 
 # A smaller fraction of a machine counts as none; it may be a rounding error.
-LEAST_MACHINES = 1e-6
+MIN_MACHINES = 1e-6
 
 
 @dataclass(frozen=True)
@@ -37,7 +37,7 @@
 
 # A job's work is spread over the whole time left to its next target. A job that meets its target this way is no
 # overload.
-SPREAD_ADMITTED = 1.0
+ADMITTED_SPREAD = 1.0
 
 
 class Capacity:
@@ -50,10 +50,10 @@
         admitted: Iterable[Job],
         idle: Iterable[IdleCapacity],
         wall_clock_ms: int,
-        surplus: float,
+        overcommit: float,
     ) -> None:
         self.offers: list[InstanceOffer] = scaling.instance_offers(tables.machine_types)
-        self.limits = scaling.RemainingQuota.of(settings)
+        self.quota = scaling.RemainingQuota.of(settings)
         supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = InstanceKind(row.type, row.zone, row.spot)
@@ -66,54 +66,54 @@
         released = (job for job in admitted if job.is_runnable)
         needs = scaling.demand_within_quota(
             released,
-            self.limits,
-            lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED),
+            self.quota,
+            lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, ADMITTED_SPREAD),
         )
-        self.left, short = scaling.pack_demand(needs, _with_surplus(supply, surplus), self.offers)
+        self.free, unmet = scaling.pack_demand(needs, _overcommitted(supply, overcommit), self.offers)
         # Whether the machines cannot take all tasks that should run concurrently.
-        self.overloaded = bool(short)
-        told: dict[InstanceKind, float] = {}
-        for room in idle:
-            told[room.kind] = told.get(room.kind, 0.0) + room.machines
+        self.overloaded = bool(unmet)
+        reported: dict[InstanceKind, float] = {}
+        for entry in idle:
+            reported[entry.kind] = reported.get(entry.kind, 0.0) + entry.machines
         # Capacity that is reported idle counts as free, even if admitted work should take it: that work cannot use it,
         # for example after failures, or without a quota allocation at the machines' owner.
-        for kind, machines in told.items():
-            if kind in self.left:
-                self.left[kind] = max(self.left[kind], machines)
+        for kind, machines in reported.items():
+            if kind in self.free:
+                self.free[kind] = max(self.free[kind], machines)
 
     @property
-    def any_left(self) -> bool:
+    def has_free_capacity(self) -> bool:
         """Whether any machine has free capacity."""
-        return any(machines > LEAST_MACHINES for machines in self.left.values())
+        return any(machines > MIN_MACHINES for machines in self.free.values())
 
-    def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
-        """Returns how many tasks, up to `most`, fit the free capacity and the team's limit."""
-        most = min(most, self.limits.tasks_within(spec))
-        found = 0.0
+    def tasks_that_fit(self, spec: JobSpec, limit: int) -> int:
+        """Returns how many tasks, up to `limit`, fit the free capacity and the team's limit."""
+        limit = min(limit, self.quota.tasks_within(spec))
+        tasks = 0.0
         for offer in self.offers:
-            if found >= most:
+            if tasks >= limit:
                 break
-            if self.left[offer.kind] > LEAST_MACHINES and offer.suits(spec):
-                found += self._tasks_in(spec, offer)
-        return min(most, int(found + LEAST_MACHINES))
+            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+                tasks += self._whole_tasks_in(spec, offer)
+        return min(limit, int(tasks + MIN_MACHINES))
 
-    def _tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
-        part = scaling.machines_needed(spec, 1, offer.type)
+    def _whole_tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
+        machines_per_task = scaling.machines_needed(spec, 1, offer.type)
         # Only whole tasks count.
-        return self.left[offer.kind] // part if part > LEAST_MACHINES else float(spec.tasks)
+        return self.free[offer.kind] // machines_per_task if machines_per_task > MIN_MACHINES else float(spec.tasks)
 
     def take(self, spec: JobSpec, tasks: int) -> None:
         """Takes the capacity of this many tasks, or of as many as fit."""
-        self.limits.take(spec, tasks)
+        self.quota.take(spec, tasks)
         for offer in self.offers:
             if tasks <= 0:
                 return
-            if self.left[offer.kind] > LEAST_MACHINES and offer.suits(spec):
-                part = scaling.machines_needed(spec, 1, offer.type)
-                count = min(tasks, int(self._tasks_in(spec, offer) + LEAST_MACHINES))
-                self.left[offer.kind] -= count * part
+            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+                machines_per_task = scaling.machines_needed(spec, 1, offer.type)
+                count = min(tasks, int(self._whole_tasks_in(spec, offer) + MIN_MACHINES))
+                self.free[offer.kind] -= count * machines_per_task
                 tasks -= count
 
 
-def _with_surplus(supply: Mapping[InstanceKind, float], surplus: float) -> dict[InstanceKind, float]:
-    return {kind: (1 + surplus) * count for kind, count in supply.items()}
+def _overcommitted(supply: Mapping[InstanceKind, float], overcommit: float) -> dict[InstanceKind, float]:
+    return {kind: (1 + overcommit) * count for kind, count in supply.items()}
--- a/sloeswitch/admission/compare.py
+++ b/sloeswitch/admission/compare.py
@@ -22,10 +22,10 @@
 import msgspec
 
 from sloeswitch.admission.decision_log import DecisionRecord, EpochRecord, Record, decode
-from sloeswitch.admission.decisions import Ground
+from sloeswitch.admission.decisions import DecisionReason
 
 # The text before a record in a line of a controller's log, up to the record's first character.
-MARK = " admission: {"
+RECORD_MARKER = " admission: {"
 
 
 class LogError(Exception):
@@ -56,7 +56,7 @@
 def records(name: str, lines: Iterable[str]) -> Iterator[Line]:
     """Yields the records of a log and skips other lines; raises LogError for a malformed record."""
     for number, line in enumerate(lines, 1):
-        _, mark, rest = line.partition(MARK)
+        _, mark, rest = line.partition(RECORD_MARKER)
         if not mark:
             continue
         text = "{" + rest.rstrip("\n")
@@ -88,10 +88,10 @@
                 applied.append((record, line))
                 continue
             difference = None
-            if record.ground in (Ground.DEFERRED.value, Ground.BEGUN.value):
+            if record.ground in (DecisionReason.DEFERRED.value, DecisionReason.BEGUN.value):
                 deferred_here.setdefault(record.job, len(applied))
                 difference = self._note_deferred(record.job, record.number, line)
-            elif record.ground == Ground.CUT.value:
+            elif record.ground == DecisionReason.CUT.value:
                 if record.job in deferred_here:
                     since = applied[deferred_here.pop(record.job) :]
                     difference = self._note_implied(record, since)
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -15,7 +15,7 @@
 from sloeswitch.actors.context import ControllerContext
 from sloeswitch.actors.feature_rollout import FeatureRollout
 from sloeswitch.admission.capacity import IdleCapacity
-from sloeswitch.admission.epoch import chosen_changes, next_rows
+from sloeswitch.admission.epoch import compute_changes, select_changes
 from sloeswitch.admission.frames import IdleCapacityLink
 from sloeswitch.admission.limits import AdmissionLimits
 from sloeswitch.core import keys
@@ -36,8 +36,8 @@
 class ReportedIdleCapacity:
     """A sibling's idle capacity, and when it was requested, in seconds of this controller's clock."""
 
-    asked_at: float
-    rooms: list[IdleCapacity]
+    requested_at: float
+    capacities: list[IdleCapacity]
 
 
 class AdmissionCoordinator:
@@ -64,7 +64,7 @@
         self.clock = context.clock
         self.now = context.clock.now
         self.sleep = sleep
-        self.limits = AdmissionLimits.of(context.settings)
+        self.limits = AdmissionLimits.from_settings(context.settings)
         self.feature = FeatureRollout("admission", context)
         self.reported: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
@@ -88,18 +88,18 @@
             except Exception:
                 log.exception("admission epoch failed")
 
-    async def ask_forever(self, member: str) -> None:
+    async def request_idle_capacity_forever(self, member: str) -> None:
         """Asks one sibling for its idle capacity, repeatedly, while this controller is the coordinator."""
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
-                await self.ask(member)
+                await self.request_idle_capacity(member)
             except NoAnswerError as error:
                 log.debug("idle capacity request not answered: error=%s", error)
             except Exception:
                 log.exception("idle capacity request failed: member=%s", member)
 
-    async def ask(self, member: str) -> None:
+    async def request_idle_capacity(self, member: str) -> None:
         """Asks a sibling once for its idle capacity, if jobs are deferred and this controller is the coordinator.
 
         Otherwise drops the sibling's last report. The frame is not sent before every controller knows it, since jobs
@@ -108,8 +108,8 @@
         if not (self.switched_on and self.leadership.is_coordinator):
             self.reported.pop(member, None)
             return
-        asked_at = self.now()
-        self.reported[member] = ReportedIdleCapacity(asked_at, await self.links[member].idle_capacity())
+        requested_at = self.now()
+        self.reported[member] = ReportedIdleCapacity(requested_at, await self.links[member].idle_capacity())
 
     # -- epochs
 
@@ -120,15 +120,15 @@
         # With stale tables the cuts would be too low, or the conditional write would fail.
         await self.replica.read_linearizable(self.client.timeout_s)
         tables = self.replica.tables
-        changes = next_rows(
+        changes = compute_changes(
             tables,
             self.settings,
             self.limits,
-            self._known_idle_capacity(),
+            self._valid_idle_capacity(),
             self.clock.wall_clock_ms(),
             self.client.value_bytes,
         )
-        chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
+        chosen = select_changes(changes, self.written_at, self.limits.max_row_writes, self.client.txn_ops)
         if not chosen:
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
@@ -143,12 +143,12 @@
         else:
             self.replica.request_read()
 
-    def _known_idle_capacity(self) -> list[IdleCapacity]:
+    def _valid_idle_capacity(self) -> list[IdleCapacity]:
         """Returns this controller's idle capacity and the valid reports of siblings, with their ages as of now."""
         now = self.now()
-        found = list(self.own_idle_capacity())
+        capacities = list(self.own_idle_capacity())
         for reported in self.reported.values():
-            age_s = now - reported.asked_at
+            age_s = now - reported.requested_at
             if age_s <= REPORT_VALID_EPOCHS * self.limits.epoch_s:
-                found += [replace(room, age_s=room.age_s + age_s) for room in reported.rooms]
-        return found
+                capacities += [replace(entry, age_s=entry.age_s + age_s) for entry in reported.capacities]
+        return capacities
--- a/sloeswitch/admission/cuts.py
+++ b/sloeswitch/admission/cuts.py
@@ -18,7 +18,7 @@
 # Bits of a lane's hash, which is also the maximum depth of the tree of rows.
 HASH_BITS = 32
 # The path of the root row, where the lookup of a lane starts.
-ROOT = ""
+ROOT_PATH = ""
 
 
 class Ticket(NamedTuple):
@@ -39,7 +39,7 @@
     priority: str
 
 
-def team_lane(team: str) -> Lane:
+def deficit_lane(team: str) -> Lane:
     """Returns the lane whose row stores the team's deficit. It holds no jobs, since no class has an empty name."""
     return Lane(team, "", "")
 
@@ -47,8 +47,8 @@
 class LaneCut(NamedTuple):
     """The highest admitted ticket of a lane, and when it was last raised, by the clock of the coordinator then."""
 
-    cut: Ticket
-    risen_ms: int
+    ticket: Ticket
+    raised_ms: int
 
 
 NOTHING_ADMITTED = LaneCut(FIRST_TICKET, 0)
@@ -68,37 +68,41 @@
     # Whether the lanes have moved to the two child rows. A split is never reverted.
     split: bool = False
 
-    def of(self, lane: Lane) -> LaneCut:
+    def cut_of(self, lane: Lane) -> LaneCut:
         """Returns the cut of a lane, which is at least the common one."""
-        own = self.lanes.get(lane)
-        return self.common if own is None or own.cut < self.common.cut else own
+        cut = self.lanes.get(lane)
+        return self.common if cut is None or cut.ticket < self.common.ticket else cut
 
     def raised(self, common: LaneCut, lanes: Mapping[Lane, LaneCut], deficits: Mapping[str, float]) -> AdmissionRow:
         """Returns the row with each cut raised to the given one; lower ones are ignored.
 
         A cut is never lowered, so a controller that reads rows late admits no job that others defer.
         """
-        common = max(self.common, common, key=_cut_of)
+        common = max(self.common, common, key=_ticket_of_cut)
         merged = dict(self.lanes)
         for lane, cut in lanes.items():
-            merged[lane] = max(self.of(lane), cut, key=_cut_of)
-        kept = {lane: cut for lane, cut in merged.items() if cut.cut > common.cut}
+            merged[lane] = max(self.cut_of(lane), cut, key=_ticket_of_cut)
+        kept = {lane: cut for lane, cut in merged.items() if cut.ticket > common.ticket}
         changed = replace(self, common=common, lanes=kept, deficits=dict(deficits))
         return self if changed == self else replace(changed, number=self.number + 1)
 
     def children(self, path: str) -> tuple[AdmissionRow, dict[str, AdmissionRow]]:
         """Returns the row marked as split, and its two child rows by path, which hold its lanes with unchanged cuts."""
         number = self.number + 1
-        parts = {
+        children = {
             path + bit: AdmissionRow(
                 number,
                 self.common,
                 {lane: cut for lane, cut in self.lanes.items() if hash_bits(lane)[len(path)] == bit},
-                {team: owed for team, owed in self.deficits.items() if hash_bits(team_lane(team))[len(path)] == bit},
+                {
+                    team: deficit
+                    for team, deficit in self.deficits.items()
+                    if hash_bits(deficit_lane(team))[len(path)] == bit
+                },
             )
             for bit in "01"
         }
-        return replace(self, number=number, lanes={}, deficits={}, split=True), parts
+        return replace(self, number=number, lanes={}, deficits={}, split=True), children
 
     def stored(self) -> dict[str, Any]:
         """Returns the row as a value for the state service.
@@ -106,17 +110,17 @@
         Lanes are grouped by team and class, so that each name is stored once. Times are stored relative to the common
         cut, which makes them shorter.
         """
-        base_ms = self.common.cut.submitted_ms
+        base_ms = self.common.ticket.submitted_ms
         lanes: dict[str, dict[str, list[list[Any]]]] = {}
         for lane, cut in sorted(self.lanes.items()):
-            entry = [lane.priority, cut.cut.submitted_ms - base_ms, cut.cut.job, cut.risen_ms - base_ms]
+            entry = [lane.priority, cut.ticket.submitted_ms - base_ms, cut.ticket.job, cut.raised_ms - base_ms]
             lanes.setdefault(lane.team, {}).setdefault(lane.job_class, []).append(entry)
-        value: dict[str, Any] = {"n": self.number, "c": [*self.common.cut, self.common.risen_ms]}
+        value: dict[str, Any] = {"n": self.number, "c": [*self.common.ticket, self.common.raised_ms]}
         if lanes:
             value["l"] = lanes
-        owed = {team: round(amount, 1) for team, amount in sorted(self.deficits.items()) if amount}
-        if owed:
-            value["d"] = owed
+        deficits = {team: round(amount, 1) for team, amount in sorted(self.deficits.items()) if amount}
+        if deficits:
+            value["d"] = deficits
         if self.split:
             value["s"] = True
         return value
@@ -124,14 +128,14 @@
     @staticmethod
     def from_stored(value: dict[str, Any]) -> AdmissionRow:
         """Decodes a stored row; raises KeyError, TypeError or ValueError if it is malformed."""
-        base_ms, job, risen_ms = value["c"]
+        base_ms, job, raised_ms = value["c"]
         lanes = {
-            Lane(team, klass, priority): LaneCut(Ticket(base_ms + cut_ms, cut_job), base_ms + lane_risen_ms)
+            Lane(team, klass, priority): LaneCut(Ticket(base_ms + cut_ms, cut_job), base_ms + lane_raised_ms)
             for team, classes in value.get("l", {}).items()
             for klass, entries in classes.items()
-            for priority, cut_ms, cut_job, lane_risen_ms in entries
+            for priority, cut_ms, cut_job, lane_raised_ms in entries
         }
-        common = LaneCut(Ticket(base_ms, job), risen_ms)
+        common = LaneCut(Ticket(base_ms, job), raised_ms)
         return AdmissionRow(value["n"], common, lanes, value.get("d", {}), value.get("s", False))
 
     @property
@@ -145,8 +149,8 @@
         return hashlib.blake2b(msgspec.json.encode(self.stored()), digest_size=8).hexdigest()
 
 
-def _cut_of(cut: LaneCut) -> Ticket:
-    return cut.cut
+def _ticket_of_cut(cut: LaneCut) -> Ticket:
+    return cut.ticket
 
 
 @lru_cache(maxsize=4096)
@@ -157,15 +161,15 @@
     return format(number, f"0{HASH_BITS}b")
 
 
-def row_of(rows: Mapping[str, AdmissionRow], lane: Lane) -> str | None:
+def row_path(rows: Mapping[str, AdmissionRow], lane: Lane) -> str | None:
     """Returns the path of the row that holds a lane's cut; None, so that nothing is admitted, until it is read."""
-    path = ROOT
+    path = ROOT_PATH
     bits = hash_bits(lane)
     while path in rows and rows[path].split:
         path = bits[: len(path) + 1]
     return path if path in rows else None
 
 
-def leaves(rows: Mapping[str, AdmissionRow]) -> dict[str, AdmissionRow]:
+def leaf_rows(rows: Mapping[str, AdmissionRow]) -> dict[str, AdmissionRow]:
     """Returns the rows that are not split, by path."""
     return {path: row for path, row in sorted(rows.items()) if not row.split}
--- a/sloeswitch/admission/decision_log.py
+++ b/sloeswitch/admission/decision_log.py
@@ -29,7 +29,7 @@
     # The row and its number that the decision was made by; empty and 0 if the row had not been read.
     row: str
     number: int
-    # The reason (see decisions.Ground), and the job whose lane's cut decided.
+    # The reason (see decisions.DecisionReason), and the job whose lane's cut decided.
     ground: str
     by: str
 
@@ -54,7 +54,7 @@
     one or two decisions for each job.
     """
 
-    def epochs(self, before: Mapping[str, AdmissionRow], after: Mapping[str, AdmissionRow]) -> None:
+    def log_changed_rows(self, before: Mapping[str, AdmissionRow], after: Mapping[str, AdmissionRow]) -> None:
         """Logs the rows that changed."""
         if not log.isEnabledFor(logging.INFO):
             return
@@ -62,8 +62,10 @@
             if before.get(path) != row:
                 log.info("%s", encode(EpochRecord("r" + path, row.number, row.digest)))
 
-    def decision(self, job: str, decision: Decision) -> None:
+    def log_decision(self, job: str, decision: Decision) -> None:
         """Logs the decision on a job."""
         if log.isEnabledFor(logging.DEBUG):
             row = "" if decision.row is None else "r" + decision.row
-            log.debug("%s", encode(DecisionRecord(job, row, decision.number, decision.ground.value, decision.by)))
+            log.debug(
+                "%s", encode(DecisionRecord(job, row, decision.number, decision.reason.value, decision.decided_by))
+            )
--- a/sloeswitch/admission/decisions.py
+++ b/sloeswitch/admission/decisions.py
@@ -11,13 +11,13 @@
 from enum import Enum
 from typing import NamedTuple
 
-from sloeswitch.admission.cuts import FIRST_TICKET, AdmissionRow, Lane, Ticket, row_of
+from sloeswitch.admission.cuts import FIRST_TICKET, AdmissionRow, Lane, Ticket, row_path
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
 from sloeswitch.wire import JobSpec
 
 
-class Ground(Enum):
+class DecisionReason(Enum):
     """The reason why a job is admitted or deferred."""
 
     CUT = "cut"
@@ -32,17 +32,17 @@
     A tuple, which is cheap to create, since there is one for each unfinished job.
     """
 
-    ground: Ground
+    reason: DecisionReason
     # The path and version of the row; None and 0 while the row has not been read.
     row: str | None = None
     number: int = 0
     # The job whose lane's cut decided: this job, or one that has it as a prerequisite.
-    by: str = ""
+    decided_by: str = ""
 
     @property
     def admitted(self) -> bool:
         """Whether the job may enter the queue."""
-        return self.ground is not Ground.DEFERRED
+        return self.reason is not DecisionReason.DEFERRED
 
 
 def lane_of(spec: JobSpec) -> Lane:
@@ -60,38 +60,38 @@
 
     def __init__(self, rows: Mapping[str, AdmissionRow]) -> None:
         self.rows = rows
-        self._lanes: dict[tuple[str, str, str], tuple[str | None, int, Ticket]] = {}
+        self._cache: dict[tuple[str, str, str], tuple[str | None, int, Ticket]] = {}
 
-    def cut_of(self, lane: Lane) -> tuple[str | None, int, Ticket]:
+    def lookup_lane(self, lane: Lane) -> tuple[str | None, int, Ticket]:
         """Returns the path and version of a lane's row, and its cut.
 
         None, 0 and the first ticket while the row has not been read.
         """
-        path = row_of(self.rows, lane)
+        path = row_path(self.rows, lane)
         if path is None:
             return None, 0, FIRST_TICKET
-        return path, self.rows[path].number, self.rows[path].of(lane).cut
+        return path, self.rows[path].number, self.rows[path].cut_of(lane).ticket
 
-    def cut(self, spec: JobSpec) -> tuple[str | None, int, Ticket]:
-        """As `cut_of`, for the lane of a job, from a cache."""
+    def lookup_lane_of(self, spec: JobSpec) -> tuple[str | None, int, Ticket]:
+        """As `lookup_lane`, for the lane of a job, from a cache."""
         key = (spec.team, spec.job_class, spec.priority)
-        found = self._lanes.get(key)
-        if found is None:
-            found = self._lanes[key] = self.cut_of(lane_of(spec))
-        return found
+        entry = self._cache.get(key)
+        if entry is None:
+            entry = self._cache[key] = self.lookup_lane(lane_of(spec))
+        return entry
 
     def decide(self, job: Job) -> Decision:
         """Decides on a job by the cut of its lane, or since its work has begun."""
-        path, number, cut = self.cut(job.spec)
+        path, number, cut = self.lookup_lane_of(job.spec)
         if path is not None and (job.submitted_ms, job.spec.id) <= cut:
-            ground = Ground.CUT
+            reason = DecisionReason.CUT
         elif job.progress_revision:
             # The job began under a cut that this controller has not read yet, or before the feature was enabled.
             # Deferring it now would stall it.
-            ground = Ground.BEGUN
+            reason = DecisionReason.BEGUN
         else:
-            ground = Ground.DEFERRED
-        return Decision(ground, path, number, job.spec.id)
+            reason = DecisionReason.DEFERRED
+        return Decision(reason, path, number, job.spec.id)
 
 
 def ancestors(job: Job, tables: Tables) -> Iterable[Job]:
@@ -100,32 +100,32 @@
     stack = list(job.spec.prerequisites)
     while stack:
         name = stack.pop()
-        needed = tables.jobs.get(name)
-        if name in seen or needed is None:
+        prerequisite = tables.jobs.get(name)
+        if name in seen or prerequisite is None:
             continue
         seen.add(name)
-        yield needed
-        stack += needed.spec.prerequisites
+        yield prerequisite
+        stack += prerequisite.spec.prerequisites
 
 
 def decide(tables: Tables, names: Iterable[str] | None = None) -> dict[str, Decision]:
     """Returns the decisions on all unfinished jobs; with `names`, on these and prerequisites of the admitted ones."""
     reader = CutReader(tables.admission_rows)
-    found: dict[str, Decision] = {}
+    decisions: dict[str, Decision] = {}
     waiting: list[Job] = []
     for name in tables.jobs if names is None else names:
         job = tables.jobs.get(name)
         if job is None:
             continue
-        found[name] = decision = reader.decide(job)
+        decisions[name] = decision = reader.decide(job)
         if job.unfinished_prerequisites and not job.is_cancelled and decision.admitted:
             waiting.append(job)
     for job in waiting:
-        cause = found[job.spec.id]
-        for needed in ancestors(job, tables):
-            name = needed.spec.id
-            if name not in found:
-                found[name] = reader.decide(needed)
-            if not found[name].admitted:
-                found[name] = Decision(Ground.NEEDED, cause.row, cause.number, cause.by)
-    return found
+        cause = decisions[job.spec.id]
+        for prerequisite in ancestors(job, tables):
+            name = prerequisite.spec.id
+            if name not in decisions:
+                decisions[name] = reader.decide(prerequisite)
+            if not decisions[name].admitted:
+                decisions[name] = Decision(DecisionReason.NEEDED, cause.row, cause.number, cause.decided_by)
+    return decisions
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -18,8 +18,8 @@
 COUNT = struct.Struct("!H")
 ENTRY = struct.Struct("!BB?df")
 # The length of a name is stored in one byte.
-LONGEST_NAME = 255
-MOST_ENTRIES = (MAX_BODY_BYTES - COUNT.size) // (ENTRY.size + 2 * LONGEST_NAME)
+MAX_NAME_BYTES = 255
+MAX_ENTRIES = (MAX_BODY_BYTES - COUNT.size) // (ENTRY.size + 2 * MAX_NAME_BYTES)
 
 
 class IdleCapacityLink(Protocol):
@@ -29,15 +29,15 @@
         """Asks for the sibling's idle capacity; raises NoAnswerError if there is no answer."""
 
 
-def pack_idle_capacity(rooms: Iterable[IdleCapacity]) -> bytes:
+def pack_idle_capacity(capacities: Iterable[IdleCapacity]) -> bytes:
     """Packs the body of an answer. Entries that do not fit are left out; this only affects the order of admission."""
     entries: list[bytes] = []
-    for room in rooms:
-        kind, zone, spot = room.kind
+    for entry in capacities:
+        kind, zone, spot = entry.kind
         names = kind.encode(), zone.encode()
-        if max(map(len, names)) <= LONGEST_NAME and len(entries) < MOST_ENTRIES:
-            fixed = ENTRY.pack(len(names[0]), len(names[1]), spot, room.machines, room.age_s)
-            entries.append(fixed + names[0] + names[1])
+        if max(map(len, names)) <= MAX_NAME_BYTES and len(entries) < MAX_ENTRIES:
+            header = ENTRY.pack(len(names[0]), len(names[1]), spot, entry.machines, entry.age_s)
+            entries.append(header + names[0] + names[1])
     return COUNT.pack(len(entries)) + b"".join(entries)
 
 
@@ -45,22 +45,22 @@
     """Unpacks the body of an answer; raises FrameError if it is malformed."""
     try:
         (count,) = COUNT.unpack_from(body)
-        at = COUNT.size
-        found: list[IdleCapacity] = []
+        offset = COUNT.size
+        capacities: list[IdleCapacity] = []
         for _ in range(count):
-            kind_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, at)
-            at += ENTRY.size
-            end = at + kind_length + zone_length
-            names = body[at : at + kind_length].decode(), body[at + kind_length : end].decode()
+            kind_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, offset)
+            offset += ENTRY.size
+            end = offset + kind_length + zone_length
+            names = body[offset : offset + kind_length].decode(), body[offset + kind_length : end].decode()
             if end > len(body) or not (machines >= 0 and age_s >= 0):
-                raise FrameError(f"idle capacity answer: invalid entry at byte {at}")
-            at = end
-            found.append(IdleCapacity(InstanceKind(*names, spot), machines, age_s))
+                raise FrameError(f"idle capacity answer: invalid entry at byte {offset}")
+            offset = end
+            capacities.append(IdleCapacity(InstanceKind(*names, spot), machines, age_s))
     except (struct.error, UnicodeDecodeError) as error:
         raise FrameError(f"idle capacity answer: {error!r}") from None
-    if at != len(body):
-        raise FrameError(f"idle capacity answer: {len(body) - at} bytes after the last entry")
-    return found
+    if offset != len(body):
+        raise FrameError(f"idle capacity answer: {len(body) - offset} bytes after the last entry")
+    return capacities
 
 
 class MeshIdleCapacityLink:
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -10,7 +10,7 @@
 
 from sloeswitch.admission.cuts import AdmissionRow, Lane
 from sloeswitch.admission.decision_log import DecisionLog
-from sloeswitch.admission.decisions import CutReader, Decision, Ground, decide, lane_of
+from sloeswitch.admission.decisions import CutReader, Decision, DecisionReason, decide, lane_of
 from sloeswitch.core.records import Job
 from sloeswitch.core.tables import Tables
 
@@ -38,14 +38,14 @@
     def apply(self) -> None:
         """Updates the marks of all jobs."""
         if not self.switched_on():
-            self._open()
+            self._clear()
             return
         rows = self.tables.admission_rows
         names: set[str] = set()
         if rows is not self._rows:
-            self.log.epochs(self._rows or {}, rows)
+            self.log.log_changed_rows(self._rows or {}, rows)
             self._rows = rows
-            names = self._of_changed_lanes() | self._uncertain()
+            names = self._jobs_of_changed_lanes() | self._jobs_to_recheck()
         decided = self._decided
         names |= {
             name
@@ -55,9 +55,9 @@
         if names:
             self._decide(names | self._dependents(names))
         if len(decided) > 2 * len(self.tables.jobs) + 1:
-            self._forget_over()
+            self._drop_finished()
 
-    def _forget_over(self) -> None:
+    def _drop_finished(self) -> None:
         """Drops what is cached for finished jobs."""
         jobs = self.tables.jobs
         self._decided = {name: known for name, known in self._decided.items() if name in jobs}
@@ -65,23 +65,23 @@
         self._deferred = {lane: names for lane, names in self._deferred.items() if names}
         self._cuts = {lane: cut for lane, cut in self._cuts.items() if lane in self._deferred}
 
-    def _of_changed_lanes(self) -> set[str]:
+    def _jobs_of_changed_lanes(self) -> set[str]:
         """Returns the deferred jobs of lanes whose cut changed: with thousands of jobs, a small part in most epochs."""
         reader = CutReader(self.tables.admission_rows)
         found: set[str] = set()
         for lane, names in self._deferred.items():
-            path, _, cut = reader.cut_of(lane)
+            path, _, cut = reader.lookup_lane(lane)
             if self._cuts.get(lane) != (path, cut):
                 self._cuts[lane] = (path, cut)
                 found |= names
         return found
 
-    def _uncertain(self) -> set[str]:
+    def _jobs_to_recheck(self) -> set[str]:
         """Returns jobs that were admitted for a dependent or for begun work, or that wait for prerequisites."""
         return {
             name
             for name, (_, decision) in self._decided.items()
-            if decision.ground in (Ground.NEEDED, Ground.BEGUN)
+            if decision.reason in (DecisionReason.NEEDED, DecisionReason.BEGUN)
             or ((job := self.tables.jobs.get(name)) is not None and job.unfinished_prerequisites)
         }
 
@@ -101,14 +101,14 @@
         for name, decision in decide(self.tables, sorted(names)).items():
             job = self.tables.jobs[name]
             before = self._decided.get(name)
-            if before is None or before[1].ground is not decision.ground:
-                self.log.decision(name, decision)
+            if before is None or before[1].reason is not decision.reason:
+                self.log.log_decision(name, decision)
             self._decided[name] = (job, decision)
             job.deferred = not decision.admitted
             deferred = self._deferred.setdefault(lane_of(job.spec), set())
             (deferred.add if job.deferred else deferred.discard)(name)
 
-    def _open(self) -> None:
+    def _clear(self) -> None:
         """Clears all marks while the feature is off."""
         if self._rows is None and not self._decided:
             return
--- a/sloeswitch/admission/idle_capacity.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -7,15 +7,15 @@
 
 from collections.abc import Iterable, Mapping
 
-from sloeswitch.admission.capacity import LEAST_MACHINES, IdleCapacity
+from sloeswitch.admission.capacity import MIN_MACHINES, IdleCapacity
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.wire import MachineType
 
 
-def free_part(room: FreeCapacity, kind: MachineType) -> float:
+def free_fraction(capacity: FreeCapacity, kind: MachineType) -> float:
     """Returns the free fraction of a machine, by its scarcest resource."""
-    pairs = ((room.cores, kind.cores), (room.gpus, kind.gpus), (room.memory_gb, kind.memory))
+    pairs = ((capacity.cores, kind.cores), (capacity.gpus, kind.gpus), (capacity.memory_gb, kind.memory))
     return max(0.0, min((free / whole for free, whole in pairs if whole > 0), default=0.0))
 
 
@@ -26,15 +26,15 @@
         self._machines: dict[InstanceKind, float] = {}
         self._since: dict[InstanceKind, float] = {}
 
-    def observe(self, rooms: Iterable[FreeCapacity], types: Mapping[str, MachineType], now: float) -> None:
+    def observe(self, capacities: Iterable[FreeCapacity], types: Mapping[str, MachineType], now: float) -> None:
         """Takes in the capacity that a planning pass over the whole queue left free."""
-        found: dict[InstanceKind, float] = {}
-        for room in rooms:
-            kind = types.get(room.type)
+        machines_by_kind: dict[InstanceKind, float] = {}
+        for capacity in capacities:
+            kind = types.get(capacity.type)
             if kind is not None:
-                key = InstanceKind(room.type, room.zone, room.spot)
-                found[key] = found.get(key, 0.0) + free_part(room, kind)
-        self._machines = {key: machines for key, machines in found.items() if machines > LEAST_MACHINES}
+                key = InstanceKind(capacity.type, capacity.zone, capacity.spot)
+                machines_by_kind[key] = machines_by_kind.get(key, 0.0) + free_fraction(capacity, kind)
+        self._machines = {key: machines for key, machines in machines_by_kind.items() if machines > MIN_MACHINES}
         self._since = {key: self._since.get(key, now) for key in self._machines}
 
     def report(self, now: float) -> list[IdleCapacity]:
--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -11,69 +11,74 @@
 from sloeswitch.settings import Settings
 
 # The first job of a lane (its head) is admitted without regard to free capacity after STARVATION_LEASES worker leases,
-# and at the latest after PATIENCE_OF_LONGEST_WAIT of LONGEST_WAIT_S. LONGEST_WAIT_S is the longest that the protocol
-# lets a job wait while there is free capacity that fits it.
+# or after STARVATION_FRACTION_OF_MAX_WAIT of MAX_WAIT_WITH_CAPACITY_S, whichever is shorter. MAX_WAIT_WITH_CAPACITY_S
+# is the longest that the protocol lets a job wait while there is free capacity that fits it.
 STARVATION_LEASES = 2.0
-LONGEST_WAIT_S = 90.0
-PATIENCE_OF_LONGEST_WAIT = 0.4
+MAX_WAIT_WITH_CAPACITY_S = 90.0
+STARVATION_FRACTION_OF_MAX_WAIT = 0.4
 # Epochs per worker lease. Epochs are never more frequent than the reports of the machines.
 EPOCHS_PER_LEASE = 8.0
 # The fraction of the state service's write rate that epochs may use.
-CHANGE_SHARE = 0.1
+WRITE_RATE_FRACTION = 0.1
 # The lead, as a multiple of the time until every controller has read the cuts of an epoch.
 LEAD_ROUNDS = 2.0
 # The fraction by which admitted work may exceed the machines, so that no machine runs empty between two epochs.
-SURPLUS = 0.25
-# A low estimate of the admissions that one processor core computes per second. They may take at most EPOCH_SHARE of the
-# interval between epochs. Without this limit an epoch could outlast the controller's lease when thousands of jobs fit.
+OVERCOMMIT_FRACTION = 0.25
+# A low estimate of the admissions that one processor core computes per second. They may take at most
+# EPOCH_TIME_FRACTION of the interval between epochs. Without this limit an epoch could outlast the controller's lease
+# when thousands of jobs fit.
 ADMISSIONS_PER_CORE_S = 4000
-EPOCH_SHARE = 0.25
+EPOCH_TIME_FRACTION = 0.25
 # Free capacity counts as idle once it has been left unused for this many report intervals.
-IDLE_REPORTS = 2.0
+MIN_IDLE_REPORTS = 2.0
 
 
 @dataclass(frozen=True)
 class AdmissionLimits:
     """Limits of epochs; times are in seconds."""
 
-    patience_s: float
+    starvation_timeout_s: float
     epoch_s: float
     # While nothing is deferred, the common cut is kept between one and two leads ahead of the clock.
     lead_s: float
     clock_error_s: float
-    idle_s: float
-    max_changes: int
+    min_idle_s: float
+    max_row_writes: int
     # The most jobs that one epoch admits by guarantee and round robin; the next epoch continues from there.
     max_admissions: int
 
     @staticmethod
-    def of(settings: Settings) -> AdmissionLimits:
+    def from_settings(settings: Settings) -> AdmissionLimits:
         """Derives the limits from a deployment's settings."""
         epoch_s = max(settings.report_s, settings.lease_s / EPOCHS_PER_LEASE)
         read_s = epoch_s + settings.controller_lease_s + 2 * settings.clock_error_s
         return AdmissionLimits(
-            patience_s=min(STARVATION_LEASES * settings.lease_s, PATIENCE_OF_LONGEST_WAIT * LONGEST_WAIT_S),
+            starvation_timeout_s=min(
+                STARVATION_LEASES * settings.lease_s, STARVATION_FRACTION_OF_MAX_WAIT * MAX_WAIT_WITH_CAPACITY_S
+            ),
             epoch_s=epoch_s,
             lead_s=LEAD_ROUNDS * read_s,
             clock_error_s=settings.clock_error_s,
-            idle_s=IDLE_REPORTS * settings.report_s,
-            max_changes=max(1, int(CHANGE_SHARE * settings.state_write_rps * epoch_s)),
-            max_admissions=max(1, int(EPOCH_SHARE * ADMISSIONS_PER_CORE_S * settings.controller_cores * epoch_s)),
+            min_idle_s=MIN_IDLE_REPORTS * settings.report_s,
+            max_row_writes=max(1, int(WRITE_RATE_FRACTION * settings.state_write_rps * epoch_s)),
+            max_admissions=max(
+                1, int(EPOCH_TIME_FRACTION * ADMISSIONS_PER_CORE_S * settings.controller_cores * epoch_s)
+            ),
         )
 
-    def _looks_s(self, rows: int) -> float:
+    def _row_write_delay_s(self, rows: int) -> float:
         """Returns the longest time until a row that is to change is stored.
 
-        That is one epoch, and as many as it takes to write all rows, since one epoch writes at most `max_changes`.
+        That is one epoch, and as many as it takes to write all rows, since one epoch writes at most `max_row_writes`.
         """
-        return (1 + math.ceil(rows / self.max_changes)) * self.epoch_s
+        return (1 + math.ceil(rows / self.max_row_writes)) * self.epoch_s
 
     def head_bound_s(self, rows: int = 1) -> float:
         """Returns the longest wait of a lane's head for admission, outside outages.
 
         The wait begins with the job's submission or when the lane's cut was last raised, whichever is later.
         """
-        return self.patience_s + self._looks_s(rows) + 2 * self.clock_error_s
+        return self.starvation_timeout_s + self._row_write_delay_s(rows) + 2 * self.clock_error_s
 
     def bound_s(self, before: int, rows: int = 1) -> float:
         """Returns the longest wait for admission of a job that is behind `before` others in its lane."""
@@ -84,4 +89,4 @@
 
         Holds while no more than `max_admissions` such jobs wait.
         """
-        return self._looks_s(rows) + 2 * self.clock_error_s
+        return self._row_write_delay_s(rows) + 2 * self.clock_error_s
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -218,7 +218,7 @@
     mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
-        group.start_soon(coordinator.ask_forever, sibling.member)
+        group.start_soon(coordinator.request_idle_capacity_forever, sibling.member)
 
 
 def run(settings: Settings, features: Features) -> None:
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -18,13 +18,13 @@
 from sloeswitch.admission import compare
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.coordinator import AdmissionCoordinator
-from sloeswitch.admission.cuts import ROOT, Lane, LaneCut, Ticket, row_of
+from sloeswitch.admission.cuts import ROOT_PATH, Lane, LaneCut, Ticket, row_path
 from sloeswitch.admission.decision_log import DecisionLog, DecisionRecord, EpochRecord, encode
 from sloeswitch.admission.decisions import Decision, decide, lane_of, ticket_of
 from sloeswitch.admission.frames import pack_idle_capacity
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
-from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
+from sloeswitch.admission.limits import MAX_WAIT_WITH_CAPACITY_S, AdmissionLimits
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.features import AdmissionFeatures
@@ -62,14 +62,14 @@
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
 
-    def epochs(self, before: Any, after: Any) -> None:
+    def log_changed_rows(self, before: Any, after: Any) -> None:
         for path, row in after.items():
             if before.get(path) != row:
                 self._add(EpochRecord("r" + path, row.number, row.digest))
 
-    def decision(self, job: str, decision: Decision) -> None:
+    def log_decision(self, job: str, decision: Decision) -> None:
         row = "" if decision.row is None else "r" + decision.row
-        self._add(DecisionRecord(job, row, decision.number, decision.ground.value, decision.by))
+        self._add(DecisionRecord(job, row, decision.number, decision.reason.value, decision.decided_by))
 
     def _add(self, record: Any) -> None:
         self.lines.append(f"I admission: {encode(record)}\n")
@@ -127,7 +127,7 @@
             await self.admission.feature.record_member()
             for member in self.admission.links:
                 try:
-                    await self.admission.ask(member)
+                    await self.admission.request_idle_capacity(member)
                 except NoAnswerError:
                     continue
             try:
@@ -166,7 +166,7 @@
         # Since when each machine has had free capacity, and since when each job could have started but has not.
         self.room_since: dict[str, float] = {}
         self.waits_since: dict[str, float] = {}
-        self.limits = AdmissionLimits.of(parse(settings_text("c0", MEMBERS, text or cluster_text())))
+        self.limits = AdmissionLimits.from_settings(parse(settings_text("c0", MEMBERS, text or cluster_text())))
         super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
         self.task_ends = 0.012
         self.store.put(keys.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
@@ -216,8 +216,8 @@
     @property
     def past_lead(self) -> bool:
         """Whether the common cut is behind the clock, so that new jobs may be deferred."""
-        root = self.store.tables.admission_rows.get(ROOT)
-        return root is not None and root.common.cut.submitted_ms < 1000 * self.clock.time
+        root = self.store.tables.admission_rows.get(ROOT_PATH)
+        return root is not None and root.common.ticket.submitted_ms < 1000 * self.clock.time
 
     def submit_some(self, most: int) -> None:
         """Submits a job of a random team and class from time to time; some have a prerequisite."""
@@ -260,14 +260,14 @@
         """Checks that no stored cut is lowered, and that no controller has a higher one than is stored."""
         rows = self.store.tables.admission_rows
         for lane in {lane_of(job.spec) for job in self.store.tables.jobs.values()} | self.highest.keys():
-            path = row_of(rows, lane)
-            stored = rows[path].of(lane).cut if path is not None else Ticket(0, "")
+            path = row_path(rows, lane)
+            stored = rows[path].cut_of(lane).ticket if path is not None else Ticket(0, "")
             assert stored >= self.highest.get(lane, stored), f"a cut falls: {lane}"
             self.highest[lane] = stored
             for node in self.nodes.values():
-                held = row_of(node.tables.admission_rows, lane)
-                cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].of(lane)
-                assert cut is None or cut.cut <= stored, f"{node.settings.member} is ahead: {lane}"
+                held = row_path(node.tables.admission_rows, lane)
+                cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].cut_of(lane)
+                assert cut is None or cut.ticket <= stored, f"{node.settings.member} is ahead: {lane}"
 
     def check_bound(self) -> None:
         """Checks that each head of a lane is admitted within its bound, in time with a working coordinator."""
@@ -305,7 +305,7 @@
         waiting = {name for name in self.unfinished() if self._could_start(name, tasks)}
         self.waits_since = {name: self.waits_since.get(name, now) for name in waiting}
         for name, since in self.waits_since.items():
-            assert now - max(since, longest) < LONGEST_WAIT_S, f"waits beside room: {name}"
+            assert now - max(since, longest) < MAX_WAIT_WITH_CAPACITY_S, f"waits beside room: {name}"
 
     def _could_start(self, name: str, tasks: list[str]) -> bool:
         """Whether the job has an unclaimed task that its team's limit allows."""
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -37,7 +37,7 @@
         self.store = Store()
         self.store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
         self.settings: Settings = parse(cluster_text(teams or {"red": (0.0, 4000.0), "blue": (0.0, 4000.0)}))
-        self.limits = AdmissionLimits.of(self.settings)
+        self.limits = AdmissionLimits.from_settings(self.settings)
         self.now_ms = START_MS
         self.machines("small", machines)
         self.epoch()
@@ -63,7 +63,9 @@
         self.store.put(keys.job_key(name), {**self.store.rows[keys.job_key(name)][0], "s": JobState.CANCELLED})
 
     def changes(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
-        return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
+        return epochs.compute_changes(
+            self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes
+        )
 
     def epoch(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> int:
         """Stores all changes of an epoch; returns the number of rows written."""
@@ -109,7 +111,7 @@
             "spec": msgspec.to_builtins(job),
         }
         store.put(keys.job_key(job.id), value)
-    later(world, each.limits.patience_s + 1)
+    later(world, each.limits.starvation_timeout_s + 1)
     return world, each
 
 
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -183,8 +183,8 @@
 def dump_admission(row: AdmissionRow) -> dict[str, Any]:
     """Cuts of admission."""
     cuts = {
-        f"{lane.team} {lane.job_class} {lane.priority}": [cut.cut.submitted_ms, cut.cut.job, cut.risen_ms]
+        f"{lane.team} {lane.job_class} {lane.priority}": [cut.ticket.submitted_ms, cut.ticket.job, cut.raised_ms]
         for lane, cut in row.lanes.items()
     }
-    common = [row.common.cut.submitted_ms, row.common.cut.job, row.common.risen_ms]
+    common = [row.common.ticket.submitted_ms, row.common.ticket.job, row.common.raised_ms]
     return {"number": row.number, "common": common, "lanes": cuts, "owed": dict(row.deficits), "split": row.split}
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from sloeswitch.admission import epoch as epochs
-from sloeswitch.admission.cuts import ROOT, AdmissionRow, LaneCut, Ticket
+from sloeswitch.admission.cuts import ROOT_PATH, AdmissionRow, LaneCut, Ticket
 from sloeswitch.admission.decision_log import DecisionLog
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.limits import AdmissionLimits
@@ -106,7 +106,7 @@
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
         waits.append(int(1000 * (at - world.submitted_at[name])))
     outcome.in_time = sum(at - world.submitted_at[name] <= DUE_S for name, at in ended_at.items()) / len(plan)
-    root = world.store.tables.admission_rows.get(ROOT)
+    root = world.store.tables.admission_rows.get(ROOT_PATH)
     outcome.epochs = root.number if root is not None else 0
     return outcome
 
@@ -204,16 +204,18 @@
         world.store.put(keys.job_key(job.id), value)
     timed("tick without admission", world.tick)
     row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
-    world.store.put(keys.admission_key(ROOT), row.stored())
+    world.store.put(keys.admission_key(ROOT_PATH), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
     world.machines.queue.admission = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
     timed("tick with admission", world.tick)
-    limits = AdmissionLimits.of(world.settings)
-    later_ms = wall_clock_ms + int(1000 * limits.patience_s) + DEFERRED_JOBS
+    limits = AdmissionLimits.from_settings(world.settings)
+    later_ms = wall_clock_ms + int(1000 * limits.starvation_timeout_s) + DEFERRED_JOBS
 
     def reckon() -> list[epochs.RowChange]:
-        return epochs.next_rows(world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes)
+        return epochs.compute_changes(
+            world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes
+        )
 
     timed("an epoch", reckon)
     (change,) = reckon()
--- a/tests/test_admission_epochs.py
+++ b/tests/test_admission_epochs.py
@@ -8,9 +8,9 @@
 from sloeswitch.admission import cuts
 from sloeswitch.admission import epoch as epochs
 from sloeswitch.admission.capacity import IdleCapacity
-from sloeswitch.admission.cuts import Lane, Ticket, row_of
-from sloeswitch.admission.decisions import Ground, decide, lane_of
-from sloeswitch.admission.limits import LONGEST_WAIT_S
+from sloeswitch.admission.cuts import Lane, Ticket, row_path
+from sloeswitch.admission.decisions import DecisionReason, decide, lane_of
+from sloeswitch.admission.limits import MAX_WAIT_WITH_CAPACITY_S
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.core.scaling import InstanceKind
@@ -53,7 +53,7 @@
         cluster.epoch()
         assert cluster.now_ms - submitted_ms <= 1000 * cluster.limits.bound_s(before)
     assert (before == 0) or cluster.now_ms - submitted_ms > 1000 * cluster.limits.head_bound_s()
-    assert cluster.limits.patience_s < LONGEST_WAIT_S / 2
+    assert cluster.limits.starvation_timeout_s < MAX_WAIT_WITH_CAPACITY_S / 2
 
 
 def test_an_epoch_admits_no_more_than_it_has_time_for_and_patience_goes_on() -> None:
@@ -84,15 +84,15 @@
 def test_a_class_that_appears_first_during_overload_is_under_the_common_cut() -> None:
     cluster = Cluster()
     cluster.overload(3)
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     cluster.submit("wk-990000", roster="fresh")
-    row = cluster.store.tables.admission_rows[cuts.ROOT]
+    row = cluster.store.tables.admission_rows[cuts.ROOT_PATH]
     fresh = lane_of(cluster.store.tables.jobs["wk-990000"].spec)
     assert fresh not in row.lanes and "wk-990000" not in cluster.admitted()
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
-    assert fresh in cluster.store.tables.admission_rows[cuts.ROOT].lanes and "wk-990000" in cluster.admitted()
+    assert fresh in cluster.store.tables.admission_rows[cuts.ROOT_PATH].lanes and "wk-990000" in cluster.admitted()
 
 
 def test_a_backlog_of_which_nine_tenths_are_cancelled_holds_up_no_cut() -> None:
@@ -100,7 +100,7 @@
     names = cluster.overload(100)
     for name in names[:90]:
         cluster.cancel(name)
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     assert names[90] in cluster.admitted() and names[91] not in cluster.admitted()
 
@@ -164,9 +164,9 @@
     cluster = Cluster()
     names = cluster.overload(3)
     kind = InstanceKind("small", "a", True)
-    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.idle_s / 2)])
+    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.min_idle_s / 2)])
     assert cluster.admitted() == ["wk-000000"]
-    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.idle_s)])
+    cluster.epoch([IdleCapacity(kind, 1.0, cluster.limits.min_idle_s)])
     assert cluster.admitted() == ["wk-000000", names[0]]
 
 
@@ -206,8 +206,8 @@
     assert not {"wk-990000", "wk-990001", "wk-990002"} & set(cluster.admitted())
     cluster.epoch()
     decisions = decide(cluster.store.tables)
-    assert decisions["wk-990002"].ground is Ground.CUT
-    assert (decisions["wk-990001"].ground, decisions["wk-990001"].by) == (Ground.NEEDED, "wk-990002")
+    assert decisions["wk-990002"].reason is DecisionReason.CUT
+    assert (decisions["wk-990001"].reason, decisions["wk-990001"].decided_by) == (DecisionReason.NEEDED, "wk-990002")
     # The prerequisite took its part of the guarantee first, so the job before it in its lane no longer fits.
     assert not decisions["wk-990000"].admitted
 
@@ -237,15 +237,15 @@
     for number, (team, klass) in enumerate(lanes):
         for turn in range(2):
             cluster.submit(f"wk-{turn}{number:05d}", crew=team, roster=klass)
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     highest: dict[Lane, Ticket] = {}
     rounds = 0
     written_at: dict[str, float] = {}
     while not {f"wk-0{number:05d}" for number in range(len(lanes))} <= set(cluster.admitted()):
         rounds += 1
         cluster.later(cluster.limits.epoch_s)
-        chosen = epochs.chosen_changes(
-            cluster.changes(value_bytes=value_bytes), written_at, cluster.limits.max_changes, 12
+        chosen = epochs.select_changes(
+            cluster.changes(value_bytes=value_bytes), written_at, cluster.limits.max_row_writes, 12
         )
         assert 0 < sum(len(change.rows) for change in chosen) <= 12
         for change in chosen:
@@ -255,10 +255,10 @@
                 cluster.store.put(keys.admission_key(path), row.stored())
         for team, klass in lanes:
             lane = Lane(team, klass, "standard")
-            leaf = row_of(cluster.store.tables.admission_rows, lane)
+            leaf = row_path(cluster.store.tables.admission_rows, lane)
             assert leaf is not None
-            cut = cluster.store.tables.admission_rows[leaf].of(lane).cut
+            cut = cluster.store.tables.admission_rows[leaf].cut_of(lane).ticket
             assert cut >= highest.get(lane, cut)
             highest[lane] = cut
-    rows = cuts.leaves(cluster.store.tables.admission_rows)
+    rows = cuts.leaf_rows(cluster.store.tables.admission_rows)
     assert len(rows) > 16 and rounds < 2 * len(rows)
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -39,7 +39,7 @@
     gate.apply()
     # A job that began while admission was off stays admitted; the stored cuts are unchanged.
     assert line_of(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
     assert line_of(cluster) == ["wk-000000", names[0], names[1]]
@@ -58,7 +58,7 @@
     for _ in range(3):
         gate.apply()
         assert not cluster.store.tables.jobs["wk-990001"].deferred
-        cluster.later(cluster.limits.patience_s)
+        cluster.later(cluster.limits.starvation_timeout_s)
         cluster.epoch()
     # The prerequisite is still admitted for its dependent.
     fresh = decide(cluster.store.tables)["wk-990001"]
@@ -70,7 +70,7 @@
     cluster.overload(2)
     gate = gated(cluster, [], [True])
     gate.apply()
-    cluster.later(cluster.limits.patience_s)
+    cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
     assert line_of(cluster) == ["wk-000000", "wk-000001"]
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -94,14 +94,14 @@
     world, each = overloaded_world(store, monkeypatch)
     link = ScriptedLink()
     each.links = {"c1": link}
-    anyio.run(each.ask, "c1")
+    anyio.run(each.request_idle_capacity, "c1")
     later(world, each.limits.epoch_s)
-    assert [room.age_s for room in each._known_idle_capacity()] == [1.0 + each.limits.epoch_s]
+    assert [room.age_s for room in each._valid_idle_capacity()] == [1.0 + each.limits.epoch_s]
     link.rooms = None
     with pytest.raises(NoAnswerError):
-        anyio.run(each.ask, "c1")
+        anyio.run(each.request_idle_capacity, "c1")
     later(world, 3 * each.limits.epoch_s)
-    assert each._known_idle_capacity() == []
+    assert each._valid_idle_capacity() == []
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
-    anyio.run(each.ask, "c1")
+    anyio.run(each.request_idle_capacity, "c1")
     assert link.asked == 2
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -8,7 +8,7 @@
 import pytest
 
 from sloeswitch.admission.cuts import AdmissionRow, Lane, LaneCut
-from sloeswitch.admission.decisions import CutReader, Decision, Ground
+from sloeswitch.admission.decisions import CutReader, Decision, DecisionReason
 from sloeswitch.admission.epoch import Epoch
 from sloeswitch.core.records import Job
 from tests.support.admission import AdmissionWorld, play
@@ -32,8 +32,8 @@
         nonlocal calls
         calls += 1
         decision = decide(reader, job)
-        admits = decision.ground is Ground.DEFERRED and decision.row is not None and calls % 5 == 0
-        return decision._replace(ground=Ground.CUT) if admits else decision
+        admits = decision.reason is DecisionReason.DEFERRED and decision.row is not None and calls % 5 == 0
+        return decision._replace(reason=DecisionReason.CUT) if admits else decision
 
     monkeypatch.setattr(CutReader, "decide", by_own_queue)
     with pytest.raises(AssertionError, match="decisions differ"):
@@ -52,7 +52,7 @@
 
 
 def test_a_lane_without_patience_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Epoch, "_admit_patient", lambda epoch: None)
+    monkeypatch.setattr(Epoch, "_admit_starved_heads", lambda epoch: None)
     with pytest.raises(AssertionError, match="a lane stands still"):
         play(2, STEPS, CALM_STEPS, JOBS)
 
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -194,7 +194,7 @@
         mesh_frames.MAX_BODY_BYTES,
         mesh_frames.MAX_CANCELLATIONS,
         cell_frames.MOST_SPEC_BYTES,
-        admission_frames.MOST_ENTRIES,
+        admission_frames.MAX_ENTRIES,
     ],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
     "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
