--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -69,6 +69,7 @@
             self.quota,
             lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, ADMITTED_SPREAD),
         )
+        # `free`: how many machines of each kind the admitted work leaves, as fractions.
         self.free, unmet = scaling.pack_demand(needs, _overcommitted(supply, overcommit), self.offers)
         # Whether the machines cannot take all tasks that should run concurrently.
         self.overloaded = bool(unmet)
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -100,6 +100,7 @@
     def _row_change(
         self, path: str, row: AdmissionRow, lanes: Mapping[Lane, LaneCut], value_bytes: int
     ) -> RowChange | None:
+        """Returns the change of a row; None if neither the cuts of its lanes nor its common cut are to be raised."""
         common = row.common
         no_overload = not self.backlog and not self.capacity.overloaded
         if no_overload and common.ticket.submitted_ms - self.wall_clock_ms < 1000 * self.limits.lead_s:
@@ -211,7 +212,10 @@
             self.deficits[team] = self.deficits.get(team, 0.0) + rounds * self._round_quantum(team, weights)
 
     def _round_quantum(self, team: str, weights: Mapping[str, float]) -> float:
-        """Returns the cores that one round adds to a team's deficit."""
+        """Returns the cores that one round adds to a team's deficit.
+
+        This is a sixteenth of the cores of all machines, but at least one core, times the team's weight.
+        """
         return max(1.0, self.capacity.cores / 16) * weights[team]
 
     def _weights(self) -> dict[str, float]:
