--- a/sloeswitch/admission/compare.py
+++ b/sloeswitch/admission/compare.py
@@ -94,13 +94,15 @@
             elif record.ground == DecisionReason.CUT.value:
                 if record.job in deferred_here:
                     since = applied[deferred_here.pop(record.job) :]
-                    difference = self._note_implied(record, since)
+                    difference = self._note_deferred_meanwhile(record, since)
                 difference = difference or self._note_admitted(record, line)
             if difference is not None:
                 return difference
         return None
 
-    def _note_implied(self, admitted: DecisionRecord, applied: list[tuple[EpochRecord, Line]]) -> Difference | None:
+    def _note_deferred_meanwhile(
+        self, admitted: DecisionRecord, applied: list[tuple[EpochRecord, Line]]
+    ) -> Difference | None:
         """Notes an admitted job as deferred at the earlier numbers that were applied while it was deferred.
 
         These are numbers of its row, or of the rows that its row was split from.
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -82,7 +82,7 @@
             await self.sleep(self.limits.epoch_s)
             try:
                 await self.feature.record_member()
-                await self.epoch()
+                await self.run_epoch()
             except StaleReplicaError:
                 pass
             except Exception:
@@ -113,7 +113,7 @@
 
     # -- epochs
 
-    async def epoch(self) -> None:
+    async def run_epoch(self) -> None:
         """Computes the cuts from the tables, and stores the raised ones if the rows are unchanged since the read."""
         if not (self.switched_on and self.leadership.is_coordinator):
             return
@@ -135,11 +135,11 @@
         # The conditions on the rows' revisions ensure that no cut is lowered (docs/admission.md). The condition on the
         # coordinator's key only saves a deposed coordinator useless changes.
         conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
-        outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
+        outcome, revision = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         now = self.now()
         self.written_at |= {change.path: now for change in chosen}
         if outcome is TransactionOutcome.COMMITTED:
-            self.replica.apply_own_write(epoch, writes)
+            self.replica.apply_own_write(revision, writes)
         else:
             self.replica.request_read()
 
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -87,13 +87,17 @@
         """Asks for idle capacity; there is no answer if a message is lost in either direction."""
         world = self.world
         lost = world.troubled and world.rng.random() < 0.1
-        if lost or (self.sender, self.receiver) in world.cuts or (self.receiver, self.sender) in world.cuts:
+        if (
+            lost
+            or (self.sender, self.receiver) in world.broken_links
+            or (self.receiver, self.sender) in world.broken_links
+        ):
             raise NoAnswerError("lost")
         node = world.nodes[self.receiver]
         assert isinstance(node, AdmissionNode)
-        rooms = node.idle.report(world.clock.time)
-        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_capacity(rooms))
-        return rooms
+        capacities = node.idle.report(world.clock.time)
+        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_capacity(capacities))
+        return capacities
 
 
 class AdmissionNode(Node):
@@ -112,16 +116,16 @@
         self.machines.queue.admission = AdmissionGate(
             self.tables, RecordingLog(lines), lambda: self.admission.switched_on
         )
-        self.machines.claims.on_remaining_capacities = lambda rooms, at: self.idle.observe(
-            rooms, self.tables.machine_types, at
+        self.machines.claims.on_remaining_capacities = lambda capacities, at: self.idle.observe(
+            capacities, self.tables.machine_types, at
         )
-        self.look_at = 0.0
+        self.next_epoch_at = 0.0
 
-    def look(self) -> None:
+    def run_epoch_when_due(self) -> None:
         """Runs the coordinator's loops once, about once in an epoch."""
-        if self.world.clock.time < self.look_at:
+        if self.world.clock.time < self.next_epoch_at:
             return
-        self.look_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
+        self.next_epoch_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
 
         async def loops() -> None:
             await self.admission.feature.record_member()
@@ -131,11 +135,11 @@
                 except NoAnswerError:
                     continue
             try:
-                await self.admission.epoch()
+                await self.admission.run_epoch()
             except StaleReplicaError:
                 return
             if self.admission.switched_on and self.leadership.is_coordinator and self.reaches:
-                self.world.looked()
+                self.world.count_epoch()
 
         anyio.run(loops)
 
@@ -155,17 +159,17 @@
     ) -> None:
         self.deferring = deferring
         self.logs: dict[str, list[str]] = {}
-        self.cuts: set[tuple[str, str]] = set()
+        self.broken_links: set[tuple[str, str]] = set()
         # The highest stored cut, by lane.
         self.highest: dict[Lane, Ticket] = {}
-        # Since when each deferred head of a lane has been the head, in the time of `undisturbed_s`.
+        # Since when each deferred head of a lane has been the head, in the time of `coordinated_s`.
         self.head_since: dict[str, float] = {}
         self.longest_as_head_s = 0.0
-        self.undisturbed_s = 0.0
-        self.looked_at = 0.0
+        self.coordinated_s = 0.0
+        self.last_epoch_at = 0.0
         # Since when each machine has had free capacity, and since when each job could have started but has not.
-        self.room_since: dict[str, float] = {}
-        self.waits_since: dict[str, float] = {}
+        self.free_since: dict[str, float] = {}
+        self.startable_since: dict[str, float] = {}
         self.limits = AdmissionLimits.from_settings(parse(settings_text("c0", MEMBERS, text or cluster_text())))
         super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
         self.task_ends = 0.012
@@ -181,10 +185,10 @@
         if not self.outage and self.elect_coordinator():
             self.happened["coordinator"] += 1
 
-    def looked(self) -> None:
+    def count_epoch(self) -> None:
         """Counts an epoch of a coordinator that reaches the state service."""
-        self.undisturbed_s += min(self.limits.epoch_s, self.clock.time - self.looked_at)
-        self.looked_at = self.clock.time
+        self.coordinated_s += min(self.limits.epoch_s, self.clock.time - self.last_epoch_at)
+        self.last_epoch_at = self.clock.time
         self.happened["look"] += 1
 
     # -- steps
@@ -207,21 +211,25 @@
             self.happened["all crash"] += 1
         elif luck < 0.03:
             one, other = self.rng.sample(self.members, 2)
-            self.cuts ^= {(one, other)}
+            self.broken_links ^= {(one, other)}
         elif luck < 0.045 and self.sizes:
             self.cancel(self.rng.choice(sorted(self.sizes)), node)
         elif luck < 0.3:
             self.ask_sibling(node)
 
     @property
-    def past_lead(self) -> bool:
+    def past_common_cut(self) -> bool:
         """Whether the common cut is behind the clock, so that new jobs may be deferred."""
         root = self.store.tables.admission_rows.get(ROOT_PATH)
         return root is not None and root.common.ticket.submitted_ms < 1000 * self.clock.time
 
-    def submit_some(self, most: int) -> None:
+    def submit_at_random(self, most: int) -> None:
         """Submits a job of a random team and class from time to time; some have a prerequisite."""
-        if self.rng.random() > 0.35 or len(self.sizes) >= most or (len(self.sizes) >= most / 2 and not self.past_lead):
+        if (
+            self.rng.random() > 0.35
+            or len(self.sizes) >= most
+            or (len(self.sizes) >= most / 2 and not self.past_common_cut)
+        ):
             return
         self.number += 1
         team = self.rng.choices(list(TEAMS), weights=[6, 2, 1])[0]
@@ -242,17 +250,17 @@
     def step(self, calm: bool = False) -> None:
         super().step(calm)
         for node in self.nodes.values():
-            node.look()
+            node.run_epoch_when_due()
         self.check_cuts()
         self.check_bound()
         if calm:
-            self.check_idle_room()
+            self.check_idle_capacity()
 
     def end_troubles(self) -> None:
         super().end_troubles()
         self.troubled = False
-        self.cuts.clear()
-        self.waits_since.clear()
+        self.broken_links.clear()
+        self.startable_since.clear()
 
     # -- checks
 
@@ -282,14 +290,14 @@
         names = {job.spec.id for job in heads.values()}
         self.head_since = {name: since for name, since in self.head_since.items() if name in names}
         for name in names:
-            since = self.head_since.setdefault(name, self.undisturbed_s)
-            waited = self.undisturbed_s - since
+            since = self.head_since.setdefault(name, self.coordinated_s)
+            waited = self.coordinated_s - since
             self.longest_as_head_s = max(self.longest_as_head_s, waited)
             # Each lost or late write costs one epoch; several may follow one another.
             allowed = self.limits.head_bound_s(len(tables.admission_rows)) + 6 * self.limits.epoch_s
             assert waited <= allowed, f"a lane stands still: {name}"
 
-    def check_idle_room(self) -> None:
+    def check_idle_capacity(self) -> None:
         """Checks that no job within its team's limit waits for long while a machine has free capacity for it.
 
         It has to be the same machine all the time: at most moments some machine has capacity, since tasks end.
@@ -300,11 +308,11 @@
         for task, machine in self.present():
             cores[machine] += int(self.specs[task.partition("/")[0]].cores)
         names = {worker.name for worker in self.workers if cores[worker.name] + TASK_CORES <= CORES}
-        self.room_since = {name: self.room_since.get(name, now) for name in names}
-        longest = min(self.room_since.values(), default=now)
+        self.free_since = {name: self.free_since.get(name, now) for name in names}
+        longest = min(self.free_since.values(), default=now)
         waiting = {name for name in self.unfinished() if self._could_start(name, tasks)}
-        self.waits_since = {name: self.waits_since.get(name, now) for name in waiting}
-        for name, since in self.waits_since.items():
+        self.startable_since = {name: self.startable_since.get(name, now) for name in waiting}
+        for name, since in self.startable_since.items():
             assert now - max(since, longest) < MAX_WAIT_WITH_CAPACITY_S, f"waits beside room: {name}"
 
     def _could_start(self, name: str, tasks: list[str]) -> bool:
@@ -331,7 +339,7 @@
     world = AdmissionWorld(seed)
     world.start()
     for _ in range(steps):
-        world.submit_some(jobs)
+        world.submit_at_random(jobs)
         world.step()
     world.end_troubles()
     for _ in range(calm_steps):
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -99,9 +99,9 @@
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
     """A controller that coordinates, with a lane of deferred jobs and without machines."""
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
-    each = coordinator(world)
-    anyio.run(each.epoch)
-    later(world, 2 * each.limits.lead_s + 1)
+    admission = coordinator(world)
+    anyio.run(admission.run_epoch)
+    later(world, 2 * admission.limits.lead_s + 1)
     for number in range(5):
         job = spec(f"wk-{number:06d}")
         value = {
@@ -111,8 +111,8 @@
             "spec": msgspec.to_builtins(job),
         }
         store.put(keys.job_key(job.id), value)
-    later(world, each.limits.starvation_timeout_s + 1)
-    return world, each
+    later(world, admission.limits.starvation_timeout_s + 1)
+    return world, admission
 
 
 class ScriptedLink:
@@ -120,10 +120,10 @@
 
     def __init__(self) -> None:
         self.asked = 0
-        self.rooms: list[IdleCapacity] | None = [IdleCapacity(InstanceKind("small", "a", True), 2.0, 1.0)]
+        self.capacities: list[IdleCapacity] | None = [IdleCapacity(InstanceKind("small", "a", True), 2.0, 1.0)]
 
     async def idle_capacity(self) -> list[IdleCapacity]:
         self.asked += 1
-        if self.rooms is None:
+        if self.capacities is None:
             raise NoAnswerError("lost")
-        return self.rooms
+        return self.capacities
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -42,9 +42,9 @@
 WORKERS = 8
 # The limit of the flooding team exceeds the machines, so that jobs wait for machines and not for quota. An urgent job
 # fits its team's guarantee.
-FLOODED = {**TEAMS, "red": (8.0, 64.0), "green": (4.0, 12.0)}
+FLOOD_TEAMS = {**TEAMS, "red": (8.0, 64.0), "green": (4.0, 12.0)}
 LONGEST_MS = 3_600_000
-WITHOUT, WITH = "without", "with admission"
+WITHOUT_ADMISSION, WITH_ADMISSION = "without", "with admission"
 DEFERRED_JOBS = 10_000
 MACHINES = 4_000
 
@@ -66,7 +66,7 @@
     """Records when jobs are submitted and first start."""
 
     def __init__(self, seed: int, deferring: bool) -> None:
-        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOODED))
+        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
         self.started_at: dict[str, float] = {}
         self.submitted_at: dict[str, float] = {}
 
@@ -111,12 +111,14 @@
     return outcome
 
 
-def submit_one(world: LoadWorld, number: int, team: str, visits: int, klass: str) -> None:
+def submit_one(world: LoadWorld, number: int, team: str, visits: int, job_class: str) -> None:
     """Submits the next job of the load."""
     urgency = "urgent" if team == "green" else "best_effort"
     name = f"wk-{number:06d}"
     visits = min(visits, 2) if team == "green" else visits
-    job = spec(name, crew=team, roster=klass, visits=visits, urgency=urgency, expectedS=12.0, pullGb=0.1, dueS=DUE_S)
+    job = spec(
+        name, crew=team, roster=job_class, visits=visits, urgency=urgency, expectedS=12.0, pullGb=0.1, dueS=DUE_S
+    )
     world.submitted_at[name] = world.clock.time
     # Answers may be lost in this simulation too; a user then submits again at another controller.
     for turn in range(TRIES):
@@ -128,18 +130,18 @@
     """Returns a histogram of the waits."""
     from hdrh.histogram import HdrHistogram
 
-    found = HdrHistogram(1, LONGEST_MS, 3)
+    recorded = HdrHistogram(1, LONGEST_MS, 3)
     for wait_ms in waits_ms:
-        found.record_value(max(1, wait_ms))
-    return found
+        recorded.record_value(max(1, wait_ms))
+    return recorded
 
 
-def report(found: dict[str, list[LoadResult]], path: str) -> None:
+def report(results: dict[str, list[LoadResult]], path: str) -> None:
     """Writes a page that plots the waits of both kinds of jobs, with and without admission."""
     import plotly.graph_objects as graph
 
     figure: Any = graph.Figure()
-    for mode, outcomes in found.items():
+    for mode, outcomes in results.items():
         for title, field_name in (("flood", "flood_ms"), ("urgent", "urgent_ms")):
             waits = histogram([wait for each in outcomes for wait in getattr(each, field_name)])
             shares = [*range(0, 100, 2), 99, 99.9, 100]
@@ -153,23 +155,23 @@
 
 def play(seed: int, mode: str) -> LoadResult:
     """Performs one run, in a worker process."""
-    return load(seed, mode != WITHOUT)
+    return load(seed, mode != WITHOUT_ADMISSION)
 
 
 def main(first: int, last: int, path: str) -> None:
     """Prints two runs for each seed and the means with their ranges, and writes the page."""
-    runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT, WITH)]
-    found: dict[str, list[LoadResult]] = {WITHOUT: [], WITH: []}
+    runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT_ADMISSION, WITH_ADMISSION)]
+    results: dict[str, list[LoadResult]] = {WITHOUT_ADMISSION: [], WITH_ADMISSION: []}
     with ProcessPoolExecutor(WORKERS) as pool:
         for (seed, mode), outcome in zip(runs, pool.map(play, *zip(*runs, strict=True)), strict=True):
-            found[mode].append(outcome)
+            results[mode].append(outcome)
             print(seed, mode, summary([outcome]))
-    for mode, outcomes in found.items():
+    for mode, outcomes in results.items():
         print(f"all, {mode}: {summary(outcomes)}")
         for name in ("in_time", "changes", "epochs", "longest_head_s", "unfinished"):
             values = [float(getattr(outcome, name)) for outcome in outcomes]
             print(f"  {name:14} {statistics.mean(values):8.2f}  {min(values):8.2f} to {max(values):8.2f}")
-    report(found, path)
+    report(results, path)
 
 
 def summary(outcomes: list[LoadResult]) -> str:
@@ -212,19 +214,19 @@
     limits = AdmissionLimits.from_settings(world.settings)
     later_ms = wall_clock_ms + int(1000 * limits.starvation_timeout_s) + DEFERRED_JOBS
 
-    def reckon() -> list[epochs.RowChange]:
+    def compute() -> list[epochs.RowChange]:
         return epochs.compute_changes(
             world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes
         )
 
-    timed("an epoch", reckon)
-    (change,) = reckon()
+    timed("an epoch", compute)
+    (change,) = compute()
 
-    def applied() -> None:
+    def apply_change() -> None:
         world.store.put(keys.admission_key(change.path), change.rows[change.path].stored())
         world.tick()
 
-    print(f"tick that applies an epoch {1000 * _seconds(applied):29.1f} ms")
+    print(f"tick that applies an epoch {1000 * _seconds(apply_change):29.1f} ms")
     print(f"memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MB, tests and world included")
 
 
--- a/tests/support/trace.py
+++ b/tests/support/trace.py
@@ -75,7 +75,7 @@
     world = admission.AdmissionWorld(seed)
     world.start()
     for _ in range(STEPS // 2):
-        world.submit_some(60)
+        world.submit_at_random(60)
         world.step()
     return world.recorder
 
--- a/tests/test_admission_compare.py
+++ b/tests/test_admission_compare.py
@@ -16,7 +16,7 @@
 from tests.support.admission_cluster import Cluster
 
 
-def logged(cluster: Cluster, until: int) -> list[str]:
+def log_of(cluster: Cluster, until: int) -> list[str]:
     """The log of a controller that applied the stored changes one by one, up to a revision of the state service."""
     tables = Tables()
     lines: list[str] = ["I machines: 3 machines up\n"]
@@ -28,11 +28,11 @@
     return lines
 
 
-def test_logs_that_agree_and_the_first_difference_of_those_that_do_not(tmp_path: Any, capsys: Any) -> None:
+def test_compare_accepts_agreeing_logs_and_prints_the_first_contradiction(tmp_path: Any, capsys: Any) -> None:
     cluster = Cluster()
     cluster.overload(3)
     paths = []
-    for number, lines in enumerate((logged(cluster, 9), logged(cluster, 99))):
+    for number, lines in enumerate((log_of(cluster, 9), log_of(cluster, 99))):
         paths.append(tmp_path / f"c{number}.log")
         paths[-1].write_text("".join(lines))
     names = [str(path) for path in paths]
@@ -46,7 +46,7 @@
     assert '"deferred"' in one and '"cut"' in other
 
 
-def test_what_one_deferred_through_later_numbers_no_other_may_have_admitted_there() -> None:
+def test_a_job_deferred_while_numbers_were_applied_counts_as_deferred_at_them() -> None:
     def line(kind: str, **fields: Any) -> str:
         return " admission: " + msgspec.json.encode({"type": kind, **fields}).decode()
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("line", ['{"type":"epoch"}', "{", '{"type":"other"}', '{"type":"decision","job":3}'])
-def test_a_malformed_record_is_named_with_its_file_and_line(line: str, tmp_path: Any) -> None:
+def test_a_malformed_record_is_reported_with_its_file_and_line(line: str, tmp_path: Any) -> None:
     path = tmp_path / "c0.log"
     path.write_text(f"I controller: serves\nI admission: {line}\n")
     errors = io.StringIO()
@@ -72,7 +72,7 @@
     assert errors.getvalue().startswith(f"{path}:2: ")
 
 
-def test_a_missing_log_and_missing_arguments_are_faults(tmp_path: Any, capsys: Any) -> None:
+def test_a_missing_log_or_missing_arguments_exit_with_2(tmp_path: Any, capsys: Any) -> None:
     assert main(["admission", "compare", str(tmp_path / "none.log")]) == 2
     assert "none.log" in capsys.readouterr().err
     for arguments in (["admission"], ["admission", "compare"], ["admission", "other"]):
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -15,7 +15,7 @@
 from tests.support.single_controller import World
 
 
-def test_two_controllers_that_know_different_queues_decide_alike() -> None:
+def test_controllers_that_have_read_different_jobs_decide_alike() -> None:
     cluster = Cluster()
     names = cluster.overload()
     other = Store()
@@ -29,22 +29,22 @@
         cluster.later(cluster.limits.starvation_timeout_s)
     key = keys.admission_key(cuts.ROOT_PATH)
     other.tables.apply(key, *cluster.store.rows[key])
-    mine, theirs = decide(cluster.store.tables), decide(other.tables)
-    assert {mine[name].admitted for name in names} == {True, False}
-    assert theirs and all(mine[name] == decision for name, decision in theirs.items())
+    first, second = decide(cluster.store.tables), decide(other.tables)
+    assert {first[name].admitted for name in names} == {True, False}
+    assert second and all(first[name] == decision for name, decision in second.items())
 
 
-def test_a_controller_that_lags_admits_a_subset_and_claims_under_it() -> None:
+def test_a_controller_with_stale_rows_admits_a_subset() -> None:
     cluster = Cluster()
     cluster.overload()
     lagging = cluster.store.read_again()
     cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
-    old = {name for name, decision in decide(lagging).items() if decision.admitted}
-    assert old < set(cluster.admitted())
+    stale = {name for name, decision in decide(lagging).items() if decision.admitted}
+    assert stale < set(cluster.admitted())
 
 
-def test_equal_times_of_submission_are_no_tie() -> None:
+def test_equal_submission_times_are_ordered_by_job_id() -> None:
     cluster = Cluster()
     cluster.overload(0)
     for name in ("wk-000003", "wk-000001", "wk-000002"):
@@ -56,7 +56,7 @@
         cluster.later(cluster.limits.starvation_timeout_s)
 
 
-def test_clocks_apart_defer_nothing_while_there_is_room_and_a_late_ticket_is_admitted_by_all() -> None:
+def test_clock_errors_defer_nothing_without_overload_and_old_tickets_are_admitted() -> None:
     cluster = Cluster()
     error_ms = int(1000 * cluster.settings.clock_error_s)
     cluster.later(2 * cluster.limits.lead_s - cluster.limits.epoch_s)
@@ -72,7 +72,7 @@
     assert {"wk-000099", names[0]} <= set(cluster.admitted()) and names[-1] not in cluster.admitted()
 
 
-def test_a_row_that_is_not_read_yet_admits_nothing_but_what_began() -> None:
+def test_only_begun_jobs_are_admitted_while_the_row_is_not_read() -> None:
     cluster = Cluster()
     cluster.store.put(keys.admission_key(cuts.ROOT_PATH), None)
     cluster.submit("wk-000001")
@@ -84,7 +84,7 @@
     ]
 
 
-def test_no_cut_falls_whatever_is_asked_for() -> None:
+def test_raising_a_row_never_lowers_a_cut() -> None:
     lane, other = Lane("red", "train", "urgent"), Lane("red", "index", "urgent")
     row = AdmissionRow().raised(LaneCut(Ticket(50, ""), 1), {lane: LaneCut(Ticket(90, "b"), 2)}, {})
     lower = row.raised(
@@ -102,50 +102,48 @@
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
-def test_an_epoch_that_is_carried_out_late_after_a_newer_one_changes_nothing(
-    store: Store, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    world, each = overloaded_world(store, monkeypatch)
+def test_a_late_write_of_an_older_epoch_is_rejected(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
+    world, coordinator = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
-    anyio.run(each.epoch)
+    anyio.run(coordinator.run_epoch)
     before = store.tables.admission_rows
-    later(world, each.limits.starvation_timeout_s)
-    anyio.run(each.epoch)
+    later(world, coordinator.limits.starvation_timeout_s)
+    anyio.run(coordinator.run_epoch)
     newer = store.tables.admission_rows
     assert newer != before and len(world.client.late) == 1
     outcome, _ = world.client.apply(*world.client.late[0])
     assert outcome.value == "conflict" and store.tables.admission_rows == newer
 
 
-def test_of_two_that_believe_that_they_coordinate_one_succeeds(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_write_of_a_deposed_coordinator_is_rejected(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a coordinator that is deposed between computing and writing.
 
     The condition on the row's revision alone has to reject its write.
     """
-    world, each = overloaded_world(store, monkeypatch)
+    world, coordinator = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
-    anyio.run(each.epoch)
+    anyio.run(coordinator.run_epoch)
     conditions, writes, drops = world.client.late[0]
     conditions = {key: stamp for key, stamp in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
-    anyio.run(each.epoch)  # no longer the coordinator, so it computes no epoch
+    anyio.run(coordinator.run_epoch)  # no longer the coordinator, so it computes no epoch
     assert store.tables.admission_rows[cuts.ROOT_PATH].number == 1
     row = AdmissionRow.from_stored(writes[keys.admission_key(cuts.ROOT_PATH)])
     store.put(keys.admission_key(cuts.ROOT_PATH), row.raised(row.common, {}, {"red": 1.0}).stored())
     assert world.client.apply(conditions, writes, drops)[0].value == "conflict"
 
 
-def test_before_every_controller_knows_the_feature_nothing_is_asked_stored_or_deferred(
+def test_nothing_is_requested_stored_or_deferred_before_the_rollout_is_complete(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _world, each = overloaded_world(store, monkeypatch)
+    _world, coordinator = overloaded_world(store, monkeypatch)
     store.put(keys.feature_key("admission"), {"seen": ["c0"], "complete": False})
     link = ScriptedLink()
-    each.links = {"c1": link}
+    coordinator.links = {"c1": link}
     before = store.epoch
-    anyio.run(each.request_idle_capacity, "c1")
-    anyio.run(each.epoch)
-    assert not each.switched_on and link.asked == 0 and store.epoch == before
+    anyio.run(coordinator.request_idle_capacity, "c1")
+    anyio.run(coordinator.run_epoch)
+    assert not coordinator.switched_on and link.asked == 0 and store.epoch == before
     store.upgraded()
-    anyio.run(each.feature.record_member)
-    assert not each.switched_on, "c1 has not run with it"
+    anyio.run(coordinator.feature.record_member)
+    assert not coordinator.switched_on, "c1 has not run with it"
--- a/tests/test_admission_epochs.py
+++ b/tests/test_admission_epochs.py
@@ -18,7 +18,7 @@
 from tests.support.admission_cluster import START_MS, Cluster
 
 
-def test_nothing_is_deferred_while_there_is_room_and_one_change_is_made_a_lead() -> None:
+def test_without_overload_nothing_is_deferred_and_rows_are_written_once_per_lead() -> None:
     cluster = Cluster()
     written = 0
     for number in range(200):
@@ -30,7 +30,7 @@
     assert written <= 200 * cluster.limits.epoch_s / cluster.limits.lead_s + 1
 
 
-def test_one_urgent_job_within_its_guarantee_passes_a_flood_in_one_epoch() -> None:
+def test_a_job_within_its_guarantee_is_admitted_in_one_epoch_during_a_flood() -> None:
     cluster = Cluster({"red": (0.0, 400.0), "blue": (4.0, 400.0)})
     cluster.overload(10_000)
     cluster.submit("wk-990000", crew="blue", urgency="urgent", visits=3)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("before", [0, 3])
-def test_the_bound_holds_for_a_lanes_head_and_those_behind_it(before: int) -> None:
+def test_wait_bound_holds_for_the_head_of_a_lane_and_jobs_behind_it(before: int) -> None:
     """Without any free capacity only the starvation timeout admits jobs."""
     cluster = Cluster()
     names = cluster.overload(before + 1)
@@ -56,7 +56,7 @@
     assert cluster.limits.starvation_timeout_s < MAX_WAIT_WITH_CAPACITY_S / 2
 
 
-def test_an_epoch_admits_no_more_than_it_has_time_for_and_patience_goes_on() -> None:
+def test_an_epoch_admits_at_most_max_admissions_and_the_next_one_continues() -> None:
     """Guards against an epoch that takes longer than a controller's lease, as with thousands of jobs that fit."""
     cluster = Cluster(machines=3000)
     cluster.after_lead()
@@ -64,14 +64,14 @@
     for number in range(1500):
         cluster.submit(f"wk-1{number:05d}", visits=4)
     cluster.epoch()
-    most = cluster.limits.max_admissions
-    assert len(cluster.admitted()) == most + 1 < 1500
+    max_admissions = cluster.limits.max_admissions
+    assert len(cluster.admitted()) == max_admissions + 1 < 1500
     cluster.later(cluster.limits.epoch_s)
     cluster.epoch()
-    assert len(cluster.admitted()) == min(1501, 2 * most + 1)
+    assert len(cluster.admitted()) == min(1501, 2 * max_admissions + 1)
 
 
-def test_no_lane_starves_beside_a_flood_of_higher_priority() -> None:
+def test_no_lane_starves_during_a_flood_of_higher_priority() -> None:
     cluster = Cluster()
     cluster.overload(50, urgency="critical")
     cluster.submit("wk-990000", urgency="best_effort")
@@ -81,7 +81,7 @@
     assert cluster.admitted() == ["wk-000000", "wk-000001", "wk-990000", "wk-990001"]
 
 
-def test_a_class_that_appears_first_during_overload_is_under_the_common_cut() -> None:
+def test_a_class_first_seen_during_overload_has_the_common_cut() -> None:
     cluster = Cluster()
     cluster.overload(3)
     cluster.later(cluster.limits.starvation_timeout_s)
@@ -95,7 +95,7 @@
     assert fresh in cluster.store.tables.admission_rows[cuts.ROOT_PATH].lanes and "wk-990000" in cluster.admitted()
 
 
-def test_a_backlog_of_which_nine_tenths_are_cancelled_holds_up_no_cut() -> None:
+def test_cancelled_jobs_in_a_lane_do_not_delay_its_cut() -> None:
     cluster = Cluster()
     names = cluster.overload(100)
     for name in names[:90]:
@@ -105,7 +105,7 @@
     assert names[90] in cluster.admitted() and names[91] not in cluster.admitted()
 
 
-def test_machines_lost_below_what_is_admitted_take_nothing_back() -> None:
+def test_admitted_jobs_stay_admitted_when_machines_are_lost() -> None:
     cluster = Cluster(machines=40)
     cluster.after_lead()
     names = [f"wk-{number:06d}" for number in range(20)]
@@ -123,7 +123,7 @@
     assert cluster.admitted() == before
 
 
-def test_at_a_teams_limit_with_admitted_work_waiting_the_budget_goes_to_others() -> None:
+def test_capacity_goes_to_other_teams_when_one_is_at_its_limit() -> None:
     cluster = Cluster({"red": (0.0, 8.0), "blue": (0.0, 400.0)}, machines=4)
     names = cluster.overload(2)
     cluster.submit("wk-990000", crew="blue", visits=4)
@@ -131,7 +131,7 @@
     assert "wk-990000" in cluster.admitted() and names[0] not in cluster.admitted()
 
 
-def test_a_head_that_fits_only_a_full_type_holds_up_none_that_fits_an_idle_one() -> None:
+def test_a_head_that_fits_only_a_full_machine_type_does_not_block_other_jobs() -> None:
     """Large machines are full and small ones idle, which a sum of free cores would not show."""
     cluster = Cluster(machines=0)
     cluster.machines("large", 1)
@@ -147,7 +147,7 @@
     assert cluster.admitted() == ["wk-000000", "wk-000001", "wk-000002"]
 
 
-def test_room_of_a_type_that_a_job_does_not_fit_is_no_budget_for_it() -> None:
+def test_free_capacity_of_an_unsuitable_machine_type_admits_no_job() -> None:
     """A sum of free cores would admit the job to the queue although it cannot start."""
     cluster = Cluster(machines=4)
     cluster.machines("large", 1)
@@ -159,7 +159,7 @@
     assert cluster.admitted() == ["wk-000000"]
 
 
-def test_room_that_an_owner_tells_is_budget_once_it_is_old_enough() -> None:
+def test_reported_idle_capacity_admits_jobs_once_it_is_old_enough() -> None:
     """The tables do not show that admitted work cannot use it, for example after failures or for lack of quota."""
     cluster = Cluster()
     names = cluster.overload(3)
@@ -170,7 +170,7 @@
     assert cluster.admitted() == ["wk-000000", names[0]]
 
 
-def test_a_gang_costs_whole_and_no_small_jobs_starve_it() -> None:
+def test_a_gang_needs_capacity_for_all_tasks_and_is_not_starved_by_small_jobs() -> None:
     cluster = Cluster(machines=4)
     cluster.after_lead()
     cluster.submit("wk-000000", at_ms=START_MS, visits=25, expectedS=400.0)
@@ -183,7 +183,7 @@
     assert "wk-000001" in cluster.admitted()
 
 
-def test_teams_share_the_budget_by_their_guarantees() -> None:
+def test_teams_share_capacity_in_proportion_to_their_guarantees() -> None:
     cluster = Cluster({"red": (30.0, 4000.0), "blue": (10.0, 4000.0)}, machines=50)
     cluster.after_lead()
     cluster.submit("wk-900000", visits=30, at_ms=START_MS)
@@ -195,7 +195,7 @@
     assert sum(counts) > 20 and 2 <= counts[0] / counts[1] <= 4
 
 
-def test_an_urgent_last_stage_admits_what_it_needs() -> None:
+def test_an_admitted_job_admits_its_prerequisites() -> None:
     cluster = Cluster({"red": (0.0, 400.0), "blue": (300.0, 400.0)})
     cluster.overload(5)
     cluster.submit("wk-990000", crew="blue", urgency="best_effort", visits=295)
@@ -212,7 +212,7 @@
     assert not decisions["wk-990000"].admitted
 
 
-def test_a_delegated_job_passes_as_work_without_guarantee() -> None:
+def test_a_delegated_job_is_admitted_without_a_guarantee() -> None:
     cluster = Cluster({"red": (0.0, 400.0), "blue": (300.0, 400.0)})
     cluster.overload(5)
     cluster.submit("wk-990000", crew="blue")
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("value_bytes", [2048])
-def test_64_teams_of_16_classes_fit_the_smallest_values(value_bytes: int) -> None:
+def test_rows_of_64_teams_with_16_classes_stay_below_the_smallest_value_limit(value_bytes: int) -> None:
     teams = {f"tenant-{number:02d}": (0.0, 400.0) for number in range(64)}
     cluster = Cluster(teams)
     cluster.overload(0, crew="tenant-00")
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -12,44 +12,44 @@
 from tests.support.single_controller import World
 
 
-def gated(cluster: Cluster, lines: list[str], switch: list[bool]) -> AdmissionGate:
-    return AdmissionGate(cluster.store.tables, RecordingLog(lines), lambda: switch[0])
+def new_gate(cluster: Cluster, lines: list[str], enabled: list[bool]) -> AdmissionGate:
+    return AdmissionGate(cluster.store.tables, RecordingLog(lines), lambda: enabled[0])
 
 
-def line_of(cluster: Cluster) -> list[str]:
+def queued_jobs(cluster: Cluster) -> list[str]:
     return sorted(
         {job.spec.id for job in job_queue.queue_order(cluster.store.tables, cluster.settings, cluster.now_ms)}
     )
 
 
-def test_deferred_jobs_stay_out_of_the_line_and_off_and_on_again_lose_none() -> None:
+def test_deferred_jobs_stay_out_of_the_queue_and_switching_off_and_on_loses_none() -> None:
     cluster = Cluster()
     names = cluster.overload(3)
     lines: list[str] = []
-    switch = [True]
-    gate = gated(cluster, lines, switch)
+    enabled = [True]
+    gate = new_gate(cluster, lines, enabled)
     gate.apply()
-    assert line_of(cluster) == ["wk-000000"]
+    assert queued_jobs(cluster) == ["wk-000000"]
     row = cluster.store.tables.admission_rows
-    switch[0] = False
+    enabled[0] = False
     gate.apply()
-    assert line_of(cluster) == ["wk-000000", *names]
+    assert queued_jobs(cluster) == ["wk-000000", *names]
     cluster.store.progress(names[1], c0_1=1)
-    switch[0] = True
+    enabled[0] = True
     gate.apply()
     # A job that began while admission was off stays admitted; the stored cuts are unchanged.
-    assert line_of(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
+    assert queued_jobs(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
     cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
-    assert line_of(cluster) == ["wk-000000", names[0], names[1]]
+    assert queued_jobs(cluster) == ["wk-000000", names[0], names[1]]
 
 
-def test_a_pipelines_first_stage_stays_admitted_through_later_epochs() -> None:
+def test_a_prerequisite_stays_admitted_through_later_epochs() -> None:
     cluster = Cluster({"red": (0.0, 400.0), "blue": (300.0, 400.0)})
     cluster.overload(5)
     lines: list[str] = []
-    gate = gated(cluster, lines, [True])
+    gate = new_gate(cluster, lines, [True])
     cluster.submit("wk-990001", urgency="best_effort", crew="blue", visits=299)
     gate.apply()
     cluster.submit("wk-990000", urgency="best_effort", roster="other", crew="blue", visits=290)
@@ -65,27 +65,27 @@
     assert fresh.admitted
 
 
-def test_jobs_are_decided_anew_when_the_tables_are_read_afresh() -> None:
+def test_jobs_are_decided_again_after_the_tables_are_reloaded() -> None:
     cluster = Cluster()
     cluster.overload(2)
-    gate = gated(cluster, [], [True])
+    gate = new_gate(cluster, [], [True])
     gate.apply()
     cluster.later(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
-    assert line_of(cluster) == ["wk-000000", "wk-000001"]
+    assert queued_jobs(cluster) == ["wk-000000", "wk-000001"]
     cluster.store.tables.clear()
     for key, (value, stamp) in cluster.store.rows.items():
         cluster.store.tables.apply(key, value, stamp)
     # The cuts are the same, but the tables hold new job objects.
     gate.apply()
-    assert line_of(cluster) == ["wk-000000", "wk-000001"]
+    assert queued_jobs(cluster) == ["wk-000000", "wk-000001"]
 
 
-def test_jobs_that_are_over_are_forgotten() -> None:
+def test_finished_jobs_are_dropped_from_the_cache() -> None:
     cluster = Cluster()
     names = cluster.overload(50)
-    gate = gated(cluster, [], [True])
+    gate = new_gate(cluster, [], [True])
     gate.apply()
     assert sum(map(len, gate._deferred.values())) == 50
     for name in names[:40]:
@@ -95,7 +95,7 @@
     assert sum(map(len, gate._deferred.values())) == 10
 
 
-def test_deferred_jobs_may_move_to_another_cell_behind_the_line(store: Store) -> None:
+def test_deferred_jobs_may_move_to_another_cell_after_the_queue(store: Store) -> None:
     world = World(store)
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002"))
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -24,26 +24,26 @@
 from tests.support.streams import connect_to
 
 
-def test_idle_room_is_as_old_as_the_kind_has_been_left_over() -> None:
+def test_the_age_of_idle_capacity_counts_from_when_its_kind_became_idle() -> None:
     tracker = IdleCapacityTracker()
     types = {MACHINE_TYPE.name: MACHINE_TYPE}
-    room = FreeCapacity("vm-1", "small", "a", True, 4.0, 0.0, 16.0)
+    capacity = FreeCapacity("vm-1", "small", "a", True, 4.0, 0.0, 16.0)
     full = FreeCapacity("vm-2", "small", "b", True, 0.0, 0.0, 16.0)
-    tracker.observe([room, full], types, 10.0)
-    tracker.observe([room, full], types, 13.0)
+    tracker.observe([capacity, full], types, 10.0)
+    tracker.observe([capacity, full], types, 13.0)
     assert tracker.report(14.0) == [IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0)]
     tracker.observe([], types, 15.0)
-    tracker.observe([room], types, 16.0)
+    tracker.observe([capacity], types, 16.0)
     assert tracker.report(16.0) == [IdleCapacity(InstanceKind("small", "a", True), 0.5, 0.0)]
 
 
-def test_the_frame_of_idle_room_survives_the_way_and_what_is_none_is_refused() -> None:
-    rooms = [
+def test_idle_capacity_frames_are_decoded_and_malformed_ones_rejected() -> None:
+    capacities = [
         IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0),
         IdleCapacity(InstanceKind("größe", "", False), 12.25, 0.0),
     ]
-    body = pack_idle_capacity(rooms)
-    assert unpack_idle_capacity(body) == rooms and unpack_idle_capacity(pack_idle_capacity([])) == []
+    body = pack_idle_capacity(capacities)
+    assert unpack_idle_capacity(body) == capacities and unpack_idle_capacity(pack_idle_capacity([])) == []
     for bad in (
         b"",
         b"\x00",
@@ -56,13 +56,13 @@
             unpack_idle_capacity(bad)
 
 
-def test_a_sibling_is_asked_over_the_mesh_and_answers_only_where_the_feature_is_on(
+def test_a_sibling_answers_over_the_mesh_only_with_the_feature_enabled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    told = [IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0)]
+    reported = [IdleCapacity(InstanceKind("small", "a", True), 0.5, 4.0)]
 
     async def answer(_kind: int, _body: bytes) -> bytes:
-        return pack_idle_capacity(told)
+        return pack_idle_capacity(reported)
 
     async def run() -> None:
         mesh = Mesh(
@@ -82,26 +82,26 @@
             with pytest.raises(NoAnswerError):
                 await link.idle_capacity()
             mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
-            assert await link.idle_capacity() == told
+            assert await link.idle_capacity() == reported
             group.cancel_scope.cancel()
 
     anyio.run(run)
 
 
-def test_only_the_coordinator_asks_and_what_it_heard_is_soon_too_old(
+def test_only_the_coordinator_requests_idle_capacity_and_reports_expire(
     store: Store, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world, each = overloaded_world(store, monkeypatch)
+    world, coordinator = overloaded_world(store, monkeypatch)
     link = ScriptedLink()
-    each.links = {"c1": link}
-    anyio.run(each.request_idle_capacity, "c1")
-    later(world, each.limits.epoch_s)
-    assert [room.age_s for room in each._valid_idle_capacity()] == [1.0 + each.limits.epoch_s]
-    link.rooms = None
+    coordinator.links = {"c1": link}
+    anyio.run(coordinator.request_idle_capacity, "c1")
+    later(world, coordinator.limits.epoch_s)
+    assert [capacity.age_s for capacity in coordinator._valid_idle_capacity()] == [1.0 + coordinator.limits.epoch_s]
+    link.capacities = None
     with pytest.raises(NoAnswerError):
-        anyio.run(each.request_idle_capacity, "c1")
-    later(world, 3 * each.limits.epoch_s)
-    assert each._valid_idle_capacity() == []
+        anyio.run(coordinator.request_idle_capacity, "c1")
+    later(world, 3 * coordinator.limits.epoch_s)
+    assert coordinator._valid_idle_capacity() == []
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
-    anyio.run(each.request_idle_capacity, "c1")
+    anyio.run(coordinator.request_idle_capacity, "c1")
     assert link.asked == 2
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -17,14 +17,14 @@
 
 
 @pytest.mark.parametrize("seed", [2, 3, 6])
-def test_all_decide_alike_and_everything_ends_once_the_troubles_are_over(seed: int) -> None:
+def test_controllers_decide_alike_and_all_jobs_end_after_failures_stop(seed: int) -> None:
     world = play(seed, STEPS, CALM_STEPS, JOBS)
     assert world.unfinished() == set()
     # The simulation did exercise deferral, starts, crashes and epochs.
     assert world.deferred() > 5 and world.starts > 50 and world.happened["crash"] and world.happened["look"] > 50
 
 
-def test_a_controller_that_goes_by_its_own_queue_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_controller_that_admits_by_its_own_queue(monkeypatch: pytest.MonkeyPatch) -> None:
     decide = CutReader.decide
     calls = 0
 
@@ -40,7 +40,7 @@
         play(2, STEPS, CALM_STEPS, JOBS)
 
 
-def test_a_cut_that_falls_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_lowered_cut(monkeypatch: pytest.MonkeyPatch) -> None:
     def lowered(
         row: AdmissionRow, common: LaneCut, lanes: Mapping[Lane, LaneCut], deficits: Mapping[str, float]
     ) -> AdmissionRow:
@@ -51,16 +51,16 @@
         play(2, STEPS, CALM_STEPS, JOBS)
 
 
-def test_a_lane_without_patience_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_a_lane_without_starvation_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Epoch, "_admit_starved_heads", lambda epoch: None)
     with pytest.raises(AssertionError, match="a lane stands still"):
         play(2, STEPS, CALM_STEPS, JOBS)
 
 
-def test_nothing_is_deferred_and_no_row_is_written_where_it_is_off() -> None:
+def test_nothing_is_deferred_and_no_row_is_written_while_switched_off() -> None:
     world = AdmissionWorld(1, deferring=False)
     world.start()
     for _ in range(150):
-        world.submit_some(JOBS)
+        world.submit_at_random(JOBS)
         world.step()
     assert world.store.tables.admission_rows == {} and world.sizes and not any(world.logs.values())
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -310,7 +310,7 @@
     world.given("layout mark, complete", "feature marks, complete", "coordinator")
     features = AdmissionFeatures(True)
     each = AdmissionCoordinator(world.context, features, list, {})
-    world.run(each.epoch)
+    world.run(each.run_epoch)
 
 
 def admission_every_field(world: Recorder) -> None:
