--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -81,7 +81,7 @@
         return self.starvation_timeout_s + self._row_write_delay_s(rows) + 2 * self.clock_error_s
 
     def bound_s(self, jobs_before: int, rows: int = 1) -> float:
-        """Returns the longest wait for admission of a job that is behind others in its lane."""
+        """Returns the longest wait for admission of a job that is behind `jobs_before` others in its lane."""
         return (jobs_before + 1) * self.head_bound_s(rows)
 
     def guarantee_bound_s(self, rows: int = 1) -> float:
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -270,12 +270,12 @@
         for lane in {lane_of(job.spec) for job in self.store.tables.jobs.values()} | self.highest.keys():
             path = row_path(rows, lane)
             stored = rows[path].cut_of(lane).ticket if path is not None else Ticket(0, "")
-            assert stored >= self.highest.get(lane, stored), f"a cut falls: {lane}"
+            assert stored >= self.highest.get(lane, stored), f"a cut was lowered: {lane}"
             self.highest[lane] = stored
             for node in self.nodes.values():
                 held = row_path(node.tables.admission_rows, lane)
                 cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].cut_of(lane)
-                assert cut is None or cut.ticket <= stored, f"{node.settings.member} is ahead: {lane}"
+                assert cut is None or cut.ticket <= stored, f"{node.settings.member} exceeds the stored cut: {lane}"
 
     def check_bound(self) -> None:
         """Checks that each head of a lane is admitted within its bound, in time with a working coordinator."""
@@ -295,7 +295,7 @@
             self.longest_as_head_s = max(self.longest_as_head_s, waited)
             # Each lost or late write costs one epoch; several may follow one another.
             allowed = self.limits.head_bound_s(len(tables.admission_rows)) + 6 * self.limits.epoch_s
-            assert waited <= allowed, f"a lane stands still: {name}"
+            assert waited <= allowed, f"a lane starves: {name}"
 
     def check_idle_capacity(self) -> None:
         """Checks that no job within its team's limit waits for long while a machine has free capacity for it.
@@ -309,11 +309,11 @@
             cores[machine] += int(self.specs[task.partition("/")[0]].cores)
         names = {worker.name for worker in self.workers if cores[worker.name] + TASK_CORES <= CORES}
         self.free_since = {name: self.free_since.get(name, now) for name in names}
-        longest = min(self.free_since.values(), default=now)
+        earliest_free = min(self.free_since.values(), default=now)
         waiting = {name for name in self.unfinished() if self._could_start(name, tasks)}
         self.startable_since = {name: self.startable_since.get(name, now) for name in waiting}
         for name, since in self.startable_since.items():
-            assert now - max(since, longest) < MAX_WAIT_WITH_CAPACITY_S, f"waits beside room: {name}"
+            assert now - max(since, earliest_free) < MAX_WAIT_WITH_CAPACITY_S, f"waits beside free capacity: {name}"
 
     def _could_start(self, name: str, tasks: list[str]) -> bool:
         """Whether the job has an unclaimed task that its team's limit allows."""
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -47,13 +47,13 @@
         return replace(row, number=row.number + 1, common=common, lanes=dict(lanes), deficits={})
 
     monkeypatch.setattr(AdmissionRow, "raised", lowered)
-    with pytest.raises(AssertionError, match="a cut falls"):
+    with pytest.raises(AssertionError, match="a cut was lowered"):
         play(2, STEPS, CALM_STEPS, JOBS)
 
 
 def test_detects_a_lane_without_starvation_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Epoch, "_admit_starved_heads", lambda epoch: None)
-    with pytest.raises(AssertionError, match="a lane stands still"):
+    with pytest.raises(AssertionError, match="a lane starves"):
         play(2, STEPS, CALM_STEPS, JOBS)
 
 
