--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -1,4 +1,8 @@
-"""Room by kind of machine: what admitted work leaves of it, and what of that a job may take."""
+"""Free capacity by kind of machine: what admitted work leaves of the machines, and what a job may take of it.
+
+Capacity is counted in machines, as fractions, without assigning tasks to particular machines. It is what one epoch may
+admit jobs for.
+"""
 
 from __future__ import annotations
 
@@ -12,25 +16,32 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# Less than this of a machine is nothing.
-LEAST_MACHINES = 1e-6
+# A smaller fraction of a machine counts as none; it may be a rounding error.
+MIN_MACHINES = 1e-6
 
 
 @dataclass(frozen=True)
 class IdleCapacity:
-    """Room of one kind that no admitted job could take, as its owner told, in machines, and for how many seconds."""
+    """Free capacity that no admitted job could use, as reported by the machines' owner.
+
+    Attributes:
+        kind: The kind of machine.
+        machines: How much, as a fractional number of machines.
+        age_s: For how long it has been left unused.
+    """
 
     kind: InstanceKind
     machines: float
     age_s: float
 
 
-# Needs are spread over the whole time to the next target: what is in time is no overload.
-SPREAD_ADMITTED = 1.0
+# A job's work is spread over the whole time left to its next target. A job that meets its target this way is no
+# overload.
+ADMITTED_SPREAD = 1.0
 
 
 class Capacity:
-    """Room on paper: by kind of machine, and by team."""
+    """Free capacity by kind of machine and remaining quota by team, while jobs are admitted."""
 
     def __init__(
         self,
@@ -39,10 +50,10 @@
         admitted: Iterable[Job],
         idle: Iterable[IdleCapacity],
         wall_clock_ms: int,
-        surplus: float,
+        overcommit: float,
     ) -> None:
         self.offers: list[InstanceOffer] = scaling.instance_offers(tables.machine_types)
-        self.limits = scaling.RemainingQuota.of(settings)
+        self.quota = scaling.RemainingQuota.of(settings)
         supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = InstanceKind(row.type, row.zone, row.spot)
@@ -55,52 +66,55 @@
         released = (job for job in admitted if job.is_runnable)
         needs = scaling.demand_within_quota(
             released,
-            self.limits,
-            lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, SPREAD_ADMITTED),
+            self.quota,
+            lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, ADMITTED_SPREAD),
         )
-        self.left, short = scaling.pack_demand(needs, _with_surplus(supply, surplus), self.offers)
-        # Whether what should run at once finds no machine.
-        self.overloaded = bool(short)
-        told: dict[InstanceKind, float] = {}
-        for room in idle:
-            told[room.kind] = told.get(room.kind, 0.0) + room.machines
-        for kind, machines in told.items():
-            if kind in self.left:
-                self.left[kind] = max(self.left[kind], machines)
+        # `free`: how many machines of each kind the admitted work leaves, as fractions.
+        self.free, unmet = scaling.pack_demand(needs, _overcommitted(supply, overcommit), self.offers)
+        # Whether the machines cannot take all tasks that should run concurrently.
+        self.overloaded = bool(unmet)
+        reported: dict[InstanceKind, float] = {}
+        for entry in idle:
+            reported[entry.kind] = reported.get(entry.kind, 0.0) + entry.machines
+        # Capacity that is reported idle counts as free, even if admitted work should take it: that work cannot use it,
+        # for example after failures, or without a quota allocation at the machines' owner.
+        for kind, machines in reported.items():
+            if kind in self.free:
+                self.free[kind] = max(self.free[kind], machines)
 
     @property
-    def any_left(self) -> bool:
-        """Whether anything is left to be taken."""
-        return any(machines > LEAST_MACHINES for machines in self.left.values())
-
-    def tasks_that_fit(self, spec: JobSpec, most: int) -> int:
-        """How many of so many tasks find room now, by machines and by the team's limit."""
-        most = min(most, self.limits.tasks_within(spec))
-        found = 0.0
+    def has_free_capacity(self) -> bool:
+        """Whether any machine has free capacity."""
+        return any(machines > MIN_MACHINES for machines in self.free.values())
+
+    def tasks_that_fit(self, spec: JobSpec, limit: int) -> int:
+        """Returns how many tasks, up to `limit`, fit the free capacity and the team's limit."""
+        limit = min(limit, self.quota.tasks_within(spec))
+        tasks = 0.0
         for offer in self.offers:
-            if found >= most:
+            if tasks >= limit:
                 break
-            if self.left[offer.kind] > LEAST_MACHINES and offer.suits(spec):
-                found += self._tasks_in(spec, offer)
-        return min(most, int(found + LEAST_MACHINES))
+            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+                tasks += self._whole_tasks_in(spec, offer)
+        return min(limit, int(tasks + MIN_MACHINES))
 
-    def _tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
-        part = scaling.machines_needed(spec, 1, offer.type)
-        # Less room than one task takes is none.
-        return self.left[offer.kind] // part if part > LEAST_MACHINES else float(spec.tasks)
+    def _whole_tasks_in(self, spec: JobSpec, offer: InstanceOffer) -> float:
+        machines_per_task = scaling.machines_needed(spec, 1, offer.type)
+        # Only whole tasks count.
+        return self.free[offer.kind] // machines_per_task if machines_per_task > MIN_MACHINES else float(spec.tasks)
 
     def take(self, spec: JobSpec, tasks: int) -> None:
-        """Takes room for so many tasks, as far as there is."""
-        self.limits.take(spec, tasks)
+        """Takes the capacity of this many tasks, or of as many as fit."""
+        self.quota.take(spec, tasks)
         for offer in self.offers:
             if tasks <= 0:
                 return
-            if self.left[offer.kind] > LEAST_MACHINES and offer.suits(spec):
-                part = scaling.machines_needed(spec, 1, offer.type)
-                count = min(tasks, int(self._tasks_in(spec, offer) + LEAST_MACHINES))
-                self.left[offer.kind] -= count * part
+            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+                machines_per_task = scaling.machines_needed(spec, 1, offer.type)
+                count = min(tasks, int(self._whole_tasks_in(spec, offer) + MIN_MACHINES))
+                self.free[offer.kind] -= count * machines_per_task
                 tasks -= count
 
 
-def _with_surplus(supply: Mapping[InstanceKind, float], surplus: float) -> dict[InstanceKind, float]:
-    return {kind: (1 + surplus) * count for kind, count in supply.items()}
+def _overcommitted(supply: Mapping[InstanceKind, float], overcommit: float) -> dict[InstanceKind, float]:
+    return {kind: (1 + overcommit) * count for kind, count in supply.items()}
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -1,8 +1,8 @@
-"""What agreed admission gains and costs: the same seeded overload with and without it, no troubles.
+"""Benchmark of admission control: the same seeded overload with and without it, free of failures.
 
 Outside CI, with requirements-tools.txt installed:
 
-    python3 -m tests.support.overload FIRST LAST REPORT.html   # these seeds: a line a run, means, and a page with plots
+    python3 -m tests.support.overload FIRST LAST REPORT.html   # one line per run, means, and a page with plots
     python3 -m tests.support.overload scale                    # 10,000 deferred jobs on 4,000 machines
 """
 
@@ -21,7 +21,7 @@
 import msgspec
 
 from sloeswitch.admission import epoch as epochs
-from sloeswitch.admission.cuts import ROOT, AdmissionRow, LaneCut, Ticket
+from sloeswitch.admission.cuts import ROOT_PATH, AdmissionRow, LaneCut, Ticket
 from sloeswitch.admission.decision_log import DecisionLog
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.limits import AdmissionLimits
@@ -32,7 +32,7 @@
 from tests.support.cluster_worker import Worker
 from tests.support.fleet import FleetWorld, job_name
 
-# A flood of one team, and one urgent job of a small team at a time.
+# The load: many jobs of one team within FLOOD_S, and every URGENT_EVERY_S one urgent job of a small team.
 FLOOD_JOBS = 100
 FLOOD_S = 60.0
 URGENT_JOBS = 8
@@ -40,18 +40,18 @@
 DUE_S = 120.0
 TRIES = 10
 WORKERS = 8
-# The flood's team may use more than there is, so that room is what is short and not its limit; an urgent job fits
-# its team's guarantee.
-FLOODED = {**TEAMS, "red": (8.0, 64.0), "green": (4.0, 12.0)}
+# The limit of the flooding team exceeds the machines, so that jobs wait for machines and not for quota. An urgent job
+# fits its team's guarantee.
+FLOOD_TEAMS = {**TEAMS, "red": (8.0, 64.0), "green": (4.0, 12.0)}
 LONGEST_MS = 3_600_000
-WITHOUT, WITH = "without", "with admission"
+WITHOUT_ADMISSION, WITH_ADMISSION = "without", "with admission"
 DEFERRED_JOBS = 10_000
 MACHINES = 4_000
 
 
 @dataclass
 class LoadResult:
-    """One run: waits from submission to the first start, in milliseconds, by kind of job."""
+    """The results of one run. Waits are from submission to the first start, in milliseconds."""
 
     flood_ms: list[int] = field(default_factory=list)
     urgent_ms: list[int] = field(default_factory=list)
@@ -63,10 +63,10 @@
 
 
 class LoadWorld(AdmissionWorld):
-    """Notes when jobs start and end."""
+    """Records when jobs are submitted and first start."""
 
     def __init__(self, seed: int, deferring: bool) -> None:
-        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOODED))
+        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
         self.started_at: dict[str, float] = {}
         self.submitted_at: dict[str, float] = {}
 
@@ -76,7 +76,7 @@
 
 
 def load(seed: int, deferring: bool) -> LoadResult:
-    """A flood of the red team's jobs in a minute, and green's urgent ones beside it, until all are done."""
+    """Submits a flood of jobs of team red and urgent jobs of team green, and runs until all are done."""
     world = LoadWorld(seed, deferring)
     arrivals = random.Random(seed)
     world.start()
@@ -85,7 +85,7 @@
     begin = world.clock.time
     flood = sorted(begin + FLOOD_S * arrivals.random() for _ in range(FLOOD_JOBS))
     urgent = [begin + URGENT_EVERY_S * (number + arrivals.random()) for number in range(URGENT_JOBS)]
-    # Both teams' classes are dealt out by the load's own random numbers, so that with and without it is the same load.
+    # Drawn from a separate random generator, so that the load is the same with and without admission.
     plan = sorted([(at, "red") for at in flood] + [(at, "green") for at in urgent])
     shapes = [(arrivals.randint(1, 5), arrivals.choice(("train", "index"))) for _ in plan]
     ended_at: dict[str, float] = {}
@@ -106,40 +106,42 @@
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
         waits.append(int(1000 * (at - world.submitted_at[name])))
     outcome.in_time = sum(at - world.submitted_at[name] <= DUE_S for name, at in ended_at.items()) / len(plan)
-    root = world.store.tables.admission_rows.get(ROOT)
+    root = world.store.tables.admission_rows.get(ROOT_PATH)
     outcome.epochs = root.number if root is not None else 0
     return outcome
 
 
-def submit_one(world: LoadWorld, number: int, team: str, visits: int, klass: str) -> None:
-    """A user submits the next job."""
+def submit_one(world: LoadWorld, number: int, team: str, visits: int, job_class: str) -> None:
+    """Submits the next job of the load."""
     urgency = "urgent" if team == "green" else "best_effort"
     name = f"wk-{number:06d}"
     visits = min(visits, 2) if team == "green" else visits
-    job = spec(name, crew=team, roster=klass, visits=visits, urgency=urgency, expectedS=12.0, pullGb=0.1, dueS=DUE_S)
+    job = spec(
+        name, crew=team, roster=job_class, visits=visits, urgency=urgency, expectedS=12.0, pullGb=0.1, dueS=DUE_S
+    )
     world.submitted_at[name] = world.clock.time
-    # Answers are lost here too; users repeat a submission, at another controller.
+    # Answers may be lost in this simulation too; a user then submits again at another controller.
     for turn in range(TRIES):
         if world.submit(world.nodes[world.members[(number + turn) % len(world.members)]], job):
             return
 
 
 def histogram(waits_ms: list[int]) -> Any:
-    """Waits in a histogram of the library."""
+    """Returns a histogram of the waits."""
     from hdrh.histogram import HdrHistogram
 
-    found = HdrHistogram(1, LONGEST_MS, 3)
+    recorded = HdrHistogram(1, LONGEST_MS, 3)
     for wait_ms in waits_ms:
-        found.record_value(max(1, wait_ms))
-    return found
+        recorded.record_value(max(1, wait_ms))
+    return recorded
 
 
-def report(found: dict[str, list[LoadResult]], path: str) -> None:
-    """A page with the waits of both loads, with and without."""
+def report(results: dict[str, list[LoadResult]], path: str) -> None:
+    """Writes a page that plots the waits of both kinds of jobs, with and without admission."""
     import plotly.graph_objects as graph
 
     figure: Any = graph.Figure()
-    for mode, outcomes in found.items():
+    for mode, outcomes in results.items():
         for title, field_name in (("flood", "flood_ms"), ("urgent", "urgent_ms")):
             waits = histogram([wait for each in outcomes for wait in getattr(each, field_name)])
             shares = [*range(0, 100, 2), 99, 99.9, 100]
@@ -152,28 +154,28 @@
 
 
 def play(seed: int, mode: str) -> LoadResult:
-    """One run, in a process of its own."""
-    return load(seed, mode != WITHOUT)
+    """Performs one run, in a worker process."""
+    return load(seed, mode != WITHOUT_ADMISSION)
 
 
 def main(first: int, last: int, path: str) -> None:
-    """Prints each seed's two runs and the means with their spread, and writes the page."""
-    runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT, WITH)]
-    found: dict[str, list[LoadResult]] = {WITHOUT: [], WITH: []}
+    """Prints two runs for each seed and the means with their ranges, and writes the page."""
+    runs = [(seed, mode) for seed in range(first, last) for mode in (WITHOUT_ADMISSION, WITH_ADMISSION)]
+    results: dict[str, list[LoadResult]] = {WITHOUT_ADMISSION: [], WITH_ADMISSION: []}
     with ProcessPoolExecutor(WORKERS) as pool:
         for (seed, mode), outcome in zip(runs, pool.map(play, *zip(*runs, strict=True)), strict=True):
-            found[mode].append(outcome)
+            results[mode].append(outcome)
             print(seed, mode, summary([outcome]))
-    for mode, outcomes in found.items():
+    for mode, outcomes in results.items():
         print(f"all, {mode}: {summary(outcomes)}")
         for name in ("in_time", "changes", "epochs", "longest_head_s", "unfinished"):
             values = [float(getattr(outcome, name)) for outcome in outcomes]
             print(f"  {name:14} {statistics.mean(values):8.2f}  {min(values):8.2f} to {max(values):8.2f}")
-    report(found, path)
+    report(results, path)
 
 
 def summary(outcomes: list[LoadResult]) -> str:
-    """Waits of several runs together."""
+    """Summarizes the waits of several runs."""
     texts: list[str] = []
     for title, waits_ms in (
         ("flood", [wait for each in outcomes for wait in each.flood_ms]),
@@ -188,7 +190,7 @@
 
 
 def scale() -> None:
-    """A tick and an epoch with many deferred jobs and machines, with and without admission in one run."""
+    """Times a tick and an epoch with many deferred jobs and machines, with and without admission."""
 
     def timed(title: str, call: Callable[[], Any]) -> None:
         best = min(_seconds(call) for _ in range(5))
@@ -204,25 +206,27 @@
         world.store.put(keys.job_key(job.id), value)
     timed("tick without admission", world.tick)
     row = AdmissionRow().raised(LaneCut(Ticket(wall_clock_ms - 1, ""), wall_clock_ms), {}, {})
-    world.store.put(keys.admission_key(ROOT), row.stored())
+    world.store.put(keys.admission_key(ROOT_PATH), row.stored())
     gate = AdmissionGate(world.store.tables, DecisionLog(), lambda: True)
     world.machines.queue.admission = gate
     print(f"first tick with admission {1000 * _seconds(world.tick):30.1f} ms")
     timed("tick with admission", world.tick)
-    limits = AdmissionLimits.of(world.settings)
-    later_ms = wall_clock_ms + int(1000 * limits.patience_s) + DEFERRED_JOBS
+    limits = AdmissionLimits.from_settings(world.settings)
+    later_ms = wall_clock_ms + int(1000 * limits.starvation_timeout_s) + DEFERRED_JOBS
 
-    def reckon() -> list[epochs.RowChange]:
-        return epochs.next_rows(world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes)
+    def compute() -> list[epochs.RowChange]:
+        return epochs.compute_changes(
+            world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes
+        )
 
-    timed("an epoch", reckon)
-    (change,) = reckon()
+    timed("an epoch", compute)
+    (change,) = compute()
 
-    def applied() -> None:
+    def apply_change() -> None:
         world.store.put(keys.admission_key(change.path), change.rows[change.path].stored())
         world.tick()
 
-    print(f"tick that applies an epoch {1000 * _seconds(applied):29.1f} ms")
+    print(f"tick that applies an epoch {1000 * _seconds(apply_change):29.1f} ms")
     print(f"memory {resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024:.0f} MB, tests and world included")
 
 
