--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -1,7 +1,7 @@
-"""What the rows of the state service say, as this controller works with it.
+"""In-memory records decoded from the rows of the state service.
 
-Records are made and changed by the tables (`core.row_application`) and by the scheduling that annotates jobs
-(`core.job_queue`, `admission.gate`). How they are stored is `core.row_codec`'s business.
+`core.row_application` creates and updates them as rows change. Scheduling adds computed fields to jobs
+(`core.job_queue`, `admission.gate`). `core.row_codec` defines the stored form.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class JobState(StrEnum):
-    """The state of a job in its row; the values are the stored words.
+    """The state of a job; each value is the text stored in the job's row.
 
-    A row may hold a word that this version does not know. It is kept as text, so that it is written back as it was
-    read, and such a job is neither live, done nor cancelled.
+    A state that this version does not know is kept as a plain string, so that it is written back unchanged. Such a job
+    is neither live, done nor cancelled.
     """
 
     LIVE = "live"
@@ -32,29 +32,29 @@
     CANCELLED = "withdrawn"
 
 
-# Looked up once: looking up a member of an enum costs more than the comparisons that scheduling makes for every job.
+# Module constants, because looking up an enum member costs more than the comparisons that scheduling makes per job.
 _LIVE = JobState.LIVE
 _CANCELLED = JobState.CANCELLED
 
 
 @dataclass(frozen=True)
 class View:
-    """The numbered list of the controllers that own machines; a later view has a larger number."""
+    """A numbered list of the controllers that own machines; each new view has a larger number."""
 
     number: int
     members: tuple[Incarnation, ...]
 
     @cached_property
     def incarnation_ids(self) -> frozenset[str]:
-        """The incarnation ids under which members of this view claim tasks."""
+        """The incarnation ids of the members; claims and quota allocations are stored under these ids."""
         return frozenset(incarnation_id_of(member, incarnation) for member, incarnation in self.members)
 
     def owner(self, machine: str) -> str | None:
-        """The member that owns a machine under this view; None when the view is empty."""
+        """Returns the member that owns a machine under this view, or None if the view is empty."""
         return owner(machine, self.members)
 
     def incarnation_of(self, member: str) -> int | None:
-        """The incarnation of a member in this view; None when it is not in the view."""
+        """Returns the incarnation of a member in this view, or None if it is not in the view."""
         return next((incarnation for name, incarnation in self.members if name == member), None)
 
 
@@ -63,31 +63,31 @@
 
 @dataclass
 class Progress:
-    """The part of a job that changes as its tasks run, stored as one row beside the job's."""
+    """The state of a job's tasks, stored in a row of its own because it changes more often than the job's row."""
 
     done: TaskSet = 0
-    # Tasks by the incarnation id of the controller that claims them.
+    # Claimed tasks by the incarnation id of the controller that claims them.
     claims: dict[str, TaskSet] = field(default_factory=dict)
-    # The zone that claimed tasks bind the others to, for a job whose tasks share a zone.
+    # For a job whose tasks must share a zone: the zone of its claimed tasks.
     zone: str | None = None
-    # Part of the stored form that nothing in this version sets; kept as it was read.
+    # Not used by this version; a stored value is written back unchanged.
     attempt: int = 0
-    # Adoptions stored up to this revision are in the claims.
+    # `claims` contains the adoptions stored up to this revision.
     adoption_revision: int = 0
 
     def copy(self) -> Progress:
-        """A copy that can be changed without changing this one."""
+        """Returns a copy that can be changed without changing this one."""
         return Progress(self.done, dict(self.claims), self.zone, self.attempt, self.adoption_revision)
 
     def adopt(self, incarnation_id: str, tasks: TaskSet) -> None:
-        """The tasks were found on machines of this controller: they are its claims, whoever had them."""
+        """Moves the claims on tasks to the controller that found them on its machines; done tasks are left out."""
         tasks &= ~self.done
         claims = {holder: claimed & ~tasks for holder, claimed in self.claims.items()}
         claims[incarnation_id] = claims.get(incarnation_id, 0) | tasks
         self.claims = {holder: claimed for holder, claimed in claims.items() if claimed}
 
     def claimed_tasks(self) -> TaskSet:
-        """The tasks that any controller claims."""
+        """Returns the tasks claimed by any controller."""
         claimed = 0
         for tasks in self.claims.values():
             claimed |= tasks
@@ -95,7 +95,7 @@
 
 
 class Adoption(NamedTuple):
-    """Tasks of one job that a controller found on machines which it took over. Sorts by revision."""
+    """Tasks of one job that a controller found on machines that it took over. Sorts by revision."""
 
     mod_revision: int
     incarnation_id: str
@@ -103,127 +103,137 @@
 
 
 class SpecChunks(NamedTuple):
-    """Where the spec of a job is stored that is too large for one value."""
+    """Identifies the stored chunks of a job's spec that is too large for one value."""
 
-    # Names the try that stored the chunks; a try that failed may have left some under another name.
+    # The attempt that stored the chunks. A failed attempt may have left chunks under its own name.
     attempt: str
     chunk_count: int
 
 
 class DelegationOrigin(NamedTuple):
-    """Which handoff of another cell a job came with."""
+    """The handoff by which another cell handed a job over to this one."""
 
     origin: str
     number: int
 
 
 class InheritedDeadlines(NamedTuple):
-    """The times by which a job must be done for the first and for the last target of those that need it."""
+    """Deadlines of a job derived from the deadlines of the jobs that depend on it.
+
+    `first_ms` is the earliest of their first deadlines and `last_ms` the earliest of their last deadlines. From each
+    deadline the estimated time of the dependent job is subtracted. Both are in milliseconds since 1970.
+    """
 
-    # Milliseconds since 1970.
     first_ms: float
     last_ms: float
 
 
 class FinishedJob(NamedTuple):
-    """A job that is over, kept for good."""
+    """A job that is done, or cancelled with no claimed tasks left.
+
+    It is kept permanently, except that the row of a job from another cell is deleted once that cell acknowledges it.
+    """
 
     status: JobState | str
+    # The number of its tasks.
     tasks: int
-    # Milliseconds since 1970, by the clock of whoever stored it; 0 where an earlier layout stored no time.
+    # Milliseconds since 1970, by the clock of the controller that stored it; 0 if an earlier layout stored no time.
     finished_ms: int = 0
     mod_revision: int = 0
-    # Handoffs that are still to be stopped, and the handoff that it came with, until that is acknowledged.
+    # Handoffs to other cells that must still be stopped.
     handoff: OriginRow | None = None
+    # The handoff by which the job came from another cell, until that cell acknowledges the end of the job.
     delegated: DelegationOrigin | None = None
 
     @property
     def is_done(self) -> bool:
-        """Whether all its tasks are done, as against cancelled."""
+        """Whether all its tasks are done; False if the job was cancelled."""
         return self.status == JobState.DONE
 
     @property
     def is_final(self) -> bool:
-        """Whether its row changes no more."""
+        """Whether its row never changes again."""
         return self.handoff is None and self.delegated is None
 
 
 @dataclass
 class Job:
-    """A job that is not over, or is cancelled with tasks not yet accounted for.
+    """A job that is not finished: live, or cancelled while some of its tasks may still run.
 
-    Times ending in `_ms` are milliseconds since 1970, by the clock of the controller that stored them.
+    Fields ending in `_ms` are milliseconds since 1970, by the clock of the controller that stored them.
     """
 
-    # What its row says.
+    # Fields decoded from its rows.
     spec: JobSpec
     status: JobState | str
-    # The revision of the row as read last; writes are conditional on it.
+    # The revision of the row that was read last; writes are conditional on it.
     mod_revision: int
-    # The revision from which its age in the queue counts: of its first row, or of the end of the last job that it
-    # needs, whichever is later.
+    # Orders jobs by age in the queue: the revision of the job's first row, or of the row that marked its last
+    # prerequisite as done, whichever is later.
     ready_revision: int
     submitted_ms: int
     progress: Progress = field(default_factory=Progress)
-    # The revision of its progress row; 0 while none is stored.
+    # The revision of its progress row; 0 if none is stored.
     progress_revision: int = 0
-    # Where its spec is stored, when that is in chunks.
+    # The chunks that hold its spec; None if the spec is in the job's row.
     spec_chunks: SpecChunks | None = None
-    # When its user cancelled it; 0 when it is not cancelled, or an earlier version stored no time.
+    # When its user cancelled it; 0 if it is not cancelled, or if an earlier version stored no time.
     cancelled_ms: int = 0
 
-    # What it needs (kept by core.dependency_graph).
-    # The join counter: how many of the jobs that it needs are not stored as done.
+    # Prerequisites, maintained by core.dependency_graph.
+    # The join counter: the number of prerequisites that are not stored as done.
     unfinished_prerequisites: int = 0
-    # Whether one that it needs, directly or through others, is cancelled.
+    # Whether a direct or indirect prerequisite is cancelled.
     prerequisite_cancelled: bool = False
-    # When the last that it needs was done; its submission when it needs none.
+    # When its last prerequisite was done; the time of submission if it has no prerequisites.
     ready_ms: int = 0
 
-    # What follows from the jobs that need it, and what it aims at (kept by core.job_queue).
-    # The highest priority among those that need it, as a rank; the smallest rank goes first.
+    # Priority and deadlines, computed by core.job_priority and core.slo_targets.
+    # The highest priority among the jobs that depend on it, as a rank: the smallest rank goes first.
     inherited_rank: int | None = None
-    # When it must be done for their targets; None when they have none.
+    # The deadlines that it must meet for the jobs that depend on it; None if they have none.
     inherited_ms: InheritedDeadlines | None = None
-    # When it should be done, in seconds from submission, the earliest first; None until computed.
+    # Its target completion times in seconds from submission, the earliest first; None until computed.
     targets: list[float] | None = None
 
-    # Its relation to other cells (stored with its row).
-    # Its handoffs to other cells, and when the last of them came back; 0 when none did.
+    # Handoffs between cells, stored in the job's row.
+    # Its handoffs to other cells.
     handoff: OriginRow | None = None
+    # When another cell last returned the job; 0 if none did.
     returned_ms: int = 0
-    # The handoff that it came with.
+    # The handoff by which the job came from another cell.
     delegated: DelegationOrigin | None = None
 
-    # Its place in the queue (kept by core.job_queue and admission.gate).
-    # Whether admission keeps it out of the queue for now.
+    # Its place in the queue, computed by core.job_queue and admission.gate.
+    # Whether admission control keeps it out of the queue at present.
     deferred: bool = False
-    # Whether it goes first now since nothing of it has begun for long; only a part of it does.
+    # Whether a part of its tasks goes first because none of its tasks has started for a long time.
     starved: bool = False
-    # Whether it fitted its team's guarantee, with the team's earlier jobs, when it was first queued; None until then.
+    # Whether it fitted within its team's guarantee, together with the team's earlier jobs, when it was first queued;
+    # None until then.
     guaranteed: bool | None = None
-    # The sort key of its place in the queue, without its age.
+    # The sort key of its place in the queue, without the job's age.
     queue_rank: tuple[float, ...] = ()
 
-    # The answer of has_unclaimed_tasks, and the progress that it was computed from.
+    # The cached value of has_unclaimed_tasks, and the progress that it was computed from.
     _unclaimed_checked_for: Progress | None = None
     _has_unclaimed_tasks: bool = True
 
     @cached_property
     def all_tasks(self) -> TaskSet:
-        """The tasks of the job, in whatever state."""
+        """All tasks of the job, in any state."""
         return taskset.full(self.spec.tasks)
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether its user cancelled it, or a job that it needs is cancelled."""
+        """Whether its user cancelled it, or a direct or indirect prerequisite is cancelled."""
         return self.prerequisite_cancelled or self.status == _CANCELLED
 
     @property
     def is_runnable(self) -> bool:
         """Whether its tasks may start.
 
-        A job that needs a cancelled one never is: its join counter does not reach zero.
+        A job with a cancelled prerequisite is never runnable, because its join counter does not reach zero.
         """
         return (
             self.status == _LIVE
@@ -233,7 +243,7 @@
 
     @property
     def has_unclaimed_tasks(self) -> bool:
-        """Whether a task is neither done nor claimed; computed once for each progress that is stored."""
+        """Whether any task is neither done nor claimed; computed once per `Progress` object."""
         if self._unclaimed_checked_for is not self.progress:
             self._unclaimed_checked_for = self.progress
             self._has_unclaimed_tasks = self.all_tasks != self.progress.done | self.progress.claimed_tasks()
@@ -241,36 +251,36 @@
 
     @property
     def remaining_tasks(self) -> int:
-        """How many tasks are not done."""
+        """The number of tasks that are not done."""
         return self.spec.tasks - self.progress.done.bit_count()
 
 
 @dataclass
 class MachineRow:
-    """A machine that may hold tasks."""
+    """A stored machine, on which tasks may run."""
 
-    # Host and port of its agent.
+    # Host and port of the worker agent on the machine.
     address: str
     type: str
     zone: str
     spot: bool
-    # The key of the row that holds it: its group's, or its own under layout 1.
+    # The key of the row that stores it: its group's row, or under layout 1 a row of its own.
     key: str
 
 
 @dataclass
 class MemberRow:
-    """A live controller; the row is bound to its lease."""
+    """A live controller; its row is deleted when its lease ends."""
 
     incarnation: int
-    # The number of the latest view under which it has accounted for all its machines.
+    # The number of the latest view for which it has completed the recovery of its machines.
     recovered_view: int
-    # The layout of stored rows that it reads and writes.
+    # The version of the stored layout that it writes.
     layout: int
 
 
 class FeatureStatus(NamedTuple):
-    """Which controllers have run with a feature turned on, and whether all configured ones have."""
+    """The controllers that have run with a feature turned on, and whether this includes all configured ones."""
 
     seen: tuple[str, ...] = ()
     complete: bool = False
--- a/sloeswitch/core/stored_state.py
+++ b/sloeswitch/core/stored_state.py
@@ -1,7 +1,7 @@
-"""What the state service holds, as this controller last saw it: the decoded rows, without the rules that apply them.
+"""The fields of the replicated tables: this controller's decoded copy of the rows in the state service.
 
-`core.row_application` writes these fields, `core.tables.Tables` adds the changes' entry point and the queries, and it
-is `Tables` that the rest of the process uses.
+`core.row_application` updates these fields. `core.tables.Tables` adds the entry point for changes and the queries; the
+rest of the process uses `Tables`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class UnmatchedProgress(NamedTuple):
-    """Progress that was read before its job's row."""
+    """Progress that was read before the row of its job."""
 
     progress: Progress
     mod_revision: int
@@ -39,68 +39,71 @@
     """The decoded rows of the state service."""
 
     def __init__(self, cancellations: CancellationLog | None = None) -> None:
-        # The stored cancellations as they are sent to siblings, and those that came from siblings and whose rows are
-        # not read yet, with their revisions. Both outlast a reading of everything.
+        # `clear` keeps both of these fields.
+        # The stored cancellations, for sending to siblings.
         self.cancellations = cancellations or CancellationLog(1, 0)
+        # Cancellations received from siblings whose rows are not read yet: job -> revision.
         self.peer_cancellations: dict[str, int] = {}
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all rows, before everything is read again."""
-        # The revision of each key's row as read last.
+        """Drops all rows before a full read; keeps both cancellation fields."""
+        # The revision of each row that was read last, by key.
         self.mod_revisions: dict[str, int] = {}
         self._clear_controllers()
         self._clear_jobs()
         self._clear_machines()
 
     def _clear_controllers(self) -> None:
-        """Controllers, what they agree on, and how they share quotas."""
+        """Clears the rows of controllers, features, admission, handoff floors and quotas."""
         self.members: dict[str, MemberRow] = {}
         self.coordinator: Incarnation | None = None
         self.view: View = NO_VIEW
-        # The members that have run with the present layout, and whether all configured ones have.
+        # The members that have run with the present layout, and whether this includes all configured ones.
         self.layout_members: tuple[str, ...] = ()
         self.layout_complete = False
         self.features: dict[str, FeatureStatus] = {}
-        # Cuts of admission by the path of their row; replaced as a whole, so that a reader can tell a change.
+        # Admission cuts by the path of their row. Each change replaces the dict, so that a reader can detect it.
         self.admission_rows: dict[str, AdmissionRow] = {}
-        # For each other cell: its handoffs up to this number that are not on record are refused for ever.
+        # By origin cell: handoffs with a number up to this one that are not on record are refused permanently.
         self.handoff_floors: dict[str, int] = {}
-        # Each team's quota as allocations by incarnation id.
+        # The allocations of each team's quota: team -> incarnation id -> amount.
         self.quota_allocations: dict[str, dict[str, ResourceAmount]] = {}
 
     def _clear_jobs(self) -> None:
-        """Jobs, their progress, and the rows that belong to them."""
-        # Jobs that are not over, and those that are.
+        """Clears jobs, their progress, and the rows that belong to them."""
         self.jobs: dict[str, Job] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
-        # Finished jobs whose row may still change.
+        # Finished jobs with handoffs between cells that are not closed yet; their rows may still change.
         self.unsettled_jobs: set[str] = set()
         self.graph = DependencyGraph(self.jobs, self.finished_jobs)
-        # Jobs that are over and whose progress is still stored.
+        # Finished jobs whose progress row is not deleted yet.
         self.leftover_progress: set[str] = set()
-        # Stored chunks of specs: job -> attempt to store them -> number -> text.
+        # Stored chunks of specs: job -> attempt that stored them -> chunk number -> text.
         self.spec_chunks: dict[str, dict[str, dict[int, str]]] = {}
-        # Stored adoptions by job, the earliest first; and the incarnation id of each adoption's key.
+        # Stored adoptions by job, the earliest first.
         self.adoptions: dict[str, list[Adoption]] = {}
+        # The incarnation id of each stored adoption row, by key.
         self.adoption_keys: dict[str, str] = {}
-        # Progress read before its job's row, and rows of jobs read before the last chunk of their spec: a first
-        # reading goes by key, not by age.
+        # A full read returns rows in the order of their keys, so that a row may be read before one that it depends on:
+        # progress before the job's row, and a job's row before the last chunk of its spec.
         self.unmatched_progress: dict[str, UnmatchedProgress] = {}
         self.unmatched_job_rows: dict[str, JobRow] = {}
 
     def _clear_machines(self) -> None:
-        """Machines and machine types."""
+        """Clears machines and machine types."""
         self.machines: dict[str, MachineRow] = {}
-        # The machines of each group's row.
+        # The names of the machines in each group's row, by group.
         self.machine_groups: dict[str, set[str]] = {}
-        # Machines that were stored and are no more.
+        # Machines whose row was deleted, or whose deletion the cloud confirmed.
         self.deleted_machines: set[str] = set()
-        # All machine types; and apart those of the catalog's row and those that have a row of their own.
+        # All machine types by name: the union of the next two.
         self.machine_types: dict[str, MachineType] = {}
+        # The types in the catalog row.
         self.catalog_types: dict[str, MachineType] = {}
+        # The types that have a row of their own.
         self.single_types: dict[str, MachineType] = {}
 
     def mod_revision(self, key: str) -> int:
-        """The revision of a key's row, on which a write can be conditional; 0 when there is none."""
+        """Returns the revision of a key's row, for conditional writes; 0 if there is no such row."""
         return self.mod_revisions.get(key, 0)
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -1,7 +1,7 @@
-"""The replicated tables: what the state service holds, as this controller last saw it, and what follows from that.
+"""The replicated tables: this controller's copy of the rows in the state service, with queries over them.
 
-The keys and layouts of the rows are listed in `core.keys`, the fields in `core.stored_state`, and what each kind of row
-does to them in `core.row_application`.
+`core.keys` lists the keys and layouts of the rows, `core.stored_state` defines the fields of the tables, and
+`core.row_application` updates these fields from each kind of row.
 """
 
 from __future__ import annotations
@@ -21,26 +21,29 @@
 
 log = logging.getLogger("tables")
 
-# Looked up once: `apply` runs for every change of every row.
+# A module constant, because looking up an enum member is slow and `apply` runs for every changed row.
 _JOB = RowKind.JOB
 
 NO_RESOURCES = ResourceAmount(0.0, 0.0)
 
 
 class Tables(StoredState):
-    """The stored state with its changes and the questions that scheduling asks of it.
+    """The decoded rows, with the methods that update them and the queries that scheduling uses.
 
-    Changed by the replica only, except that the mesh brings cancellations that siblings know; everybody else in the
-    process reads.
+    The replica applies rows. Two other writers add what is not read from rows yet: leadership applies cancellations
+    that siblings send over the mesh (`apply_peer_cancellation`), and the machines actor adds machines whose deletion
+    the cloud confirmed to `deleted_machines`. Scheduling also sets the computed fields of `Job`. All other code only
+    reads.
     """
 
-    # -- changes
+    # -- updates
 
     def apply(self, key: str, value: Any, mod_revision: int) -> None:
         """Applies one change of a row.
 
-        A change that is older than what is known is ignored, and so is a key of another prefix or of a kind that this
-        version does not know. A value that this version cannot read is logged and must not stop the rest.
+        Changes that are not newer than the known row are ignored, and so are keys with another prefix. A row of a kind
+        that this version does not know only has its revision recorded. A value that this version cannot decode is
+        logged, so that it does not stop the application of other rows.
 
         Args:
             key: The row's key.
@@ -51,7 +54,7 @@
             return
         kind, _, name = key[len(keys.KEY_PREFIX) :].partition("/")
         if kind == _JOB and name in self.finished_jobs and self.finished_jobs[name].is_final:
-            return  # final; an overlapping read may still bring what was before
+            return  # The row is final; an overlapping read may still return an earlier version of it.
         if mod_revision <= self.mod_revisions.get(key, 0):
             return
         if value is None:
@@ -67,10 +70,10 @@
             log.error("stored value is malformed: key=%s error=%r", key, error)
 
     def apply_peer_cancellation(self, cancellation: Cancellation) -> None:
-        """Applies a cancellation that a sibling knows to be stored and whose row is not read here yet.
+        """Applies a cancellation that is stored, as a sibling reports, but whose row this controller has not read.
 
-        It is acted on and answered before the row is read; the job's revision stays that of the row as read, so that
-        no write relies on more.
+        The job counts as cancelled before its row is read. Its revision stays that of the row read last, so that
+        conditional writes depend only on rows that this controller has read.
         """
         job_id = cancellation.job
         job = self.jobs.get(job_id)
@@ -89,14 +92,15 @@
     # -- queries
 
     def recovery_complete(self) -> bool:
-        """Whether every machine has reported, or surely lost its tasks, under the present view.
+        """Whether every member of the present view has completed the recovery of its machines.
 
-        From then on a task claimed by a controller outside the view, and adopted by nobody, runs nowhere.
+        Each machine has then reported its tasks or has certainly lost them. A task that a controller outside the view
+        claims, and that no member adopted, therefore runs nowhere.
         """
         return bool(self.view.members) and not self.unrecovered_members()
 
     def unrecovered_members(self) -> set[str]:
-        """The members of the view that have not stored that all their machines are accounted for under it."""
+        """Returns the members of the view whose completed recovery under this view is not stored."""
         return {
             member
             for member, incarnation in self.view.members
@@ -106,19 +110,22 @@
         }
 
     def void_claim_holders(self, job: Job) -> list[str]:
-        """The incarnation ids whose claims on a job are void; only valid while `recovery_complete()`."""
+        """Returns the incarnation ids outside the view that hold claims on a job.
+
+        Their claims are void only if `recovery_complete()`.
+        """
         in_view = self.view.incarnation_ids
         return [incarnation_id for incarnation_id in job.progress.claims if incarnation_id not in in_view]
 
     def unclaimed_tasks(self, job: Job, recovered: bool) -> TaskSet:
-        """The tasks of a job that are neither done nor claimed.
+        """Returns the tasks of a job that are neither done nor claimed.
 
-        A claim of a departed controller stands until the recovery is complete, since the task may still run on one of
-        its machines.
+        The claims of a departed controller count until the recovery is complete, because their tasks may still run on
+        machines that it owned.
 
         Args:
             job: The job.
-            recovered: Whether `recovery_complete()`; asked once by callers that ask for many jobs.
+            recovered: The result of `recovery_complete()`, which callers compute once for many jobs.
         """
         progress = job.progress
         taken = progress.done
@@ -129,14 +136,15 @@
         return job.all_tasks & ~taken
 
     def quota_allocation(self, team: str, incarnation_id: str) -> ResourceAmount:
-        """What tasks of the team on this controller's machines may use together."""
+        """Returns the part of a team's quota that is allocated to one incarnation of a controller."""
         return self.quota_allocations.get(team, {}).get(incarnation_id, NO_RESOURCES)
 
     def unallocated_quota(self, team: Team) -> ResourceAmount:
-        """What is left of the team's quota for any controller to take.
+        """Returns the part of the team's quota that is allocated to no controller.
 
-        Once the recovery is complete, nothing that a departed controller's allocation covered exists. Guards against
-        a team that stands still: counted on, such allocations would use up its quota, and nobody would ask for more.
+        Allocations of departed controllers are left out once the recovery is complete, because no task that they
+        covered runs any more. If they still counted, they could use up the quota: no controller would request more of
+        it, and the team's jobs would never start.
         """
         recovered = self.recovery_complete()
         in_view = self.view.incarnation_ids
