--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -1,11 +1,12 @@
-"""What one changed row does to the state that this controller holds: one function for each kind of row.
+"""Applies changed rows to the stored state of this controller: one function for each kind of row.
 
-Called by `core.tables.Tables.apply` only, which has sorted out changes older than what is known. Rows may come in any
-order, since a first reading goes by key; an overlapping read may bring a row twice.
+Only `core.tables.Tables.apply` calls these functions; it first drops changes that are not newer than the known row.
+Rows may arrive in any order, because a full read returns them sorted by key, and an overlapping read may return a row
+twice.
 
-Each function takes the state, the key's part after its kind, the row's value (None when the key was deleted) and the
-revision of the change. A row that cannot be decoded raises one of `UNREADABLE`; what was applied
-of it until then stays.
+Each function takes the state, the part of the key after the row's kind, the row's value (None if the key was deleted)
+and the revision of the change. A row that cannot be decoded raises one of `UNREADABLE`; the part of it that was applied
+before the error stays applied.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, msgspec.MsgspecError)
 
-# Looked up once: a member of an enum is slow to look up, and every row of a job is compared with it.
+# A module constant, because looking up an enum member is slow and every row of a job is compared with it.
 _CANCELLED = JobState.CANCELLED
 
 RowFunction = Callable[[StoredState, str, Any, int], None]
@@ -41,7 +42,7 @@
 
 
 def apply_job(state: StoredState, job_id: str, value: StoredRow | None, revision: int) -> None:
-    """A job was accepted, changed, ended, or is no longer kept."""
+    """Applies the row of a job that was accepted, changed, finished or deleted."""
     if value is None:
         state.jobs.pop(job_id, None)
         state.finished_jobs.pop(job_id, None)
@@ -59,7 +60,7 @@
 
 
 def _record_cancellation(state: StoredState, job_id: str, revision: int) -> None:
-    """A job's row says that it is cancelled: it is logged for siblings, unless it was known."""
+    """Records the cancellation that a job's row shows in the log for siblings, unless it was known before."""
     known = state.jobs.get(job_id)
     if known is None or known.status != _CANCELLED:
         state.cancellations.add(job_id, revision)
@@ -67,7 +68,7 @@
 
 
 def _finish_job(state: StoredState, job_id: str, row: JobRow) -> None:
-    """A job is over: of what was known of it, the number of its tasks and how it ended are kept."""
+    """Replaces a job by its record as a finished job and drops its spec and progress."""
     state.jobs.pop(job_id, None)
     state.unmatched_progress.pop(job_id, None)
     state.unmatched_job_rows.pop(job_id, None)
@@ -77,7 +78,8 @@
     state.finished_jobs[job_id] = finished
     if finished.is_final:
         state.unsettled_jobs.discard(job_id)
-        # Nothing is conditional on a row that changes no more. Finished jobs are kept for good, their revisions not.
+        # No write is conditional on a final row. Finished jobs are kept permanently, so their revisions are dropped to
+        # save memory.
         state.mod_revisions.pop(keys.job_key(job_id), None)
     else:
         state.unsettled_jobs.add(job_id)
@@ -88,7 +90,7 @@
 
 
 def _update_job(state: StoredState, job_id: str, row: JobRow) -> None:
-    """The row of a known job changed; its spec and its times of submission and readiness stay."""
+    """Updates a known job from its changed row; its spec, submission time and ready time stay."""
     job = state.jobs[job_id]
     job.status = _effective_status(state, job_id, row)
     job.mod_revision = row.mod_revision
@@ -99,7 +101,7 @@
 
 
 def _add_job(state: StoredState, job_id: str, row: JobRow) -> None:
-    """A job that is not over was read for the first time; it waits where chunks of its spec are missing."""
+    """Adds a job that is read for the first time; its row is set aside while chunks of its spec are missing."""
     chunks = row_codec.decode_spec_chunks(row)
     spec = row_codec.decode_spec(row) if chunks is None else _join_chunks(state, job_id, chunks)
     if spec is None:
@@ -114,7 +116,7 @@
 
 
 def _join_chunks(state: StoredState, job_id: str, chunks: SpecChunks) -> JobSpec | None:
-    """The spec that is stored in chunks; None when some of them are not read yet."""
+    """Returns the spec that is stored in chunks, or None if some of the chunks are not read yet."""
     texts = state.spec_chunks.get(job_id, {}).get(chunks.attempt, {})
     if len(texts) < chunks.chunk_count:
         return None
@@ -122,16 +124,16 @@
 
 
 def _effective_status(state: StoredState, job_id: str, row: JobRow) -> JobState | str:
-    """The state that a job's row names, unless a sibling knows a cancellation that the row does not show.
+    """Returns the state in a job's row, or cancelled if a sibling reported a cancellation that the row does not show.
 
-    Guards against a reading that was under way when the sibling sent it: what it brings is older than the
-    cancellation, and must not bring the job back to life.
+    A read that started before the sibling's report may return a row older than the cancellation. Applying the state in
+    that row would make the job live again.
     """
     return _CANCELLED if job_id in state.peer_cancellations else row.status
 
 
 def apply_spec_chunk(state: StoredState, name: str, value: str | None, _revision: int) -> None:
-    """A chunk of a spec was stored or deleted; a job's row that waited for it is applied now."""
+    """Applies a stored or deleted chunk of a spec; retries the job's row if that was set aside for missing chunks."""
     job_id, attempt, number = name.split("/")
     texts = state.spec_chunks.setdefault(job_id, {}).setdefault(attempt, {})
     if value is None:
@@ -151,7 +153,7 @@
 
 
 def apply_progress(state: StoredState, job_id: str, value: StoredRow | None, revision: int) -> None:
-    """A job's progress was stored or deleted; adoptions that the row does not contain are added to it."""
+    """Applies a stored or deleted progress row, and adds the adoptions that it does not contain yet."""
     if value is None:
         state.leftover_progress.discard(job_id)
     if job_id in state.finished_jobs:
@@ -171,10 +173,10 @@
 
 
 def apply_adoption(state: StoredState, name: str, value: StoredRow | None, revision: int) -> None:
-    """A controller stored tasks that it found on machines which it took over, or such a row was deleted.
+    """Applies a stored or deleted adoption: tasks that a controller found on machines that it took over.
 
-    Each row is written once, so that none brings back what was given up since. It is deleted when its controller's
-    run is over and what it claimed is void or stored with the jobs.
+    An adoption row is never rewritten, because a rewrite would restore claims that were released in the meantime. It is
+    deleted after its incarnation has left the view, when its claims are void or contained in the progress rows.
     """
     incarnation_id = name.rpartition("/")[0]
     key = f"{keys.KEY_PREFIX}{RowKind.ADOPTION}/{name}"
@@ -191,13 +193,13 @@
         adoptions.sort()
         job = state.jobs.get(job_id)
         if job is not None and revision > job.progress.adoption_revision:
-            # A new object, since has_unclaimed_tasks is computed once for each.
+            # A new object, because Job.has_unclaimed_tasks is cached per Progress object.
             job.progress = job.progress.copy()
             job.progress.adopt(incarnation_id, tasks)
 
 
 def _forget_adoptions(state: StoredState, incarnation_id: str) -> None:
-    """All adoptions of a controller's run are deleted; what is in the jobs' progress stays there."""
+    """Drops all adoptions of an incarnation; claims that the jobs' progress already contains stay there."""
     kept = {
         job_id: [adoption for adoption in adoptions if adoption.incarnation_id != incarnation_id]
         for job_id, adoptions in state.adoptions.items()
@@ -209,7 +211,7 @@
 
 
 def apply_machine(state: StoredState, machine: str, value: StoredRow | None, _revision: int) -> None:
-    """A machine with a row of its own (layout 1) was stored or deleted."""
+    """Applies a stored or deleted machine row (layout 1: one row per machine)."""
     if value is None:
         state.machines.pop(machine, None)
         state.deleted_machines.add(machine)
@@ -219,11 +221,12 @@
 
 
 def apply_machine_group(state: StoredState, group: str, value: StoredRow | None, _revision: int) -> None:
-    """A group of machines was stored or deleted.
+    """Applies a stored or deleted group of machines.
 
-    A group that exceeds the limit of a value is split, and a write repeated after no answer makes another group, so
-    that a machine may be in several. The last of them by name holds it, whatever order they were read in: left out of
-    the others by different controllers, it is still in that one.
+    A machine may be in several groups: a group that exceeds the size limit of a value is split, and a write that is
+    retried after a lost response creates another group. Such a machine belongs to the last of its groups by name, in
+    whatever order the groups are read. All controllers therefore agree on the group, even if they remove the machine
+    from its other groups.
     """
     rows: Mapping[str, StoredMachine] = {} if value is None else row_codec.decode_machine_group(value)
     left_out = state.machine_groups.pop(group, set()) - rows.keys()
@@ -246,7 +249,7 @@
 
 
 def _leave_group(state: StoredState, machine: str) -> None:
-    """A machine is in one group less; it is deleted when that was its last."""
+    """Assigns a machine that left a group to another of its groups; it counts as deleted if there is none."""
     other = max((group for group, machines in state.machine_groups.items() if machine in machines), default=None)
     if other is not None:
         state.machines[machine].key = keys.group_key(other)
@@ -256,14 +259,14 @@
 
 
 def apply_catalog(state: StoredState, _name: str, value: StoredRow | None, _revision: int) -> None:
-    """The machine types that the cloud lists were stored together, or deleted."""
+    """Applies the stored or deleted catalog, the row with all machine types that the cloud lists."""
     listed = [] if value is None else row_codec.decode_machine_types(value)
     state.catalog_types = {machine_type.name: machine_type for machine_type in listed}
     state.machine_types = state.catalog_types | state.single_types
 
 
 def apply_machine_type(state: StoredState, name: str, value: StoredRow | None, _revision: int) -> None:
-    """One machine type was stored by itself, or deleted."""
+    """Applies a stored or deleted row of a single machine type."""
     if value is None:
         state.single_types.pop(name, None)
     else:
@@ -275,7 +278,7 @@
 
 
 def apply_member(state: StoredState, member: str, value: StoredRow | None, _revision: int) -> None:
-    """A controller is live, or its lease has ended."""
+    """Applies the row of a live controller; the row is deleted when the controller's lease ends."""
     if value is None:
         state.members.pop(member, None)
     else:
@@ -283,31 +286,31 @@
 
 
 def apply_view(state: StoredState, _name: str, value: StoredRow | None, _revision: int) -> None:
-    """The coordinator wrote a new view; a view stays when its row is deleted."""
+    """Applies a new view; a deletion of the row is ignored and the last view stays."""
     if value is not None:
         state.view = row_codec.decode_view(value)
 
 
 def apply_coordinator(state: StoredState, _name: str, value: StoredRow | None, _revision: int) -> None:
-    """A controller became the coordinator, or its lease has ended."""
+    """Applies the coordinator's row; the row is deleted when the coordinator's lease ends."""
     state.coordinator = None if value is None else row_codec.decode_coordinator(value)
 
 
 def apply_layout(state: StoredState, _name: str, value: StoredRow | None, _revision: int) -> None:
-    """One more member has run with the present layout; that is not forgotten when the row is deleted."""
+    """Applies the list of members that have run with the present layout; a deletion of the row is ignored."""
     if value is not None:
         state.layout_members = row_codec.decode_seen_members(value)
         state.layout_complete = row_codec.decode_complete(value)
 
 
 def apply_feature(state: StoredState, feature: str, value: StoredRow | None, _revision: int) -> None:
-    """One more member has run with a feature; that is not forgotten when the row is deleted."""
+    """Applies the list of members that have run with a feature; a deletion of the row is ignored."""
     if value is not None:
         state.features[feature] = FeatureStatus(row_codec.decode_seen_members(value), row_codec.decode_complete(value))
 
 
 def apply_admission(state: StoredState, name: str, value: StoredRow | None, _revision: int) -> None:
-    """Cuts of admission changed; the rows are replaced as a whole, so that a reader can tell a change."""
+    """Applies a row of admission cuts; replaces the dict of all rows, so that a reader can detect the change."""
     path = name.removeprefix("r")
     rows = dict(state.admission_rows)
     if value is None:
@@ -318,16 +321,16 @@
 
 
 def apply_handoff_floor(state: StoredState, cell: str, value: StoredRow | None, _revision: int) -> None:
-    """Another cell's unrecorded handoffs are refused up to a higher number."""
+    """Applies the number up to which another cell's handoffs that are not on record are refused."""
     state.handoff_floors[cell] = 0 if value is None else row_codec.decode_floor(value)
 
 
 def apply_quota(state: StoredState, team: str, value: StoredRow | None, _revision: int) -> None:
-    """The allocations of a team's quota changed."""
+    """Applies the allocations of a team's quota."""
     state.quota_allocations[team] = row_codec.decode_quota_allocations(value or {})
 
 
-# A kind that is not listed was written by a later version; its rows are skipped.
+# Rows of a kind that is not listed here were written by a later version and are ignored.
 ROW_FUNCTIONS: Mapping[str, RowFunction] = {
     RowKind.JOB: apply_job,
     RowKind.SPEC_CHUNK: apply_spec_chunk,
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -1,8 +1,8 @@
-"""How rows of the state service are encoded and decoded.
+"""Encodes and decodes the rows of the state service.
 
-The letters of the stored form (see `core.keys`) stand in this module only; elsewhere the records of `core.records` are
-used. Decoding raises KeyError, TypeError, ValueError, AttributeError or msgspec.MsgspecError on a row that this version
-cannot read; whoever applies rows catches these.
+This module converts between the stored field names (mostly single letters, see `core.keys`) and the records of
+`core.records`. Decoding raises KeyError, TypeError, ValueError, AttributeError or msgspec.MsgspecError on a row that
+this version cannot read; `core.tables.Tables.apply` catches these.
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 )
 from sloeswitch.wire import JobSpec, MachineType, MachineTypeCatalog
 
-# One row as the state service holds it: a JSON object by its stored letters.
+# The value of one row: a JSON object with the stored field names.
 StoredRow: TypeAlias = dict[str, Any]
-# A machine as it stands in its group's row: address, type, zone, spot.
+# A machine in its group's row: address, type, zone, spot.
 StoredMachine: TypeAlias = list[Any]
 
 _JOB_STATES: dict[str, JobState] = {state.value: state for state in JobState}
@@ -43,13 +43,13 @@
 
 
 def encode_job(status: JobState | str, spec: JobSpec, submitted_ms: int, chunks: SpecChunks | None = None) -> StoredRow:
-    """A job that is not over, as it is stored.
+    """Encodes the row of a job that is not finished.
 
     Args:
-        status: Its state; a word that this version does not know is written as it was read.
-        spec: What its user asked for.
+        status: Its state; a state that this version does not know is written back unchanged.
+        spec: Its spec, as the user submitted it.
         submitted_ms: When it was submitted, in milliseconds since 1970.
-        chunks: Where its spec is stored, when that is in chunks.
+        chunks: The chunks that hold its spec; None to store the spec in the row.
     """
     value: StoredRow = {"s": status, "n": spec.tasks, "t": submitted_ms}
     if chunks is not None:
@@ -58,11 +58,11 @@
 
 
 def encode_job_links(job: Job, over: bool = False) -> StoredRow:
-    """What a job's row keeps of other cells, whatever else is written to it.
+    """Encodes the fields with a job's handoffs from and to other cells, which every write of its row must include.
 
     Args:
         job: The job.
-        over: Whether the row says from now on that the job is over.
+        over: Whether the written row marks the job as finished. Only handoffs that must still be stopped are kept then.
     """
     links: StoredRow = {}
     if job.delegated is not None:
@@ -73,34 +73,35 @@
 
 
 def encode_finished_job(status: JobState | str, spec: JobSpec, finished_ms: int) -> StoredRow:
-    """A job that is over, as it is stored; the times of jobs that need it count from `finished_ms`."""
+    """Encodes the row of a finished job; jobs that depend on it count as ready from `finished_ms` on."""
     return {"s": status, "n": spec.tasks, "t": finished_ms}
 
 
 def has_spec(value: StoredRow) -> bool:
-    """Whether a job's row keeps its spec, in it or in chunks: the job is not over."""
+    """Whether a job's row holds its spec or refers to chunks of it, which means that the job is not finished."""
     return "spec" in value or "parts" in value
 
 
 @dataclass(slots=True)
 class JobRow:
-    """A job's row with what every use of it needs, decoded at once, and the rest as it is stored."""
+    """A job's row, of which only the fields that every use needs are decoded."""
 
     value: StoredRow
     mod_revision: int
     status: JobState | str
-    # Its handoffs to other cells, and the handoff that it came with.
+    # Its handoffs to other cells.
     handoff: OriginRow | None
+    # The handoff by which the job came from another cell.
     delegated: DelegationOrigin | None
 
     @property
     def has_spec(self) -> bool:
-        """Whether the row keeps the spec, in itself or in chunks: the job is not over."""
+        """Whether the row holds the spec or refers to chunks of it, which means that the job is not finished."""
         return "spec" in self.value or "parts" in self.value
 
 
 def decode_job_row(job_id: str, value: StoredRow, mod_revision: int) -> JobRow:
-    """A job's row, whether the job is over or not; a state that this version does not know stays text."""
+    """Decodes the row of a job in any state; a state that this version does not know stays a plain string."""
     handoff = _decode_handoff(job_id, value.get("h"))
     delegated = DelegationOrigin(*value["o"]) if "o" in value else None
     word: str = value["s"]
@@ -109,17 +110,17 @@
 
 
 def decode_spec_chunks(row: JobRow) -> SpecChunks | None:
-    """Where the spec of a job that is not over is stored in chunks; None when it is in the row itself."""
+    """Decodes the reference to the chunks of a spec; None if the spec is in the row itself."""
     return SpecChunks(row.value["parts"][0], row.value["parts"][1]) if "parts" in row.value else None
 
 
 def decode_spec(row: JobRow) -> JobSpec:
-    """The spec that a job's row holds itself."""
+    """Decodes the spec in a job's row."""
     return msgspec.convert(row.value["spec"], JobSpec)
 
 
 def decode_job(row: JobRow, spec: JobSpec, chunks: SpecChunks | None) -> Job:
-    """A job that is not over and was not known yet; it counts as ready from its submission on."""
+    """Creates the record of an unfinished job that was not known before; it counts as ready from its submission on."""
     submitted_ms = row.value["t"]
     job = Job(spec, row.status, row.mod_revision, row.mod_revision, submitted_ms)
     job.spec_chunks = chunks
@@ -130,19 +131,19 @@
 
 
 def decode_cancelled_ms(row: JobRow) -> int:
-    """When a job's user cancelled it; 0 when that is not stored."""
+    """Decodes the time at which a job's user cancelled it; 0 if none is stored."""
     cancelled_ms: int = row.value.get("x", 0)
     return cancelled_ms
 
 
 def decode_returned_ms(row: JobRow) -> int:
-    """When the last handoff of a job came back; 0 when none did."""
+    """Decodes the time at which another cell last returned a job; 0 if none did."""
     returned_ms: int = row.value.get("h", {}).get("t", 0)
     return returned_ms
 
 
 def decode_finished_job(row: JobRow) -> FinishedJob:
-    """A job that is over; an earlier layout stored no time of its end."""
+    """Decodes a finished job; an earlier layout did not store the time at which it finished."""
     value = row.value
     return FinishedJob(row.status, value["n"], value.get("t", 0), row.mod_revision, row.handoff, row.delegated)
 
@@ -151,11 +152,11 @@
 
 
 def encode_handoff(row: OriginRow, returned_ms: int = 0) -> StoredRow:
-    """What a job's row keeps of its handoffs to other cells.
+    """Encodes the handoffs of a job to other cells, a field of the job's row.
 
     Args:
         row: The handoffs.
-        returned_ms: When the last of them came back, in milliseconds since 1970; 0 when none did.
+        returned_ms: When another cell last returned the job, in milliseconds since 1970; 0 if none did.
     """
     value: StoredRow = {"p": row.policy.value}
     if row.away is not None:
@@ -170,7 +171,10 @@
 
 
 def _decode_handoff(job_id: str, stored: StoredRow | None) -> OriginRow | None:
-    """The handoffs that a job's row names; None when it was never offered. The cell's own name is not stored."""
+    """Decodes the handoffs in a job's row; None if it was never offered to another cell.
+
+    The name of this cell is not stored and is left empty.
+    """
     if stored is None:
         return None
     away = Placement(*stored["a"]) if "a" in stored else None
@@ -182,14 +186,14 @@
 
 
 def split_spec(spec: JobSpec, max_bytes: int) -> list[str]:
-    """A spec as texts, each of which is a value within the limit."""
+    """Splits an encoded spec into texts that each fit within `max_bytes` as a JSON value."""
     text = b64encode(msgspec.json.encode(spec)).decode()
     step = max(1, max_bytes - len('""'))
     return [text[start : start + step] for start in range(0, len(text), step)]
 
 
 def join_spec(texts: list[str]) -> JobSpec:
-    """The spec that was split into these texts."""
+    """Decodes the spec from all of its chunks, in order."""
     return msgspec.json.decode(b64decode("".join(texts), validate=True), type=JobSpec)
 
 
@@ -197,11 +201,11 @@
 
 
 def encode_progress(progress: Progress, dense: bool = False) -> StoredRow:
-    """A job's progress, as it is stored.
+    """Encodes a job's progress.
 
     Args:
-        progress: The progress; its adoption revision is the writer's to add ("e").
-        dense: Whether sets of tasks take the form of layout 3, which no earlier one reads.
+        progress: The progress. Its adoption revision (field "e") is not encoded; the caller adds it.
+        dense: Whether sets of tasks take the form of layout 3, which earlier layouts cannot read.
     """
     pack = taskset.pack_dense if dense else taskset.pack
     value: StoredRow = {
@@ -216,7 +220,7 @@
 
 
 def decode_progress(value: StoredRow) -> Progress:
-    """A job's progress from its row, adoptions that are stored by themselves not included."""
+    """Decodes a job's progress, without the adoptions that are stored in rows of their own."""
     return Progress(
         taskset.unpack(value["d"]),
         {incarnation_id: taskset.unpack(runs) for incarnation_id, runs in value["c"].items()},
@@ -227,7 +231,7 @@
 
 
 def decode_adoption(value: StoredRow) -> dict[str, list[int | str]]:
-    """The adopted tasks by job, each set still packed (see `taskset.unpack`)."""
+    """Decodes an adoption to the adopted tasks by job, each set still packed (see `taskset.unpack`)."""
     packed_tasks: dict[str, list[int | str]] = value["m"]
     return packed_tasks
 
@@ -236,29 +240,29 @@
 
 
 def encode_machine(row: MachineRow) -> StoredMachine:
-    """A machine as it stands in its group."""
+    """Encodes a machine for its group's row."""
     return [row.address, row.type, row.zone, row.spot]
 
 
 def decode_machine(value: StoredRow, key: str) -> MachineRow:
-    """A machine that has a row of its own (layout 1)."""
+    """Decodes a machine from a row of its own (layout 1)."""
     return MachineRow(value["a"], value["t"], value["z"], value["s"], key)
 
 
 def decode_machine_group(value: StoredRow) -> dict[str, StoredMachine]:
-    """The machines of a group, by name."""
+    """Decodes the row of a group to its machines by name; each machine is still encoded."""
     machines: dict[str, StoredMachine] = value["m"]
     return machines
 
 
 def decode_grouped_machine(stored: StoredMachine, key: str) -> MachineRow:
-    """A machine as it stands in its group, whose row is at `key`."""
+    """Decodes a machine from its group's row, whose key is `key`."""
     address, machine_type, zone, spot = stored
     return MachineRow(address, machine_type, zone, spot, key)
 
 
 def split_machine_groups(rows: dict[str, StoredMachine], max_bytes: int) -> list[dict[str, StoredMachine]]:
-    """The machines' rows split into groups, each of which is a value within the limit."""
+    """Splits encoded machines into groups whose rows each fit within `max_bytes`."""
     groups: list[dict[str, StoredMachine]] = []
     free_bytes = 0
     for name, row in rows.items():
@@ -272,7 +276,7 @@
 
 
 def decode_machine_types(value: StoredRow) -> list[MachineType]:
-    """The machine types of a catalog."""
+    """Decodes the machine types in the catalog row."""
     return msgspec.convert(value, MachineTypeCatalog).types
 
 
@@ -280,36 +284,36 @@
 
 
 def decode_member(value: StoredRow) -> MemberRow:
-    """A live controller; layout 1 did not name itself."""
+    """Decodes the row of a live controller; layout 1 did not store its layout number."""
     return MemberRow(value["boot"], value["settled"], value.get("layout", 1))
 
 
 def decode_view(value: StoredRow) -> View:
-    """The view."""
+    """Decodes the view."""
     return View(value["n"], tuple(Incarnation(member, incarnation) for member, incarnation in value["members"]))
 
 
 def decode_coordinator(value: StoredRow) -> Incarnation:
-    """The coordinator's run."""
+    """Decodes the incarnation of the coordinator."""
     return Incarnation(value["member"], value["boot"])
 
 
 def decode_seen_members(value: StoredRow) -> tuple[str, ...]:
-    """The members that have run with a feature, or with the present layout."""
+    """Decodes the members that have run with a feature, or with the present layout."""
     return tuple(value["seen"])
 
 
 def decode_complete(value: StoredRow) -> bool:
-    """Whether all configured members have run with a feature, or with the present layout."""
+    """Decodes whether all configured members have run with a feature, or with the present layout."""
     return bool(value["complete"])
 
 
 def decode_floor(value: StoredRow) -> int:
-    """The number up to which another cell's unrecorded handoffs are refused."""
+    """Decodes the number up to which another cell's handoffs that are not on record are refused."""
     number: int = value["n"]
     return number
 
 
 def decode_quota_allocations(value: StoredRow) -> dict[str, ResourceAmount]:
-    """A team's quota, as allocations by incarnation id."""
+    """Decodes the allocations of a team's quota, by incarnation id."""
     return {incarnation_id: ResourceAmount(cores, gpus) for incarnation_id, (cores, gpus) in value.items()}
