--- a/sloeswitch/core/incarnation.py
+++ b/sloeswitch/core/incarnation.py
@@ -1,4 +1,4 @@
-"""One run of one controller."""
+"""Identifies one run of a controller."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class Incarnation(NamedTuple):
-    """A member and the lease of one of its runs, as views and the coordinator's key name them.
+    """A member and the lease of one of its runs, as stored in the view and in the coordinator's row.
 
-    A restarted member has another lease, so that it never takes what its former run held for its own.
+    A restarted member gets a new lease, so that it does not own the claims and quota allocations of its previous run.
     """
 
     member: str
@@ -18,5 +18,5 @@
 
     @property
     def id(self) -> str:
-        """The incarnation as one word, as claims and quota allocations bear it."""
+        """The incarnation id, under which claims and quota allocations are stored."""
         return keys.incarnation_id_of(self.member, self.lease_id)
--- a/sloeswitch/core/keys.py
+++ b/sloeswitch/core/keys.py
@@ -1,36 +1,41 @@
-"""Keys of the state service, and the layouts of what is stored under them.
-
-All keys are under one versioned prefix, so that a later layout can be told apart. Names in capitals stand for what
-they name, in quotation marks stands what is stored:
-
-    m/MEMBER    {"boot", "settled", "layout"}    a live controller (bound to its lease): its incarnation, the view
-                                                 whose recovery it has completed, the layout that it writes
-    coord       {"member", "boot"}               the coordinator (bound to its lease), as member and incarnation
-    view        {"n", "members"}                 the numbered view: [[member, incarnation], ...]
-    catalog     {...}                            all machine types, as the cloud listed them last
-    c/TYPE      {...}                            one machine type, where all together exceed the limit of a value
-    j/JOB       {"s", "n", "t", "spec", ...}     a job: its state ("live", "done" or "withdrawn"), number of tasks, and
-                                                 spec with the time of submission until it is over; then the time of
-                                                 its end. "x": the time of its cancellation. "h": its handoffs, once it
-                                                 was offered to another cell. "o": the handoff that it came with. In
-                                                 place of "spec", "parts": the attempt to store chunks, and their number
-    p/JOB/ATTEMPT/N  TEXT                        a chunk of a spec that exceeds the limit of a value
-    r/JOB       {"d", "c", "z", "a", "e"}        a job's progress: done tasks, claims by incarnation id, zone, attempt,
-                                                 and the revision up to which adoptions are in the claims
-    a/INCARNATION/N  {"m": {JOB: tasks}}         an adoption: tasks that this incarnation found on machines which it
-                                                 took over, its claims in addition to those in the jobs' progress rows
-                                                 until these are written next
-    q/TEAM      {INCARNATION: [cores, gpus]}     a team's quota, as allocations to controllers
-    g/GROUP     {"m": {MACHINE: [address, type, zone, spot]}}    a group of machines that may hold tasks
-    h/MACHINE   {"a", "t", "z", "s"}             the same, one machine in a row: layout 1, written while a controller is
-                                                 live that does not know groups
-    feature/F   {"seen", "complete"}             members that have run with a feature turned on, and whether all
-                                                 configured ones have (see features)
-    admission/rPATH  {"n", "c", ...}             cuts of admission (see admission.cuts), of the lanes whose hash begins
-                                                 with PATH
-    f/CELL      {"n"}                            the number up to which another cell's unrecorded handoffs are refused
-                                                 (see cells.delegation)
-    layout      {"seen", "complete"}             members that have run with the present layout, and whether all have
+"""Keys of the rows in the state service, and the layout of the stored values.
+
+All keys have one versioned prefix; an incompatible layout would use another prefix. In the list below, words in
+capitals are placeholders and words in quotation marks are stored field names:
+
+    m/MEMBER    {"boot", "settled", "layout"}    a live controller (bound to its lease): its incarnation, the number of
+                                                 the latest view whose recovery it has completed, and the version of
+                                                 the layout that it writes
+    coord       {"member", "boot"}               the coordinator (bound to its lease): member and incarnation
+    view        {"n", "members"}                 the view: its number, and [[member, incarnation], ...]
+    catalog     {...}                            all machine types of the cloud's latest list
+    c/TYPE      {...}                            one machine type; used if the catalog exceeds the size limit of a value
+    j/JOB       {"s", "n", "t", "spec", ...}     a job. "s": its state ("live", "done" or "withdrawn"). "n": its number
+                                                 of tasks. "t": the time of submission; once the job is finished, the
+                                                 time at which it finished. "spec": its spec, until it is finished.
+                                                 "parts": replaces "spec" if the spec is stored in chunks; the attempt
+                                                 that stored them, and their number. "x": the time of cancellation.
+                                                 "h": its handoffs to other cells, once it was offered to one. "o": the
+                                                 handoff by which it came from another cell
+    p/JOB/ATTEMPT/N  TEXT                        one chunk of a spec that exceeds the size limit of a value
+    r/JOB       {"d", "c", "z", "a", "e"}        a job's progress. "d": done tasks. "c": claims by incarnation id. "z":
+                                                 zone. "a": attempt (unused). "e": the revision up to which adoptions
+                                                 are contained in the claims
+    a/INCARNATION/N  {"m": {JOB: tasks}}         an adoption: tasks that this incarnation found on machines that it took
+                                                 over. They count as its claims, in addition to those in a job's
+                                                 progress row, until that row is next written
+    q/TEAM      {INCARNATION: [cores, gpus]}     the allocations of a team's quota to controllers
+    g/GROUP     {"m": {MACHINE: [address, type, zone, spot]}}    a group of machines on which tasks may run
+    h/MACHINE   {"a", "t", "z", "s"}             a single machine on which tasks may run: layout 1, written while any
+                                                 live controller does not support groups
+    feature/F   {"seen", "complete"}             the members that have run with a feature turned on, and whether this
+                                                 includes all configured ones (see features)
+    admission/rPATH  {"n", "c", ...}             admission cuts (see admission.cuts) of the lanes whose hash begins with
+                                                 PATH
+    f/CELL      {"n"}                            the number up to which another cell's handoffs that are not on record
+                                                 are refused (see cells.delegation)
+    layout      {"seen", "complete"}             the members that have run with the present layout, and whether this
+                                                 includes all configured ones
 """
 
 from __future__ import annotations
@@ -42,7 +47,7 @@
 
 
 class RowKind(StrEnum):
-    """The first part of a key after the prefix: what kind of row it names; the values are the stored words."""
+    """The kind of a row; each value is the first part of the row's key after the prefix."""
 
     MEMBER = "m"
     COORDINATOR = "coord"
@@ -67,11 +72,11 @@
 CATALOG_KEY = f"{KEY_PREFIX}{RowKind.CATALOG}"
 LAYOUT_KEY = f"{KEY_PREFIX}{RowKind.LAYOUT}"
 
-# The layout with which groups of machines came.
+# The first layout with groups of machines.
 MACHINE_GROUPS_LAYOUT = 2
-# The layout that this version writes; each controller announces its own in its member row. Layout 3 stores jobs that
-# wait for others, specs in chunks, and sets of tasks as text where that is shorter, all of them only once the row at
-# LAYOUT_KEY says that every configured controller has run with it.
+# The layout that this version writes; each controller stores its own in its member row. Layout 3 adds jobs that depend
+# on other jobs, specs in chunks, and sets of tasks as text where that is shorter. They are written only after the row
+# at LAYOUT_KEY shows that every configured controller has run with layout 3.
 LAYOUT_VERSION = 3
 
 _MEMBER_PREFIX = f"{KEY_PREFIX}{RowKind.MEMBER}/"
@@ -89,71 +94,74 @@
 
 
 def member_key(member: str) -> str:
-    """The key of a live controller's row."""
+    """Returns the key of a live controller's row."""
     return f"{_MEMBER_PREFIX}{member}"
 
 
 def job_key(job: str) -> str:
-    """The key of a job's row."""
+    """Returns the key of a job's row."""
     return f"{_JOB_PREFIX}{job}"
 
 
 def progress_key(job: str) -> str:
-    """The key of the row with a job's progress."""
+    """Returns the key of a job's progress row."""
     return f"{_PROGRESS_PREFIX}{job}"
 
 
 def chunk_key(job: str, attempt: str, number: int) -> str:
-    """The key of one chunk of a job's spec, as one attempt to store the spec names it."""
+    """Returns the key of one chunk of a job's spec; each attempt to store a spec uses its own keys."""
     return f"{_SPEC_CHUNK_PREFIX}{job}/{attempt}/{number}"
 
 
 def adoption_key(incarnation_id: str, number: int) -> str:
-    """The key of one of the adoptions that a controller's run has stored."""
+    """Returns the key of an adoption; an incarnation numbers its adoptions."""
     return f"{_ADOPTION_PREFIX}{incarnation_id}/{number}"
 
 
 def feature_key(feature: str) -> str:
-    """The key of the row that says which members have run with a feature."""
+    """Returns the key of the row with the members that have run with a feature."""
     return f"{_FEATURE_PREFIX}{feature}"
 
 
 def admission_key(path: str) -> str:
-    """The key of the admission cuts of the lanes whose hash begins with a path; the root's path is empty."""
+    """Returns the key of the admission cuts of the lanes whose hash begins with a path; the root path is empty."""
     return f"{_ADMISSION_PREFIX}{path}"
 
 
 def handoff_floor_key(cell: str) -> str:
-    """The key of the number up to which another cell's unrecorded handoffs are refused."""
+    """Returns the key of the number up to which another cell's handoffs that are not on record are refused."""
     return f"{_HANDOFF_FLOOR_PREFIX}{cell}"
 
 
 def team_key(team: str) -> str:
-    """The key of the allocations of a team's quota."""
+    """Returns the key of the allocations of a team's quota."""
     return f"{_QUOTA_PREFIX}{team}"
 
 
 def machine_key(machine: str) -> str:
-    """The key of a machine's own row, which only layout 1 writes."""
+    """Returns the key of a single machine's row, which only layout 1 uses."""
     return f"{_MACHINE_PREFIX}{machine}"
 
 
 def machine_type_key(machine_type: str) -> str:
-    """The key of one machine type, where the catalog exceeds the limit of a value."""
+    """Returns the key of one machine type, used if the catalog exceeds the size limit of a value."""
     return f"{_MACHINE_TYPE_PREFIX}{machine_type}"
 
 
 def group_key(group: str) -> str:
-    """The key of a group of machines."""
+    """Returns the key of a group of machines; for an empty name, the prefix of all such keys."""
     return f"{_MACHINE_GROUP_PREFIX}{group}"
 
 
 def group_name(key: str) -> str:
-    """The group that a key names; a key of another kind is returned as it is, which names no group."""
+    """Returns the name of the group that a key stands for; any other key is returned unchanged and names no group."""
     return key.removeprefix(_MACHINE_GROUP_PREFIX)
 
 
 @lru_cache(maxsize=64)
 def incarnation_id_of(member: str, incarnation: int) -> str:
-    """Names one run of one controller: claims carry it, so that a restart never owns old claims."""
+    """Returns the id of one run of one controller.
+
+    Claims are stored under this id, so that a restarted controller does not own the claims of its previous run.
+    """
     return f"{member}.{incarnation}"
--- a/sloeswitch/core/rendezvous.py
+++ b/sloeswitch/core/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: which member of a view owns a machine, and which one preferably claims the jobs of an image.
+"""Rendezvous hashing: assigns machines to the members of a view, and images to the member that prefers to claim them.
 
-The owner is the member with the highest hash of the pair, so that a change of the view moves only what belonged to
-members that came or went.
+The owner of a name is the member for which the hash of name and member is highest. A change of the view therefore
+reassigns only the names of members that left and those that go to members that joined.
 """
 
 from __future__ import annotations
@@ -9,19 +9,20 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-# Names looked up under one view: some thousand machines, and the images. The cache must hold all of them: with one
-# name more than there are places, a pass over all of them would miss each time.
+# The cache must hold every name looked up under one view: several thousand machines, and the images. If it held one
+# entry less, a repeated pass over all names would miss on every lookup, because the least recently used entry goes
+# first.
 CACHED_NAMES = 1 << 15
 
 
 @lru_cache(maxsize=CACHED_NAMES)
 def owner(name: str, members: tuple[tuple[str, int], ...]) -> str | None:
-    """The member that owns a machine or an image; None when there is no member.
+    """Returns the member that owns a machine or an image, or None if there are no members.
 
     Args:
         name: The machine or the image.
-        members: Members of the view, each with its incarnation, which does not count: a controller that restarts
-            keeps its machines.
+        members: The members of the view, each with its incarnation. The incarnation is not hashed, so that a restarted
+            controller keeps its machines.
     """
     highest: tuple[bytes, str] | None = None
     for member, _incarnation in members:
--- a/sloeswitch/core/taskset.py
+++ b/sloeswitch/core/taskset.py
@@ -1,8 +1,8 @@
-"""Sets of task numbers, and how they are stored.
+"""Sets of task numbers and their stored form.
 
-A set is an int with one bit for each task, which makes unions and differences cheap. Stored values hold it as a flat
-list of runs, each a start and a length. From layout 3 on, a stretch of short runs is one base64 text of its bits
-instead of its length, so that the progress of a large scattered job still fits a small value.
+In memory, a set is an int with one bit per task, which makes unions and differences cheap. The stored form is a flat
+list of runs, each a start and a length. From layout 3 on, several short runs close together are stored as one start and
+a base64 text of their bits, so that the progress of a large job with scattered tasks still fits a small value.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 # A set of task numbers: bit n is set when task n is in it. Unions and differences are `|` and `& ~`.
 TaskSet: TypeAlias = int
 
-# A run takes about this many characters as two numbers, which as base64 hold this many task numbers.
+# The approximate number of characters of one run stored as two numbers.
 RUN_CHARS = 7
+# The number of tasks that as many base64 characters hold, at 6 bits each.
 RUN_TASKS = RUN_CHARS * 6
 
 
 def pack(tasks: TaskSet) -> list[int]:
-    """The set as it is stored in every layout: [start, length, start, length, ...]."""
+    """Packs a set in the form that every layout reads: [start, length, start, length, ...]."""
     runs: list[int] = []
     position = 0
     while tasks:
@@ -34,7 +35,10 @@
 
 
 def pack_dense(tasks: TaskSet) -> list[int | str]:
-    """The set as layout 3 stores it: [start, length or text, ...], where near runs share a text of their bits."""
+    """Packs a set in the form of layout 3: [start, length or text, ...].
+
+    Several short runs close together become one start and a base64 text of their bits.
+    """
     runs = pack(tasks)
     packed: list[int | str] = []
     index = 0
@@ -55,15 +59,15 @@
 
 
 def unpack(runs: Sequence[int | str]) -> TaskSet:
-    """The set from either stored form.
+    """Unpacks a set from either stored form.
 
     Raises:
-        ValueError: It is neither form.
+        ValueError: The value has neither form.
     """
     tasks = 0
     for start, length_or_bits in zip(runs[::2], runs[1::2], strict=True):
         if isinstance(start, str):
-            raise ValueError("a set of tasks begins with a text")
+            raise ValueError("task set: run start must be a number, not a string")
         if isinstance(length_or_bits, str):
             padded = length_or_bits + "=" * (-len(length_or_bits) % 4)
             bits = int.from_bytes(b64decode(padded, validate=True), "little")
@@ -74,12 +78,12 @@
 
 
 def full(count: int) -> TaskSet:
-    """The set of the task numbers below `count`."""
+    """Returns the set of all task numbers below `count`."""
     return (1 << count) - 1
 
 
 def members(tasks: TaskSet) -> Iterator[int]:
-    """The task numbers of a set, lowest first."""
+    """Yields the task numbers in a set, lowest first."""
     while tasks:
         lowest_bit = tasks & -tasks
         yield lowest_bit.bit_length() - 1
@@ -87,7 +91,7 @@
 
 
 def lowest(tasks: TaskSet, count: int) -> TaskSet:
-    """The subset of the `count` lowest task numbers."""
+    """Returns the subset of the `count` lowest task numbers, or the whole set if it has no more."""
     if tasks.bit_count() <= count:
         return tasks
     subset = 0
--- a/sloeswitch/core/transaction.py
+++ b/sloeswitch/core/transaction.py
@@ -1,7 +1,7 @@
 """A transaction of the state service: compare-and-swap over many keys.
 
-Actors build transactions; `state_client.StateClient.compare_and_swap` carries them out. What the state service accepts
-at most (changes, conditions, bytes) is the builder's concern: see the limits of `StateClient`.
+Actors build transactions and `state_client.StateClient.compare_and_swap` sends them. The code that builds a transaction
+must keep within the limits of the state service on changes, conditions and bytes: see `StateClient`.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 @dataclass
 class Transaction:
-    """Writes and deletions that are carried out together if every condition holds.
+    """Writes and deletions that are applied atomically if every condition holds.
 
     Attributes:
-        conditions: The modification revision that each key must have; 0: the key must not exist.
+        conditions: The modification revision that each key must have; 0 means that the key must not exist.
         writes: The new value of each written key, encodable as JSON.
         deletes: The keys to delete.
     """
@@ -25,5 +25,5 @@
     deletes: list[str] = field(default_factory=list)
 
     def __len__(self) -> int:
-        """The number of changes, which the write rate and the limit of a transaction count."""
+        """Returns the number of changes, which count towards the write rate and the size limit of a transaction."""
         return len(self.writes) + len(self.deletes)
