--- a/sloeswitch/core/commit_planner.py
+++ b/sloeswitch/core/commit_planner.py
@@ -1,8 +1,8 @@
 """Plans one transaction of the jobs actor: completions, releases, adoptions, claims and quota allocations.
 
-Pure: no I/O and no clock. The actor takes a `CommitSnapshot`, has `plan_commit` compute a `CommitPlan` from it, and
-commits the plan's transaction. A conflict means that another controller was quicker; the next plan starts from the
-tables as they are then.
+Pure functions, without I/O and without a clock. The actor takes a `CommitSnapshot`, calls `plan_commit` to compute a
+`CommitPlan` from it, and commits the plan's transaction. On a conflict, another controller has changed a row first; the
+next plan starts from the tables with that change.
 """
 
 from __future__ import annotations
@@ -25,61 +25,65 @@
 
 @dataclass(frozen=True)
 class RequestedClaims:
-    """The tasks to claim and the quota allocations to change, as the machines actor asks for them."""
+    """The tasks to claim and the quota allocations to change, as the machines actor requests them."""
 
-    # How many tasks to claim of each job.
+    # The number of tasks to claim, by job.
     task_counts: Mapping[str, int] = field(default_factory=dict)
     quota_increases: Mapping[str, ResourceAmount] = field(default_factory=dict)
     quota_decreases: Mapping[str, QuotaDecrease] = field(default_factory=dict)
-    # The zone that each job whose tasks are bound to one zone gets with its first claim.
+    # The zone that a zone-bound job (all tasks in one zone) is bound to with its first claim, by job.
     zones: Mapping[str, str] = field(default_factory=dict)
-    # Which tasks of a zone-bound job fit the free capacity of its zone, as a set.
+    # The tasks of a zone-bound job that fit into the free capacity of its zone, by job.
     zone_bound_tasks: Mapping[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class CommitLimits:
-    """What one transaction may contain."""
+    """The limits of one transaction."""
 
-    # Changes that the write rate allows now.
+    # The number of changes that the write rate allows now.
     changes: int
-    # Changes that the state service takes in one transaction.
+    # The number of changes that the state service accepts in one transaction.
     transaction_changes: int
+    # The size limit of one value.
     value_bytes: int
-    # Once the values are larger than this together, another one may not fit into the transaction.
+    # No further job is added once the values together are larger than this, because it might exceed the size limit of
+    # the request.
     total_bytes: int
 
 
 @dataclass(frozen=True)
 class CommitSnapshot:
-    """All that a plan depends on. The tables and the updates must not change while the plan is made."""
+    """The input of a plan. The tables and the updates must not change while the plan is computed."""
 
     tables: Tables
     teams: Mapping[str, Team]
     incarnation_id: str
     updates: Mapping[str, JobUpdates]
     limits: CommitLimits
-    # Whether this controller is the leader of its machines, so that it may claim tasks and void others' claims.
+    # Whether this controller is the leader of its machines, and may therefore claim tasks and drop void claims.
     is_leader: bool
-    # Whether every machine was reconciled under the present view: claims of departed incarnations are void from then.
+    # Whether all machines are reconciled under the present view. Claims of departed incarnations are void from then on.
     recovery_complete: bool
-    # The condition that the view is still the present one.
+    # The transaction condition that the view has not changed.
     view_conditions: Mapping[str, int]
-    # The revision that the tables were read at.
+    # The revision up to which the tables contain all changes.
     applied_revision: int
     wall_clock_ms: int
-    # The number of this incarnation's next row of adoptions.
+    # The number of this incarnation's next adoption row.
     adoption_number: int = 0
-    # None: nothing is requested, or this controller may not claim now.
+    # None if nothing is requested, or if this controller may not claim tasks now.
     claims: RequestedClaims | None = None
-    # Teams whose row is written even if it stays the same, so that an earlier write of it fails for certain.
+    # Teams whose quota row is written even if it does not change. An earlier write of the row whose response was lost
+    # then fails on its condition, if it is still to be applied.
     forced_rewrites: Set[str] = frozenset()
 
     @property
     def groups_adoptions(self) -> bool:
-        """Whether adoptions of many jobs are written as one row: all controllers read it, and it has a place.
+        """Whether adoptions of many jobs are written as one row.
 
-        The row takes a change and a team's allocation another one, besides the decreases of allocations.
+        All controllers must support such a row, and the transaction must have space for two changes in addition to the
+        decreases of quota allocations: the adoption row and the allocation of one team.
         """
         decreases = 0 if self.claims is None else len(self.claims.quota_decreases)
         return self.tables.layout_complete and decreases + 2 <= self.limits.transaction_changes
@@ -87,23 +91,23 @@
 
 @dataclass(frozen=True)
 class CommitPlan:
-    """One transaction, and what it means to this controller."""
+    """One transaction, and what it changes for this controller."""
 
     transaction: Transaction
-    # The tasks that it claims, as sets by job.
+    # The tasks that the transaction claims, as sets by job.
     granted: Mapping[str, int]
-    # Whether it is only right under the present view; the transaction has the condition then.
+    # Whether the transaction is valid only under the present view, and therefore has the view conditions.
     relies_on_view: bool
-    # The number of this incarnation's next row of adoptions.
+    # The number of this incarnation's next adoption row.
     adoption_number: int
-    # Jobs whose progress is larger than a value may be, and which are left out.
+    # Jobs that are left out because their progress exceeds the size limit of a value.
     oversized_jobs: Sequence[str]
-    # How the allocations of teams change with it.
+    # The changes of quota allocations in the transaction, by team.
     quota_changes: Sequence[QuotaRowChange] = ()
 
 
 class _Adoption(NamedTuple):
-    """Adopted tasks of one job, and their form in the row of adoptions."""
+    """Adopted tasks of one job, as a set and in the stored form."""
 
     tasks: int
     packed: list[int | str]
@@ -114,14 +118,14 @@
 
     Args:
         snapshot: The state to plan from.
-        due_jobs: The jobs to be written, the most urgent first (see `core.commit_schedule`). Those that do not fit
-            into the transaction are left for the next one.
+        due_jobs: The jobs to write, the most urgent first (see `core.commit_schedule`). Jobs that do not fit into the
+            transaction are left for the next one.
     """
     return _CommitPlanner(snapshot).plan(due_jobs)
 
 
 class _CommitPlanner:
-    """Builds one plan; used once."""
+    """Builds one plan; each instance is used once."""
 
     def __init__(self, snapshot: CommitSnapshot) -> None:
         self._snapshot = snapshot
@@ -131,7 +135,7 @@
         self._transaction = Transaction()
         self._quota = QuotaChanges(snapshot.tables, snapshot.incarnation_id, snapshot.recovery_complete)
         self._adoption_number = snapshot.adoption_number
-        # Jobs whose adoptions are in the row of adoptions.
+        # Jobs whose adoptions are in the adoption row.
         self._grouped_jobs: Set[str] = frozenset()
         self._granted: dict[str, int] = {}
         self._oversized_jobs: list[str] = []
@@ -140,7 +144,7 @@
         self._total_bytes = 0
 
     def plan(self, due_jobs: Sequence[str]) -> CommitPlan:
-        """The plan for these jobs, the most urgent first."""
+        """Returns the plan for the given jobs, the most urgent first."""
         if self._snapshot.groups_adoptions:
             self._group_adoptions()
         if self._snapshot.claims is not None:
@@ -168,10 +172,12 @@
     def _group_adoptions(self) -> None:
         """Writes adoptions of many jobs as one row.
 
-        After a crash of all controllers a change for each job and controller would take much of the state service's
-        rate, and free capacity would wait for it. The row counts in addition to the jobs' own
-        rows, by the revision that these contain (see `core.tables`). Its key is written once, and is kept while this
-        incarnation is in the view that the write is conditional on: carried out late, it fails.
+        After a crash of all controllers, one change per job and controller would use up much of the write rate of the
+        state service, and free capacity would stay unused meanwhile.
+
+        The row adds to the progress rows that do not contain its revision yet (see `core.row_application`). Its key is
+        written only once, and the row is kept as long as this incarnation is in the view. A write that is applied late
+        therefore fails on one of its conditions: that the key does not exist, or that the view has not changed.
         """
         adoptions: dict[str, list[int | str]] = {}
         bytes_left = self._limits.value_bytes - len('{"m":{}}')
@@ -179,7 +185,7 @@
             if self._quota and not self._has_change_for(job.spec.team):
                 break
             tasks = self._snapshot.updates[job.spec.id].adopted & ~job.progress.done
-            # The first job's tasks are parted until they fit, so that every row has some.
+            # The first job's tasks are reduced until they fit, so that every row contains some tasks.
             adoption = self._pack_adoption(job, tasks, None if adoptions else bytes_left)
             bytes_left -= _adoption_bytes(job, adoption.packed)
             if bytes_left < 0:
@@ -187,7 +193,7 @@
             if adoption.tasks:
                 adoptions[job.spec.id] = adoption.packed
                 self._move_quota(job, adoption.tasks)
-        # A write without an answer is tried again under its own key, unless it was carried out.
+        # A write whose response was lost is retried under the same key, unless the tables show that it was applied.
         if keys.adoption_key(self._incarnation_id, self._adoption_number) in self._tables.adoption_keys:
             self._adoption_number += 1
         if adoptions:
@@ -197,7 +203,7 @@
             self._relies_on_view = True
 
     def _jobs_with_adoptions(self) -> list[Job]:
-        """Known jobs with adopted tasks, those of one team together: they share the change of its allocation."""
+        """Returns the known jobs with adopted tasks, sorted by team, because a team's jobs share one quota change."""
         known = self._tables.jobs
         adopting = [
             known[name] for name, updates in self._snapshot.updates.items() if updates.adopted and name in known
@@ -205,22 +211,22 @@
         return sorted(adopting, key=lambda job: job.spec.team)
 
     def _move_quota(self, job: Job, adopted: int) -> None:
-        """Moves the quota of adopted tasks from their former holders, but for those that completed.
+        """Moves the quota of adopted tasks that are not done from their former claim holders to this controller.
 
-        Guards against tasks that are not covered: a former holder has used a completed task's part of its allocation
-        for another one, which is adopted elsewhere and brings that part along.
+        The quota of a done task is not moved. Its former holder may have used it for another task, and it moves with
+        that task when a controller adopts it. Moved twice, it would leave running tasks without quota.
         """
         running = adopted & ~self._snapshot.updates[job.spec.id].done
         if running:
             self._quota.move_with_adoption(job, running)
 
     def _has_change_for(self, team: str) -> bool:
-        """Whether the team's allocation may change besides the row of adoptions and the allocations changed so far."""
+        """Whether the transaction can change the team's allocation besides the adoption row and the changes so far."""
         return team in self._quota or len(self._quota) + 1 < self._limits.changes
 
     @staticmethod
     def _pack_adoption(job: Job, tasks: int, most_bytes: int | None) -> _Adoption:
-        """The tasks, or as many of them as fit `most_bytes`, by halves."""
+        """Packs the tasks for the adoption row; halves the set until it fits `most_bytes`, if that is given."""
         packed = taskset.pack_dense(tasks)
         while most_bytes is not None and tasks and _adoption_bytes(job, packed) > most_bytes:
             tasks = taskset.lowest(tasks, tasks.bit_count() // 2)
@@ -229,7 +235,7 @@
 
     def _change_quotas(self, claims: RequestedClaims) -> None:
         for team, wanted in claims.quota_increases.items():
-            # Where adoptions leave no change for the team's row, the machines actor asks for it again.
+            # If adoptions leave no change for the team's row, the machines actor requests the increase again.
             if not self._grouped_jobs or self._has_change_for(team):
                 self._quota.increase(self._snapshot.teams[team], wanted)
         for team, decrease in claims.quota_decreases.items():
@@ -238,7 +244,7 @@
     # -- one job
 
     def _add_job(self, job: Job) -> bool:
-        """Adds the job's changes; returns False if they do not fit into the transaction any more."""
+        """Adds the job's changes; returns False if the transaction has no space left for them."""
         adopted = self._single_adoption(job)
         allocation_changes = 1 if adopted and job.spec.team not in self._quota else 0
         if (
@@ -252,13 +258,13 @@
         progress = self._progress_after(job, voids_claims)
         claims_tasks = self._claim(job, progress)
         if not progress.claims:
-            # None of its tasks is anywhere, so that none binds the others to a zone. Guards against a job that
-            # waits for ever in a zone whose machines are gone.
+            # No claimed task binds the job to its zone any more. If the zone were kept, the job could wait forever for
+            # a zone without machines.
             progress.zone = None
         if not self._write_job(job, progress):
             return True
         if adopted:
-            # The tasks' part of the limit comes with them, in the same transaction.
+            # The quota of the adopted tasks moves in the same transaction.
             self._changes_left -= allocation_changes
             self._move_quota(job, adopted)
         if adopted or voids_claims or claims_tasks:
@@ -266,14 +272,14 @@
         return True
 
     def _single_adoption(self, job: Job) -> int:
-        """The adopted tasks that are written with the job's own row; none if it ends with this transaction."""
+        """Returns the adopted tasks to write in the job's progress row; none if the job ends with this transaction."""
         updates = self._snapshot.updates.get(job.spec.id)
         if updates is None or job.spec.id in self._grouped_jobs:
             return 0
         return 0 if job.progress.done | updates.done == job.all_tasks else updates.adopted
 
     def _progress_after(self, job: Job, voids_claims: bool) -> Progress:
-        """The job's progress with its uncommitted updates, and without void claims if these are to go."""
+        """Returns the job's progress with its uncommitted updates, and without void claims if `voids_claims`."""
         progress = job.progress.copy()
         if voids_claims:
             for holder in self._tables.void_claim_holders(job):
@@ -292,7 +298,7 @@
         return progress
 
     def _claim(self, job: Job, progress: Progress) -> bool:
-        """Claims the requested tasks in the job's progress; returns whether there are any."""
+        """Adds the requested claims to the job's progress; returns whether any task is claimed."""
         claims = self._snapshot.claims
         count = 0 if claims is None else claims.task_counts.get(job.spec.id, 0)
         if claims is None or not count or not job.is_runnable:
@@ -307,10 +313,10 @@
         return True
 
     def _claimable_tasks(self, job: Job, progress: Progress, claims: RequestedClaims) -> int:
-        """The tasks of the job that this controller may claim now, as a set."""
+        """Returns the tasks of the job that this controller may claim now, as a set."""
         name = job.spec.id
         updates = self._snapshot.updates.get(name)
-        # What is being released is for other controllers to claim.
+        # Tasks that this controller is releasing are left to other controllers.
         released = 0 if updates is None else updates.released
         free = job.all_tasks & ~progress.done & ~progress.claimed_tasks() & ~released
         if job.spec.gang and claims.task_counts[name] < free.bit_count():
@@ -318,18 +324,21 @@
         if not job.spec.zone_bound:
             return free
         if progress.zone is None and (name not in claims.zones or progress.claims):
-            # Guards against tasks claimed ahead of any capacity: without a stored zone they would be placed in any.
-            # Those that an earlier version claimed so are to be gone before there is one.
+            # Tasks of a job without a zone must not be claimed, because they could then be placed in different zones.
+            # An earlier version did claim such tasks: the job gets a zone only after none of these claims is left.
             return 0
         return free & claims.zone_bound_tasks.get(name, 0)
 
     # -- rows
 
     def _write_job(self, job: Job, progress: Progress) -> bool:
-        """Adds the job's row or its progress, whichever changes; returns whether one does and fits a value.
+        """Writes the job's row if the job ends, or else its progress row if that changes.
+
+        The progress row of a finished job is deleted later (see `actors.garbage_collection`), so that the end of a job
+        takes only one change.
 
-        The progress of a job that ends is deleted later (see `actors.garbage_collection`): its end should be one
-        change.
+        Returns:
+            Whether a row is written; False if nothing changes or if the progress exceeds the size limit of a value.
         """
         job_key, progress_key = keys.job_key(job.spec.id), keys.progress_key(job.spec.id)
         end = _final_state(job, progress)
@@ -352,13 +361,14 @@
         return True
 
     def _encode_changed_progress(self, job: Job, progress: Progress) -> dict[str, Any] | None:
-        """The value of the job's progress row; None if it stays the same."""
+        """Returns the new value of the job's progress row, or None if it does not change."""
         dense = self._tables.layout_complete
         value = encode_progress(progress, dense)
         if value == encode_progress(job.progress, dense):
             return None
         if self._tables.adoption_keys:
-            # Right after a first reading the job's row may be newer than all that is surely known.
+            # Right after a full read, the row may contain adoptions newer than the revision up to which the tables are
+            # complete.
             value["e"] = max(self._snapshot.applied_revision, job.progress.adoption_revision)
         return value
 
@@ -368,7 +378,7 @@
 
 
 def _final_state(job: Job, progress: Progress) -> JobState | None:
-    """The state in which the job ends with this progress; None if it goes on."""
+    """Returns the state in which the job ends with this progress, or None if it does not end."""
     if job.status == JobState.LIVE and progress.done == job.all_tasks:
         return JobState.DONE
     if job.is_cancelled and not progress.claims:
--- a/sloeswitch/core/commit_schedule.py
+++ b/sloeswitch/core/commit_schedule.py
@@ -1,4 +1,4 @@
-"""When the uncommitted updates of jobs are committed, and in which order: no I/O, no clock."""
+"""Decides when the uncommitted updates of jobs are committed, and in which order. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 @dataclass(frozen=True)
 class CommitDelays:
-    """How long updates of a job wait for others that share their transaction."""
+    """How long updates of a job are held back, so that they share a transaction with later ones."""
 
-    # The last updates that this controller has of a job; users expect to see a job's end within 3 s (protocol).
+    # For updates that end this controller's claims on a job, or release some of them. Short, because the protocol
+    # requires that users see the end of a job within 3 s.
     last_s: float
-    # All others: until they are committed the worker reports them again to whoever asks. What is lost with a machine
-    # in that time is run once more, which costs less than the writes.
+    # For all other updates. The worker keeps reporting a completion until it is committed. If the machine is lost
+    # before that, the task runs again, which costs less than writing every update at once.
     other_s: float
 
 
@@ -30,24 +31,27 @@
     incarnation_id: str
     is_coordinator: bool
     delays: CommitDelays
-    # Seconds of the monotonic clock.
+    # Seconds on the monotonic clock.
     now_s: float
 
     def due_jobs(self, requested: Iterable[str]) -> list[str]:
-        """The jobs to be written, the most urgent first. `requested`: those of which tasks are to be claimed.
+        """Returns the jobs to write, the most urgent first.
 
-        Ends of jobs come first, and among them those of jobs that others depend on. Guards against users waiting for
-        ever to see a job's end: where a transaction takes few changes, claims alone would fill every one.
+        Jobs that end come first, and among them jobs that others depend on. If a transaction takes only a few changes,
+        claims alone could fill every transaction, and users would never see the end of a job.
+
+        Args:
+            requested: The jobs with tasks to claim.
         """
         ending, others = self._due_updates()
-        # Until the layout is complete, adoptions are committed job by job, in turns with claims: what is adopted runs
-        # meanwhile, but free capacity should not wait.
+        # Until all controllers support the present layout, adoptions are committed job by job. They alternate with
+        # claims: adopted tasks run meanwhile, whereas free capacity stays unused until tasks are claimed.
         adopting = [] if self.tables.layout_complete else self.updates.jobs_with_adoptions(self.tables.jobs)
         claimed = [name for pair in itertools.zip_longest(requested, adopting) for name in pair if name is not None]
         return list(dict.fromkeys([*ending, *claimed, *others, *self._cancelled_jobs_to_finish()]))
 
     def _due_updates(self) -> tuple[list[str], list[str]]:
-        """Jobs whose updates have waited long enough: those that end with them, and the others."""
+        """Returns the jobs whose updates have waited long enough: those that end with the updates, and the others."""
         ending: list[str] = []
         others: list[str] = []
         for name, job_updates in self.updates.by_job.items():
@@ -72,7 +76,10 @@
         return job is not None and job_updates.leaves_nothing_claimed(job, self.incarnation_id)
 
     def _cancelled_jobs_to_finish(self) -> list[str]:
-        """Cancelled jobs without a task that may still exist; the coordinator ends those that no claim holder will."""
+        """Returns the cancelled jobs without a task that may still run, if this controller is the coordinator.
+
+        No other controller finishes these jobs, because none holds a valid claim on them.
+        """
         if not self.is_coordinator:
             return []
         members = self.tables.view.incarnation_ids
@@ -88,7 +95,11 @@
         ]
 
     def is_urgent(self) -> bool:
-        """Whether somebody waits: adoptions hold up the recovery of the view, and users expect to see a job's end."""
+        """Whether any update is urgent.
+
+        Adoptions are, because the recovery of the view waits for them. So are updates that end or release claims,
+        because users or other controllers may be waiting for them.
+        """
         return any(
             job_updates.adopted or self._others_may_wait(name, job_updates)
             for name, job_updates in self.updates.by_job.items()
--- a/sloeswitch/core/uncommitted_updates.py
+++ b/sloeswitch/core/uncommitted_updates.py
@@ -1,7 +1,7 @@
-"""Changes to jobs that this controller knows of and that are not committed to the state service yet.
+"""Task updates of this controller that are not committed to the state service yet.
 
 The machines actor reports them as `TaskUpdates`; the jobs actor keeps them in `UncommittedUpdates` until the
-replicated tables hold them. Sets of tasks are the integers of `core.taskset`.
+replicated tables contain them. Sets of tasks are integers, see `core.taskset`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 
 @dataclass
 class TaskUpdates:
-    """What the machines actor observed since its last message, as sets of tasks by job.
+    """The updates that the machines actor observed since its last message, as sets of tasks by job.
 
-    One message carries all of it, however much there is: a message for each task would overrun the inbox when a
-    controller takes over all machines at once.
+    One message carries all updates. One message per task would overflow the inbox when a controller takes over all
+    machines at once.
     """
 
     done: dict[str, int] = field(default_factory=dict)
-    # Claimed by this controller but placed on no machine: other controllers may claim them again.
+    # Tasks claimed by this controller but not placed on any machine, which other controllers may claim instead.
     released: dict[str, int] = field(default_factory=dict)
-    # Found running on machines that belonged to another controller and are this one's under the view `view_number`.
+    # Tasks found running on machines that another controller owned before and that this one owns under the view
+    # `view_number`.
     adopted: dict[str, int] = field(default_factory=dict)
     view_number: int = 0
 
@@ -44,19 +45,22 @@
     done: int = 0
     released: int = 0
     adopted: int = 0
-    # The number of the view under which the adopted tasks' machines are this controller's.
+    # The number of the view under which this controller owns the machines of the adopted tasks.
     adopted_view: int = 0
-    # When the first of these updates arrived, in seconds of the monotonic clock.
+    # When the first of these updates arrived, in seconds on the monotonic clock.
     since_s: float = 0.0
 
     def leaves_nothing_claimed(self, job: Job, incarnation_id: str) -> bool:
-        """Whether this controller has no claim on the job left, or releases some: others may wait for the commit."""
+        """Whether these updates end all of this controller's claims on the job, or release some of them.
+
+        Users or other controllers may be waiting for the commit of such updates.
+        """
         own_claims = job.progress.claims.get(incarnation_id, 0)
         return not own_claims & ~(self.done | self.released) or bool(self.released)
 
 
 class UncommittedUpdates:
-    """Owns the uncommitted updates of all jobs. Only the jobs actor changes them."""
+    """The uncommitted updates of all jobs. Only the jobs actor changes them."""
 
     def __init__(self) -> None:
         self.by_job: dict[str, JobUpdates] = {}
@@ -65,7 +69,7 @@
         return bool(self.by_job)
 
     def merge(self, updates: TaskUpdates, now_s: float) -> None:
-        """Adds the updates of a message that arrived at `now_s`."""
+        """Adds the updates of a message that arrives at `now_s`."""
         for name, tasks in updates.done.items():
             self._updates_of(name, now_s).done |= tasks
         for name, tasks in updates.released.items():
@@ -84,27 +88,31 @@
         return job_updates
 
     def reset_claims(self) -> None:
-        """Drops releases and adoptions: those of an earlier incarnation are not this one's. Completions stay true."""
+        """Drops releases and adoptions, which are valid only for the incarnation that made them; keeps completions."""
         for job_updates in self.by_job.values():
             job_updates.released = job_updates.adopted = 0
 
     def expire_adoptions(self, view_number: int, is_member: bool) -> None:
-        """Drops the adoptions that do not belong to the present view.
+        """Drops the adoptions that were not made under the present view, and all if this controller is not in it.
 
-        An adoption holds for the view in which the machine was this controller's. Committed later, it would take the
-        task back from the machine's new owner, and the task would be started a second time.
+        An adoption is valid only under the view in which this controller owns the machine. Committed under a later
+        view, it would take the claim away from the machine's new owner, and the task would be started a second time.
         """
         for job_updates in self.by_job.values():
             if job_updates.adopted_view != view_number or not is_member:
                 job_updates.adopted = 0
 
     def jobs_with_adoptions(self, jobs: Mapping[str, Job]) -> list[str]:
-        """The known jobs with adopted tasks, those of one team together: they share the change of its allocation."""
+        """Returns the known jobs with adopted tasks, sorted by team.
+
+        Adoptions of one team's jobs share the change of the team's quota allocation, so they should be committed
+        together.
+        """
         names = [name for name, job_updates in self.by_job.items() if job_updates.adopted and name in jobs]
         return sorted(names, key=lambda name: jobs[name].spec.team)
 
     def prune_committed(self, tables: Tables, incarnation_id: str) -> None:
-        """Drops what the tables hold by now."""
+        """Drops the updates that the tables already contain, and all updates of finished jobs."""
         for name in list(self.by_job):
             job_updates = self.by_job[name]
             job = tables.jobs.get(name)
