--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -1,4 +1,4 @@
-"""Snapshots that the commit planner plans from, and what its plans write."""
+"""Helpers for tests of the commit planner: snapshots to plan from, and the claims and conditions of a plan."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 def recovered(store: Store) -> None:
-    """View 3 of this controller and a sibling, both recovered."""
+    """Stores view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
     store.member("c0", 1, settled=3)
     store.member("c1", 2, settled=3)
 
 
 def snapshot(store: Store, updates: dict[str, JobUpdates] | None = None, **changes: Any) -> CommitSnapshot:
-    """What the leader c0.1 plans from."""
+    """Returns the snapshot of the leader c0.1, with `changes` to its fields."""
     tables = store.tables
     base = CommitSnapshot(
         tables=tables,
@@ -48,7 +48,7 @@
 
 
 def stored_claims(plan: CommitPlan, name: str = JOB) -> dict[str, int]:
-    """The claims in the progress that a plan writes."""
+    """Returns the claims in the progress row that a plan writes."""
     packed = plan.transaction.writes[keys.progress_key(name)]["c"]
     return {holder: taskset.unpack(tasks) for holder, tasks in packed.items()}
 
--- a/tests/test_commit_adoptions.py
+++ b/tests/test_commit_adoptions.py
@@ -1,4 +1,4 @@
-"""Adoptions in the commit planner's transactions: with a job's own row, or those of many jobs as one row."""
+"""Adoptions in the transactions of the commit planner: in a job's progress row, or for many jobs in one row."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def store(store: Store) -> Store:
-    """View 3 of this controller and a sibling, both recovered."""
+    """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
     recovered(store)
     return store
 
@@ -73,7 +73,7 @@
 
 
 def two_adopted_jobs(store: Store) -> dict[str, JobUpdates]:
-    """Adoptions of two teams' jobs, for controllers that all have this layout."""
+    """Returns adoptions of two teams' jobs; all controllers support the present layout."""
     store.upgraded()
     for name, team in ((JOB, "red"), (OTHER, "blue")):
         store.job(spec(name, crew=team))
@@ -104,7 +104,7 @@
     store.job(spec())
     store.progress(JOB, 0b0001)
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [])
-    assert plan.transaction.writes == {keys.adoption_key(OWN, 0): {"m": {JOB: [1, 1]}}}  # not the task that is done
+    assert plan.transaction.writes == {keys.adoption_key(OWN, 0): {"m": {JOB: [1, 1]}}}  # without the task that is done
     assert plan.relies_on_view and keys.VIEW_KEY in plan.transaction.conditions
 
 
@@ -187,7 +187,10 @@
 
 
 def test_a_sibling_cannot_take_what_adopted_tasks_use_after_a_decrease(store: Store) -> None:
-    """Of 20 cores the adopting controller uses 5 and 4 with the adoption, a third one 8."""
+    """Guards against a quota exceeded by an adoption and a decrease in one transaction.
+
+    Of 20 cores, the adopting controller uses 5 plus 4 for the adopted tasks, and a third controller uses 8.
+    """
     store.upgraded()
     store.view(4, ("c0", 1), ("c2", 3))
     store.job(spec(cores=2.0))
--- a/tests/test_commit_planner.py
+++ b/tests/test_commit_planner.py
@@ -1,4 +1,4 @@
-"""The commit planner, without an actor: what one transaction contains, and on which conditions."""
+"""The commit planner without an actor: the contents and the conditions of one transaction."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def store(store: Store) -> Store:
-    """View 3 of this controller and a sibling, both recovered."""
+    """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
     recovered(store)
     return store
 
@@ -60,7 +60,7 @@
     assert plan.transaction.writes[keys.progress_key(JOB)]["d"] == taskset.pack(0b0001)
     assert stored_claims(plan) == {OWN: 0b0010, SIBLING: 0b0100}
     assert plan.transaction.conditions == row_conditions(store) and not plan.relies_on_view
-    assert store.tables.jobs[JOB].progress.claims == {OWN: 0b0011, SIBLING: 0b0100}  # the tables stay as they are
+    assert store.tables.jobs[JOB].progress.claims == {OWN: 0b0011, SIBLING: 0b0100}  # the tables are not changed
 
 
 def test_the_last_completion_ends_the_job_with_one_change(store: Store) -> None:
--- a/tests/test_commit_schedule.py
+++ b/tests/test_commit_schedule.py
@@ -1,4 +1,4 @@
-"""When uncommitted updates are committed and in which order, and how they are kept until then."""
+"""The time and the order in which uncommitted updates are committed, and their merging and pruning until then."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def store(store: Store) -> Store:
-    """View 3 of this controller and a sibling, both recovered."""
+    """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
     store.member("c0", 1, settled=3)
     store.member("c1", 2, settled=3)
--- a/tests/test_frozen_keys.py
+++ b/tests/test_frozen_keys.py
@@ -1,7 +1,7 @@
-"""Every stored key and every packed set of tasks is the frozen text, byte for byte (tests/frozen).
+"""Every stored key and every packed set of tasks equals its frozen text, byte for byte (tests/frozen).
 
-The data files are never changed: a stored layout that changes takes another prefix. Only the Python names that stand
-here follow renamings.
+The data files are never changed: an incompatible stored layout uses another key prefix. Only the Python names in this
+file follow renames.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 KEYS: dict[str, str] = json.loads((FROZEN / "keys.json").read_text())
 SETS: dict[str, dict[str, str]] = json.loads((FROZEN / "rows_tasksets.json").read_text())
 
-# The only place with Python names of keys.
+# Keys and stored constants as the code builds them, by their name in keys.json.
 MADE = {
     "prefix": keys.KEY_PREFIX,
     "view": keys.VIEW_KEY,
@@ -51,7 +51,7 @@
 
 
 def bits(*runs: tuple[int, int]) -> int:
-    """A set of runs, given as start and length; made without the code under test."""
+    """Returns the set of the given runs (start and length), computed without the code under test."""
     return sum(((1 << length) - 1) << start for start, length in runs)
 
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -1,8 +1,12 @@
-"""Every kind of stored row is read from, and written as, the frozen text, byte for byte (tests/frozen).
+"""Every kind of stored row is read from its frozen text and written as it, byte for byte (tests/frozen).
 
-The data files are never changed: production holds such rows. Only the Python names here and in tests/support/frozen.py
-follow renamings. rows_read: what was stored; rows_state: the tables read from it; rows_after_drop: the tables once
-these rows are dropped; rows_written: what each case below writes.
+The data files are never changed, because production systems store such rows. Only the Python names here and in
+tests/support/frozen.py follow renames. The data files are:
+
+- rows_read: stored rows, by the name of the example;
+- rows_state: the tables after reading these rows;
+- rows_after_drop: the tables after these rows are deleted again;
+- rows_written: the rows that each case below writes, by the name of its function.
 """
 
 from __future__ import annotations
@@ -67,11 +71,11 @@
 
 @pytest.fixture(autouse=True)
 def time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time of day stands still."""
+    """Fixes the wall clock at one time."""
     monkeypatch.setattr(Clock, "wall_clock_ms", lambda _clock: 1_700_000_000_250)
 
 
-# -- membership and marks
+# -- membership, layout and features
 
 
 def member(world: Recorder) -> None:
@@ -119,7 +123,7 @@
 
 
 def register(world: Recorder) -> None:
-    """Two machines report, and are stored in one go: a row that is not read again makes no test wait for ever."""
+    """Registers two reporting machines in a single pass, so that the test ends even if the rows are not read back."""
     for name in ("vm-000000", "vm-000001"):
         world.heartbeat(report(1, 0, name=name))
         world.heartbeat(report(2, 3, name=name))
@@ -338,13 +342,13 @@
 
 
 class AnswersInTurn:
-    """The way to a cell that answers what the test says; None: not at all."""
+    """A link to a cell with scripted answers; None stands for a lost answer."""
 
     def __init__(self, *answers: Answer | None) -> None:
         self.answers = list(answers)
 
     async def request(self, request: CellRequest) -> CellAnswer:
-        """The next answer; acknowledgements take none."""
+        """Returns the next scripted answer; an acknowledgement gets an empty answer and uses none of them."""
         if request.message.request is Request.ACKNOWLEDGE:
             return CellAnswer(1, None)
         answer = self.answers.pop(0)
@@ -353,7 +357,7 @@
         return CellAnswer(1, answer)
 
     async def summary(self) -> None:
-        """It tells none."""
+        """Returns no summary."""
 
 
 def cell_features() -> CellFeatures:
@@ -422,7 +426,7 @@
 
 
 def handoffs_beside_the_end(world: Recorder) -> None:
-    """A job that runs at home while an earlier handoff is not stopped yet."""
+    """A job that runs in its own cell while an earlier handoff of it is not stopped yet."""
     world.store.put(keys.job_key(JOB), recalled_job())
     world.round(ClaimRequest(task_counts={JOB: 4}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
@@ -549,7 +553,7 @@
 
 
 def written(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """The rows that a case writes."""
+    """Returns the rows that a case writes."""
     world = Recorder()
     for case in CASES:
         if case.__name__ == name:
@@ -561,7 +565,7 @@
 
 
 def read(lines: list[str], backwards: bool = False) -> Tables:
-    """The tables of a controller that reads these rows, in their order or backwards."""
+    """Returns the tables of a controller that reads these rows, in their order or in reverse."""
     tables = Tables()
     rows = [(*parse_line(line), FIRST_STAMP + place) for place, line in enumerate(lines, 1)]
     for key, value, stamp in reversed(rows) if backwards else rows:
@@ -570,7 +574,7 @@
 
 
 def after_drop(lines: list[str]) -> Tables:
-    """The tables once the rows are dropped again, in their order."""
+    """Returns the tables after these rows are read and then deleted, in their order."""
     tables = read(lines)
     for place, line in enumerate(lines, 1):
         tables.apply(parse_line(line)[0], None, FIRST_STAMP + len(lines) + place)
@@ -591,7 +595,7 @@
 def test_a_row_is_read_as_frozen(name: str) -> None:
     assert json.loads(dump(read(READ[name]))) == json.loads(STATE[name])
     keys = [parse_line(line)[0] for line in READ[name]]
-    if len(set(keys)) == len(keys):  # a first reading tells only the last row of a key, in any order
+    if len(set(keys)) == len(keys):  # A full read returns each key once, in any order.
         assert json.loads(dump(read(READ[name], backwards=True))) == json.loads(STATE[name])
 
 
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Which member owns a machine, as members come, go and restart."""
+"""Ownership of machines as members join, leave and restart."""
 
 from __future__ import annotations
 
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -1,4 +1,4 @@
-"""What one changed row does to the stored state, kind by kind."""
+"""Application of changed rows to the stored state, for each kind of row."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def adoption(*tasks: int) -> dict[str, Any]:
-    """The row of an adoption of tasks of the job."""
+    """Returns the value of an adoption row with tasks of the job."""
     return {"m": {JOB: taskset.pack(sum(1 << task for task in tasks))}}
 
 
--- a/tests/test_row_codec.py
+++ b/tests/test_row_codec.py
@@ -1,4 +1,4 @@
-"""How rows are encoded and decoded, apart from the tables (tests/test_frozen_rows.py pins the stored bytes)."""
+"""Encoding and decoding of rows, without the tables (tests/test_frozen_rows.py checks the stored bytes)."""
 
 from __future__ import annotations
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""The stored tables: rebuild, order of changes, and who may claim what."""
+"""The replicated tables: rows read in any order, and which tasks and quota are free to claim."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def test_a_finished_job_is_never_brought_back_by_an_older_read(store: Store) -> None:
     store.job(spec())
     store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
-    store.job(spec())  # an overlapping read brings what was before
+    store.job(spec())  # An overlapping read returns an earlier version of the row.
     assert store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 4)
     assert JOB not in store.tables.jobs
 
@@ -59,7 +59,10 @@
 
 
 def test_allocations_of_departed_controllers_are_free_once_recovery_is_complete(store: Store) -> None:
-    """Failure found on the bench: a team stood still after all controllers had crashed."""
+    """Guards against a team whose jobs never start again after a crash of all controllers.
+
+    The allocations of the crashed incarnations use up the team's quota and no controller requests more.
+    """
     red = parse(SETTINGS).teams["red"]
     store.put(keys.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
--- a/tests/test_taskset.py
+++ b/tests/test_taskset.py
@@ -1,4 +1,4 @@
-"""Sets of task numbers and their stored form."""
+"""Sets of task numbers and their stored forms."""
 
 from __future__ import annotations
 
