--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -37,7 +37,7 @@
 
     Returns the status that was stored; None if there was nothing to add, or if it was not stored.
     """
-    known_members = set(row.status.seen)
+    known_members = set(row.status.members)
     members = {*known_members, context.settings.member}
     complete = members >= set(context.settings.members) and row.may_complete
     if members == known_members and not complete:
@@ -45,7 +45,7 @@
     status = FeatureStatus(tuple(sorted(members)), complete)
     change = Transaction(
         {row.key: context.tables.mod_revision(row.key), **context.leadership.view_conditions()},
-        {row.key: {"seen": list(status.seen), "complete": status.complete}},
+        {row.key: {"seen": list(status.members), "complete": status.complete}},
     )
     outcome, _revision = await context.client.compare_and_swap(change, row.priority)
     context.replica.request_read()
@@ -81,4 +81,6 @@
         )
         if stored is not None:
             # Operators wait for this line before they go on (docs/operations).
-            log.info("%s: run by %s%s", self.feature, ", ".join(stored.seen), "; it is on" if stored.complete else "")
+            log.info(
+                "%s: run by %s%s", self.feature, ", ".join(stored.members), "; it is on" if stored.complete else ""
+            )
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -11,7 +11,7 @@
 from sloeswitch.cells.handoff import OriginRow, request_cancellation
 from sloeswitch.core import keys
 from sloeswitch.core.records import Job, JobState, SpecChunks
-from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job, encode_job_links
+from sloeswitch.core.row_codec import encode_finished_job, encode_handoffs, encode_job, encode_job_handoffs
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.replica import StaleReplicaError
@@ -136,8 +136,8 @@
             return _CancelAttempt(JobStatus.CANCELLED)
         if only_unclaimed and job.progress_revision:
             return _CancelAttempt()
-        if job.handoff is not None and job.handoff.placements:
-            await self._request_cancellation(job, job.handoff)
+        if job.outgoing_handoffs is not None and job.outgoing_handoffs.placements:
+            await self._request_cancellation(job, job.outgoing_handoffs)
             return _CancelAttempt()
         outcome = await self._commit(self._cancellation(job))
         if outcome is TransactionOutcome.COMMITTED:
@@ -152,9 +152,11 @@
         now_ms = self._clock.wall_clock_ms()
         if not job.progress_revision:
             # Never claimed, so none of its tasks is anywhere: it is over with the same change.
-            finished = encode_finished_job(JobState.CANCELLED, job.spec, now_ms) | encode_job_links(job, over=True)
+            finished = encode_finished_job(JobState.CANCELLED, job.spec, now_ms) | encode_job_handoffs(
+                job, finished=True
+            )
             return Transaction({key: job.mod_revision, progress_key: 0}, {key: finished})
-        value = _encode_row(job, JobState.CANCELLED) | encode_job_links(job)
+        value = _encode_row(job, JobState.CANCELLED) | encode_job_handoffs(job)
         # Whoever has its tasks then is to be done with them in time, over changes of owner too.
         value["x"] = now_ms
         return Transaction({key: job.mod_revision}, {key: value})
@@ -164,7 +166,7 @@
         if handoff.cancelling:
             return
         key = keys.job_key(job.spec.id)
-        cancelling = encode_handoff(request_cancellation(handoff), job.returned_ms)
+        cancelling = encode_handoffs(request_cancellation(handoff), job.returned_ms)
         value = _encode_row(job, job.status) | {"h": cancelling}
         await self._commit(Transaction({key: job.mod_revision}, {key: value}))
 
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -205,7 +205,7 @@
             updates=self.uncommitted,
             incarnation_id=self.leadership.incarnation_id,
             is_coordinator=self.leadership.is_coordinator,
-            delays=CommitDelays(last_s=self.batch_s, other_s=self.settings.lease_s),
+            delays=CommitDelays(claim_end_s=self.batch_s, other_s=self.settings.lease_s),
             now_s=self.clock.now(),
         )
 
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -177,7 +177,7 @@
             log.info(
                 "layout %d: run by %s%s",
                 keys.LAYOUT_VERSION,
-                ", ".join(stored.seen),
+                ", ".join(stored.members),
                 "; all are upgraded" if stored.complete else "",
             )
 
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -66,7 +66,7 @@
         decrease = self.pending_decreases.get(team)
         if decrease is not None:
             # A write without an answer may be carried out until another one makes its condition false.
-            if decrease.mod_revision == self.tables.mod_revision(keys.team_key(team)):
+            if decrease.mod_revision == self.tables.mod_revision(keys.quota_key(team)):
                 return ResourceAmount(min(cores, decrease.cores), min(gpus, decrease.gpus))
             del self.pending_decreases[team]
         return ResourceAmount(cores, gpus)
@@ -138,7 +138,7 @@
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
                 # Returned after a while: the next job of the team is likely to want it again.
-                decrease = QuotaDecrease(self.tables.mod_revision(keys.team_key(name)), *allocation.decreased)
+                decrease = QuotaDecrease(self.tables.mod_revision(keys.quota_key(name)), *allocation.decreased)
                 request.quota_decreases[name] = self.pending_decreases[name] = decrease
                 del self.surplus_since[name]
         # A decrease may be under way and its answer lost, and until something else is written this controller keeps
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -65,7 +65,7 @@
     def _new_group_key(self, split_from: str = "") -> str:
         """A key never used before. What is split off another group sorts after it by key (`core/tables.py`)."""
         self.groups_created += 1
-        prefix = f"{split_from}." if split_from else keys.group_key("")
+        prefix = f"{split_from}." if split_from else keys.machine_group_key("")
         return f"{prefix}{self.leadership.incarnation_id}.{self.groups_created}"
 
     def _max_values_bytes(self) -> int:
@@ -160,7 +160,7 @@
         """The machines under a key that were not deleted, in groups that each fit a value."""
         names = sorted(
             name
-            for name in self.tables.machine_groups.get(keys.group_name(key), ())
+            for name in self.tables.machine_groups.get(keys.machine_group_name(key), ())
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: encode_machine(self.tables.machines[name]) for name in names}
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -235,7 +235,7 @@
         job = self.tables.jobs[name]
         done = job.progress.done.bit_count()
         running = job.progress.claimed_tasks().bit_count()
-        placement = None if job.handoff is None else job.handoff.away
+        placement = None if job.outgoing_handoffs is None else job.outgoing_handoffs.away
         cell = None if placement is None else placement.target
         return Answer(200, wire.poll_reply(name, status, done, running, cell))
 
@@ -256,8 +256,8 @@
     def _is_delegated(self, name: str) -> bool:
         """Whether another cell handed the job over: for this cell's users there is none of that name."""
         job, finished = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
-        return (job is not None and job.delegated is not None) or (
-            finished is not None and finished.delegated is not None
+        return (job is not None and job.incoming_handoff is not None) or (
+            finished is not None and finished.incoming_handoff is not None
         )
 
     async def _is_status_current(self, name: str) -> bool:
--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -148,6 +148,6 @@
     uses: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
-        if decision is not None and decision.admitted and job.is_runnable and job.delegated is None:
+        if decision is not None and decision.admitted and job.is_runnable and job.incoming_handoff is None:
             uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
     return uses
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -129,7 +129,7 @@
                     self._admit(queue, 0, self.backlog.bundle(queue.head))
 
     def _guaranteed(self, job: Job, team: Team) -> bool:
-        if job.delegated is not None:
+        if job.incoming_handoff is not None:
             return False
         use = self.uses.get(team.name, ResourceUsage())
         more = self.backlog.bundle(job).use_of(team.name)
@@ -139,7 +139,7 @@
         """Raises a lane up to a job, and takes the room of what enters the line with it."""
         bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
-            if job.delegated is None:
+            if job.incoming_handoff is None:
                 self.uses.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
         queue.raise_to(place, self.wall_clock_ms)
         self.admissions += 1
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -26,7 +26,7 @@
 from sloeswitch.cells.summary import Resources, Summary, SummaryBook, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.records import FinishedJob, Job, JobState
-from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
+from sloeswitch.core.row_codec import encode_finished_job, encode_handoffs, encode_job
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures
@@ -148,7 +148,7 @@
     def _movable(self, job: Job, wall_clock_ms: int) -> bool:
         stays_ms = 1000 * STAY_LEASES * self.settings.lease_s
         return (
-            job.delegated is None
+            job.incoming_handoff is None
             and job.spec_chunks is None
             and not job.progress.claims
             and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
@@ -216,24 +216,24 @@
     def _rows(self) -> Iterator[tuple[str, OriginRow]]:
         """Jobs with handoffs that may be somewhere."""
         for name, job in list(self.tables.jobs.items()):
-            if job.handoff is not None and job.handoff.placements:
+            if job.outgoing_handoffs is not None and job.outgoing_handoffs.placements:
                 yield name, self.row(job)
-        for name in sorted(self.tables.unsettled_jobs):
+        for name in sorted(self.tables.finished_jobs_with_handoffs):
             over = self.tables.finished_jobs[name]
-            if over.handoff is not None:
+            if over.outgoing_handoffs is not None:
                 yield name, self._over_row(name, over)
 
     def row(self, job: Job) -> OriginRow:
         """What is stored of a job's handoffs, as the rules take it."""
         policy = self.features.policy(job.spec.job_class)
-        row = job.handoff or OriginRow("", job.spec.id, policy)
+        row = job.outgoing_handoffs or OriginRow("", job.spec.id, policy)
         result = Result.CANCELLED if job.is_cancelled else None
         return replace(row, cell=self.features.name, begun_at_home=bool(job.progress_revision), result=result)
 
     def _over_row(self, name: str, over: FinishedJob) -> OriginRow:
-        assert over.handoff is not None
+        assert over.outgoing_handoffs is not None
         result = Result.DONE if over.is_done else Result.CANCELLED
-        return replace(over.handoff, cell=self.features.name, result=result)
+        return replace(over.outgoing_handoffs, cell=self.features.name, result=result)
 
     async def _settle(self, name: str, peer: str, link: Link) -> None:
         """Asks a peer about its handoffs of a job, and stores what follows."""
@@ -290,8 +290,8 @@
 
     def _wanted_back(self, job: Job) -> bool:
         """Whether a job that did not begin elsewhere could start at home by now."""
-        assert job.handoff is not None
-        away = job.handoff.away
+        assert job.outgoing_handoffs is not None
+        away = job.outgoing_handoffs.away
         contact = self.contacts.get((job.spec.id, away)) if away is not None else None
         if contact is None or self.now() - contact.since < STAY_LEASES * self.settings.lease_s:
             return False
@@ -305,8 +305,8 @@
     def _current(self, name: str) -> OriginRow | None:
         job, over = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         if job is not None:
-            return self.row(job) if job.handoff is not None else None
-        return self._over_row(name, over) if over is not None and over.handoff is not None else None
+            return self.row(job) if job.outgoing_handoffs is not None else None
+        return self._over_row(name, over) if over is not None and over.outgoing_handoffs is not None else None
 
     async def _store_over_or_live(self, name: str, row: OriginRow) -> bool:
         job = self.tables.jobs.get(name)
@@ -315,7 +315,7 @@
         over = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": over.status, "n": over.tasks, "t": over.finished_ms}
         if row.placements:
-            value["h"] = encode_handoff(row)
+            value["h"] = encode_handoffs(row)
         key = keys.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
@@ -326,14 +326,16 @@
         if row.result is Result.DONE:
             value = encode_finished_job(JobState.DONE, job.spec, self.clock.wall_clock_ms())
             if row.placements:
-                value["h"] = encode_handoff(row)
+                value["h"] = encode_handoffs(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._cancelled(job, row, conditions)
         else:
-            came_back = job.handoff is not None and job.handoff.away is not None and row.away is None
+            came_back = (
+                job.outgoing_handoffs is not None and job.outgoing_handoffs.away is not None and row.away is None
+            )
             returned_ms = self.clock.wall_clock_ms() if came_back else job.returned_ms
             value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
-            value["h"] = encode_handoff(row, returned_ms)
+            value["h"] = encode_handoffs(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -17,7 +17,7 @@
 from sloeswitch.cells.summary import Summary, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.quota import unschedulable_reason
-from sloeswitch.core.records import DelegationOrigin, FeatureStatus, JobState
+from sloeswitch.core.records import FeatureStatus, IncomingHandoff, JobState
 from sloeswitch.core.row_codec import encode_job
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
@@ -67,9 +67,10 @@
         and the record would be kept for ever.
         """
         found = (
-            (name, over.delegated.number)
-            for name in sorted(self.tables.unsettled_jobs)
-            if (over := self.tables.finished_jobs[name]).delegated is not None and over.delegated.origin == origin
+            (name, over.incoming_handoff.number)
+            for name in sorted(self.tables.finished_jobs_with_handoffs)
+            if (over := self.tables.finished_jobs[name]).incoming_handoff is not None
+            and over.incoming_handoff.origin == origin
         )
         return tuple(itertools.islice(found, MOST_ENDED))
 
@@ -110,7 +111,7 @@
         floor = self.tables.handoff_floors.get(handoff.origin, 0)
         job = self.tables.jobs.get(handoff.job)
         over = self.tables.finished_jobs.get(handoff.job)
-        delegated = job.delegated if job is not None else over.delegated if over is not None else None
+        delegated = job.incoming_handoff if job is not None else over.incoming_handoff if over is not None else None
         if delegated is None or delegated.origin != handoff.origin:
             return TargetRecord(floor)
         if job is None:
@@ -145,7 +146,7 @@
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
         """A handed over job, as it is stored."""
         value = encode_job(JobState.LIVE, offer.spec, offer.submitted_ms)
-        return {**value, "o": list(DelegationOrigin(handoff.origin, handoff.number))}
+        return {**value, "o": list(IncomingHandoff(handoff.origin, handoff.number))}
 
     async def _store(self, before: TargetRecord, decision: TargetDecision, request: CellRequest) -> bool:
         """Stores what was decided, on condition of what it was decided from; whether that is stored for certain."""
--- a/sloeswitch/core/commit_planner.py
+++ b/sloeswitch/core/commit_planner.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.quota_changes import QuotaChanges, QuotaDecrease, QuotaRowChange
 from sloeswitch.core.records import Job, JobState, Progress
-from sloeswitch.core.row_codec import encode_finished_job, encode_job_links, encode_progress
+from sloeswitch.core.row_codec import encode_finished_job, encode_job_handoffs, encode_progress
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.core.uncommitted_updates import JobUpdates
@@ -106,7 +106,7 @@
     quota_changes: Sequence[QuotaRowChange] = ()
 
 
-class _Adoption(NamedTuple):
+class _PackedAdoption(NamedTuple):
     """Adopted tasks of one job, as a set and in the stored form."""
 
     tasks: int
@@ -182,7 +182,7 @@
         adoptions: dict[str, list[int | str]] = {}
         bytes_left = self._limits.value_bytes - len('{"m":{}}')
         for job in self._jobs_with_adoptions():
-            if self._quota and not self._has_change_for(job.spec.team):
+            if self._quota and not self._can_change_allocation(job.spec.team):
                 break
             tasks = self._snapshot.updates[job.spec.id].adopted & ~job.progress.done
             # The first job's tasks are reduced until they fit, so that every row contains some tasks.
@@ -220,23 +220,23 @@
         if running:
             self._quota.move_with_adoption(job, running)
 
-    def _has_change_for(self, team: str) -> bool:
+    def _can_change_allocation(self, team: str) -> bool:
         """Whether the transaction can change the team's allocation besides the adoption row and the changes so far."""
         return team in self._quota or len(self._quota) + 1 < self._limits.changes
 
     @staticmethod
-    def _pack_adoption(job: Job, tasks: int, most_bytes: int | None) -> _Adoption:
-        """Packs the tasks for the adoption row; halves the set until it fits `most_bytes`, if that is given."""
+    def _pack_adoption(job: Job, tasks: int, max_bytes: int | None) -> _PackedAdoption:
+        """Packs the tasks for the adoption row; halves the set until it fits `max_bytes`, if that is given."""
         packed = taskset.pack_dense(tasks)
-        while most_bytes is not None and tasks and _adoption_bytes(job, packed) > most_bytes:
+        while max_bytes is not None and tasks and _adoption_bytes(job, packed) > max_bytes:
             tasks = taskset.lowest(tasks, tasks.bit_count() // 2)
             packed = taskset.pack_dense(tasks)
-        return _Adoption(tasks, packed)
+        return _PackedAdoption(tasks, packed)
 
     def _change_quotas(self, claims: RequestedClaims) -> None:
         for team, wanted in claims.quota_increases.items():
             # If adoptions leave no change for the team's row, the machines actor requests the increase again.
-            if not self._grouped_jobs or self._has_change_for(team):
+            if not self._grouped_jobs or self._can_change_allocation(team):
                 self._quota.increase(self._snapshot.teams[team], wanted)
         for team, decrease in claims.quota_decreases.items():
             self._quota.decrease(team, decrease)
@@ -253,7 +253,9 @@
         ):
             return False
         voids_claims = (
-            self._snapshot.recovery_complete and self._snapshot.is_leader and bool(self._tables.void_claim_holders(job))
+            self._snapshot.recovery_complete
+            and self._snapshot.is_leader
+            and bool(self._tables.departed_claim_holders(job))
         )
         progress = self._progress_after(job, voids_claims)
         claims_tasks = self._claim(job, progress)
@@ -282,7 +284,7 @@
         """Returns the job's progress with its uncommitted updates, and without void claims if `voids_claims`."""
         progress = job.progress.copy()
         if voids_claims:
-            for holder in self._tables.void_claim_holders(job):
+            for holder in self._tables.departed_claim_holders(job):
                 del progress.claims[holder]
         updates = self._snapshot.updates.get(job.spec.id)
         if updates is None:
@@ -345,7 +347,7 @@
         if end is not None:
             self._transaction.writes[job_key] = encode_finished_job(
                 end, job.spec, self._snapshot.wall_clock_ms
-            ) | encode_job_links(job, over=True)
+            ) | encode_job_handoffs(job, finished=True)
         else:
             value = self._encode_changed_progress(job, progress)
             if value is None:
--- a/sloeswitch/core/commit_schedule.py
+++ b/sloeswitch/core/commit_schedule.py
@@ -16,7 +16,7 @@
 
     # For updates that end this controller's claims on a job, or release some of them. Short, because the protocol
     # requires that users see the end of a job within 3 s.
-    last_s: float
+    claim_end_s: float
     # For all other updates. The worker keeps reporting a completion until it is committed. If the machine is lost
     # before that, the task runs again, which costs less than writing every update at once.
     other_s: float
@@ -47,15 +47,17 @@
         # Until all controllers support the present layout, adoptions are committed job by job. They alternate with
         # claims: adopted tasks run meanwhile, whereas free capacity stays unused until tasks are claimed.
         adopting = [] if self.tables.layout_complete else self.updates.jobs_with_adoptions(self.tables.jobs)
-        claimed = [name for pair in itertools.zip_longest(requested, adopting) for name in pair if name is not None]
-        return list(dict.fromkeys([*ending, *claimed, *others, *self._cancelled_jobs_to_finish()]))
+        claims_and_adoptions = [
+            name for pair in itertools.zip_longest(requested, adopting) for name in pair if name is not None
+        ]
+        return list(dict.fromkeys([*ending, *claims_and_adoptions, *others, *self._cancelled_jobs_to_finish()]))
 
     def _due_updates(self) -> tuple[list[str], list[str]]:
         """Returns the jobs whose updates have waited long enough: those that end with the updates, and the others."""
         ending: list[str] = []
         others: list[str] = []
         for name, job_updates in self.updates.by_job.items():
-            if self.now_s - job_updates.since_s < self._delay_s(name, job_updates):
+            if self.now_s - job_updates.first_arrival_s < self._delay_s(name, job_updates):
                 continue
             job = self.tables.jobs.get(name)
             ends = job is not None and job.all_tasks == job.progress.done | job_updates.done
@@ -64,16 +66,16 @@
         return ending, others
 
     def _delay_s(self, name: str, job_updates: JobUpdates) -> float:
-        if not self._others_may_wait(name, job_updates):
+        if not self._ends_claims(name, job_updates):
             return self.delays.other_s
-        return 0.0 if self._has_successors(name) else self.delays.last_s
+        return 0.0 if self._has_successors(name) else self.delays.claim_end_s
 
     def _has_successors(self, name: str) -> bool:
         return name in self.tables.graph.successors
 
-    def _others_may_wait(self, name: str, job_updates: JobUpdates) -> bool:
+    def _ends_claims(self, name: str, job_updates: JobUpdates) -> bool:
         job = self.tables.jobs.get(name)
-        return job is not None and job_updates.leaves_nothing_claimed(job, self.incarnation_id)
+        return job is not None and job_updates.ends_claims(job, self.incarnation_id)
 
     def _cancelled_jobs_to_finish(self) -> list[str]:
         """Returns the cancelled jobs without a task that may still run, if this controller is the coordinator.
@@ -101,6 +103,6 @@
         because users or other controllers may be waiting for them.
         """
         return any(
-            job_updates.adopted or self._others_may_wait(name, job_updates)
+            job_updates.adopted or self._ends_claims(name, job_updates)
             for name, job_updates in self.updates.by_job.items()
         )
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -59,7 +59,7 @@
         """
         job.ready_ms = max(job.ready_ms, finished.finished_ms)
         job.ready_revision = max(job.ready_revision, finished.mod_revision)
-        job.targets = None
+        job.slo_targets_s = None
 
     def cancel(self, job_id: str) -> None:
         """A job is cancelled, by its user or by what it needs: so is all that needs it."""
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -84,17 +84,21 @@
             ready.extend(self._visit(self.jobs[ready.popleft()]))
         for name, inherited in before.items():
             job = self.jobs[name]
-            if inherited != (job.inherited_rank, job.inherited_ms):
-                job.targets = None
+            if inherited != (job.inherited_rank, job.inherited_deadlines):
+                job.slo_targets_s = None
                 job.guaranteed = None
 
     def _clear_inherited(self) -> dict[str, InheritedTarget]:
         """What jobs inherited so far, of those that did or may."""
         before: dict[str, InheritedTarget] = {}
         for name, job in self.jobs.items():
-            if job.inherited_rank is not None or job.inherited_ms is not None or name in self.unvisited_successors:
-                before[name] = InheritedTarget(job.inherited_rank, job.inherited_ms)
-                job.inherited_rank = job.inherited_ms = None
+            if (
+                job.inherited_rank is not None
+                or job.inherited_deadlines is not None
+                or name in self.unvisited_successors
+            ):
+                before[name] = InheritedTarget(job.inherited_rank, job.inherited_deadlines)
+                job.inherited_rank = job.inherited_deadlines = None
         return before
 
     def _visit(self, job: Job) -> list[str]:
@@ -122,8 +126,8 @@
         if spec.deadline_s is not None and not due_s:
             due_s.add(spec.deadline_s)
         due_ms = [job.submitted_ms + 1000 * each_s for each_s in due_s]
-        if job.inherited_ms is not None:
-            due_ms += job.inherited_ms
+        if job.inherited_deadlines is not None:
+            due_ms += job.inherited_deadlines
         if not due_ms:
             return None
         fetch_s = spec.image_gb / self.fetch_gb_s if self.fetch_gb_s else 0.0
@@ -137,5 +141,5 @@
         job.inherited_rank = inherited.rank if job.inherited_rank is None else min(inherited.rank, job.inherited_rank)
     if inherited.due_ms is not None:
         first, last = inherited.due_ms
-        known = job.inherited_ms or (first, last)
-        job.inherited_ms = InheritedDeadlines(min(first, known[0]), min(last, known[1]))
+        known = job.inherited_deadlines or (first, last)
+        job.inherited_deadlines = InheritedDeadlines(min(first, known[0]), min(last, known[1]))
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -113,11 +113,11 @@
         demand = guarantees.add_demand(job, priority)
         if job.deferred:
             continue
-        if job.guaranteed is None or job.delegated is not None:
+        if job.guaranteed is None or job.incoming_handoff is not None:
             job.guaranteed = guarantees.covers(job, demand)
         starvation = ORDINARY
         # Work of another cell does not go first for having waited; its origin takes it back in time.
-        if job.delegated is None:
+        if job.incoming_handoff is None:
             starvation = starvation_rank(has_begun(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
         job.starved = starvation is NOT_BEGUN
         if job.starved:
@@ -155,7 +155,7 @@
         """
         spec = job.spec
         decisive = self._all_demand[spec.team]
-        if job.delegated is None:
+        if job.incoming_handoff is None:
             decisive.add(spec, spec.tasks)
             if priority < STANDARD:
                 decisive = self._urgent_demand[spec.team]
@@ -165,7 +165,7 @@
     def covers(self, job: Job, demand: ResourceUsage) -> bool:
         """Whether the demand that decides on a job lies within its team's guarantee."""
         team = self.teams.get(job.spec.team)
-        return job.delegated is None and team is not None and within_guarantee(team, demand.cores, demand.gpus)
+        return job.incoming_handoff is None and team is not None and within_guarantee(team, demand.cores, demand.gpus)
 
 
 def _queue_key(job: Job, starvation: StarvationRank, priority: int, settings: Settings, wall_clock_ms: int) -> QueueKey:
--- a/sloeswitch/core/keys.py
+++ b/sloeswitch/core/keys.py
@@ -133,7 +133,7 @@
     return f"{_HANDOFF_FLOOR_PREFIX}{cell}"
 
 
-def team_key(team: str) -> str:
+def quota_key(team: str) -> str:
     """Returns the key of the allocations of a team's quota."""
     return f"{_QUOTA_PREFIX}{team}"
 
@@ -148,12 +148,12 @@
     return f"{_MACHINE_TYPE_PREFIX}{machine_type}"
 
 
-def group_key(group: str) -> str:
+def machine_group_key(group: str) -> str:
     """Returns the key of a group of machines; for an empty name, the prefix of all such keys."""
     return f"{_MACHINE_GROUP_PREFIX}{group}"
 
 
-def group_name(key: str) -> str:
+def machine_group_name(key: str) -> str:
     """Returns the name of the group that a key stands for; any other key is returned unchanged and names no group."""
     return key.removeprefix(_MACHINE_GROUP_PREFIX)
 
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -196,12 +196,12 @@
         if spec.zone_bound:
             allowed = sum(
                 1 << index
-                for index in taskset.members(tasks)
+                for index in taskset.task_numbers(tasks)
                 if satisfies_zone_binding(spec, index, capacity.zone, job_zone)
             )
         chosen = taskset.lowest(allowed, min(count, max_count - len(placements)))
         if chosen:
             capacity.take(spec, chosen.bit_count())
-            placements += [Placement(index, capacity) for index in taskset.members(chosen)]
+            placements += [Placement(index, capacity) for index in taskset.task_numbers(chosen)]
             tasks &= ~chosen
     return placements
--- a/sloeswitch/core/quota_changes.py
+++ b/sloeswitch/core/quota_changes.py
@@ -111,7 +111,7 @@
 
     def decrease(self, team: str, decrease: QuotaDecrease) -> None:
         """Returns a part of this controller's allocation, unless the team's row changed since that was computed."""
-        if decrease.mod_revision != self._tables.mod_revision(keys.team_key(team)):
+        if decrease.mod_revision != self._tables.mod_revision(keys.quota_key(team)):
             return
         stored = self._tables.quota_allocation(team, self._incarnation_id)
         allocations = dict(self._current(team))
@@ -147,7 +147,7 @@
         for team, allocations in self._allocations.items():
             if allocations == self._stored(team) and team not in forced_rewrites:
                 continue
-            key = keys.team_key(team)
+            key = keys.quota_key(team)
             transaction.writes[key] = _encode_allocations(allocations)
             transaction.conditions[key] = self._tables.mod_revision(key)
             has_written = True
--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -110,7 +110,7 @@
     chunk_count: int
 
 
-class DelegationOrigin(NamedTuple):
+class IncomingHandoff(NamedTuple):
     """The handoff by which another cell handed a job over to this one."""
 
     origin: str
@@ -141,9 +141,9 @@
     finished_ms: int = 0
     mod_revision: int = 0
     # Handoffs to other cells that must still be stopped.
-    handoff: OriginRow | None = None
+    outgoing_handoffs: OriginRow | None = None
     # The handoff by which the job came from another cell, until that cell acknowledges the end of the job.
-    delegated: DelegationOrigin | None = None
+    incoming_handoff: IncomingHandoff | None = None
 
     @property
     def is_done(self) -> bool:
@@ -153,7 +153,7 @@
     @property
     def is_final(self) -> bool:
         """Whether its row never changes again."""
-        return self.handoff is None and self.delegated is None
+        return self.outgoing_handoffs is None and self.incoming_handoff is None
 
 
 @dataclass
@@ -192,17 +192,17 @@
     # The highest priority among the jobs that depend on it, as a rank: the smallest rank goes first.
     inherited_rank: int | None = None
     # The deadlines that it must meet for the jobs that depend on it; None if they have none.
-    inherited_ms: InheritedDeadlines | None = None
+    inherited_deadlines: InheritedDeadlines | None = None
     # Its target completion times in seconds from submission, the earliest first; None until computed.
-    targets: list[float] | None = None
+    slo_targets_s: list[float] | None = None
 
     # Handoffs between cells, stored in the job's row.
     # Its handoffs to other cells.
-    handoff: OriginRow | None = None
+    outgoing_handoffs: OriginRow | None = None
     # When another cell last returned the job; 0 if none did.
     returned_ms: int = 0
     # The handoff by which the job came from another cell.
-    delegated: DelegationOrigin | None = None
+    incoming_handoff: IncomingHandoff | None = None
 
     # Its place in the queue, computed by core.job_queue and admission.gate.
     # Whether admission control keeps it out of the queue at present.
@@ -238,7 +238,7 @@
         return (
             self.status == _LIVE
             and not self.unfinished_prerequisites
-            and (self.handoff is None or self.handoff.startable)
+            and (self.outgoing_handoffs is None or self.outgoing_handoffs.startable)
         )
 
     @property
@@ -282,5 +282,5 @@
 class FeatureStatus(NamedTuple):
     """The controllers that have run with a feature turned on, and whether this includes all configured ones."""
 
-    seen: tuple[str, ...] = ()
+    members: tuple[str, ...] = ()
     complete: bool = False
--- a/sloeswitch/core/rendezvous.py
+++ b/sloeswitch/core/rendezvous.py
@@ -12,10 +12,10 @@
 # The cache must hold every name looked up under one view: several thousand machines, and the images. If it held one
 # entry less, a repeated pass over all names would miss on every lookup, because the least recently used entry goes
 # first.
-CACHED_NAMES = 1 << 15
+OWNER_CACHE_SIZE = 1 << 15
 
 
-@lru_cache(maxsize=CACHED_NAMES)
+@lru_cache(maxsize=OWNER_CACHE_SIZE)
 def owner(name: str, members: tuple[tuple[str, int], ...]) -> str | None:
     """Returns the member that owns a machine or an image, or None if there are no members.
 
--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -5,8 +5,8 @@
 twice.
 
 Each function takes the state, the part of the key after the row's kind, the row's value (None if the key was deleted)
-and the revision of the change. A row that cannot be decoded raises one of `UNREADABLE`; the part of it that was applied
-before the error stays applied.
+and the revision of the change. A row that cannot be decoded raises one of `DECODE_ERRORS`; the part of
+it that was applied before the error stays applied.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from sloeswitch.core.stored_state import StoredState, UnmatchedProgress
 from sloeswitch.wire import JobSpec, MachineType
 
-UNREADABLE = (KeyError, TypeError, ValueError, AttributeError, msgspec.MsgspecError)
+DECODE_ERRORS = (KeyError, TypeError, ValueError, AttributeError, msgspec.MsgspecError)
 
 # A module constant, because looking up an enum member is slow and every row of a job is compared with it.
 _CANCELLED = JobState.CANCELLED
@@ -46,7 +46,7 @@
     if value is None:
         state.jobs.pop(job_id, None)
         state.finished_jobs.pop(job_id, None)
-        state.unsettled_jobs.discard(job_id)
+        state.finished_jobs_with_handoffs.discard(job_id)
         return
     row = row_codec.decode_job_row(job_id, value, revision)
     if row.status == _CANCELLED and job_id not in state.finished_jobs:
@@ -77,12 +77,12 @@
     finished = row_codec.decode_finished_job(row)
     state.finished_jobs[job_id] = finished
     if finished.is_final:
-        state.unsettled_jobs.discard(job_id)
+        state.finished_jobs_with_handoffs.discard(job_id)
         # No write is conditional on a final row. Finished jobs are kept permanently, so their revisions are dropped to
         # save memory.
         state.mod_revisions.pop(keys.job_key(job_id), None)
     else:
-        state.unsettled_jobs.add(job_id)
+        state.finished_jobs_with_handoffs.add(job_id)
     if finished.is_done:
         state.graph.finish(job_id, finished)
     else:
@@ -95,7 +95,7 @@
     job.status = _effective_status(state, job_id, row)
     job.mod_revision = row.mod_revision
     job.cancelled_ms = row_codec.decode_cancelled_ms(row)
-    job.handoff, job.returned_ms = row.handoff, row_codec.decode_returned_ms(row)
+    job.outgoing_handoffs, job.returned_ms = row.outgoing_handoffs, row_codec.decode_returned_ms(row)
     if job.is_cancelled:
         state.graph.cancel(job_id)
 
@@ -229,30 +229,30 @@
     from its other groups.
     """
     rows: Mapping[str, StoredMachine] = {} if value is None else row_codec.decode_machine_group(value)
-    left_out = state.machine_groups.pop(group, set()) - rows.keys()
+    removed_machines = state.machine_groups.pop(group, set()) - rows.keys()
     if rows:
         state.machine_groups[group] = set(rows)
-    for machine in left_out:
-        _leave_group(state, machine)
-    key = keys.group_key(group)
+    for machine in removed_machines:
+        _remove_from_group(state, machine)
+    key = keys.machine_group_key(group)
     for machine, stored in rows.items():
         row = row_codec.decode_grouped_machine(stored, key)
         known = state.machines.get(machine)
         if (
             known is not None
             and known.key > key
-            and machine in state.machine_groups.get(keys.group_name(known.key), ())
+            and machine in state.machine_groups.get(keys.machine_group_name(known.key), ())
         ):
             row.key = known.key
         state.machines[machine] = row
         state.deleted_machines.discard(machine)
 
 
-def _leave_group(state: StoredState, machine: str) -> None:
+def _remove_from_group(state: StoredState, machine: str) -> None:
     """Assigns a machine that left a group to another of its groups; it counts as deleted if there is none."""
     other = max((group for group, machines in state.machine_groups.items() if machine in machines), default=None)
     if other is not None:
-        state.machines[machine].key = keys.group_key(other)
+        state.machines[machine].key = keys.machine_group_key(other)
     else:
         state.machines.pop(machine, None)
         state.deleted_machines.add(machine)
@@ -322,7 +322,7 @@
 
 def apply_handoff_floor(state: StoredState, cell: str, value: StoredRow | None, _revision: int) -> None:
     """Applies the number up to which another cell's handoffs that are not on record are refused."""
-    state.handoff_floors[cell] = 0 if value is None else row_codec.decode_floor(value)
+    state.handoff_floors[cell] = 0 if value is None else row_codec.decode_handoff_floor(value)
 
 
 def apply_quota(state: StoredState, team: str, value: StoredRow | None, _revision: int) -> None:
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -19,8 +19,8 @@
 from sloeswitch.core.incarnation import Incarnation
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import (
-    DelegationOrigin,
     FinishedJob,
+    IncomingHandoff,
     Job,
     JobState,
     MachineRow,
@@ -57,19 +57,20 @@
     return {**value, "spec": msgspec.to_builtins(spec)}
 
 
-def encode_job_links(job: Job, over: bool = False) -> StoredRow:
+def encode_job_handoffs(job: Job, finished: bool = False) -> StoredRow:
     """Encodes the fields with a job's handoffs from and to other cells, which every write of its row must include.
 
     Args:
         job: The job.
-        over: Whether the written row marks the job as finished. Only handoffs that must still be stopped are kept then.
+        finished: Whether the written row marks the job as finished. Such a row keeps only handoffs that must still be
+            stopped.
     """
-    links: StoredRow = {}
-    if job.delegated is not None:
-        links["o"] = list(job.delegated)
-    if job.handoff is not None and (job.handoff.placements or not over):
-        links["h"] = encode_handoff(job.handoff, job.returned_ms)
-    return links
+    handoffs: StoredRow = {}
+    if job.incoming_handoff is not None:
+        handoffs["o"] = list(job.incoming_handoff)
+    if job.outgoing_handoffs is not None and (job.outgoing_handoffs.placements or not finished):
+        handoffs["h"] = encode_handoffs(job.outgoing_handoffs, job.returned_ms)
+    return handoffs
 
 
 def encode_finished_job(status: JobState | str, spec: JobSpec, finished_ms: int) -> StoredRow:
@@ -90,9 +91,9 @@
     mod_revision: int
     status: JobState | str
     # Its handoffs to other cells.
-    handoff: OriginRow | None
+    outgoing_handoffs: OriginRow | None
     # The handoff by which the job came from another cell.
-    delegated: DelegationOrigin | None
+    incoming_handoff: IncomingHandoff | None
 
     @property
     def has_spec(self) -> bool:
@@ -102,11 +103,11 @@
 
 def decode_job_row(job_id: str, value: StoredRow, mod_revision: int) -> JobRow:
     """Decodes the row of a job in any state; a state that this version does not know stays a plain string."""
-    handoff = _decode_handoff(job_id, value.get("h"))
-    delegated = DelegationOrigin(*value["o"]) if "o" in value else None
-    word: str = value["s"]
-    status = _JOB_STATES.get(word, word) if isinstance(word, str) else word
-    return JobRow(value, mod_revision, status, handoff, delegated)
+    outgoing_handoffs = _decode_handoffs(job_id, value.get("h"))
+    incoming_handoff = IncomingHandoff(*value["o"]) if "o" in value else None
+    stored_status: str = value["s"]
+    status = _JOB_STATES.get(stored_status, stored_status) if isinstance(stored_status, str) else stored_status
+    return JobRow(value, mod_revision, status, outgoing_handoffs, incoming_handoff)
 
 
 def decode_spec_chunks(row: JobRow) -> SpecChunks | None:
@@ -126,7 +127,11 @@
     job.spec_chunks = chunks
     job.ready_ms = submitted_ms
     job.cancelled_ms = decode_cancelled_ms(row)
-    job.handoff, job.returned_ms, job.delegated = row.handoff, decode_returned_ms(row), row.delegated
+    job.outgoing_handoffs, job.returned_ms, job.incoming_handoff = (
+        row.outgoing_handoffs,
+        decode_returned_ms(row),
+        row.incoming_handoff,
+    )
     return job
 
 
@@ -145,13 +150,15 @@
 def decode_finished_job(row: JobRow) -> FinishedJob:
     """Decodes a finished job; an earlier layout did not store the time at which it finished."""
     value = row.value
-    return FinishedJob(row.status, value["n"], value.get("t", 0), row.mod_revision, row.handoff, row.delegated)
+    return FinishedJob(
+        row.status, value["n"], value.get("t", 0), row.mod_revision, row.outgoing_handoffs, row.incoming_handoff
+    )
 
 
 # -- handoffs between cells
 
 
-def encode_handoff(row: OriginRow, returned_ms: int = 0) -> StoredRow:
+def encode_handoffs(row: OriginRow, returned_ms: int = 0) -> StoredRow:
     """Encodes the handoffs of a job to other cells, a field of the job's row.
 
     Args:
@@ -170,7 +177,7 @@
     return value
 
 
-def _decode_handoff(job_id: str, stored: StoredRow | None) -> OriginRow | None:
+def _decode_handoffs(job_id: str, stored: StoredRow | None) -> OriginRow | None:
     """Decodes the handoffs in a job's row; None if it was never offered to another cell.
 
     The name of this cell is not stored and is left empty.
@@ -308,7 +315,7 @@
     return bool(value["complete"])
 
 
-def decode_floor(value: StoredRow) -> int:
+def decode_handoff_floor(value: StoredRow) -> int:
     """Decodes the number up to which another cell's handoffs that are not on record are refused."""
     number: int = value["n"]
     return number
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -25,8 +25,8 @@
 
     Deadlines count from the submission, the other times from when the last job that it needs was done.
     """
-    if job.targets is not None:
-        return job.targets
+    if job.slo_targets_s is not None:
+        return job.slo_targets_s
     spec = job.spec
     found = deadlines(spec, objectives)
     waited_s = (job.ready_ms - job.submitted_ms) / 1000
@@ -39,10 +39,10 @@
             found.add(waited_s + objective.within_s + spec.estimate_s)
     if spec.deadline_s is not None and not found:
         found.add(spec.deadline_s)
-    if job.inherited_ms is not None:
-        found.update((by_ms - job.submitted_ms) / 1000 for by_ms in job.inherited_ms)
-    job.targets = sorted(found)
-    return job.targets
+    if job.inherited_deadlines is not None:
+        found.update((by_ms - job.submitted_ms) / 1000 for by_ms in job.inherited_deadlines)
+    job.slo_targets_s = sorted(found)
+    return job.slo_targets_s
 
 
 class NextTarget(NamedTuple):
--- a/sloeswitch/core/stored_state.py
+++ b/sloeswitch/core/stored_state.py
@@ -75,7 +75,7 @@
         self.jobs: dict[str, Job] = {}
         self.finished_jobs: dict[str, FinishedJob] = {}
         # Finished jobs with handoffs between cells that are not closed yet; their rows may still change.
-        self.unsettled_jobs: set[str] = set()
+        self.finished_jobs_with_handoffs: set[str] = set()
         self.graph = DependencyGraph(self.jobs, self.finished_jobs)
         # Finished jobs whose progress row is not deleted yet.
         self.leftover_progress: set[str] = set()
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -14,7 +14,7 @@
 from sloeswitch.core.keys import RowKind
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import Job, JobState
-from sloeswitch.core.row_application import ROW_FUNCTIONS, UNREADABLE
+from sloeswitch.core.row_application import DECODE_ERRORS, ROW_FUNCTIONS
 from sloeswitch.core.stored_state import StoredState
 from sloeswitch.core.taskset import TaskSet
 from sloeswitch.settings import Team
@@ -66,7 +66,7 @@
             return
         try:
             apply_row(self, name, value, mod_revision)
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             log.error("stored value is malformed: key=%s error=%r", key, error)
 
     def apply_peer_cancellation(self, cancellation: Cancellation) -> None:
@@ -109,7 +109,7 @@
             or row.recovered_view != self.view.number
         }
 
-    def void_claim_holders(self, job: Job) -> list[str]:
+    def departed_claim_holders(self, job: Job) -> list[str]:
         """Returns the incarnation ids outside the view that hold claims on a job.
 
         Their claims are void only if `recovery_complete()`.
@@ -128,12 +128,12 @@
             recovered: The result of `recovery_complete()`, which callers compute once for many jobs.
         """
         progress = job.progress
-        taken = progress.done
+        done_or_claimed = progress.done
         in_view = self.view.incarnation_ids if recovered else None
         for incarnation_id, tasks in progress.claims.items():
             if in_view is None or incarnation_id in in_view:
-                taken |= tasks
-        return job.all_tasks & ~taken
+                done_or_claimed |= tasks
+        return job.all_tasks & ~done_or_claimed
 
     def quota_allocation(self, team: str, incarnation_id: str) -> ResourceAmount:
         """Returns the part of a team's quota that is allocated to one incarnation of a controller."""
@@ -148,12 +148,12 @@
         """
         recovered = self.recovery_complete()
         in_view = self.view.incarnation_ids
-        held = [
+        counted = [
             amount
             for incarnation_id, amount in self.quota_allocations.get(team.name, {}).items()
             if incarnation_id in in_view or not recovered
         ]
         return ResourceAmount(
-            team.cpus_max - sum(amount.cores for amount in held),
-            team.gpus_max - sum(amount.gpus for amount in held),
+            team.cpus_max - sum(amount.cores for amount in counted),
+            team.gpus_max - sum(amount.gpus for amount in counted),
         )
--- a/sloeswitch/core/taskset.py
+++ b/sloeswitch/core/taskset.py
@@ -17,7 +17,7 @@
 # The approximate number of characters of one run stored as two numbers.
 RUN_CHARS = 7
 # The number of tasks that as many base64 characters hold, at 6 bits each.
-RUN_TASKS = RUN_CHARS * 6
+TASKS_PER_RUN_CHARS = RUN_CHARS * 6
 
 
 def pack(tasks: TaskSet) -> list[int]:
@@ -45,10 +45,10 @@
     while index < len(runs):
         start, end = runs[index], runs[index] + runs[index + 1]
         next_index = index + 2
-        while next_index < len(runs) and runs[next_index] + runs[next_index + 1] - end < RUN_TASKS:
+        while next_index < len(runs) and runs[next_index] + runs[next_index + 1] - end < TASKS_PER_RUN_CHARS:
             end = runs[next_index] + runs[next_index + 1]
             next_index += 2
-        if next_index - index <= 4 or runs[index + 1] > RUN_TASKS:
+        if next_index - index <= 4 or runs[index + 1] > TASKS_PER_RUN_CHARS:
             packed += runs[index : index + 2]
             index += 2
             continue
@@ -82,7 +82,7 @@
     return (1 << count) - 1
 
 
-def members(tasks: TaskSet) -> Iterator[int]:
+def task_numbers(tasks: TaskSet) -> Iterator[int]:
     """Yields the task numbers in a set, lowest first."""
     while tasks:
         lowest_bit = tasks & -tasks
--- a/sloeswitch/core/uncommitted_updates.py
+++ b/sloeswitch/core/uncommitted_updates.py
@@ -48,9 +48,9 @@
     # The number of the view under which this controller owns the machines of the adopted tasks.
     adopted_view: int = 0
     # When the first of these updates arrived, in seconds on the monotonic clock.
-    since_s: float = 0.0
+    first_arrival_s: float = 0.0
 
-    def leaves_nothing_claimed(self, job: Job, incarnation_id: str) -> bool:
+    def ends_claims(self, job: Job, incarnation_id: str) -> bool:
         """Whether these updates end all of this controller's claims on the job, or release some of them.
 
         Users or other controllers may be waiting for the commit of such updates.
@@ -84,7 +84,7 @@
     def _updates_of(self, name: str, now_s: float) -> JobUpdates:
         job_updates = self.by_job.get(name)
         if job_updates is None:
-            job_updates = self.by_job[name] = JobUpdates(since_s=now_s)
+            job_updates = self.by_job[name] = JobUpdates(first_arrival_s=now_s)
         return job_updates
 
     def reset_claims(self) -> None:
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -44,7 +44,7 @@
 
     def machines(self, kind: str, count: int) -> None:
         rows = {f"vm-{kind}-{n}": ["127.0.0.1:9000", kind, "a", True] for n in range(count)}
-        self.store.put(keys.group_key(kind), {"m": rows})
+        self.store.put(keys.machine_group_key(kind), {"m": rows})
 
     def later(self, seconds: float) -> None:
         self.now_ms += int(1000 * seconds)
--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -95,7 +95,7 @@
         self.store.upgraded()
         self.store.view(3, *((member, 1) for member in MEMBERS))
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(MACHINES)}
-        self.store.put(keys.group_key("c0.1.1"), {"m": rows})
+        self.store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
         self.store.put(keys.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
         for member in MEMBERS:
             self.store.member(member, 1, settled=3)
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -216,7 +216,7 @@
     def left_over(self) -> Iterator[str]:
         """What should be forgotten once everything has ended."""
         for cell in self.cells.values():
-            for name in sorted(cell.store.tables.unsettled_jobs):
+            for name in sorted(cell.store.tables.finished_jobs_with_handoffs):
                 yield f"{name} in {cell.name}"
             for name, job in cell.store.tables.jobs.items():
                 yield f"{name} in {cell.name}: {job.status}"
--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -14,7 +14,7 @@
 JOB, OTHER, THIRD = "wk-000001", "wk-000002", "wk-000003"
 OWN, SIBLING, DEPARTED = "c0.1", "c1.2", "c1.1"
 NOW_MS = 1_700_000_000_000
-ROOMY = CommitLimits(changes=12, transaction_changes=12, value_bytes=16_000, total_bytes=100_000)
+LARGE_LIMITS = CommitLimits(changes=12, transaction_changes=12, value_bytes=16_000, total_bytes=100_000)
 TEAMS = {"red": Team("red", 8.0, 20.0, 0.0, 0.0), "blue": Team("blue", 8.0, 20.0, 0.0, 0.0)}
 
 
@@ -33,7 +33,7 @@
         teams=TEAMS,
         incarnation_id=OWN,
         updates=updates or {},
-        limits=ROOMY,
+        limits=LARGE_LIMITS,
         is_leader=True,
         recovery_complete=tables.recovery_complete(),
         view_conditions={keys.VIEW_KEY: tables.mod_revision(keys.VIEW_KEY)},
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -77,13 +77,13 @@
         self.machines.commands.spawn = lambda call, *args: self.commands.append((call, args))
         rows = {machine_name(n): ["127.0.0.1:9000", "small", "a", True] for n in range(machines)}
         for number, group in enumerate(split_machine_groups(rows, self.settings.value_bytes)):
-            store.put(keys.group_key(f"{FORMER_TAG}.{number}"), {"m": group})
+            store.put(keys.machine_group_key(f"{FORMER_TAG}.{number}"), {"m": group})
         self.jobs_count = -(-machines // MACHINES_OF_A_JOB)
         size = MACHINES_OF_A_JOB * TASKS_OF_A_MACHINE
         for number in range(self.jobs_count):
             store.job(spec(job_name(number), visits=size, cores=1.0))
             store.progress(job_name(number), **{FORMER_TAG.replace(".", "_"): (1 << size) - 1})
-        store.put(keys.team_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
+        store.put(keys.quota_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
         self.serials = dict.fromkeys(rows, 0)
         # Tasks that are over on their machines.
         self.ended: set[str] = set()
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -89,10 +89,10 @@
         "types": {name: dump_type(kind) for name, kind in tables.machine_types.items()},
         "jobs": {name: dump_job(job) for name, job in tables.jobs.items()},
         "over": {name: dump_over(over) for name, over in tables.finished_jobs.items()},
-        "over and open": sorted(tables.unsettled_jobs),
+        "over and open": sorted(tables.finished_jobs_with_handoffs),
         "layout seen": tables.layout_members,
         "layout complete": tables.layout_complete,
-        "features": {name: [each.seen, each.complete] for name, each in tables.features.items()},
+        "features": {name: [each.members, each.complete] for name, each in tables.features.items()},
         "admission": {path: dump_admission(row) for path, row in tables.admission_rows.items()},
         "floors": tables.handoff_floors,
         "machines": {
@@ -157,8 +157,8 @@
         "done": hex(progress.done),
         "claims": {tag: hex(tasks) for tag, tasks in progress.claims.items()},
         "progress": [progress.zone, progress.attempt, progress.adoption_revision],
-        "handoff": dump_handoff(job.handoff),
-        "delegated": job.delegated and [job.delegated.origin, job.delegated.number],
+        "handoff": dump_handoff(job.outgoing_handoffs),
+        "delegated": job.incoming_handoff and [job.incoming_handoff.origin, job.incoming_handoff.number],
     }
 
 
@@ -166,8 +166,8 @@
     """A job that is over."""
     return {
         "end": [over.status, over.tasks, over.finished_ms, over.mod_revision, over.is_done, over.is_final],
-        "handoff": dump_handoff(over.handoff),
-        "delegated": over.delegated and [over.delegated.origin, over.delegated.number],
+        "handoff": dump_handoff(over.outgoing_handoffs),
+        "delegated": over.incoming_handoff and [over.incoming_handoff.origin, over.incoming_handoff.number],
     }
 
 
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -168,8 +168,8 @@
 
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
     """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
-    stamp = world.store.tables.mod_revision(keys.team_key("red"))
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
+    stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
@@ -265,7 +265,7 @@
     machine_up(world)
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
-    world.store.put(keys.team_key("red"), {"c0.1": [8.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines.task_updates.release(JOB, 0b11)
     world.tell_jobs(world.machines.task_updates.pending)
     world.machines.task_updates.pending = TaskUpdates()
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -33,7 +33,7 @@
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
     store.member("c0", 1, settled=2)  # not settled: what the departed one had may still exist
-    store.put(keys.team_key("red"), {"c1.9": [6.6, 0.0]})
+    store.put(keys.quota_key("red"), {"c1.9": [6.6, 0.0]})
     return world
 
 
@@ -210,8 +210,8 @@
         """Claims, releases and ends of tasks, on the condition of the row as the writer knows it."""
         progress = job.progress.copy()
         own = progress.claims.get(writer.incarnation_id, 0)
-        release = sum(1 << task for task in taskset.members(own) if self.random.random() < 0.3)
-        ended = sum(1 << task for task in taskset.members(own & ~release) if self.random.random() < 0.1)
+        release = sum(1 << task for task in taskset.task_numbers(own) if self.random.random() < 0.3)
+        ended = sum(1 << task for task in taskset.task_numbers(own & ~release) if self.random.random() < 0.1)
         free = job.all_tasks & ~progress.done & ~progress.claimed_tasks()
         claim = taskset.lowest(free, self.random.randrange(4))
         if job.progress_revision != self.store.rows[keys.progress_key(JOB)][1]:
@@ -222,10 +222,10 @@
             "e": max(writer.applied_revision, job.progress.adoption_revision)
         }
         self.put(keys.progress_key(JOB), value)
-        for task in taskset.members(release):
+        for task in taskset.task_numbers(release):
             self.truth.pop(task)
-        self.truth.update(dict.fromkeys(taskset.members(claim), writer.incarnation_id))
-        self.truth.update(dict.fromkeys(taskset.members(ended), "done"))
+        self.truth.update(dict.fromkeys(taskset.task_numbers(claim), writer.incarnation_id))
+        self.truth.update(dict.fromkeys(taskset.task_numbers(ended), "done"))
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -255,8 +255,8 @@
     world.client.txn_ops = 3
     store.job(spec(JOB, visits=2, cores=1.0))
     store.progress(JOB, c1_9=0b01)
-    store.put(keys.team_key("red"), {"c0.1": [4.0, 0.0], "c1.9": [1.0, 0.0]})
-    revision = store.tables.mod_revision(keys.team_key("red"))
+    store.put(keys.quota_key("red"), {"c0.1": [4.0, 0.0], "c1.9": [1.0, 0.0]})
+    revision = store.tables.mod_revision(keys.quota_key("red"))
 
     async def read(timeout_s: float) -> None:
         if store.tables.view.number == 3:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -73,7 +73,7 @@
 
 def surplus_given_up(world: World, allowances: dict[str, list[float]]) -> dict[str, float]:
     """What a controller with 8 cores in use gives up of its allowance after a while, by team."""
-    world.store.put(keys.team_key("red"), allowances)
+    world.store.put(keys.quota_key("red"), allowances)
     asked = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
     asked += world.claim_requests()
@@ -105,7 +105,7 @@
     machine_up(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
-    store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     looked: list[str] = []
     open_tasks = store.tables.unclaimed_tasks
 
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -36,7 +36,9 @@
         self.world.machines.commands.spawn = self.start
         self.asked: list[str] = []
         self.hears_others = True
-        store.put(keys.group_key("c1.9.1"), {"m": {name: ["127.0.0.1:9000", "small", "a", True] for name in MACHINES}})
+        store.put(
+            keys.machine_group_key("c1.9.1"), {"m": {name: ["127.0.0.1:9000", "small", "a", True] for name in MACHINES}}
+        )
         store.job(spec(visits=2, loaners=spot))
         store.progress(JOB, **{holder: 0b01})
         row = {**store.rows[keys.job_key(JOB)][0], "s": JobState.CANCELLED, **stored}
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -34,7 +34,7 @@
 
 def two_members(store: Store) -> None:
     store.view(4, ("c0", 1), ("c1", 2))
-    store.put(keys.group_key("c1.2.1"), {"m": MACHINES})
+    store.put(keys.machine_group_key("c1.2.1"), {"m": MACHINES})
 
 
 def owned_by(store: Store, member: str) -> set[str]:
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -25,7 +25,7 @@
 
 def test_a_job_that_moved_is_not_claimed_at_home_and_its_end_is_the_origins_result() -> None:
     moved = Moved("once")
-    assert not moved.at_origin.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
+    assert not moved.at_origin.is_runnable and moved.south.store.tables.jobs[JOB].incoming_handoff is not None
     moved.work("north")
     assert JOB not in moved.world.starts
     moved.run_there()
@@ -65,7 +65,7 @@
 def test_a_late_copy_of_an_offer_starts_nothing_after_the_job_is_over() -> None:
     moved = Moved("once")
     moved.run_there()
-    handoff = HandoffId("north", JOB, moved.at_origin.handoff.away.number)  # type: ignore[union-attr]
+    handoff = HandoffId("north", JOB, moved.at_origin.outgoing_handoffs.away.number)  # type: ignore[union-attr]
     offer = CellRequest(RequestMessage(handoff, Request.OFFER), 1, Offer(moved.world.specs[JOB], 0))
     moved.talk()
     moved.renew()
@@ -112,7 +112,10 @@
     for _ in range(3):
         moved.talk()
     assert moved.status() == wire.JobStatus.DONE
-    assert JOB not in moved.north.store.tables.unsettled_jobs and JOB not in moved.south.store.tables.finished_jobs
+    assert (
+        JOB not in moved.north.store.tables.finished_jobs_with_handoffs
+        and JOB not in moved.south.store.tables.finished_jobs
+    )
 
 
 def test_a_cancellation_stops_the_job_where_it_runs_and_is_then_confirmed() -> None:
@@ -154,7 +157,7 @@
     moved.south.store.job(spec("wk-000009", visits=50))  # saturated
     moved.talk()
     job = moved.at_origin
-    assert job.is_runnable and job.returned_ms and not job.handoff.placements  # type: ignore[union-attr]
+    assert job.is_runnable and job.returned_ms and not job.outgoing_handoffs.placements  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._movable(job, job.returned_ms + 1)
     assert origin._movable(job, job.returned_ms + 1 + int(1000 * STAY_LEASES * settings_cache().lease_s))
@@ -249,5 +252,5 @@
     moved = Moved("once", accepted=False)
     moved.south.store.job(spec(JOB, visits=1))
     moved.talk()
-    assert moved.south.store.tables.jobs[JOB].delegated is None
+    assert moved.south.store.tables.jobs[JOB].incoming_handoff is None
     assert moved.at_origin.is_runnable
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -77,7 +77,7 @@
         store.view(3, ("c0", 1))
         store.member("c0", 1, settled=3)
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(machines)}
-        store.put(keys.group_key("c0.1.1"), {"m": rows})
+        store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
 
     def summary(self) -> Summary:
         return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
--- a/tests/test_commit_adoptions.py
+++ b/tests/test_commit_adoptions.py
@@ -15,9 +15,9 @@
 from tests.conftest import Store, spec
 from tests.support.commit_plans import (
     JOB,
+    LARGE_LIMITS,
     OTHER,
     OWN,
-    ROOMY,
     SIBLING,
     TEAMS,
     THIRD,
@@ -37,14 +37,14 @@
 def test_a_single_adoption_takes_the_claim_and_its_part_of_the_quota_along(store: Store) -> None:
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0111)
-    store.put(keys.team_key("red"), {SIBLING: [7.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [7.0, 0.0]})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [JOB])
     assert stored_claims(plan) == {SIBLING: 0b0100, OWN: 0b0011} and plan.relies_on_view
-    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [3.0, 0.0], OWN: [4.0, 0.0]}
+    assert plan.transaction.writes[keys.quota_key("red")] == {SIBLING: [3.0, 0.0], OWN: [4.0, 0.0]}
     assert list(plan.transaction.conditions) == [
         keys.job_key(JOB),
         keys.progress_key(JOB),
-        keys.team_key("red"),
+        keys.quota_key("red"),
         keys.VIEW_KEY,
     ]
 
@@ -52,7 +52,7 @@
 def test_an_adoption_of_a_job_that_ends_moves_no_quota(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, 0b0111, c1_2=0b1000)
-    store.put(keys.team_key("red"), {SIBLING: [7.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [7.0, 0.0]})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b1000, adopted=0b1000, adopted_view=3)}), [JOB])
     assert list(plan.transaction.writes) == [keys.job_key(JOB)] and not plan.relies_on_view
 
@@ -66,7 +66,7 @@
 def test_an_adoption_from_nobody_moves_no_quota_and_relies_on_the_view(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0001)
-    store.put(keys.team_key("red"), {OWN: [4.0, 0.0]})
+    store.put(keys.quota_key("red"), {OWN: [4.0, 0.0]})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [JOB])
     assert list(plan.transaction.writes) == [keys.progress_key(JOB)] and stored_claims(plan) == {OWN: 0b0011}
     assert plan.relies_on_view and keys.VIEW_KEY in plan.transaction.conditions
@@ -78,7 +78,7 @@
     for name, team in ((JOB, "red"), (OTHER, "blue")):
         store.job(spec(name, crew=team))
         store.progress(name, c1_2=0b0011)
-        store.put(keys.team_key(team), {SIBLING: [4.0, 0.0]})
+        store.put(keys.quota_key(team), {SIBLING: [4.0, 0.0]})
     return {name: JobUpdates(adopted=0b0001, adopted_view=3) for name in (JOB, OTHER)}
 
 
@@ -86,8 +86,8 @@
     plan = plan_commit(snapshot(store, two_adopted_jobs(store)), [])
     key = keys.adoption_key(OWN, 0)
     assert plan.transaction.writes[key] == {"m": {OTHER: [0, 1], JOB: [0, 1]}} and plan.transaction.conditions[key] == 0
-    assert list(plan.transaction.writes) == [key, keys.team_key("blue"), keys.team_key("red")]
-    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
+    assert list(plan.transaction.writes) == [key, keys.quota_key("blue"), keys.quota_key("red")]
+    assert plan.transaction.writes[keys.quota_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
     assert plan.relies_on_view and list(plan.transaction.conditions)[-1] == keys.VIEW_KEY
 
 
@@ -111,25 +111,25 @@
 def test_the_quota_of_grouped_adoptions_moves_once_though_their_jobs_are_due(store: Store) -> None:
     plan = plan_commit(snapshot(store, two_adopted_jobs(store)), [JOB, OTHER])
     assert stored_claims(plan) == {SIBLING: 0b0010, OWN: 0b0001}
-    assert plan.transaction.writes[keys.team_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
+    assert plan.transaction.writes[keys.quota_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
 
 
 def test_an_increase_beside_grouped_adoptions_needs_a_change_of_its_own(store: Store) -> None:
     updates = two_adopted_jobs(store)
     del updates[OTHER]
     claims = RequestedClaims(quota_increases={"blue": ResourceAmount(8.0, 0.0)})
-    red, blue = keys.team_key("red"), keys.team_key("blue")
+    red, blue = keys.quota_key("red"), keys.quota_key("blue")
     for changes, teams in ((3, [red, blue]), (2, [red])):
-        limits = replace(ROOMY, changes=changes)
+        limits = replace(LARGE_LIMITS, changes=changes)
         plan = plan_commit(snapshot(store, updates, claims=claims, limits=limits), [])
         assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), *teams]
 
 
 def test_a_row_of_adoptions_is_no_larger_than_a_value(store: Store) -> None:
     updates = two_adopted_jobs(store)
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, value_bytes=40)), [])
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, value_bytes=40)), [])
     assert plan.transaction.writes[keys.adoption_key(OWN, 0)] == {"m": {OTHER: [0, 1]}}
-    assert keys.team_key("red") not in plan.transaction.writes
+    assert keys.quota_key("red") not in plan.transaction.writes
 
 
 def test_progress_tells_up_to_which_revision_it_contains_adoptions(store: Store) -> None:
@@ -149,8 +149,8 @@
 
 def test_grouped_adoptions_keep_within_the_changes_and_leave_the_rest_for_later(store: Store) -> None:
     updates = two_adopted_jobs(store)
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=2, transaction_changes=2)), [])
-    assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), keys.team_key("blue")]
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2, transaction_changes=2)), [])
+    assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), keys.quota_key("blue")]
 
 
 def test_a_first_adoption_too_large_for_a_row_is_parted(store: Store) -> None:
@@ -158,7 +158,7 @@
     store.job(spec(visits=400))
     scattered = sum(1 << number for number in range(0, 400, 3))
     store.progress(JOB, c1_2=scattered)
-    limits = replace(ROOMY, value_bytes=60)
+    limits = replace(LARGE_LIMITS, value_bytes=60)
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=scattered, adopted_view=3)}, limits=limits), [])
     value = plan.transaction.writes[keys.adoption_key(OWN, 0)]
     tasks = taskset.unpack(value["m"][JOB])
@@ -169,9 +169,9 @@
     store.job(spec(visits=400))
     scattered = sum(1 << number for number in range(0, 400, 3))
     store.progress(JOB, c1_2=scattered)
-    store.put(keys.team_key("red"), {SIBLING: [20.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [20.0, 0.0]})
     updates = {JOB: JobUpdates(adopted=scattered & 0xFF, adopted_view=3)}
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, value_bytes=40)), [JOB])
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, value_bytes=40)), [JOB])
     assert plan.oversized_jobs == [JOB] and not plan.transaction.writes
 
 
@@ -179,11 +179,11 @@
     store.upgraded()
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0011)
-    store.put(keys.team_key("red"), {SIBLING: [4.0, 0.0], OWN: [8.0, 0.0]})
-    decrease = QuotaDecrease(store.tables.mod_revision(keys.team_key("red")), 5.0, 0.0)
+    store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0], OWN: [8.0, 0.0]})
+    decrease = QuotaDecrease(store.tables.mod_revision(keys.quota_key("red")), 5.0, 0.0)
     claims = RequestedClaims(quota_decreases={"red": decrease})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}, claims=claims), [])
-    assert plan.transaction.writes[keys.team_key("red")] == {OWN: [9.0, 0.0]}
+    assert plan.transaction.writes[keys.quota_key("red")] == {OWN: [9.0, 0.0]}
 
 
 def test_a_sibling_cannot_take_what_adopted_tasks_use_after_a_decrease(store: Store) -> None:
@@ -195,7 +195,7 @@
     store.view(4, ("c0", 1), ("c2", 3))
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0011)
-    row = keys.team_key("red")
+    row = keys.quota_key("red")
     store.put(row, {SIBLING: [4.0, 0.0], OWN: [8.0, 0.0], "c2.3": [8.0, 0.0]})
     decrease = RequestedClaims(quota_decreases={"red": QuotaDecrease(store.tables.mod_revision(row), 5.0, 0.0)})
     adopting = snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=4)}, claims=decrease)
@@ -209,6 +209,6 @@
 def test_adoptions_are_not_grouped_where_decreases_take_the_transaction(store: Store) -> None:
     updates = two_adopted_jobs(store)
     claims = RequestedClaims(quota_decreases={"red": QuotaDecrease(0, 1.0, 0.0)})
-    limits = replace(ROOMY, transaction_changes=2)
+    limits = replace(LARGE_LIMITS, transaction_changes=2)
     assert not snapshot(store, updates, claims=claims, limits=limits).groups_adoptions
     assert snapshot(store, updates, limits=limits).groups_adoptions
--- a/tests/test_commit_planner.py
+++ b/tests/test_commit_planner.py
@@ -17,10 +17,10 @@
 from tests.support.commit_plans import (
     DEPARTED,
     JOB,
+    LARGE_LIMITS,
     NOW_MS,
     OTHER,
     OWN,
-    ROOMY,
     SIBLING,
     THIRD,
     claim,
@@ -178,11 +178,11 @@
 
 
 def quota_row(plan: CommitPlan) -> Any:
-    return plan.transaction.writes.get(keys.team_key("red"))
+    return plan.transaction.writes.get(keys.quota_key("red"))
 
 
 def test_a_quota_increase_takes_what_the_limit_has_and_no_less_than_now(store: Store) -> None:
-    store.put(keys.team_key("red"), {SIBLING: [15.0, 0.0], OWN: [2.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [15.0, 0.0], OWN: [2.0, 0.0]})
 
     def increase(cores: float) -> CommitPlan:
         claims = RequestedClaims(quota_increases={"red": ResourceAmount(cores, 0.0)})
@@ -194,14 +194,14 @@
 
 
 def test_departed_incarnations_allocations_go_once_recovery_is_complete(store: Store) -> None:
-    store.put(keys.team_key("red"), {DEPARTED: [20.0, 0.0]})
+    store.put(keys.quota_key("red"), {DEPARTED: [20.0, 0.0]})
     claims = RequestedClaims(quota_increases={"red": ResourceAmount(8.0, 0.0)})
     assert quota_row(plan_commit(snapshot(store, claims=claims), [])) == {OWN: [8.0, 0.0]}
     assert quota_row(plan_commit(snapshot(store, claims=claims, recovery_complete=False), [])) is None
 
 
 def test_a_quota_decrease_holds_only_for_the_row_it_was_computed_from(store: Store) -> None:
-    revision = store.put(keys.team_key("red"), {OWN: [8.0, 0.0], SIBLING: [1.0, 0.0]})
+    revision = store.put(keys.quota_key("red"), {OWN: [8.0, 0.0], SIBLING: [1.0, 0.0]})
 
     def decrease(cores: float, revision: int) -> CommitPlan:
         claims = RequestedClaims(quota_decreases={"red": QuotaDecrease(revision, cores, 0.0)})
@@ -214,11 +214,11 @@
 
 
 def test_a_forced_rewrite_writes_a_row_that_stays_the_same(store: Store) -> None:
-    revision = store.put(keys.team_key("red"), {OWN: [8.0, 0.0]})
+    revision = store.put(keys.quota_key("red"), {OWN: [8.0, 0.0]})
     claims = RequestedClaims(quota_increases={"red": ResourceAmount(8.0, 0.0)})
     assert quota_row(plan_commit(snapshot(store, claims=claims), [])) is None
     plan = plan_commit(snapshot(store, claims=claims, forced_rewrites={"red"}), [])
-    assert quota_row(plan) == {OWN: [8.0, 0.0]} and plan.transaction.conditions[keys.team_key("red")] == revision
+    assert quota_row(plan) == {OWN: [8.0, 0.0]} and plan.transaction.conditions[keys.quota_key("red")] == revision
 
 
 # -- limits
@@ -234,38 +234,38 @@
 
 def test_the_budget_of_changes_cuts_the_due_jobs_in_their_order(store: Store) -> None:
     updates = three_completions(store)
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=2)), [THIRD, JOB, OTHER])
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2)), [THIRD, JOB, OTHER])
     assert list(plan.transaction.writes) == [keys.progress_key(THIRD), keys.progress_key(JOB)]
 
 
 def test_quota_rows_count_towards_the_budget_of_changes(store: Store) -> None:
     updates = three_completions(store)
     claims = RequestedClaims(quota_increases={"red": ResourceAmount(8.0, 0.0)})
-    plan = plan_commit(snapshot(store, updates, claims=claims, limits=replace(ROOMY, changes=2)), [JOB, OTHER])
-    assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.team_key("red")]
+    plan = plan_commit(snapshot(store, updates, claims=claims, limits=replace(LARGE_LIMITS, changes=2)), [JOB, OTHER])
+    assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.quota_key("red")]
 
 
 def test_an_adoption_and_its_quota_row_go_together_or_not_at_all(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c1_2=0b0001)
-    store.put(keys.team_key("red"), {SIBLING: [4.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0]})
     updates = {JOB: JobUpdates(adopted=0b0001, adopted_view=3)}
-    assert not plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=1)), [JOB]).transaction.writes
-    assert len(plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=2)), [JOB]).transaction) == 2
+    assert not plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=1)), [JOB]).transaction.writes
+    assert len(plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2)), [JOB]).transaction) == 2
 
 
 def test_the_quota_row_of_a_single_adoption_counts_towards_the_budget_of_changes(store: Store) -> None:
     updates = three_completions(store)
     store.progress(JOB, c1_2=0b0001)
-    store.put(keys.team_key("red"), {SIBLING: [4.0, 0.0]})
+    store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0]})
     updates[JOB] = JobUpdates(adopted=0b0001, adopted_view=3)
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, changes=2)), [JOB, OTHER])
-    assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.team_key("red")]
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2)), [JOB, OTHER])
+    assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.quota_key("red")]
 
 
 def test_the_bytes_of_a_transaction_cut_the_due_jobs_too(store: Store) -> None:
     updates = three_completions(store)
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, total_bytes=30)), [JOB, OTHER, THIRD])
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, total_bytes=30)), [JOB, OTHER, THIRD])
     assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.progress_key(OTHER)]
 
 
@@ -274,7 +274,7 @@
     store.job(spec("wk-000004", visits=400))
     store.progress("wk-000004", c0_1=taskset.full(400))
     updates["wk-000004"] = JobUpdates(done=sum(1 << number for number in range(0, 400, 2)))
-    plan = plan_commit(snapshot(store, updates, limits=replace(ROOMY, value_bytes=100)), ["wk-000004", JOB])
+    plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, value_bytes=100)), ["wk-000004", JOB])
     assert plan.oversized_jobs == ["wk-000004"] and list(plan.transaction.writes) == [keys.progress_key(JOB)]
     assert keys.progress_key("wk-000004") not in plan.transaction.conditions
 
--- a/tests/test_commit_schedule.py
+++ b/tests/test_commit_schedule.py
@@ -24,7 +24,9 @@
 
 
 def schedule(store: Store, updates: UncommittedUpdates, now_s: float, is_coordinator: bool = False) -> CommitSchedule:
-    return CommitSchedule(store.tables, updates, OWN, is_coordinator, CommitDelays(last_s=0.3, other_s=10.0), now_s)
+    return CommitSchedule(
+        store.tables, updates, OWN, is_coordinator, CommitDelays(claim_end_s=0.3, other_s=10.0), now_s
+    )
 
 
 def test_ends_come_first_those_awaited_before_all_then_claims_then_the_rest(store: Store) -> None:
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -34,7 +34,7 @@
         store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
         store.job(spec(visits=3))
         store.progress(JOB, c1_9=0b011)
-        store.put(keys.team_key("red"), {"c1.9": [4.0, 0.0]})
+        store.put(keys.quota_key("red"), {"c1.9": [4.0, 0.0]})
         self.machines.ownership.follow_view()
 
     def find(self, *tasks: tuple[object, ...], token: int = 3, name: str = "vm-1") -> None:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -301,9 +301,9 @@
 
 def team_limit(world: Recorder) -> None:
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
-    stamp = world.store.tables.mod_revision(keys.team_key("red"))
+    stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 2.25, 0.0)}))
-    stamp = world.store.tables.mod_revision(keys.team_key("red"))
+    stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 0.0, 0.0)}))
 
 
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -29,10 +29,10 @@
     world = World(store, SETTINGS.replace("cpus_max = 20.0", "cpus_max = 100.0"))
     monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
     store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
-    store.put(keys.group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
+    store.put(keys.machine_group_key("g"), {"m": {"vm-1": ["127.0.0.1:9000", "large", "a", False]}})
     world.heartbeat(large(1, 0))
     world.heartbeat(large(2, 3))
-    store.put(keys.team_key("red"), {"c0.1": [100.0, 0.0]})
+    store.put(keys.quota_key("red"), {"c0.1": [100.0, 0.0]})
     store.job(spec(FILL, visits=32, cores=1.0, memoryGb=0.1, urgency="best_effort"))
     world.round(ClaimRequest(task_counts={FILL: 32}))
     starts = world.heartbeat(large(3, 3)).commands
@@ -132,7 +132,7 @@
 
 def test_a_team_that_uses_up_its_quota_has_its_own_tasks_stopped(world: World) -> None:
     """The gang fits an empty machine and not the quota: nothing was stopped for it."""
-    world.store.put(keys.group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
+    world.store.put(keys.machine_group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
     world.machines.quota.available = lambda team, usage: ResourceAmount(50.0, 0.0)  # type: ignore[method-assign]
@@ -141,7 +141,7 @@
     assert tick(world, 2.5) == 12
     assert world.machines.gang_preemption.reservations.keys() == {"vm-2"}
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
-    world.store.put(keys.team_key("red"), {"c0.1": [50.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
     # Small tasks of the team do not take what was freed, not even one by one.
     world.machines.task_placement.place_unplaced()
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -69,19 +69,20 @@
     assert queued_names(store, text=AIMS) == [A, "wk-000009"]
     jobs = store.tables.jobs
     # 200 s less 10 s, a report and 1 GB at 0.5 GB/s; less 30 s, a report and 2 GB.
-    assert jobs[B].inherited_ms == (187_000, 287_000)
+    assert jobs[B].inherited_deadlines == (187_000, 287_000)
     assert (
-        jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_priority.PRIORITY_RANKS["urgent"]
+        jobs[A].inherited_deadlines == (152_000, 252_000)
+        and jobs[A].inherited_rank == job_priority.PRIORITY_RANKS["urgent"]
     )
     assert slo_targets.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # With the last job cancelled nothing needs the others any more.
     store.put(keys.job_key(C), {"s": JobState.CANCELLED, "n": 4})
-    assert queued_names(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_ms is None
+    assert queued_names(store, text=AIMS) == ["wk-000009", A] and jobs[A].inherited_deadlines is None
 
 
 def test_an_urgent_stage_does_not_stand_behind_work_whose_image_is_at_hand(world: World) -> None:
     """Failure found on the bench: it waited for twenty seconds while machines filled up with their images' jobs."""
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     for name, urgency, image in ((A, "best_effort", "img-2"), (B, "standard", "img-2"), (C, "urgent", "img-1")):
         world.store.job(spec(name, urgency=urgency, kit=image))
         world.store.progress(name, c0_1=0b1111)
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -31,7 +31,7 @@
     world.store.member("c0", 1, settled=2)
     world.store.job(spec())
     world.store.progress(JOB, c1_9=0b11)
-    world.store.put(keys.team_key("red"), {"c1.9": [6.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c1.9": [6.0, 0.0]})
     world.tell_jobs(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
@@ -75,7 +75,7 @@
     running(world)
     for _ in range(2):
         for cores in (1.0, 1.0, 8.0):
-            world.store.put(keys.team_key("red"), {"c0.1": [cores, 0.0]})
+            world.store.put(keys.quota_key("red"), {"c0.1": [cores, 0.0]})
             world.machines._update_accounting()
     warnings = logged(caplog, "usage above the allocation")
     assert len(warnings) == 2 and "team=red usage=2 allocation=1 view=3 revision=" in warnings[0]
@@ -83,7 +83,7 @@
 
 def test_use_by_adoptions_that_are_not_stored_is_not_warned_of(world: World, caplog: pytest.LogCaptureFixture) -> None:
     running(world)
-    world.store.put(keys.team_key("red"), {"c0.1": [1.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [1.0, 0.0]})
     world.machines.registry.adopting[JOB] = 0b10
     world.machines._update_accounting()
     assert not logged(caplog, "usage above the allocation")
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -42,7 +42,7 @@
 
 def test_deleted_machines_leave_their_group_and_the_last_one_ends_it(world: World) -> None:
     rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in (7, 8, 9)}
-    world.store.put(keys.group_key("c0.1.1"), {"m": rows})
+    world.store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
     assert {"vm-7", "vm-8", "vm-9"} <= world.store.tables.machines.keys()
 
     async def unregister(*names: str) -> None:
@@ -60,14 +60,14 @@
     anyio.run(unregister, "vm-7", "vm-8")
     assert "vm-9" in world.store.tables.machines and {"vm-7", "vm-8"} <= world.store.tables.deleted_machines
     anyio.run(unregister, "vm-9")
-    assert world.store.tables.mod_revision(keys.group_key("c0.1.1")) == 0
+    assert world.store.tables.mod_revision(keys.machine_group_key("c0.1.1")) == 0
     # One machine of each of many full groups: more than one transaction takes.
     for group in range(12):
         rows = {
             f"vm-{group}-{number:012d}": ["10.111.222.133:9000", "guayaba-grande", "san-jose-oeste", True]
             for number in range(81)
         }
-        world.store.put(keys.group_key(f"c0.1.{group + 2}"), {"m": rows})
+        world.store.put(keys.machine_group_key(f"c0.1.{group + 2}"), {"m": rows})
     lost = {f"vm-{group}-000000000000" for group in range(12)}
     anyio.run(unregister, *lost)
     assert lost <= world.store.tables.deleted_machines and len(world.store.tables.machines) == 12 * 80 + 1
@@ -92,14 +92,16 @@
     world = World(store)
     store.upgraded()
     rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
-    store.put(keys.group_key("c0.1.1"), {"m": rows})
+    store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
     registration = world.machines.registration
     world.client.value_bytes = 4 * len('"vm-000":["127.0.0.1:9000","small","a",true],')
     world.client.txn_ops = 3
     registration.pending_removals.add("vm-000")
     change = registration._removals()
-    assert len(change) <= 3 and not change.deletes and keys.group_key("c0.1.1") not in change.writes
-    assert change.conditions == {keys.group_key("c0.1.1"): store.tables.mod_revision(keys.group_key("c0.1.1"))}
+    assert len(change) <= 3 and not change.deletes and keys.machine_group_key("c0.1.1") not in change.writes
+    assert change.conditions == {
+        keys.machine_group_key("c0.1.1"): store.tables.mod_revision(keys.machine_group_key("c0.1.1"))
+    }
     for _ in range(40):
         change = registration._removals()
         if not change:
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -66,9 +66,9 @@
 def test_a_finished_job_with_a_handoff_may_still_change(store: Store) -> None:
     key = keys.job_key(JOB)
     revision = store.put(key, {"s": JobState.DONE, "n": 4, "t": 9, "o": ["north", 7]})
-    assert JOB in store.tables.unsettled_jobs and store.tables.mod_revision(key) == revision
+    assert JOB in store.tables.finished_jobs_with_handoffs and store.tables.mod_revision(key) == revision
     store.put(key, {"s": JobState.DONE, "n": 4, "t": 9})
-    assert JOB not in store.tables.unsettled_jobs and store.tables.mod_revision(key) == 0
+    assert JOB not in store.tables.finished_jobs_with_handoffs and store.tables.mod_revision(key) == 0
     store.put(key, {"s": JobState.CANCELLED, "n": 4, "t": 9})
     assert store.tables.finished_jobs[JOB].is_done, "it is final"
 
@@ -104,10 +104,10 @@
 
 def test_a_machine_is_deleted_with_its_last_group_and_comes_back_with_the_next(store: Store) -> None:
     for group in ("a", "b"):
-        store.put(keys.group_key(group), {"m": {"vm-1": ROW}})
-    store.put(keys.group_key("b"), {"m": {"vm-2": ROW}})
-    assert store.tables.machines["vm-1"].key == keys.group_key("a") and not store.tables.deleted_machines
-    store.put(keys.group_key("a"), None)
+        store.put(keys.machine_group_key(group), {"m": {"vm-1": ROW}})
+    store.put(keys.machine_group_key("b"), {"m": {"vm-2": ROW}})
+    assert store.tables.machines["vm-1"].key == keys.machine_group_key("a") and not store.tables.deleted_machines
+    store.put(keys.machine_group_key("a"), None)
     assert set(store.tables.machines) == {"vm-2"} and store.tables.deleted_machines == {"vm-1"}
     store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     assert store.tables.machines["vm-1"].key == keys.machine_key("vm-1") and not store.tables.deleted_machines
@@ -134,16 +134,16 @@
         store.put(key, None)
     assert store.tables.coordinator is None and not store.tables.members
     assert store.tables.view.number == 2 and store.tables.layout_complete
-    assert store.tables.features["cells"].seen == ("c0",)
+    assert store.tables.features["cells"].members == ("c0",)
 
 
 @pytest.mark.parametrize(
     ("key", "value"),
     [
-        (keys.team_key("red"), {"c0.1": [1.0]}),
+        (keys.quota_key("red"), {"c0.1": [1.0]}),
         (keys.VIEW_KEY, {"n": 2, "members": [["c0"]]}),
         (keys.progress_key(JOB), {"d": [0], "c": {}}),
-        (keys.group_key("a"), ["vm-1"]),
+        (keys.machine_group_key("a"), ["vm-1"]),
         (keys.chunk_key(JOB, "c0.1.1", 0) + "/0", "text"),
         (keys.job_key(JOB), {"n": 4}),
     ],
--- a/tests/test_row_codec.py
+++ b/tests/test_row_codec.py
@@ -10,7 +10,7 @@
 from sloeswitch.core import row_codec
 from sloeswitch.core.incarnation import Incarnation
 from sloeswitch.core.records import (
-    DelegationOrigin,
+    IncomingHandoff,
     Job,
     JobState,
     MachineRow,
@@ -59,19 +59,19 @@
 
 def test_links_to_other_cells_survive_storing() -> None:
     handoff = OriginRow("", JOB, MovePolicy.ONCE, Placement("south", 7), (Placement("west", 6),), cancelling=True)
-    job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, handoff=handoff, returned_ms=9)
-    job.delegated = DelegationOrigin("north", 4)
-    row = row_codec.decode_job_row(JOB, {"s": "live"} | row_codec.encode_job_links(job), 1)
-    assert (row.handoff, row.delegated) == (handoff, DelegationOrigin("north", 4))
+    job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, outgoing_handoffs=handoff, returned_ms=9)
+    job.incoming_handoff = IncomingHandoff("north", 4)
+    row = row_codec.decode_job_row(JOB, {"s": "live"} | row_codec.encode_job_handoffs(job), 1)
+    assert (row.outgoing_handoffs, row.incoming_handoff) == (handoff, IncomingHandoff("north", 4))
     assert row_codec.decode_returned_ms(row) == 9
     row = row_codec.decode_job_row(JOB, {"s": "live"}, 1)
-    assert (row.handoff, row.delegated, row_codec.decode_returned_ms(row)) == (None, None, 0)
+    assert (row.outgoing_handoffs, row.incoming_handoff, row_codec.decode_returned_ms(row)) == (None, None, 0)
 
 
 def test_a_finished_job_keeps_only_handoffs_that_are_still_to_be_stopped() -> None:
-    job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, handoff=OriginRow("", JOB, MovePolicy.ONCE))
-    assert row_codec.encode_job_links(job) == {"h": {"p": MovePolicy.ONCE.value}}
-    assert row_codec.encode_job_links(job, over=True) == {}
+    job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, outgoing_handoffs=OriginRow("", JOB, MovePolicy.ONCE))
+    assert row_codec.encode_job_handoffs(job) == {"h": {"p": MovePolicy.ONCE.value}}
+    assert row_codec.encode_job_handoffs(job, finished=True) == {}
 
 
 @pytest.mark.parametrize("dense", [False, True])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -68,7 +68,7 @@
 def test_planning_claims_is_bounded_and_returns_no_allocation_in_use(fleet: FleetWorld) -> None:
     """Four thousand machines with free capacity, and five hundred jobs that want it."""
     fleet.store_all()
-    fleet.store.put(keys.team_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
+    fleet.store.put(keys.quota_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
     for number in range(500):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=100, cores=1.0))
     fleet.tick()
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -32,7 +32,7 @@
     world = World(store)
     store.member("c0", 1, settled=2)
     world.machines.ownership.follow_view()
-    store.put(keys.group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
+    store.put(keys.machine_group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
     later(world, 0.1)
     assert reported(world) == []
     world.heartbeat(report(1, 0))
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -201,7 +201,7 @@
 
 
 def test_a_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
-    world.store.put(keys.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
+    world.store.put(keys.machine_group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
     later(world, 100.0)
     world.machines._tick()
     assert not world.machines.registry.machines["vm-8"].is_recovered
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -77,7 +77,7 @@
 
 def test_a_group_of_production_too_large_by_now_is_parted_when_it_changes_and_loses_no_machine(store: Store) -> None:
     world = World(store, NARROW)
-    store.put(keys.group_key("c1.5.1"), large_group(240))
+    store.put(keys.machine_group_key("c1.5.1"), large_group(240))
     everything = set(store.tables.machines)
     unregister(world, "vm-000007")
     # While an old controller is about, machines stay where they are: it would take them for deleted.
@@ -91,7 +91,7 @@
         outcome = apply(*transaction)
         # Whoever reads all again, by key, finds every machine.
         again = Store()
-        for key, value in sorted({keys.group_key("c1.5.1"): large_group(240), **written}.items()):
+        for key, value in sorted({keys.machine_group_key("c1.5.1"): large_group(240), **written}.items()):
             again.put(key, value)
         missing.extend(everything - {"vm-000007"} - again.tables.machines.keys())
         return outcome
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -49,7 +49,7 @@
     store.member("c0", 1, settled=2)
     assert store.tables.recovery_complete()
     assert store.tables.unclaimed_tasks(job, True) == 0b1110
-    assert store.tables.void_claim_holders(job) == ["c1.2"]
+    assert store.tables.departed_claim_holders(job) == ["c1.2"]
 
 
 def test_recovery_by_an_earlier_incarnation_does_not_count(store: Store) -> None:
@@ -64,7 +64,7 @@
     The allocations of the crashed incarnations use up the team's quota and no controller requests more.
     """
     red = parse(SETTINGS).teams["red"]
-    store.put(keys.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
+    store.put(keys.quota_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
     store.member("c0", 3, settled=1)
     assert store.tables.unallocated_quota(red)[0] == 0.0
--- a/tests/test_taskset.py
+++ b/tests/test_taskset.py
@@ -17,7 +17,7 @@
 
 
 def test_members_are_the_task_numbers_lowest_first() -> None:
-    assert list(taskset.members(0b110101)) == [0, 2, 4, 5] and list(taskset.members(0)) == []
+    assert list(taskset.task_numbers(0b110101)) == [0, 2, 4, 5] and list(taskset.task_numbers(0)) == []
 
 
 @pytest.mark.parametrize("runs", [["a", 1], [0], [0, "%"], [0, 1, 2]])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -226,9 +226,9 @@
     for order in (("a.1", "b.1"), ("b.1", "a.1")):
         store = Store()
         for group in order:
-            store.put(keys.group_key(group), {"m": row})
-        assert store.tables.machines["vm-1"].key == keys.group_key("b.1")
-        store.put(keys.group_key("a.1"), None)
+            store.put(keys.machine_group_key(group), {"m": row})
+        assert store.tables.machines["vm-1"].key == keys.machine_group_key("b.1")
+        store.put(keys.machine_group_key("a.1"), None)
         assert "vm-1" in store.tables.machines
-        store.put(keys.group_key("b.1"), None)
+        store.put(keys.machine_group_key("b.1"), None)
         assert "vm-1" in store.tables.deleted_machines
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -55,7 +55,7 @@
     """Failure found on the bench: claimed ahead while no machine had room, a job had no zone, and its tasks went to
     any."""
     world.store.job(spec(**bound))
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
@@ -75,7 +75,7 @@
 def test_tasks_for_other_zones_are_claimed_where_there_is_room_for_them(world: World) -> None:
     """Room in another zone than the stored one is for the upper half of a job that is spread."""
     world.store.job(spec(spread=True))
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.queue.rebuild()
     (asked,) = world.claim_requests()
@@ -101,7 +101,7 @@
 
 def test_with_room_in_the_limit_for_one_task_it_is_one_that_has_room(world: World) -> None:
     world.store.job(spec(spread=True))
-    world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.quota.available = lambda team, usage: ResourceAmount(2.0, 0.0)  # type: ignore[method-assign]
     world.machines.queue.rebuild()
