--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -18,7 +18,7 @@
 TEAMS = {"red": Team("red", 8.0, 20.0, 0.0, 0.0), "blue": Team("blue", 8.0, 20.0, 0.0, 0.0)}
 
 
-def recovered(store: Store) -> None:
+def store_recovered_view(store: Store) -> None:
     """Stores view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
     store.member("c0", 1, settled=3)
@@ -43,7 +43,7 @@
     return replace(base, **changes)
 
 
-def claim(count: int, job: str = JOB, **changes: Any) -> RequestedClaims:
+def claim_request(count: int, job: str = JOB, **changes: Any) -> RequestedClaims:
     return RequestedClaims(task_counts={job: count}, **changes)
 
 
--- a/tests/test_commit_adoptions.py
+++ b/tests/test_commit_adoptions.py
@@ -21,8 +21,8 @@
     SIBLING,
     TEAMS,
     THIRD,
-    recovered,
     snapshot,
+    store_recovered_view,
     stored_claims,
 )
 
@@ -30,11 +30,11 @@
 @pytest.fixture
 def store(store: Store) -> Store:
     """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
-    recovered(store)
+    store_recovered_view(store)
     return store
 
 
-def test_a_single_adoption_takes_the_claim_and_its_part_of_the_quota_along(store: Store) -> None:
+def test_a_single_adoption_moves_the_claim_and_its_quota(store: Store) -> None:
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0111)
     store.put(keys.quota_key("red"), {SIBLING: [7.0, 0.0]})
@@ -63,7 +63,7 @@
     assert stored_claims(plan) == {OWN: 0b0010}
 
 
-def test_an_adoption_from_nobody_moves_no_quota_and_relies_on_the_view(store: Store) -> None:
+def test_an_adoption_of_unclaimed_tasks_moves_no_quota_and_relies_on_the_view(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0001)
     store.put(keys.quota_key("red"), {OWN: [4.0, 0.0]})
@@ -99,7 +99,7 @@
     assert plan.adoption_number == 1 and next(iter(plan.transaction.writes)) == keys.adoption_key(OWN, 1)
 
 
-def test_grouped_adoptions_from_nobody_rely_on_the_view(store: Store) -> None:
+def test_grouped_adoptions_of_unclaimed_tasks_rely_on_the_view(store: Store) -> None:
     store.upgraded()
     store.job(spec())
     store.progress(JOB, 0b0001)
@@ -108,7 +108,7 @@
     assert plan.relies_on_view and keys.VIEW_KEY in plan.transaction.conditions
 
 
-def test_the_quota_of_grouped_adoptions_moves_once_though_their_jobs_are_due(store: Store) -> None:
+def test_the_quota_of_grouped_adoptions_moves_once_even_if_their_jobs_are_due(store: Store) -> None:
     plan = plan_commit(snapshot(store, two_adopted_jobs(store)), [JOB, OTHER])
     assert stored_claims(plan) == {SIBLING: 0b0010, OWN: 0b0001}
     assert plan.transaction.writes[keys.quota_key("red")] == {SIBLING: [2.0, 0.0], OWN: [2.0, 0.0]}
@@ -132,14 +132,14 @@
     assert keys.quota_key("red") not in plan.transaction.writes
 
 
-def test_progress_tells_up_to_which_revision_it_contains_adoptions(store: Store) -> None:
+def test_progress_stores_the_revision_up_to_which_it_contains_adoptions(store: Store) -> None:
     two_adopted_jobs(store)
     store.put(keys.adoption_key(OWN, 0), {"m": {JOB: [0, 1]}})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001)}), [JOB])
     assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == store.epoch
 
 
-def test_progress_never_tells_an_earlier_revision_than_it_did(store: Store) -> None:
+def test_the_adoption_revision_of_progress_never_decreases(store: Store) -> None:
     two_adopted_jobs(store)
     store.put(keys.adoption_key(OWN, 0), {"m": {JOB: [0, 1]}})
     store.put(keys.progress_key(JOB), {"d": [], "c": {OWN: [0, 2]}, "e": 99})
@@ -147,13 +147,13 @@
     assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == 99
 
 
-def test_grouped_adoptions_keep_within_the_changes_and_leave_the_rest_for_later(store: Store) -> None:
+def test_grouped_adoptions_respect_the_limit_of_changes_and_leave_the_rest_for_later(store: Store) -> None:
     updates = two_adopted_jobs(store)
     plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2, transaction_changes=2)), [])
     assert list(plan.transaction.writes) == [keys.adoption_key(OWN, 0), keys.quota_key("blue")]
 
 
-def test_a_first_adoption_too_large_for_a_row_is_parted(store: Store) -> None:
+def test_a_first_adoption_too_large_for_a_row_is_split(store: Store) -> None:
     store.upgraded()
     store.job(spec(visits=400))
     scattered = sum(1 << number for number in range(0, 400, 3))
@@ -175,7 +175,7 @@
     assert plan.oversized_jobs == [JOB] and not plan.transaction.writes
 
 
-def test_a_decrease_computed_before_an_adoption_does_not_give_away_what_the_adopted_tasks_use(store: Store) -> None:
+def test_a_decrease_computed_before_an_adoption_keeps_the_quota_of_the_adopted_tasks(store: Store) -> None:
     store.upgraded()
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0011)
@@ -186,7 +186,7 @@
     assert plan.transaction.writes[keys.quota_key("red")] == {OWN: [9.0, 0.0]}
 
 
-def test_a_sibling_cannot_take_what_adopted_tasks_use_after_a_decrease(store: Store) -> None:
+def test_a_sibling_cannot_take_the_quota_of_adopted_tasks_after_a_decrease(store: Store) -> None:
     """Guards against a quota exceeded by an adoption and a decrease in one transaction.
 
     Of 20 cores, the adopting controller uses 5 plus 4 for the adopted tasks, and a third controller uses 8.
@@ -206,7 +206,7 @@
     assert taken + 5.0 + 4.0 <= TEAMS["red"].cpus_max
 
 
-def test_adoptions_are_not_grouped_where_decreases_take_the_transaction(store: Store) -> None:
+def test_adoptions_are_not_grouped_if_decreases_fill_the_transaction(store: Store) -> None:
     updates = two_adopted_jobs(store)
     claims = RequestedClaims(quota_decreases={"red": QuotaDecrease(0, 1.0, 0.0)})
     limits = replace(LARGE_LIMITS, transaction_changes=2)
--- a/tests/test_commit_planner.py
+++ b/tests/test_commit_planner.py
@@ -23,10 +23,10 @@
     OWN,
     SIBLING,
     THIRD,
-    claim,
-    recovered,
+    claim_request,
     row_conditions,
     snapshot,
+    store_recovered_view,
     stored_claims,
 )
 
@@ -34,7 +34,7 @@
 @pytest.fixture
 def store(store: Store) -> Store:
     """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
-    recovered(store)
+    store_recovered_view(store)
     return store
 
 
@@ -53,7 +53,7 @@
 # -- completions and ends
 
 
-def test_a_completion_is_written_with_the_claim_gone_and_does_not_rely_on_the_view(store: Store) -> None:
+def test_a_completion_removes_the_claim_and_does_not_rely_on_the_view(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0011, c1_2=0b0100)
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001)}), [JOB])
@@ -81,7 +81,7 @@
     assert plan.transaction.writes == {keys.job_key(JOB): {"s": JobState.CANCELLED, "n": 4, "t": NOW_MS}}
 
 
-def test_updates_of_tasks_that_the_job_has_not_are_left_out(store: Store) -> None:
+def test_updates_of_tasks_beyond_the_job_are_left_out(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0011)
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b10001, adopted=0b100100, adopted_view=3)}), [JOB])
@@ -95,7 +95,7 @@
 def test_a_release_drops_only_this_controllers_claim_and_is_not_claimed_again_at_once(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0011, c1_2=0b0100)
-    plan = plan_commit(snapshot(store, {JOB: JobUpdates(released=0b0101)}, claims=claim(4)), [JOB])
+    plan = plan_commit(snapshot(store, {JOB: JobUpdates(released=0b0101)}, claims=claim_request(4)), [JOB])
     assert stored_claims(plan) == {OWN: 0b1010, SIBLING: 0b0100} and plan.granted == {JOB: 0b1000}
 
 
@@ -112,7 +112,7 @@
 def test_a_claim_takes_the_lowest_free_tasks_and_relies_on_the_view(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, 0b0001, c1_2=0b0010)
-    plan = plan_commit(snapshot(store, claims=claim(1)), [JOB])
+    plan = plan_commit(snapshot(store, claims=claim_request(1)), [JOB])
     assert stored_claims(plan) == {SIBLING: 0b0010, OWN: 0b0100} and plan.granted == {JOB: 0b0100}
     assert plan.relies_on_view and plan.transaction.conditions == row_conditions(store) | {
         keys.VIEW_KEY: store.tables.mod_revision(keys.VIEW_KEY)
@@ -122,50 +122,50 @@
 def test_nothing_is_claimed_of_a_job_that_is_not_runnable(store: Store) -> None:
     store.job(spec(), JobState.CANCELLED)
     store.progress(JOB, c1_2=0b0001)
-    assert not plan_commit(snapshot(store, claims=claim(4)), [JOB]).granted
+    assert not plan_commit(snapshot(store, claims=claim_request(4)), [JOB]).granted
 
 
 def test_a_gang_is_claimed_as_a_whole_or_not_at_all(store: Store) -> None:
     store.job(spec(shape="group", visits=4))
-    assert not plan_commit(snapshot(store, claims=claim(3)), [JOB]).granted
-    assert plan_commit(snapshot(store, claims=claim(4)), [JOB]).granted == {JOB: 0b1111}
+    assert not plan_commit(snapshot(store, claims=claim_request(3)), [JOB]).granted
+    assert plan_commit(snapshot(store, claims=claim_request(4)), [JOB]).granted == {JOB: 0b1111}
 
 
 def test_a_zone_bound_job_is_claimed_only_with_a_zone_and_where_its_tasks_fit(store: Store) -> None:
     store.job(spec(together=True))
-    assert not plan_commit(snapshot(store, claims=claim(4, zone_bound_tasks={JOB: 0b1111})), [JOB]).granted
-    with_zone = claim(4, zone_bound_tasks={JOB: 0b0110}, zones={JOB: "b"})
-    plan = plan_commit(snapshot(store, claims=with_zone), [JOB])
+    assert not plan_commit(snapshot(store, claims=claim_request(4, zone_bound_tasks={JOB: 0b1111})), [JOB]).granted
+    request_with_zone = claim_request(4, zone_bound_tasks={JOB: 0b0110}, zones={JOB: "b"})
+    plan = plan_commit(snapshot(store, claims=request_with_zone), [JOB])
     assert plan.granted == {JOB: 0b0110} and plan.transaction.writes[keys.progress_key(JOB)]["z"] == "b"
 
 
 def test_the_stored_zone_of_a_job_stays(store: Store) -> None:
     store.job(spec(together=True))
     store.put(keys.progress_key(JOB), {"d": [], "c": {SIBLING: [0, 1]}, "z": "b"})
-    with_zone = claim(4, zone_bound_tasks={JOB: 0b0110}, zones={JOB: "a"})
-    plan = plan_commit(snapshot(store, claims=with_zone), [JOB])
+    request_with_zone = claim_request(4, zone_bound_tasks={JOB: 0b0110}, zones={JOB: "a"})
+    plan = plan_commit(snapshot(store, claims=request_with_zone), [JOB])
     assert plan.granted == {JOB: 0b0110} and plan.transaction.writes[keys.progress_key(JOB)]["z"] == "b"
 
 
 def test_no_zone_is_chosen_while_tasks_without_one_are_claimed(store: Store) -> None:
     store.job(spec(together=True))
     store.progress(JOB, c1_2=0b0001)
-    with_zone = claim(4, zone_bound_tasks={JOB: 0b1110}, zones={JOB: "b"})
-    assert not plan_commit(snapshot(store, claims=with_zone), [JOB]).granted
+    request_with_zone = claim_request(4, zone_bound_tasks={JOB: 0b1110}, zones={JOB: "b"})
+    assert not plan_commit(snapshot(store, claims=request_with_zone), [JOB]).granted
 
 
 # -- void claims
 
 
-def test_void_claims_of_departed_incarnations_go_and_may_be_claimed_in_the_same_transaction(store: Store) -> None:
+def test_void_claims_are_dropped_and_their_tasks_may_be_claimed_in_the_same_transaction(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c1_1=0b0011, c1_2=0b0100)
-    plan = plan_commit(snapshot(store, claims=claim(2)), [JOB])
+    plan = plan_commit(snapshot(store, claims=claim_request(2)), [JOB])
     assert stored_claims(plan) == {SIBLING: 0b0100, OWN: 0b0011} and plan.relies_on_view
 
 
 @pytest.mark.parametrize("change", [{"is_leader": False}, {"recovery_complete": False}])
-def test_claims_of_departed_incarnations_stand_until_recovery_and_for_whoever_does_not_lead(
+def test_claims_of_departed_incarnations_stay_before_recovery_and_for_non_leaders(
     store: Store, change: dict[str, Any]
 ) -> None:
     store.job(spec())
@@ -181,7 +181,7 @@
     return plan.transaction.writes.get(keys.quota_key("red"))
 
 
-def test_a_quota_increase_takes_what_the_limit_has_and_no_less_than_now(store: Store) -> None:
+def test_a_quota_increase_is_limited_by_the_quota_and_never_lowers_the_allocation(store: Store) -> None:
     store.put(keys.quota_key("red"), {SIBLING: [15.0, 0.0], OWN: [2.0, 0.0]})
 
     def increase(cores: float) -> CommitPlan:
@@ -193,14 +193,14 @@
     assert quota_row(increase(1.0)) is None  # stays at 2
 
 
-def test_departed_incarnations_allocations_go_once_recovery_is_complete(store: Store) -> None:
+def test_allocations_of_departed_incarnations_are_dropped_once_recovery_is_complete(store: Store) -> None:
     store.put(keys.quota_key("red"), {DEPARTED: [20.0, 0.0]})
     claims = RequestedClaims(quota_increases={"red": ResourceAmount(8.0, 0.0)})
     assert quota_row(plan_commit(snapshot(store, claims=claims), [])) == {OWN: [8.0, 0.0]}
     assert quota_row(plan_commit(snapshot(store, claims=claims, recovery_complete=False), [])) is None
 
 
-def test_a_quota_decrease_holds_only_for_the_row_it_was_computed_from(store: Store) -> None:
+def test_a_quota_decrease_applies_only_to_the_row_it_was_computed_from(store: Store) -> None:
     revision = store.put(keys.quota_key("red"), {OWN: [8.0, 0.0], SIBLING: [1.0, 0.0]})
 
     def decrease(cores: float, revision: int) -> CommitPlan:
@@ -232,20 +232,20 @@
     return {name: JobUpdates(done=0b0001) for name in names}
 
 
-def test_the_budget_of_changes_cuts_the_due_jobs_in_their_order(store: Store) -> None:
+def test_the_limit_of_changes_selects_due_jobs_in_their_order(store: Store) -> None:
     updates = three_completions(store)
     plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2)), [THIRD, JOB, OTHER])
     assert list(plan.transaction.writes) == [keys.progress_key(THIRD), keys.progress_key(JOB)]
 
 
-def test_quota_rows_count_towards_the_budget_of_changes(store: Store) -> None:
+def test_quota_rows_count_towards_the_limit_of_changes(store: Store) -> None:
     updates = three_completions(store)
     claims = RequestedClaims(quota_increases={"red": ResourceAmount(8.0, 0.0)})
     plan = plan_commit(snapshot(store, updates, claims=claims, limits=replace(LARGE_LIMITS, changes=2)), [JOB, OTHER])
     assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.quota_key("red")]
 
 
-def test_an_adoption_and_its_quota_row_go_together_or_not_at_all(store: Store) -> None:
+def test_an_adoption_and_its_quota_row_are_written_together_or_not_at_all(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c1_2=0b0001)
     store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0]})
@@ -254,7 +254,7 @@
     assert len(plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, changes=2)), [JOB]).transaction) == 2
 
 
-def test_the_quota_row_of_a_single_adoption_counts_towards_the_budget_of_changes(store: Store) -> None:
+def test_the_quota_row_of_a_single_adoption_counts_towards_the_limit_of_changes(store: Store) -> None:
     updates = three_completions(store)
     store.progress(JOB, c1_2=0b0001)
     store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0]})
@@ -263,13 +263,13 @@
     assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.quota_key("red")]
 
 
-def test_the_bytes_of_a_transaction_cut_the_due_jobs_too(store: Store) -> None:
+def test_the_byte_limit_of_a_transaction_selects_due_jobs_too(store: Store) -> None:
     updates = three_completions(store)
     plan = plan_commit(snapshot(store, updates, limits=replace(LARGE_LIMITS, total_bytes=30)), [JOB, OTHER, THIRD])
     assert list(plan.transaction.writes) == [keys.progress_key(JOB), keys.progress_key(OTHER)]
 
 
-def test_progress_larger_than_a_value_is_left_out_and_named(store: Store) -> None:
+def test_progress_larger_than_a_value_is_left_out_and_reported(store: Store) -> None:
     updates = three_completions(store)
     store.job(spec("wk-000004", visits=400))
     store.progress("wk-000004", c0_1=taskset.full(400))
--- a/tests/test_commit_schedule.py
+++ b/tests/test_commit_schedule.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_ends_come_first_those_awaited_before_all_then_claims_then_the_rest(store: Store) -> None:
+def test_ending_jobs_are_due_before_claims_and_those_with_dependents_first(store: Store) -> None:
     for name in (JOB, OTHER, THIRD):
         store.job(spec(name, visits=1 if name != THIRD else 4))
         store.progress(name, c0_1=0b1)
@@ -41,7 +41,7 @@
     assert due == [OTHER, JOB, "wk-000005", THIRD]
 
 
-def test_last_updates_wait_for_a_moment_and_others_for_long(store: Store) -> None:
+def test_updates_that_end_claims_wait_briefly_and_others_longer(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0011)
     updates = UncommittedUpdates()
@@ -62,7 +62,7 @@
     assert schedule(store, UncommittedUpdates(), 0.0, is_coordinator=True).due_jobs(()) == [JOB]
 
 
-def test_adoptions_hold_for_their_view_only(store: Store) -> None:
+def test_adoptions_are_valid_only_under_their_view(store: Store) -> None:
     updates = UncommittedUpdates()
     updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=0.0)
     updates.merge(TaskUpdates(adopted={JOB: 0b0010}, view_number=2), now_s=0.0)
@@ -75,7 +75,7 @@
     assert updates.by_job[JOB].adopted == 0
 
 
-def test_what_the_tables_hold_is_dropped_and_a_new_incarnation_keeps_only_completions(store: Store) -> None:
+def test_committed_updates_are_pruned_and_a_new_incarnation_keeps_only_completions(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, 0b0001, c0_1=0b0010)
     updates = UncommittedUpdates()
@@ -87,7 +87,7 @@
     assert updates.by_job[JOB].done == 0b1000 and updates.by_job[JOB].released == 0
 
 
-def test_what_other_jobs_depend_on_does_not_wait(store: Store) -> None:
+def test_the_end_of_a_job_with_dependents_is_due_at_once(store: Store) -> None:
     store.job(spec(visits=1))
     store.progress(JOB, c0_1=0b1)
     store.job(spec(OTHER, awaits=[JOB]))
@@ -96,7 +96,7 @@
     assert schedule(store, updates, 100.0).due_jobs(()) == [JOB]
 
 
-def test_a_release_is_urgent_though_other_claims_are_left(store: Store) -> None:
+def test_a_release_is_urgent_even_if_other_claims_are_left(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0011)
     updates = UncommittedUpdates()
@@ -114,21 +114,21 @@
     assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.0).due_jobs(()) == []
 
 
-def test_claims_on_cancelled_jobs_stand_until_recovery_is_complete(store: Store) -> None:
+def test_claims_on_cancelled_jobs_are_valid_until_recovery_is_complete(store: Store) -> None:
     store.job(spec(), JobState.CANCELLED)
     store.progress(JOB, c1_1=0b0001)
     store.member("c1", 2, settled=2)
     assert schedule(store, UncommittedUpdates(), 0.0, is_coordinator=True).due_jobs(()) == []
 
 
-def test_whoever_left_the_view_has_no_adoptions(store: Store) -> None:
+def test_adoptions_expire_when_the_controller_leaves_the_view(store: Store) -> None:
     updates = UncommittedUpdates()
     updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=0.0)
     updates.expire_adoptions(3, is_member=False)
     assert updates.by_job[JOB].adopted == 0
 
 
-def test_updates_go_once_adopted_or_over_and_stay_for_a_job_not_read_yet(store: Store) -> None:
+def test_updates_are_pruned_once_committed_or_finished_and_kept_for_unknown_jobs(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b0001)
     store.job(spec(OTHER))
--- a/tests/test_frozen_keys.py
+++ b/tests/test_frozen_keys.py
@@ -16,11 +16,11 @@
 from sloeswitch.core.records import JobState
 
 FROZEN = Path(__file__).parent / "frozen"
-KEYS: dict[str, str] = json.loads((FROZEN / "keys.json").read_text())
-SETS: dict[str, dict[str, str]] = json.loads((FROZEN / "rows_tasksets.json").read_text())
+FROZEN_KEYS: dict[str, str] = json.loads((FROZEN / "keys.json").read_text())
+FROZEN_SETS: dict[str, dict[str, str]] = json.loads((FROZEN / "rows_tasksets.json").read_text())
 
 # Keys and stored constants as the code builds them, by their name in keys.json.
-MADE = {
+BUILT_KEYS = {
     "prefix": keys.KEY_PREFIX,
     "view": keys.VIEW_KEY,
     "coordinator": keys.COORDINATOR_KEY,
@@ -47,7 +47,7 @@
     "layout with groups": str(keys.MACHINE_GROUPS_LAYOUT),
     "layout": str(keys.LAYOUT_VERSION),
 }
-PACKS = {"pack": taskset.pack, "dense": taskset.pack_dense}
+PACK_FUNCTIONS = {"pack": taskset.pack, "dense": taskset.pack_dense}
 
 
 def bits(*runs: tuple[int, int]) -> int:
@@ -55,7 +55,7 @@
     return sum(((1 << length) - 1) << start for start, length in runs)
 
 
-MASKS = {
+TASK_SETS = {
     "empty": 0,
     "task 0": 1,
     "task 7": 1 << 7,
@@ -72,22 +72,22 @@
 
 
 def test_every_frozen_key_and_set_has_its_case() -> None:
-    assert MADE.keys() == KEYS.keys() and MASKS.keys() == SETS.keys()
+    assert BUILT_KEYS.keys() == FROZEN_KEYS.keys() and TASK_SETS.keys() == FROZEN_SETS.keys()
 
 
-@pytest.mark.parametrize("name", KEYS)
+@pytest.mark.parametrize("name", FROZEN_KEYS)
 def test_a_key_is_the_frozen_text(name: str) -> None:
-    assert MADE[name] == KEYS[name]
+    assert BUILT_KEYS[name] == FROZEN_KEYS[name]
 
 
-@pytest.mark.parametrize("name", SETS)
+@pytest.mark.parametrize("name", FROZEN_SETS)
 def test_a_set_of_tasks_is_packed_and_unpacked_as_frozen(name: str) -> None:
-    for form, text in SETS[name].items():
-        assert wire.encode(PACKS[form](MASKS[name])).decode() == text
-        assert taskset.unpack(json.loads(text)) == MASKS[name]
+    for form, text in FROZEN_SETS[name].items():
+        assert wire.encode(PACK_FUNCTIONS[form](TASK_SETS[name])).decode() == text
+        assert taskset.unpack(json.loads(text)) == TASK_SETS[name]
 
 
 @pytest.mark.parametrize("text", ['["AQ"]', '["AQ",1]', "[0]", '[0,"*"]'])
-def test_what_is_no_packed_set_is_refused(text: str) -> None:
+def test_a_malformed_packed_set_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         taskset.unpack(json.loads(text))
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -70,7 +70,7 @@
 
 
 @pytest.fixture(autouse=True)
-def time_of_day(monkeypatch: pytest.MonkeyPatch) -> None:
+def fixed_wall_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """Fixes the wall clock at one time."""
     monkeypatch.setattr(Clock, "wall_clock_ms", lambda _clock: 1_700_000_000_250)
 
@@ -128,13 +128,13 @@
         world.heartbeat(report(1, 0, name=name))
         world.heartbeat(report(2, 3, name=name))
 
-    async def once() -> None:
+    async def register_once() -> None:
         async with anyio.create_task_group() as group:
             world.machines.group = group
             world.machines._register()
 
     world.machines.registration.pace_s = 0.0
-    world.run(once)
+    world.run(register_once)
 
 
 def machine_group(world: Recorder) -> None:
@@ -276,8 +276,8 @@
     world.given("job with every field")
     for name in (JOB, THIRD):
         world.store.put(*parse_line(f's1/j/{name} {{"s":"done","n":1}}'))
-    picks, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
-    world.round(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=picks, zones=zones))
+    tasks_in_zone, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
+    world.round(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=tasks_in_zone, zones=zones))
 
 
 def progress_beside_adoptions(world: Recorder) -> None:
@@ -301,10 +301,10 @@
 
 def team_limit(world: Recorder) -> None:
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
-    stamp = world.store.tables.mod_revision(keys.quota_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 2.25, 0.0)}))
-    stamp = world.store.tables.mod_revision(keys.quota_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(stamp, 0.0, 0.0)}))
+    revision = world.store.tables.mod_revision(keys.quota_key("red"))
+    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 2.25, 0.0)}))
+    revision = world.store.tables.mod_revision(keys.quota_key("red"))
+    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 0.0, 0.0)}))
 
 
 # -- admission
@@ -313,8 +313,8 @@
 def admission_root(world: Recorder) -> None:
     world.given("layout mark, complete", "feature marks, complete", "coordinator")
     features = AdmissionFeatures(True)
-    each = AdmissionCoordinator(world.context, features, list, {})
-    world.run(each.epoch)
+    admission_coordinator = AdmissionCoordinator(world.context, features, list, {})
+    world.run(admission_coordinator.epoch)
 
 
 def admission_every_field(world: Recorder) -> None:
@@ -326,8 +326,8 @@
     }
     row = AdmissionRow(4, common, lanes, {"red": 12.54, "blue": 0.0, "green": -3.0})
     root, parts = row.children("")
-    for path, each in {"": row, **parts}.items():
-        world.lines.append(line_of(keys.admission_key(path), each.stored()))
+    for path, path_row in {"": row, **parts}.items():
+        world.lines.append(line_of(keys.admission_key(path), path_row.stored()))
     world.lines.append(line_of(keys.admission_key(""), root.stored()))
 
 
@@ -335,13 +335,13 @@
     world.given("admission rows with every field")
     for path, row in sorted(world.store.tables.admission_rows.items()):
         higher = row.raised(LaneCut(Ticket(1200, COMPLEX), 9000), {}, row.deficits)
-        world.lines += [line_of(keys.admission_key(path), each.stored()) for each in (row, higher)]
+        world.lines += [line_of(keys.admission_key(path), version.stored()) for version in (row, higher)]
 
 
 # -- other cells
 
 
-class AnswersInTurn:
+class ScriptedLink:
     """A link to a cell with scripted answers; None stands for a lost answer."""
 
     def __init__(self, *answers: Answer | None) -> None:
@@ -365,64 +365,64 @@
     return CellFeatures("north", 1, True, 30, (PeerCell("south", ()),), policies)
 
 
-def origin(world: Recorder, *answers: Answer | None) -> CellOrigin:
+def make_origin(world: Recorder, *answers: Answer | None) -> CellOrigin:
     world.given("layout mark, complete", "feature marks, complete")
-    links: Any = {"south": AnswersInTurn(*answers)}
+    links: Any = {"south": ScriptedLink(*answers)}
     return CellOrigin(world.context, cell_features(), list, links)
 
 
 def moved_and_taken_back(world: Recorder) -> None:
-    each = origin(world, None, None, Answer.ACCEPTED)
+    cell_origin = make_origin(world, None, None, Answer.ACCEPTED)
     world.given("job")
-    world.run(each._move, world.store.tables.jobs[JOB], "south")
-    world.run(each.talk, "south")
+    world.run(cell_origin._move, world.store.tables.jobs[JOB], "south")
+    world.run(cell_origin.talk, "south")
     world.later(50.0)
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def moved_and_given_back(world: Recorder) -> None:
-    each = origin(world, Answer.REFUSED)
+    cell_origin = make_origin(world, Answer.REFUSED)
     world.given("job offered to a cell")
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def moved_and_done(world: Recorder) -> None:
-    each = origin(world, Answer.DONE)
+    cell_origin = make_origin(world, Answer.DONE)
     world.given("job offered to a cell")
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def every_handoff_field(world: Recorder) -> None:
-    each = origin(world, Answer.STOPPED)
+    cell_origin = make_origin(world, Answer.STOPPED)
     world.given("job with every field of a handoff")
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def done_elsewhere_with_a_handoff_left(world: Recorder) -> None:
-    each = origin(world, Answer.DONE)
+    cell_origin = make_origin(world, Answer.DONE)
     world.given("job with every field of a handoff")
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def over_with_handoffs(world: Recorder) -> None:
-    each = origin(world, Answer.STOPPED, Answer.STOPPED)
+    cell_origin = make_origin(world, Answer.STOPPED, Answer.STOPPED)
     world.given("jobs over that await other cells")
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def cancellation_of_a_moved_job(world: Recorder) -> None:
-    each = origin(world, Answer.STOPPED)
+    cell_origin = make_origin(world, Answer.STOPPED)
     world.given("job offered to a cell")
     assert world.run(world.jobs.cancel, JOB) is None
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def cancellation_of_a_moved_job_with_tasks(world: Recorder) -> None:
-    each = origin(world, Answer.STOPPED)
+    cell_origin = make_origin(world, Answer.STOPPED)
     world.given("job offered to a cell")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     assert world.run(world.jobs.cancel, JOB) is None
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
 def handoffs_beside_the_end(world: Recorder) -> None:
@@ -446,55 +446,55 @@
 
 
 def recall_of_a_cancelled_job(world: Recorder) -> None:
-    each = origin(world, Answer.STOPPED)
+    cell_origin = make_origin(world, Answer.STOPPED)
     world.store.put(keys.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
-    world.run(each.talk, "south")
+    world.run(cell_origin.talk, "south")
 
 
-def target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
+def make_target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
     world.given("layout mark, complete", "feature marks, complete")
-    each = CellTarget(world.context, cell_features(), world.jobs)
-    monkeypatch.setattr(each, "_has_room", lambda handoff, offer: offer is not None)
-    return each
+    cell_target = CellTarget(world.context, cell_features(), world.jobs)
+    monkeypatch.setattr(cell_target, "_has_room", lambda handoff, offer: offer is not None)
+    return cell_target
 
 
-def asked(world: Recorder, each: CellTarget, request: Request, number: int = 40) -> Answer | None:
+def send_request(world: Recorder, cell_target: CellTarget, request: Request, number: int = 40) -> Answer | None:
     offer = Offer(spec(JOB, roster="again", visits=1), 1000) if request is Request.OFFER else None
     message = RequestMessage(HandoffId("south", JOB, number), request)
-    answer: Answer | None = world.run(each.answer, CellRequest(message, 1, offer))
+    answer: Answer | None = world.run(cell_target.answer, CellRequest(message, 1, offer))
     return answer
 
 
 def accepted_and_done(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
-    each = target(world, monkeypatch)
-    assert asked(world, each, Request.OFFER) is Answer.ACCEPTED
+    cell_target = make_target(world, monkeypatch)
+    assert send_request(world, cell_target, Request.OFFER) is Answer.ACCEPTED
     world.round(ClaimRequest(task_counts={JOB: 1}))
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.later(20.0)
     world.round()
-    assert asked(world, each, Request.ACKNOWLEDGE) is Answer.DONE
+    assert send_request(world, cell_target, Request.ACKNOWLEDGE) is Answer.DONE
 
 
 def accepted_and_withdrawn(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
-    each = target(world, monkeypatch)
+    cell_target = make_target(world, monkeypatch)
     world.given("job handed over by a cell")
-    assert asked(world, each, Request.WITHDRAW) is not None
+    assert send_request(world, cell_target, Request.WITHDRAW) is not None
 
 
 def accepted_and_stopped(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
-    each = target(world, monkeypatch)
+    cell_target = make_target(world, monkeypatch)
     world.given("job handed over by a cell")
     world.round(ClaimRequest(task_counts={JOB: 1}))
-    assert asked(world, each, Request.STOP) is Answer.STOPPING
+    assert send_request(world, cell_target, Request.STOP) is Answer.STOPPING
     world.tell_jobs(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
     world.round()
 
 
 def refused(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
-    each = target(world, monkeypatch)
-    assert asked(world, each, Request.STOP, 39) is Answer.REFUSED
+    cell_target = make_target(world, monkeypatch)
+    assert send_request(world, cell_target, Request.STOP, 39) is Answer.REFUSED
 
 
 CASES: tuple[Callable[[Recorder], None], ...] = (
@@ -552,7 +552,7 @@
 )
 
 
-def written(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+def written_rows(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Returns the rows that a case writes."""
     world = Recorder()
     for case in CASES:
@@ -564,20 +564,20 @@
     return world.lines
 
 
-def read(lines: list[str], backwards: bool = False) -> Tables:
+def read_tables(lines: list[str], backwards: bool = False) -> Tables:
     """Returns the tables of a controller that reads these rows, in their order or in reverse."""
     tables = Tables()
-    rows = [(*parse_line(line), FIRST_STAMP + place) for place, line in enumerate(lines, 1)]
-    for key, value, stamp in reversed(rows) if backwards else rows:
-        tables.apply(key, value, stamp)
+    rows = [(*parse_line(line), FIRST_STAMP + position) for position, line in enumerate(lines, 1)]
+    for key, value, revision in reversed(rows) if backwards else rows:
+        tables.apply(key, value, revision)
     return tables
 
 
-def after_drop(lines: list[str]) -> Tables:
+def tables_after_deletion(lines: list[str]) -> Tables:
     """Returns the tables after these rows are read and then deleted, in their order."""
-    tables = read(lines)
-    for place, line in enumerate(lines, 1):
-        tables.apply(parse_line(line)[0], None, FIRST_STAMP + len(lines) + place)
+    tables = read_tables(lines)
+    for position, line in enumerate(lines, 1):
+        tables.apply(parse_line(line)[0], None, FIRST_STAMP + len(lines) + position)
     return tables
 
 
@@ -588,17 +588,17 @@
 
 @pytest.mark.parametrize("name", WRITTEN)
 def test_a_row_is_written_as_frozen(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    assert written(name, monkeypatch) == WRITTEN[name]
+    assert written_rows(name, monkeypatch) == WRITTEN[name]
 
 
 @pytest.mark.parametrize("name", READ)
 def test_a_row_is_read_as_frozen(name: str) -> None:
-    assert json.loads(dump(read(READ[name]))) == json.loads(STATE[name])
-    keys = [parse_line(line)[0] for line in READ[name]]
-    if len(set(keys)) == len(keys):  # A full read returns each key once, in any order.
-        assert json.loads(dump(read(READ[name], backwards=True))) == json.loads(STATE[name])
+    assert json.loads(dump(read_tables(READ[name]))) == json.loads(STATE[name])
+    row_keys = [parse_line(line)[0] for line in READ[name]]
+    if len(set(row_keys)) == len(row_keys):  # A full read returns each key once, in any order.
+        assert json.loads(dump(read_tables(READ[name], backwards=True))) == json.loads(STATE[name])
 
 
 @pytest.mark.parametrize("name", READ)
-def test_a_row_that_is_dropped_leaves_what_is_frozen(name: str) -> None:
-    assert json.loads(dump(after_drop(READ[name]))) == json.loads(AFTER_DROP[name])
+def test_deleting_rows_leaves_the_frozen_state(name: str) -> None:
+    assert json.loads(dump(tables_after_deletion(READ[name]))) == json.loads(AFTER_DROP[name])
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -9,16 +9,16 @@
 THREE = (*TWO, ("c2", 3))
 
 
-def test_only_machines_of_a_member_that_came_or_went_move() -> None:
+def test_only_machines_of_a_member_that_joins_or_leaves_change_owner() -> None:
     moved = {name for name in MACHINES if owner(name, TWO) != owner(name, THREE)}
     assert moved == {name for name in MACHINES if owner(name, THREE) == "c2"}
     assert 60 < len(moved) < 140, "about a third"
 
 
-def test_a_restart_and_the_order_of_members_move_nothing() -> None:
+def test_restarts_and_the_order_of_members_do_not_change_owners() -> None:
     restarted = (("c2", 9), ("c1", 8), ("c0", 7))
     assert [owner(name, THREE) for name in MACHINES] == [owner(name, restarted) for name in MACHINES]
 
 
-def test_without_members_nobody_owns_a_machine() -> None:
+def test_a_machine_has_no_owner_without_members() -> None:
     assert owner("vm-1", ()) is None
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -28,7 +28,7 @@
     assert set(ROW_FUNCTIONS) == set(RowKind)
 
 
-def test_a_kind_of_a_later_version_and_a_foreign_prefix_are_skipped(store: Store) -> None:
+def test_unknown_row_kinds_and_other_key_prefixes_are_ignored(store: Store) -> None:
     revision = store.put("s1/novelty/x", {"n": 1})
     assert store.tables.mod_revision("s1/novelty/x") == revision
     store.put("s2/j/wk-000001", {"s": "live"})
@@ -73,7 +73,7 @@
     assert store.tables.finished_jobs[JOB].is_done, "it is final"
 
 
-def test_progress_of_a_finished_job_is_left_over_until_it_is_deleted(store: Store) -> None:
+def test_progress_row_of_a_finished_job_is_tracked_until_it_is_deleted(store: Store) -> None:
     store.progress(JOB, done=0b1)
     store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
     assert store.tables.leftover_progress == {JOB} and not store.tables.unmatched_progress
@@ -81,7 +81,7 @@
     assert not store.tables.leftover_progress
 
 
-def test_adoptions_count_until_the_progress_row_contains_them(store: Store) -> None:
+def test_adoptions_are_added_to_claims_until_the_progress_row_contains_them(store: Store) -> None:
     store.job(spec(JOB))
     store.progress(JOB, c1_2=0b11)
     revision = store.put(keys.adoption_key("c0.1", 1), adoption(0))
@@ -92,7 +92,7 @@
     assert store.tables.jobs[JOB].progress.claims == {"c1.2": 0b11}, "in the row: given up since"
 
 
-def test_adoptions_are_forgotten_with_the_last_row_of_their_incarnation(store: Store) -> None:
+def test_adoptions_are_dropped_with_the_last_row_of_their_incarnation(store: Store) -> None:
     store.put(keys.adoption_key("c0.1", 1), adoption(0))
     store.put(keys.adoption_key("c0.1", 2), adoption(1))
     store.put(keys.adoption_key("c1.2", 1), adoption(2))
@@ -102,7 +102,7 @@
     assert [each.incarnation_id for each in store.tables.adoptions[JOB]] == ["c1.2"]
 
 
-def test_a_machine_is_deleted_with_its_last_group_and_comes_back_with_the_next(store: Store) -> None:
+def test_a_machine_is_deleted_with_its_last_group_and_restored_by_a_later_row(store: Store) -> None:
     for group in ("a", "b"):
         store.put(keys.machine_group_key(group), {"m": {"vm-1": ROW}})
     store.put(keys.machine_group_key("b"), {"m": {"vm-2": ROW}})
@@ -113,7 +113,7 @@
     assert store.tables.machines["vm-1"].key == keys.machine_key("vm-1") and not store.tables.deleted_machines
 
 
-def test_single_machine_types_stand_beside_the_catalog(store: Store) -> None:
+def test_single_machine_types_are_added_to_those_of_the_catalog(store: Store) -> None:
     large = msgspec.structs.replace(MACHINE_TYPE, name="large")
     store.put(keys.machine_type_key("large"), msgspec.to_builtins(large))
     assert set(store.tables.machine_types) == {"small", "large"}
@@ -123,7 +123,7 @@
     assert not store.tables.machine_types
 
 
-def test_what_is_bound_to_a_lease_goes_with_it_and_the_rest_stays(store: Store) -> None:
+def test_deletions_of_lease_bound_rows_apply_and_others_are_ignored(store: Store) -> None:
     store.view(2, ("c0", 1))
     store.member("c0", 1)
     store.upgraded()
@@ -148,7 +148,7 @@
         (keys.job_key(JOB), {"n": 4}),
     ],
 )
-def test_a_row_that_cannot_be_read_is_logged_and_changes_nothing_else(
+def test_a_malformed_row_is_logged_and_changes_nothing_else(
     store: Store, caplog: pytest.LogCaptureFixture, key: str, value: Any
 ) -> None:
     store.put(key, value)
--- a/tests/test_row_codec.py
+++ b/tests/test_row_codec.py
@@ -25,7 +25,7 @@
 MACHINE = MachineRow("127.0.0.1:9000", "small", "a", True, "s1/g/c0.1.1")
 
 
-def test_an_unknown_state_is_written_back_as_it_was_read() -> None:
+def test_an_unknown_state_is_written_back_unchanged() -> None:
     row = row_codec.encode_job("paused", spec(JOB), 5)
     state = row_codec.decode_job_row(JOB, row, 1).status
     assert state == "paused" and state not in list(JobState)
@@ -57,7 +57,7 @@
     assert all(len(msgspec.json.encode(text)) <= max(3, max_bytes) for text in texts)
 
 
-def test_links_to_other_cells_survive_storing() -> None:
+def test_handoffs_are_decoded_as_they_were_encoded() -> None:
     handoff = OriginRow("", JOB, MovePolicy.ONCE, Placement("south", 7), (Placement("west", 6),), cancelling=True)
     job = Job(spec(JOB), JobState.LIVE, 1, 1, 0, outgoing_handoffs=handoff, returned_ms=9)
     job.incoming_handoff = IncomingHandoff("north", 4)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("dense", [False, True])
-def test_progress_survives_storing_without_empty_claims(dense: bool) -> None:
+def test_progress_is_decoded_as_it_was_encoded_without_empty_claims(dense: bool) -> None:
     progress = Progress(0b1011, {"c0.1": 0b100, "c1.2": 0}, "a", 2)
     row = msgspec.json.decode(msgspec.json.encode(row_codec.encode_progress(progress, dense)))
     assert row_codec.decode_progress(row) == Progress(0b1011, {"c0.1": 0b100}, "a", 2)
@@ -95,7 +95,7 @@
     assert [name for group in groups for name in group] == list(rows)
 
 
-def test_controllers_rows() -> None:
+def test_rows_of_controllers_are_decoded() -> None:
     assert row_codec.decode_view({"n": 4, "members": [["c0", 7]]}) == View(4, (Incarnation("c0", 7),))
     assert row_codec.decode_coordinator({"member": "c0", "boot": 7}) == ("c0", 7)
     assert row_codec.decode_member({"boot": 7, "settled": 3}).layout == 1, "layout 1 did not name itself"
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -24,7 +24,7 @@
     assert store.tables.jobs[JOB].progress.done == 0b11
 
 
-def test_a_finished_job_is_never_brought_back_by_an_older_read(store: Store) -> None:
+def test_an_older_read_does_not_restore_a_finished_job(store: Store) -> None:
     store.job(spec())
     store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
     store.job(spec())  # An overlapping read returns an earlier version of the row.
@@ -38,7 +38,7 @@
     assert list(store.tables.jobs) == ["wk-000002"]
 
 
-def test_claims_of_a_departed_controller_stand_until_recovery_is_complete(store: Store) -> None:
+def test_claims_of_a_departed_controller_are_valid_until_recovery_is_complete(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b1, c1_2=0b10)
     store.view(2, ("c0", 1))
--- a/tests/test_taskset.py
+++ b/tests/test_taskset.py
@@ -7,20 +7,20 @@
 from sloeswitch.core import taskset
 
 
-def test_sets_of_tasks_survive_storing() -> None:
+def test_unpack_reverses_pack() -> None:
     for mask in (0, 1, 0b1011, taskset.full(100_000) ^ (1 << 50_000)):
         assert taskset.unpack(taskset.pack(mask)) == mask
 
 
-def test_lowest_takes_the_oldest_tasks() -> None:
+def test_lowest_returns_the_lowest_task_numbers() -> None:
     assert taskset.lowest(0b110110, 3) == 0b010110
 
 
-def test_members_are_the_task_numbers_lowest_first() -> None:
+def test_task_numbers_are_in_ascending_order() -> None:
     assert list(taskset.task_numbers(0b110101)) == [0, 2, 4, 5] and list(taskset.task_numbers(0)) == []
 
 
 @pytest.mark.parametrize("runs", [["a", 1], [0], [0, "%"], [0, 1, 2]])
-def test_a_malformed_set_is_refused(runs: list[int | str]) -> None:
+def test_a_malformed_set_is_rejected(runs: list[int | str]) -> None:
     with pytest.raises(ValueError):
         taskset.unpack(runs)
