--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -5,8 +5,8 @@
 twice.
 
 Each function takes the state, the part of the key after the row's kind, the row's value (None if the key was deleted)
-and the revision of the change. A row that cannot be decoded raises one of `DECODE_ERRORS`; the part of
-it that was applied before the error stays applied.
+and the revision of the change. A row that cannot be decoded raises one of `DECODE_ERRORS`; the part of it that was
+applied before the error stays applied.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def _record_cancellation(state: StoredState, job_id: str, revision: int) -> None:
-    """Records the cancellation that a job's row shows in the log for siblings, unless it was known before."""
+    """Adds a cancellation read from a job's row to the log for siblings, unless it was known before."""
     known = state.jobs.get(job_id)
     if known is None or known.status != _CANCELLED:
         state.cancellations.add(job_id, revision)
--- a/sloeswitch/core/stored_state.py
+++ b/sloeswitch/core/stored_state.py
@@ -48,7 +48,7 @@
 
     def clear(self) -> None:
         """Drops all rows before a full read; keeps both cancellation fields."""
-        # The revision of each row that was read last, by key.
+        # The latest revision read of each row, by key; rows of jobs that are final are left out.
         self.mod_revisions: dict[str, int] = {}
         self._clear_controllers()
         self._clear_jobs()
