--- a/sloeswitch/core/commit_planner.py
+++ b/sloeswitch/core/commit_planner.py
@@ -63,8 +63,8 @@
     limits: CommitLimits
     # Whether this controller is the leader of its machines, and may therefore claim tasks and drop void claims.
     is_leader: bool
-    # Whether all machines are reconciled under the present view. From then on, claims of departed incarnations are void:
-    # their tasks run nowhere.
+    # Whether all machines are reconciled under the present view. From then on, the claims of departed incarnations are
+    # void, because their tasks run nowhere.
     recovery_complete: bool
     # The transaction condition that the view has not changed.
     view_conditions: Mapping[str, int]
