--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -154,6 +154,6 @@
     usages: dict[str, ResourceUsage] = {}
     for job in jobs:
         decision = decisions.get(job.spec.id)
-        if decision is not None and decision.admitted and job.is_runnable and job.delegated is None:
+        if decision is not None and decision.admitted and job.is_runnable and job.incoming_handoff is None:
             usages.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
     return usages
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -150,7 +150,7 @@
                     self._admit(queue, 0, self.backlog.bundle(queue.head))
 
     def _fits_guarantee(self, job: Job, team: Team) -> bool:
-        if job.delegated is not None:
+        if job.incoming_handoff is not None:
             return False
         usage = self.team_usage.get(team.name, ResourceUsage())
         more = self.backlog.bundle(job).usage_of(team.name)
@@ -160,7 +160,7 @@
         """Raises a lane's cut to the job at an index, and takes the capacity and guarantee of its bundle."""
         bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
-            if job.delegated is None:
+            if job.incoming_handoff is None:
                 self.team_usage.setdefault(job.spec.team, ResourceUsage()).add(job.spec, job.remaining_tasks)
         queue.admit_through(index, self.wall_clock_ms)
         self.admission_count += 1
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -27,7 +27,7 @@
 from sloeswitch.cells.summary import Resources, Summary, SummaryCache, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.records import FinishedJob, Job, JobState
-from sloeswitch.core.row_codec import encode_finished_job, encode_handoff, encode_job
+from sloeswitch.core.row_codec import encode_finished_job, encode_handoffs, encode_job
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.features import CellFeatures
@@ -156,7 +156,7 @@
     def _is_movable(self, job: Job, wall_clock_ms: int) -> bool:
         min_stay_ms = 1000 * MIN_STAY_LEASES * self.settings.lease_s
         return (
-            job.delegated is None
+            job.incoming_handoff is None
             and job.spec_chunks is None
             and not job.progress.claims
             and self.features.policy(job.spec.job_class) is not MovePolicy.NEVER
@@ -229,24 +229,24 @@
     def _rows_with_handoffs(self) -> Iterator[tuple[str, OriginRow]]:
         """Yields the jobs with handoffs that a target may still have on record."""
         for name, job in list(self.tables.jobs.items()):
-            if job.handoff is not None and job.handoff.open_handoffs:
+            if job.outgoing_handoffs is not None and job.outgoing_handoffs.open_handoffs:
                 yield name, self.row(job)
-        for name in sorted(self.tables.unsettled_jobs):
+        for name in sorted(self.tables.finished_jobs_with_handoffs):
             finished = self.tables.finished_jobs[name]
-            if finished.handoff is not None:
+            if finished.outgoing_handoffs is not None:
                 yield name, self._finished_row(name, finished)
 
     def row(self, job: Job) -> OriginRow:
         """The stored handoffs of a job, completed with what the handoff rules need."""
         policy = self.features.policy(job.spec.job_class)
-        row = job.handoff or OriginRow("", job.spec.id, policy)
+        row = job.outgoing_handoffs or OriginRow("", job.spec.id, policy)
         result = Result.CANCELLED if job.is_cancelled else None
         return replace(row, cell=self.features.name, claimed_in_origin=bool(job.progress_revision), result=result)
 
     def _finished_row(self, name: str, finished: FinishedJob) -> OriginRow:
-        assert finished.handoff is not None
+        assert finished.outgoing_handoffs is not None
         result = Result.DONE if finished.is_done else Result.CANCELLED
-        return replace(finished.handoff, cell=self.features.name, result=result)
+        return replace(finished.outgoing_handoffs, cell=self.features.name, result=result)
 
     async def _send_requests(self, name: str, peer: str, link: Link) -> None:
         """Sends the pending requests about a job's handoffs to a peer, and stores the changes by its answers."""
@@ -306,8 +306,8 @@
 
         The target refuses the withdrawal if it has claimed a task of the job.
         """
-        assert job.handoff is not None
-        moved_to = job.handoff.moved_to
+        assert job.outgoing_handoffs is not None
+        moved_to = job.outgoing_handoffs.moved_to
         contact = self.contacts.get((job.spec.id, moved_to)) if moved_to is not None else None
         if contact is None or self.now() - contact.first_request_at < MIN_STAY_LEASES * self.settings.lease_s:
             return False
@@ -321,8 +321,12 @@
     def _current_row(self, name: str) -> OriginRow | None:
         job, finished = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         if job is not None:
-            return self.row(job) if job.handoff is not None else None
-        return self._finished_row(name, finished) if finished is not None and finished.handoff is not None else None
+            return self.row(job) if job.outgoing_handoffs is not None else None
+        return (
+            self._finished_row(name, finished)
+            if finished is not None and finished.outgoing_handoffs is not None
+            else None
+        )
 
     async def _store_row(self, name: str, row: OriginRow) -> bool:
         job = self.tables.jobs.get(name)
@@ -331,7 +335,7 @@
         finished = self.tables.finished_jobs[name]
         value: dict[str, Any] = {"s": finished.status, "n": finished.tasks, "t": finished.finished_ms}
         if row.open_handoffs:
-            value["h"] = encode_handoff(row)
+            value["h"] = encode_handoffs(row)
         key = keys.job_key(name)
         return await self._commit({key: self.tables.mod_revision(key)}, {key: value})
 
@@ -342,14 +346,18 @@
         if row.result is Result.DONE:
             value = encode_finished_job(JobState.DONE, job.spec, self.clock.wall_clock_ms())
             if row.open_handoffs:
-                value["h"] = encode_handoff(row)
+                value["h"] = encode_handoffs(row)
         elif row.result is Result.CANCELLED and not job.is_cancelled:
             value = self._encode_cancelled(job, row, conditions)
         else:
-            returned = job.handoff is not None and job.handoff.moved_to is not None and row.moved_to is None
+            returned = (
+                job.outgoing_handoffs is not None
+                and job.outgoing_handoffs.moved_to is not None
+                and row.moved_to is None
+            )
             returned_ms = self.clock.wall_clock_ms() if returned else job.returned_ms
             value = encode_job(job.status, job.spec, job.submitted_ms, job.spec_chunks)
-            value["h"] = encode_handoff(row, returned_ms)
+            value["h"] = encode_handoffs(row, returned_ms)
             if job.cancelled_ms:
                 value["x"] = job.cancelled_ms
         return await self._commit(conditions, {key: value})
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -17,7 +17,7 @@
 from sloeswitch.cells.summary import Summary, summarise, task_resources
 from sloeswitch.core import keys
 from sloeswitch.core.quota import unschedulable_reason
-from sloeswitch.core.records import DelegationOrigin, FeatureStatus, JobState
+from sloeswitch.core.records import FeatureStatus, IncomingHandoff, JobState
 from sloeswitch.core.row_codec import encode_job
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.transaction import Transaction
@@ -74,10 +74,10 @@
         so that the target's record would never be deleted.
         """
         ended = (
-            (name, finished.delegated.number)
-            for name in sorted(self.tables.unsettled_jobs)
-            if (finished := self.tables.finished_jobs[name]).delegated is not None
-            and finished.delegated.origin == origin
+            (name, finished.incoming_handoff.number)
+            for name in sorted(self.tables.finished_jobs_with_handoffs)
+            if (finished := self.tables.finished_jobs[name]).incoming_handoff is not None
+            and finished.incoming_handoff.origin == origin
         )
         return tuple(itertools.islice(ended, MAX_ENDED_HANDOFFS))
 
@@ -118,7 +118,9 @@
         floor = self.tables.handoff_floors.get(handoff.origin, 0)
         job = self.tables.jobs.get(handoff.job)
         finished = self.tables.finished_jobs.get(handoff.job)
-        delegated = job.delegated if job is not None else finished.delegated if finished is not None else None
+        delegated = (
+            job.incoming_handoff if job is not None else finished.incoming_handoff if finished is not None else None
+        )
         if delegated is None or delegated.origin != handoff.origin:
             return TargetRecord(floor)
         if job is None:
@@ -153,7 +155,7 @@
     def _delegated_job(handoff: HandoffId, offer: Offer) -> dict[str, Any]:
         """Encodes the row of an accepted job."""
         value = encode_job(JobState.LIVE, offer.spec, offer.submitted_ms)
-        return {**value, "o": list(DelegationOrigin(handoff.origin, handoff.number))}
+        return {**value, "o": list(IncomingHandoff(handoff.origin, handoff.number))}
 
     async def _store(self, before: TargetRecord, decision: TargetDecision, request: CellRequest) -> bool:
         """Stores a decision, conditional on the rows that it was made from; returns whether it is certainly stored."""
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -63,7 +63,7 @@
         """
         job.ready_ms = max(job.ready_ms, finished.finished_ms)
         job.ready_revision = max(job.ready_revision, finished.mod_revision)
-        job.targets = None
+        job.slo_targets_s = None
 
     def cancel(self, job_id: str) -> None:
         """Marks all jobs that depend on a cancelled job, directly or indirectly, as cancelled."""
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -25,7 +25,7 @@
 
 def test_a_moved_job_is_not_claimed_in_its_origin_which_stores_its_result() -> None:
     moved = MovedJob("once")
-    assert not moved.origin_job.is_runnable and moved.south.store.tables.jobs[JOB].delegated is not None
+    assert not moved.origin_job.is_runnable and moved.south.store.tables.jobs[JOB].incoming_handoff is not None
     moved.run_machines("north")
     assert JOB not in moved.world.starts
     moved.run_in_target()
@@ -65,7 +65,7 @@
 def test_a_delayed_offer_is_refused_after_the_job_has_ended() -> None:
     moved = MovedJob("once")
     moved.run_in_target()
-    handoff = HandoffId("north", JOB, moved.origin_job.handoff.moved_to.number)  # type: ignore[union-attr]
+    handoff = HandoffId("north", JOB, moved.origin_job.outgoing_handoffs.moved_to.number)  # type: ignore[union-attr]
     offer = CellRequest(RequestMessage(handoff, Request.OFFER), 1, Offer(moved.world.specs[JOB], 0))
     moved.poll_peer()
     moved.renew()
@@ -112,7 +112,10 @@
     for _ in range(3):
         moved.poll_peer()
     assert moved.status() == wire.JobStatus.DONE
-    assert JOB not in moved.north.store.tables.unsettled_jobs and JOB not in moved.south.store.tables.finished_jobs
+    assert (
+        JOB not in moved.north.store.tables.finished_jobs_with_handoffs
+        and JOB not in moved.south.store.tables.finished_jobs
+    )
 
 
 def test_a_cancellation_stops_the_job_where_it_runs_and_is_then_confirmed() -> None:
@@ -154,7 +157,7 @@
     moved.south.store.job(spec("wk-000009", visits=50))  # makes the south saturated
     moved.poll_peer()
     job = moved.origin_job
-    assert job.is_runnable and job.returned_ms and not job.handoff.open_handoffs  # type: ignore[union-attr]
+    assert job.is_runnable and job.returned_ms and not job.outgoing_handoffs.open_handoffs  # type: ignore[union-attr]
     origin = moved.controller.origin
     assert not origin._is_movable(job, job.returned_ms + 1)
     assert origin._is_movable(job, job.returned_ms + 1 + int(1000 * MIN_STAY_LEASES * shared_settings().lease_s))
@@ -249,5 +252,5 @@
     moved = MovedJob("once", accepted=False)
     moved.south.store.job(spec(JOB, visits=1))
     moved.poll_peer()
-    assert moved.south.store.tables.jobs[JOB].delegated is None
+    assert moved.south.store.tables.jobs[JOB].incoming_handoff is None
     assert moved.origin_job.is_runnable
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -70,19 +70,22 @@
     jobs = store.tables.jobs
     # B: the deadline of 200 s less C's estimate of 10 s, one report and the fetch of 1 GB at 0.5 GB/s. A: further less
     # B's estimate of 30 s, one report and the fetch of 2 GB.
-    assert jobs[B].inherited_ms == (187_000, 287_000)
+    assert jobs[B].inherited_deadlines == (187_000, 287_000)
     assert (
-        jobs[A].inherited_ms == (152_000, 252_000) and jobs[A].inherited_rank == job_priority.PRIORITY_RANKS["urgent"]
+        jobs[A].inherited_deadlines == (152_000, 252_000)
+        and jobs[A].inherited_rank == job_priority.PRIORITY_RANKS["urgent"]
     )
     assert slo_targets.slo_targets(jobs[A], settings.objectives) == [152.0, 252.0]
     # Once the last job is cancelled, its prerequisites inherit nothing.
     store.put(keys.job_key(C), {"s": JobState.CANCELLED, "n": 4})
-    assert queued_names(store, text=SETTINGS_WITH_OBJECTIVES) == ["wk-000009", A] and jobs[A].inherited_ms is None
+    assert (
+        queued_names(store, text=SETTINGS_WITH_OBJECTIVES) == ["wk-000009", A] and jobs[A].inherited_deadlines is None
+    )
 
 
 def test_an_urgent_stage_goes_before_jobs_whose_image_is_cached(world: World) -> None:
     """Guards against an urgent stage that waits while machines fill up with jobs whose images they have cached."""
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     for name, urgency, image in ((A, "best_effort", "img-2"), (B, "standard", "img-2"), (C, "urgent", "img-1")):
         world.store.job(spec(name, urgency=urgency, kit=image))
         world.store.progress(name, c0_1=0b1111)
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -57,7 +57,7 @@
     Such a job would have no stored zone, and its tasks would be placed in any zone.
     """
     world.store.job(spec(**bound))
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
     world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
@@ -77,7 +77,7 @@
 def test_free_capacity_in_another_zone_is_used_for_the_upper_half_of_a_spread_job(world: World) -> None:
     """The lower half of the tasks may run only in the stored zone."""
     world.store.job(spec(spread=True))
-    world.store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.queue.rebuild()
     (request,) = world.claim_requests()
@@ -103,7 +103,7 @@
 
 def test_when_quota_covers_one_task_a_task_that_fits_the_zone_is_claimed(world: World) -> None:
     world.store.job(spec(spread=True))
-    world.store.put(keys.team_key("red"), {"c0.1": [2.0, 0.0]})
+    world.store.put(keys.quota_key("red"), {"c0.1": [2.0, 0.0]})
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c1.9": [0, 1]}, "z": "b"})
     world.machines.quota.available = lambda team, usage: ResourceAmount(2.0, 0.0)  # type: ignore[method-assign]
     world.machines.queue.rebuild()
