--- a/sloeswitch/actors/__init__.py
+++ b/sloeswitch/actors/__init__.py
@@ -1,1 +1,1 @@
-"""The actors of a controller. Each owns its state; others send it messages."""
+"""The actors of a controller. Each actor owns its state; other actors send it messages."""
--- a/sloeswitch/actors/base.py
+++ b/sloeswitch/actors/base.py
@@ -1,7 +1,7 @@
-"""The actor model of one controller: bounded inboxes, typed messages, and requests that are answered.
+"""The actor model of one controller: bounded inboxes, typed messages, and requests with an answer.
 
-An actor owns its state and changes it only while it handles a message or runs one of its own loops. Others reach it
-through `tell` (a message without an answer) and `ask` (a request), and otherwise only read it.
+An actor owns its state and changes it only while it handles a message or runs one of its own loops. Other code sends it
+messages through `tell` (without an answer) and `ask` (with an answer), and otherwise only reads its state.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MessageT = TypeVar("MessageT")
 AnswerT = TypeVar("AnswerT")
 
-# Messages that one actor handles before the other tasks of the event loop run.
+# The number of messages that one actor handles before it lets the other tasks of the event loop run.
 MAX_MESSAGES_PER_TURN = 16
 
 
@@ -25,12 +25,12 @@
 
 
 class UnansweredError(Exception):
-    """The request has no answer: it was not handled yet, or the actor failed while it handled it."""
+    """The request has no answer: it is still waiting, or the actor failed while handling it."""
 
 
 @dataclass
 class ActorRequest(Generic[AnswerT]):
-    """A message that is answered once, with a value of the type that the request names."""
+    """A message that gets one answer, of type `AnswerT`."""
 
     answered: anyio.Event = field(default_factory=anyio.Event, init=False)
     _answers: list[AnswerT] = field(default_factory=list, init=False)
@@ -42,7 +42,7 @@
             self.answered.set()
 
     def fail(self) -> None:
-        """Releases the task that waits, without an answer; ignored if there is one already."""
+        """Wakes the task that waits for the answer, without an answer; has no effect if the request has one."""
         self.answered.set()
 
     @property
@@ -50,7 +50,7 @@
         """The answer.
 
         Raises:
-            UnansweredError: There is none.
+            UnansweredError: The request has no answer.
         """
         if not self._answers:
             raise UnansweredError(type(self).__name__)
@@ -58,14 +58,15 @@
 
     @property
     def answer_or_none(self) -> AnswerT | None:
-        """The answer, or None if the actor failed while it handled the request."""
+        """The answer; None if the request has none."""
         return self._answers[0] if self._answers else None
 
 
 class Actor(Generic[MessageT]):
-    """Handles its messages one at a time. A fault in one message is logged and ends only that message.
+    """Handles messages one at a time. An exception while handling one is logged and does not stop the actor.
 
-    `inbox_limit`: the number of messages that may wait.
+    Attributes:
+        inbox_limit: The number of messages that may wait in the inbox.
     """
 
     name = "actor"
@@ -80,7 +81,7 @@
         """Puts a message into the inbox.
 
         Raises:
-            InboxFullError: As many messages wait as may wait.
+            InboxFullError: The inbox already holds `inbox_limit` messages.
         """
         if len(self._inbox) >= self.inbox_limit:
             raise InboxFullError(self.name)
@@ -88,12 +89,12 @@
         self._filled.set()
 
     async def ask(self: Actor[Any], request: ActorRequest[AnswerT]) -> AnswerT | None:
-        """Puts a request into the inbox and waits until it was handled; None if the actor failed at that.
+        """Puts a request into the inbox and waits for the answer; None if the actor failed while handling it.
 
-        The request must be one of the actor's messages; the type of `self` cannot say so.
+        The request must be one of the actor's message types. The type annotation of `self` cannot express that.
 
         Raises:
-            InboxFullError: As many messages wait as may wait.
+            InboxFullError: The inbox already holds `inbox_limit` messages.
         """
         self.tell(request)
         await request.answered.wait()
@@ -104,7 +105,7 @@
         while True:
             await self._filled.wait()
             self._filled = anyio.Event()
-            # What waits is handled in one turn of the event loop, but never so much that other actors wait for long.
+            # Waiting messages are handled in one turn of the event loop, up to a limit that lets other actors run soon.
             for _ in range(min(len(self._inbox), MAX_MESSAGES_PER_TURN)):
                 await self._handle(self._inbox.popleft())
             if self._inbox:
@@ -119,5 +120,5 @@
                 message.fail()
 
     async def handle(self, message: MessageT) -> None:
-        """Handles one message. Every actor has its own."""
+        """Handles one message. Every actor overrides this method."""
         raise NotImplementedError
--- a/sloeswitch/actors/claim_requester.py
+++ b/sloeswitch/actors/claim_requester.py
@@ -1,6 +1,7 @@
-"""Claims: free capacity asks the jobs actor for tasks of the first jobs in the queue, and for the quota they take.
+"""Requests claims for the free capacity of this controller's machines from the jobs actor.
 
-Owns the request that is under way. Called by the machines actor at each tick.
+A request claims tasks of the first jobs in the queue and changes the quota allocations that they need. The machines
+actor calls this module at each tick.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class ClaimRequester:
-    """Plans claims for what is free on this controller's machines, with one request under way at a time."""
+    """Plans claims for the free capacity of this controller's machines, with at most one request in flight."""
 
     def __init__(
         self, shard: ShardState, task_placement: TaskPlacement, jobs: Jobs, spawn: Spawn, wake: Callable[[], None]
@@ -39,16 +40,17 @@
         self.jobs = jobs
         self.spawn = spawn
         self.wake = wake
-        # Ticks come about this often; a new job is left for some of them to the controller with its image.
+        # The time between two ticks. For a few ticks, a new job is left to the controller with affinity to its image.
         self.tick_interval_s = shard.tick_interval_s
         self.claim_in_flight = False
-        # Where admission is on: receives what is left over when every job of the queue had its turn, and when.
+        # Set if admission is enabled. Called with the free capacity that remains after a pass that considered every job
+        # of the queue, and with the time of the pass.
         self.on_remaining_capacities: Callable[[list[placement.FreeCapacity], float], None] | None = None
 
     def request_claims(self) -> None:
-        """Asks the jobs actor for tasks for what is free, and for the quota allocations that these take.
+        """Requests tasks for the free capacity, and the quota allocations for these tasks, from the jobs actor.
 
-        Nothing is asked while an earlier request is under way or the state service does not answer.
+        Does nothing while an earlier request is in flight or the state service does not answer.
         """
         if self.claim_in_flight or self.client.failing_since is not None:
             return
@@ -69,7 +71,7 @@
             self.spawn(self._await_claims, request)
 
     def capacity_snapshot(self, now: float) -> CapacitySnapshot:
-        """What is free here, and what may be used, for the planner to take from."""
+        """Returns the free capacity and the available quota for one pass of the planner."""
         teams = self.settings.teams
         usage = {team: self.quota.usage(team) for team in teams}
         return CapacitySnapshot(
@@ -89,7 +91,7 @@
         )
 
     def _cores_ahead(self) -> float:
-        """Cores likely to fall free on this controller's machines in the time that a claim takes."""
+        """Estimates how many cores of this controller's machines become free in the time that a claim takes."""
         ahead_s = self.task_placement.claim_ahead_s
         cores = 0.0
         for name, mask in self.registry.placed_tasks.items():
--- a/sloeswitch/actors/context.py
+++ b/sloeswitch/actors/context.py
@@ -1,4 +1,4 @@
-"""What all actors of one controller share, passed as one argument."""
+"""The objects that all actors of one controller share, passed as one argument."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 class ControllerContext:
     """The settings, the state service, its replica, the leadership and the clock of one controller.
 
-    Built once by the controller; nobody replaces a part of it.
+    Created once by the controller; its fields never change.
     """
 
     settings: Settings
-    # Writes to the state service, within this controller's share of its rates.
+    # Sends requests to the state service, within this controller's share of the rate limits.
     client: StateClient
-    # A copy of all stored rows, kept up to date by watches and reads.
+    # A copy of all stored rows, updated by watches and reads.
     replica: Replica
-    # Written by the membership actor only.
+    # Changed by the membership actor only.
     leadership: Leadership
     clock: Clock
 
     @property
     def tables(self) -> Tables:
-        """The replicated tables: written by the replica only."""
+        """The replicated tables, which only the replica changes."""
         return self.replica.tables
--- a/sloeswitch/actors/job_messages.py
+++ b/sloeswitch/actors/job_messages.py
@@ -1,4 +1,4 @@
-"""The requests that the jobs actor answers."""
+"""The requests that other actors send to the jobs actor."""
 
 from __future__ import annotations
 
@@ -14,31 +14,33 @@
 class ClaimRequest(ActorRequest[bool]):
     """A request of the machines actor to claim tasks and to change quota allocations of teams.
 
-    Answered with whether a transaction with it was committed, whatever part of it that contained.
+    The answer is whether a transaction for the request was committed. The transaction may contain only a part of it.
     """
 
-    # How many tasks to claim of each job.
+    # By job, the number of tasks to claim.
     task_counts: dict[str, int] = field(default_factory=dict)
-    # By team, the cores and GPUs that this controller's allocation is to have at least.
+    # By team, the minimum of cores and GPUs that this controller's allocation should have.
     quota_increases: dict[str, ResourceAmount] = field(default_factory=dict)
-    # By team, the revision of the row that the decrease was computed from, and the cores and GPUs of the allocation.
+    # By team, the new cores and GPUs of the allocation, and the revision of the row that they were computed from.
     quota_decreases: dict[str, QuotaDecrease] = field(default_factory=dict)
-    # Teams whose row is to be written even if it stays the same, so that an earlier write of it fails for certain.
+    # Teams whose row is written even if its value does not change, so that an earlier write with an unknown outcome
+    # can no longer succeed.
     forced_rewrites: set[str] = field(default_factory=set)
-    # The zone that each job whose tasks are bound to one zone gets with its first claim.
+    # By job whose tasks are bound to zones, the zone to store with its first claim.
     zones: dict[str, str] = field(default_factory=dict)
-    # Which tasks of a zone-bound job fit the free capacity of its zone, as a set.
+    # By zone-bound job, the set of its tasks that fit the free capacity of their zones.
     zone_bound_tasks: dict[str, int] = field(default_factory=dict)
-    # The tasks that were claimed, as sets by job: free until then, whether or not the transaction was committed.
+    # Set by the jobs actor: by job, the set of tasks that the transaction claims, whether or not it was committed. They
+    # had no valid claim before.
     granted: dict[str, int] = field(default_factory=dict)
 
     @property
     def quota_change_count(self) -> int:
-        """How many changes of quota allocations are requested."""
+        """The number of requested changes of quota allocations."""
         return len(self.quota_increases) + len(self.quota_decreases)
 
     def requested_claims(self) -> RequestedClaims:
-        """The request as the commit planner takes it."""
+        """The request in the form that the commit planner takes."""
         return RequestedClaims(
             task_counts=self.task_counts,
             quota_increases=self.quota_increases,
