--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -1,8 +1,8 @@
 """Direct commands and inspections: requests that a controller sends to machines between their heartbeats.
 
-A direct command stops tasks under the present fencing token; it never starts one, since it could be carried out minutes
-late. An inspection only asks what a machine holds. Called by the modules of the machines actor; replies are delivered
-to it as messages.
+A direct command stops tasks under the current fencing token. It never starts a task, because the worker could execute
+it minutes late. An inspection only asks which tasks a machine has. The modules of the machines actor call this module;
+replies are delivered to that actor as messages.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 log = logging.getLogger("machines")
 
-# The part of this process's sockets that may carry direct commands and inspections: a controller that takes over
-# hundreds of machines asks each of them, and sockets are for workers first.
+# The share of this process's sockets that direct commands and inspections may use. A controller that takes over
+# hundreds of machines probes each of them, and most sockets must stay available for workers' heartbeats.
 SOCKETS_SHARE = 1 / 8
 
 
 @dataclass
 class CommandReply:
-    """A machine's answer to a direct command: its report, as in a heartbeat."""
+    """A machine's answer to a direct command: the same report as in a heartbeat."""
 
     report: wire.WorkerReport
 
 
 @dataclass
 class InspectionReply:
-    """The report of a machine that was inspected; None when it did not answer."""
+    """The report of an inspected machine; None if the machine did not answer."""
 
     machine: str
     report: wire.WorkerReport | None
@@ -48,13 +48,13 @@
     """Starts a coroutine that runs concurrently with the caller."""
 
     def __call__(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
-        """Calls `call` with the arguments, without waiting for it."""
+        """Starts `call` with the arguments and returns without waiting for it."""
 
 
 class CommandSender:
-    """Sends direct commands and inspections, within a share of the sockets.
+    """Sends direct commands and inspections, limited to a share of the sockets.
 
-    Owns the direct commands that wait or are under way, and how often each machine failed to answer one.
+    Owns the direct commands that are queued or in flight, and the number of failures of each machine.
     """
 
     def __init__(
@@ -72,41 +72,41 @@
         self.registry = registry
         self.spawn = spawn
         self.deliver = deliver
-        # Commands in a row that found no answer, by machine.
+        # By machine, the number of consecutive commands without an answer.
         self.failures: dict[str, int] = {}
-        # When a machine may be probed next.
+        # By machine, the time before which it is not probed again, in seconds on the monotonic clock.
         self.probe_at: dict[str, float] = {}
         self.timeout_s = min(2.0, settings.lease_s / 6)
         self._sockets = anyio.Semaphore(max(1, int(settings.fd_limit * SOCKETS_SHARE)))
-        # Machines for which a command waits for a socket: it will carry all that is to be stopped by then.
+        # Machines with a command that waits for a socket. Its content is determined only once it has one.
         self._waiting: set[str] = set()
-        # When the content of the last command to a machine was fixed, when one failed last, and when a machine answered
-        # one last.
+        # By machine: when the content of the last command was determined, when a command last failed, and when the
+        # machine last answered one. All in seconds on the monotonic clock.
         self._begun_at: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
         self._replied_at: dict[str, float] = {}
-        # Machines whose invalid answers were logged.
+        # Machines with an invalid answer that was logged.
         self._invalid_repliers: set[str] = set()
 
     def send(self, machine: Machine) -> None:
-        """Sends the machine what is to be stopped on it, unless a command for it waits already.
+        """Sends the machine the list of attempts to stop, unless a command for it is queued already.
 
-        Guards against a command for each task: a wave of cancellations on thousands of machines would make one of each,
-        and memory would not hold them.
+        A queued command covers everything that is decided before it is sent. One command per task would exhaust the
+        memory when many jobs on thousands of machines are cancelled.
         """
         if machine.name not in self._waiting:
             self._waiting.add(machine.name)
             self.spawn(self._command, machine)
 
     def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
-        """Stops a task on a machine; it has `grace_s` seconds to save."""
+        """Stops a task on a machine; the task has `grace_s` seconds to save its state."""
         if self.registry.mark_for_kill(machine, attempt, grace_s) and machine.reconciled:
             self.send(machine)
 
     def probe(self, machine: Machine, now: float) -> None:
-        """Sends a command to a machine that does not report, at most once a lease while it does not answer.
+        """Sends a command to a machine that does not report; while it does not answer, at most once per worker lease.
 
-        This also fences a machine that was just taken over: it accepts no older token afterwards.
+        This also fences a machine that was just taken over: from then on it rejects commands with an older token.
         """
         if now < self.probe_at.get(machine.name, 0.0) or not machine.address:
             return
@@ -114,32 +114,32 @@
         self.send(machine)
 
     def inspect(self, name: str, address: str, is_wanted: Callable[[str], bool]) -> None:
-        """Asks a machine what it holds, if that is still wanted once there is a socket for it.
+        """Asks a machine which tasks it has, if `is_wanted` still returns True once a socket is available.
 
-        That needs no leadership: it changes nothing there.
+        Inspections do not require leadership, because they change nothing on the machine.
         """
         self.spawn(self._inspect, name, address, is_wanted)
 
     def awaits_first_answer(self, machine: Machine, now: float) -> bool:
-        """Whether a command waits for a socket or for its answer, and none has failed since the machine is ours."""
+        """Whether a command is queued or in flight and none has failed since this controller owns the machine."""
         name = machine.name
         is_open = name in self._waiting or now < self._begun_at.get(name, float("-inf")) + self.timeout_s
         return is_open and self._failed_at.get(name, float("-inf")) < machine.owned_since
 
     def record_reply(self, machine: str) -> None:
-        """The machine reported: earlier failures count no more."""
+        """Resets the failure count of a machine that reported."""
         self.failures.pop(machine, None)
 
     def record_alive(self, machine: str) -> None:
-        """The machine answered a command, whatever its answer is worth: it does not hang."""
+        """Records that the machine answered a command; even an invalid answer shows that it does not hang."""
         self._replied_at[machine] = self.now()
 
     def replied_at(self, machine: str) -> float:
-        """When the machine answered a command last, in seconds of the clock."""
+        """When the machine last answered a command, in seconds on the monotonic clock."""
         return self._replied_at.get(machine, float("-inf"))
 
     def forget(self, machine: str) -> None:
-        """The machine is gone."""
+        """Drops the state of a machine that is gone."""
         self.failures.pop(machine, None)
         self.probe_at.pop(machine, None)
         self._begun_at.pop(machine, None)
@@ -148,17 +148,20 @@
         self._invalid_repliers.discard(machine)
 
     def record_begun(self, machine: Machine) -> None:
-        """The content of a command is being fixed: what is decided from here on needs another one."""
+        """Records that the content of a command is being determined; later decisions need another command."""
         self._waiting.discard(machine.name)
         self._begun_at[machine.name] = self.now()
 
     def record_failure(self, machine: Machine) -> None:
-        """A command found no answer."""
+        """Records that a command got no answer."""
         self.failures[machine.name] = self.failures.get(machine.name, 0) + 1
         self._failed_at[machine.name] = self.now()
 
     def record_ended(self, machine: Machine) -> None:
-        """A command is over, answered or not; a machine that was released meanwhile is probed anew if it comes back."""
+        """Records that a command ended, with or without an answer, and sets when the machine may be probed again.
+
+        A machine that this controller no longer owns may be probed at once if it returns.
+        """
         self._waiting.discard(machine.name)
         if machine.name in self.registry.machines:
             self.probe_at[machine.name] = self.now() + self.settings.report_s / 4
@@ -166,7 +169,7 @@
             self.probe_at.pop(machine.name, None)
 
     async def _command(self, machine: Machine) -> None:
-        """Sends one command once there is a socket for it, and records how it went."""
+        """Sends one command once a socket is available, and records the result."""
         try:
             async with self._sockets:
                 self.record_begun(machine)
@@ -181,10 +184,10 @@
             self.record_ended(machine)
 
     async def _send_commands(self, machine: Machine) -> None:
-        """Sends what is to be stopped under the present token.
+        """Sends the list of attempts to stop, with the current fencing token.
 
-        Sent once more when the answer names another agent epoch: a machine executes only what bears its own (protocol,
-        "Commands").
+        Sends it a second time if the answer contains another agent epoch, because a machine executes only commands with
+        its own epoch (protocol, "Commands").
         """
         agent_epoch = machine.agent_epoch or 1
         for _ in range(2):
@@ -213,7 +216,7 @@
         except HttpTransportError:
             pass
         except (wire.MalformedError, ValueError) as error:
-            # It does not hang, and says nothing of what it holds.
+            # The machine answers, so it does not hang, but its tasks are unknown: no reply is delivered.
             self._log_invalid_answer(name, "inspection", error)
             return
         try:
@@ -222,7 +225,7 @@
             log.debug("inspection reply dropped: machine=%s reason=inbox-full", name)
 
     def _log_invalid_answer(self, machine: str, request: str, error: Exception) -> None:
-        """Once for each machine: a broken one says the same each time."""
+        """Logs an invalid answer once per machine, because a faulty machine repeats it."""
         if machine not in self._invalid_repliers:
             self._invalid_repliers.add(machine)
             log.error("invalid answer: machine=%s request=%s error=%s", machine, request, error)
