--- a/sloeswitch/actors/garbage_collection.py
+++ b/sloeswitch/actors/garbage_collection.py
@@ -1,4 +1,4 @@
-"""Deletes stored rows that nobody needs any more. The coordinator does it for all controllers."""
+"""Deletes stored rows that are no longer needed. Only the coordinator does so, for all controllers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 log = logging.getLogger("jobs")
 
-# Chunks of a spec without a job are garbage after this many leases of a worker: no submission takes so long.
+# The age, in worker leases, at which spec chunks without a job are garbage. No submission takes that long.
 ORPHAN_AGE_LEASES = 4
 
 
 class SpecAttempt(NamedTuple):
-    """One attempt to store the spec of a job in chunks."""
+    """Identifies one attempt to store the spec of a job in chunks."""
 
     job: str
     attempt: str
@@ -29,9 +29,9 @@
 class GarbageCollector:
     """Deletes the progress of finished jobs, adoptions of former incarnations, and chunks of specs without a job.
 
-    Guards against the chunks of a submission whose controller ended, or that another controller was quicker with,
-    being kept for ever. They are deleted on the condition of the first chunk, which is stored last and deleted first,
-    and of the job's row: either this fails or a submission under way does.
+    Chunks without a job remain when the submitting controller terminates or when another controller stores the same job
+    first. Their deletion is conditional on the revisions of the job's row and of the first chunk, which is stored last
+    and deleted first. If a submission is in flight at the same time, either the deletion or the submission fails.
     """
 
     def __init__(self, context: ControllerContext) -> None:
@@ -41,11 +41,11 @@
         self._tables = context.tables
         self._leadership = context.leadership
         self._now = context.clock.now
-        # When this controller first saw chunks that no job refers to, in seconds of the monotonic clock.
+        # When this controller first saw chunks that no job refers to, in seconds on the monotonic clock.
         self._orphaned_since_s: dict[SpecAttempt, float] = {}
 
     async def collect_forever(self) -> None:
-        """Collects garbage once in each interval of reports while this controller is the coordinator."""
+        """Collects garbage once per report interval while this controller is the coordinator."""
         while True:
             await anyio.sleep(self._settings.report_s)
             try:
@@ -55,7 +55,7 @@
                 log.exception("garbage collection failed")
 
     async def collect(self) -> None:
-        """Deletes garbage with one transaction, as much as the write rate allows now."""
+        """Deletes garbage in one transaction, as much as the write rate currently allows."""
         max_changes = self._client.available_changes(RequestPriority.PROGRESS)
         transaction = Transaction()
         self._add_progress(transaction, max_changes)
@@ -72,9 +72,9 @@
         transaction.deletes.extend(keys.progress_key(name) for name in finished)
 
     def _add_adoptions(self, transaction: Transaction, max_changes: int) -> None:
-        """Adds the adoptions of former incarnations: void like all else that those claimed.
+        """Adds the adoptions of former incarnations, which are void like all their claims.
 
-        An incarnation in the view keeps its own (see `core.commit_planner`).
+        The adoptions of incarnations in the view are kept (see `core.commit_planner`).
         """
         if not self._tables.recovery_complete():
             return
@@ -85,7 +85,7 @@
             transaction.conditions.update(self._leadership.view_conditions())
 
     def _add_orphaned_chunks(self, transaction: Transaction, max_changes: int) -> None:
-        """Adds the chunks of specs that no job refers to, once they are old enough or the job is over."""
+        """Adds the chunks of specs that no job refers to, if they are old enough or the job is finished."""
         now_s = self._now()
         max_age_s = ORPHAN_AGE_LEASES * self._settings.lease_s
         orphaned_since_s: dict[SpecAttempt, float] = {}
@@ -97,7 +97,7 @@
         self._orphaned_since_s = orphaned_since_s
 
     def _orphaned_attempts(self) -> list[SpecAttempt]:
-        """The stored attempts that are not the one which their job's row refers to."""
+        """Returns the stored attempts other than those that a job's row refers to."""
         orphans: list[SpecAttempt] = []
         for name, attempts in self._tables.spec_chunks.items():
             job = self._tables.jobs.get(name)
@@ -106,7 +106,7 @@
         return orphans
 
     def _add_chunks(self, transaction: Transaction, orphan: SpecAttempt, max_changes: int) -> None:
-        """Adds the chunks of one attempt, the first one first."""
+        """Adds the chunks of one attempt, from the first to the last."""
         name, attempt = orphan
         if name not in self._tables.finished_jobs:
             job = self._tables.jobs.get(name)
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -1,4 +1,4 @@
-"""Users' requests on jobs: submit, cancel, status. Each is its own conditional write, beside other transactions."""
+"""Users' requests on jobs: submit, cancel, status. Each writes its own conditional transactions."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from sloeswitch.state_client import TransactionOutcome
 from sloeswitch.wire import JobStatus
 
-# A cancellation that conflicts with another write of the job is planned anew this often.
+# The number of attempts at a cancellation that conflicts with other writes of the job.
 MAX_CANCEL_ATTEMPTS = 4
 
 
 class CancelFailure(StrEnum):
-    """Why a job can never be cancelled. Not sent to users as it is."""
+    """Why a job can never be cancelled. The value is not sent to users."""
 
-    # No job of that name was ever accepted.
+    # No job of this name was ever accepted.
     NOT_FOUND = ""
 
 
@@ -40,14 +40,14 @@
 
 
 class _CancelAttempt(NamedTuple):
-    """The result of one attempt to cancel a job (see `JobRequests.cancel`), and whether to try again."""
+    """The result of one attempt to cancel a job (see `JobRequests.cancel`), and whether to retry it."""
 
     result: JobStatus | CancelFailure | None = None
     is_conflict: bool = False
 
 
 class JobRequests:
-    """Carries out users' requests on jobs. Called through the jobs actor; its state is the replicated tables only."""
+    """Executes users' requests on jobs. Called through the jobs actor; has no state except the replicated tables."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._client = context.client
@@ -57,7 +57,7 @@
         self._spec_chunks = SpecChunkStore(context)
 
     def status(self, name: str) -> JobStatus | None:
-        """The job's status by the replicated tables; None if they have no such job."""
+        """The job's status according to the replicated tables; None if they do not contain the job."""
         finished = self._tables.finished_jobs.get(name)
         if finished is not None:
             return JobStatus.DONE if finished.is_done else JobStatus.CANCELLED
@@ -71,27 +71,28 @@
     # -- submit
 
     async def submit(self, spec: wire.JobSpec) -> Submission | None:
-        """Accepts a job; None if it cannot be stored now."""
+        """Accepts a job; returns None if it cannot be stored now."""
         transaction = await self._submission(spec)
         if transaction is None:
             return None
         outcome = await self._commit(transaction)
         if outcome is TransactionOutcome.COMMITTED:
             return Submission(self.status(spec.id) or self._first_status(spec), is_new=True)
-        # Unless it was refused, another controller stored it before, or the answer was lost: read what is stored.
+        # If the transaction was not rejected, another controller stored the job first or the answer was lost. A read
+        # shows whether the job is stored.
         if outcome is TransactionOutcome.REJECTED or not await self._read_linearizable():
             return None
         status = self.status(spec.id)
         return None if status is None else Submission(status, is_new=False)
 
     async def _submission(self, spec: wire.JobSpec) -> Transaction | None:
-        """The transaction that creates the job's row; None if its spec cannot be stored now."""
+        """Returns the transaction that creates the job's row; None if the spec cannot be stored now."""
         key = keys.job_key(spec.id)
         submitted_ms = self._clock.wall_clock_ms()
         value = encode_job(JobState.LIVE, spec, submitted_ms)
         if len(wire.encode(value)) <= self._client.value_bytes:
             return Transaction({key: 0}, {key: value})
-        # Controllers of an earlier layout read no chunks.
+        # Controllers with an earlier layout cannot read chunks.
         stored = await self._spec_chunks.store(spec) if self._tables.layout_complete else None
         if stored is None:
             return None
@@ -100,7 +101,7 @@
         return Transaction({key: 0, first_chunk: stored.first_chunk_revision}, {key: value})
 
     def _first_status(self, spec: wire.JobSpec) -> JobStatus:
-        """The status of a job that was just accepted: cancelled at once if a prerequisite is cancelled."""
+        """The status of a job that was just accepted: cancelled if one of its prerequisites is cancelled."""
         is_cancelled = any(self.status(name) is JobStatus.CANCELLED for name in spec.prerequisites)
         return JobStatus.CANCELLED if is_cancelled else JobStatus.QUEUED
 
@@ -111,11 +112,11 @@
 
         Args:
             name: The job.
-            only_unclaimed: Not if a task of it was ever claimed.
+            only_unclaimed: Cancel the job only if none of its tasks was ever claimed.
 
         Returns:
-            The job's final status, or why it can never be cancelled. None if the cancellation cannot be stored now, or
-            another cell may still start or hold a task of the job.
+            The job's final status, or why it can never be cancelled. None if the cancellation cannot be stored now, if
+            `only_unclaimed` is set and a task was claimed, or if another cell may still have or start tasks of the job.
         """
         for _ in range(MAX_CANCEL_ATTEMPTS):
             attempt = await self._attempt_cancel(name, only_unclaimed)
@@ -147,22 +148,23 @@
         return _CancelAttempt(is_conflict=await self._read_linearizable())
 
     def _cancellation(self, job: Job) -> Transaction:
-        """The transaction that cancels a job of which no other cell has a task."""
+        """Returns the transaction that cancels a job without tasks in other cells."""
         key, progress_key = keys.job_key(job.spec.id), keys.progress_key(job.spec.id)
         now_ms = self._clock.wall_clock_ms()
         if not job.progress_revision:
-            # Never claimed, so none of its tasks is anywhere: it is over with the same change.
+            # The job was never claimed, so it has no tasks on machines and the same transaction finishes it.
             finished = encode_finished_job(JobState.CANCELLED, job.spec, now_ms) | encode_job_handoffs(
                 job, finished=True
             )
             return Transaction({key: job.mod_revision, progress_key: 0}, {key: finished})
         value = _encode_row(job, JobState.CANCELLED) | encode_job_handoffs(job)
-        # Whoever has its tasks then is to be done with them in time, over changes of owner too.
+        # The time of the cancellation. The time limit for stopping the job's tasks counts from it, also after the
+        # machines that run them get another owner.
         value["x"] = now_ms
         return Transaction({key: job.mod_revision}, {key: value})
 
     async def _request_cancellation(self, job: Job, handoff: OriginRow) -> None:
-        """Stores that the user wants the cancellation; the cells that may have the job are asked to stop it."""
+        """Stores a cancellation request in the job's row; the cells that may have the job are then asked to stop it."""
         if handoff.cancelling:
             return
         key = keys.job_key(job.spec.id)
@@ -170,17 +172,17 @@
         value = _encode_row(job, job.status) | {"h": cancelling}
         await self._commit(Transaction({key: job.mod_revision}, {key: value}))
 
-    # -- the state service
+    # -- state service
 
     async def _commit(self, transaction: Transaction) -> TransactionOutcome:
-        """Commits a transaction; the tables have its rows at once."""
+        """Commits a transaction. If it succeeds, applies its rows to the tables at once."""
         outcome, revision = await self._client.compare_and_swap(transaction, RequestPriority.USER)
         if outcome is TransactionOutcome.COMMITTED:
             self._replica.apply_own_write(revision, transaction.writes)
         return outcome
 
     async def _read_linearizable(self) -> bool:
-        """Reads the tables afresh; returns whether that was possible."""
+        """Updates the tables by a linearizable read; returns whether it succeeded."""
         try:
             await self._replica.read_linearizable(self._client.timeout_s)
         except StaleReplicaError:
@@ -189,5 +191,5 @@
 
 
 def _encode_row(job: Job, state: str) -> dict[str, Any]:
-    """The job's row in another state."""
+    """Encodes the job's row with the given state."""
     return encode_job(state, job.spec, job.submitted_ms, job.spec_chunks)
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -1,8 +1,8 @@
-"""The jobs actor: every write to job records, and the updates of jobs that are not committed yet.
+"""The jobs actor: writes all job records, and keeps the updates of jobs that are not committed yet.
 
-One transaction at a time: completions, releases and adoptions that are due, together with the claims that the
-machines actor requests (`ClaimRequest`), go into one conditional transaction (see `core.commit_planner`). A conflict
-means that another controller was quicker: the tables are read afresh and the next transaction is planned from them.
+It commits one conditional transaction at a time (see `core.commit_planner`). A transaction contains the completions,
+releases and adoptions that are due, together with the claims that the machines actor requests (`ClaimRequest`). After a
+conflict with a write of another controller, the tables are read again and the next transaction is planned from them.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 
 class Jobs(Actor[TaskUpdates | ClaimRequest]):
-    """Owns the uncommitted updates of jobs; the only one that writes job records.
+    """Owns the uncommitted updates of jobs. All writes of job records go through this actor.
 
-    The machines actor sends it `TaskUpdates` and `ClaimRequest`; users' requests and other cells call `submit`,
-    `cancel` and `status`, which run beside the transactions of `commit_forever`.
+    The machines actor sends it `TaskUpdates` and `ClaimRequest`. Users' requests and other cells call `submit`,
+    `cancel` and `status`, which run concurrently with the transactions of `commit_forever`.
     """
 
     name = "jobs"
@@ -49,24 +49,25 @@
         self.leadership = context.leadership
         self.clock = context.clock
         self.uncommitted = UncommittedUpdates()
-        # The claim request for the next transaction, and the event that a message arrived.
+        # The claim request for the next transaction, and the event that is set when a message arrives.
         self.request: ClaimRequest | None = None
         self.wake = anyio.Event()
-        # How long the last updates of a job wait for others, in seconds; see CommitDelays.
+        # How long the commit loop waits when no message arrives, in seconds. Also the delay of updates that end this
+        # controller's claims on a job (see CommitDelays), and the pause after an error.
         self.batch_s = 0.3
         self.requests = JobRequests(context)
         self.garbage_collector = GarbageCollector(context)
-        # Beyond this size of its values a transaction may have no place for another one.
+        # A transaction whose values are larger than this may not fit another value.
         self.values_bytes = transaction_values_bytes(context.settings.value_bytes)
-        # The number of this incarnation's next row of adoptions.
+        # The number of the next adoption row of this incarnation.
         self.adoption_number = 0
-        # Jobs whose progress was too large for a row when it was to be written last.
+        # Jobs whose progress was too large for a row at the last attempt to write it.
         self.oversized_jobs: set[str] = set()
 
     # -- messages
 
     async def handle(self, message: TaskUpdates | ClaimRequest) -> None:
-        """Takes updates, or the request for the next transaction; an earlier request that still waits is refused."""
+        """Stores updates or a claim request for the next transaction; a new request replaces one that still waits."""
         if isinstance(message, TaskUpdates):
             self.uncommitted.merge(message, self.clock.now())
         else:
@@ -76,13 +77,13 @@
         self.wake.set()
 
     def reset_claims(self) -> None:
-        """Starts a new incarnation of this controller: the claims of the earlier one are not its own any more."""
+        """Drops uncommitted releases and adoptions, as a new incarnation does not own earlier claims."""
         self.uncommitted.reset_claims()
 
     # -- transactions
 
     async def commit_forever(self) -> None:
-        """Commits what is due, in one transaction after the other."""
+        """Commits due updates and requested claims, one transaction after the other."""
         while True:
             with anyio.move_on_after(self.batch_s):
                 await self.wake.wait()
@@ -94,7 +95,7 @@
                 await anyio.sleep(self.batch_s)
 
     async def _commit_round(self) -> None:
-        """Commits at most one transaction and answers the claim request that waits."""
+        """Commits at most one transaction and answers the waiting claim request."""
         request, self.request = self.request, None
         outcome = await self._commit_due(request)
         if request is not None:
@@ -103,7 +104,7 @@
             await anyio.sleep(self.batch_s / 2)
 
     async def _commit_due(self, request: ClaimRequest | None) -> TransactionOutcome | None:
-        """Commits the due updates together with the request; None if there is nothing to commit."""
+        """Commits the due updates together with the request; returns None if there is nothing to commit."""
         if not self.replica.loaded or not self.leadership.incarnation:
             return None
         is_leader = self.leadership.is_leader
@@ -113,8 +114,8 @@
             return None
         is_urgent = request is not None or self._schedule().is_urgent()
         priority = RequestPriority.CLAIM if is_urgent else RequestPriority.PROGRESS
-        # The rate first, then the freshest tables: conditions that wait for their turn grow stale, and a
-        # transaction that fails on them costs as much as one that does not.
+        # Waits for the write rate first and reads the tables afterwards. The other way round, the conditions of the
+        # transaction could become stale during the wait, and a failed transaction costs as much as a successful one.
         available_changes = self.client.available_changes(priority)
         acquired_changes = min(needed_changes, available_changes)
         await self.client.acquire_changes(acquired_changes, priority)
@@ -128,17 +129,17 @@
         return await self._commit(plan, priority, acquired_changes)
 
     def _estimate_changes(self, request: ClaimRequest | None) -> int:
-        """An estimate of how many changes the next transaction needs, made before the tables are read afresh."""
+        """Estimates, before the tables are read again, how many changes the next transaction needs."""
         changes = len(self._schedule().due_jobs(() if request is None else request.task_counts))
         if request is not None:
             changes += request.quota_change_count
         if self.tables.layout_complete and self.uncommitted.jobs_with_adoptions(self.tables.jobs):
-            # The row of adoptions, and a team's allocation.
+            # The adoption row and the allocation of one team.
             changes += 2
         return changes
 
     def _plan(self, request: ClaimRequest | None, is_leader: bool, available_changes: int) -> CommitPlan:
-        """Plans the next transaction from the tables as they are; without the claims unless this is the leader."""
+        """Plans the next transaction from the current tables, with the claims only if this controller is the leader."""
         claiming = request if is_leader else None
         snapshot = CommitSnapshot(
             tables=self.tables,
@@ -157,7 +158,7 @@
             claims=None if claiming is None else claiming.requested_claims(),
             forced_rewrites=frozenset() if request is None else request.forced_rewrites,
         )
-        # The read before may have brought another view.
+        # The preceding read may have changed the view.
         self._expire_adoptions()
         due_jobs = self._schedule().due_jobs(() if claiming is None else claiming.task_counts)
         plan = plan_commit(snapshot, due_jobs)
@@ -168,7 +169,7 @@
         return plan
 
     def _record_oversized(self, plan: CommitPlan) -> None:
-        """Logs jobs whose progress has no place in a row, once until it is written again."""
+        """Logs jobs whose progress is too large for a row, once until it is written again."""
         for name in plan.oversized_jobs:
             if name not in self.oversized_jobs:
                 log.error("progress not stored: job=%s reason=oversized", name)
@@ -178,7 +179,7 @@
         self.oversized_jobs &= self.tables.jobs.keys()
 
     async def _commit(self, plan: CommitPlan, priority: RequestPriority, acquired_changes: int) -> TransactionOutcome:
-        """Commits the plan's transaction, and brings the tables to the state after it."""
+        """Commits the plan's transaction and updates the tables afterwards."""
         transaction = plan.transaction
         view_number, planned_at = self.leadership.view.number, self.replica.applied_revision
         outcome, revision = await self.client.compare_and_swap(transaction, priority, acquired_changes=acquired_changes)
@@ -192,7 +193,7 @@
         return outcome
 
     async def _read_linearizable(self) -> bool:
-        """Reads the tables afresh; returns whether that was possible."""
+        """Updates the tables by a linearizable read; returns whether it succeeded."""
         try:
             await self.replica.read_linearizable(self.client.timeout_s)
         except StaleReplicaError:
@@ -215,10 +216,10 @@
     def _prune_committed(self) -> None:
         self.uncommitted.prune_committed(self.tables, self.leadership.incarnation_id)
 
-    # -- users' requests and garbage, beside the transactions above
+    # -- users' requests and garbage collection, concurrent with the transactions above
 
     async def submit(self, spec: wire.JobSpec) -> Submission | None:
-        """Accepts a job; None if it cannot be stored now."""
+        """Accepts a job; returns None if it cannot be stored now."""
         return await self.requests.submit(spec)
 
     async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | CancelFailure | None:
@@ -226,9 +227,9 @@
         return await self.requests.cancel(name, only_unclaimed)
 
     def status(self, name: str) -> JobStatus | None:
-        """The job's status by the replicated tables; None if they have no such job."""
+        """The job's status according to the replicated tables; None if they do not contain the job."""
         return self.requests.status(name)
 
     async def collect_garbage_forever(self) -> None:
-        """Deletes stored rows that nobody needs any more, while this controller is the coordinator."""
+        """Deletes stored rows that are no longer needed, while this controller is the coordinator."""
         await self.garbage_collector.collect_forever()
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -1,4 +1,4 @@
-"""Stores a job's spec that is larger than a value may be, in chunks of their own keys."""
+"""Stores a job's spec that exceeds the size limit of a value in chunks, each under its own key."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.state_client import TransactionOutcome
 
-# The fraction of a request's bytes that the values of one transaction may take.
+# The fraction of the maximum request size that the values of one transaction may take.
 VALUES_FRACTION = 0.8
 
 
 def transaction_values_bytes(value_bytes: int) -> int:
-    """The size of a transaction's values beyond which it may have no place for another one of `value_bytes`."""
+    """The size of a transaction's values above which another value of `value_bytes` may not fit into the request."""
     return max(0, int(VALUES_FRACTION * wire.MAX_BODY_BYTES) - value_bytes)
 
 
 class StoredSpec(NamedTuple):
-    """The chunks of one spec: which attempt stored them, how many they are, and the first one's revision."""
+    """The chunks of one spec: the attempt that stored them, their number, and the revision of the first one."""
 
     attempt: str
     chunk_count: int
@@ -39,14 +39,14 @@
         self._tables = context.tables
         self._leadership = context.leadership
         self._values_bytes = transaction_values_bytes(context.settings.value_bytes)
-        # Numbers the attempts of this controller, so that no two share a key.
+        # The number of attempts of this incarnation. It is a part of the keys, so that no two attempts share a key.
         self._attempts = 0
 
     async def store(self, spec: wire.JobSpec) -> StoredSpec | None:
-        """Stores the spec's chunks, the first one last; None if that did not succeed for certain.
+        """Stores the spec's chunks, the first one last; returns None unless all of them are known to be stored.
 
-        The job's row is to be written on the condition of the first chunk's revision, so that no job is accepted
-        whose chunks were taken for garbage (see `actors.garbage_collection`).
+        The caller writes the job's row on the condition that the first chunk still has the returned revision. So no job
+        is accepted after its chunks were deleted as garbage (see `actors.garbage_collection`).
         """
         self._attempts += 1
         attempt = f"{self._leadership.incarnation_id}.{self._attempts}"
@@ -64,7 +64,7 @@
         return StoredSpec(attempt, len(texts), self._tables.mod_revision(chunk_keys[0]))
 
     async def _write_from_last(self, chunks: list[tuple[str, str]]) -> bool:
-        """Writes the keys and their texts, the last ones first, in as few transactions as may be."""
+        """Writes the chunks, given as keys and texts, from the last to the first in as few transactions as possible."""
         batch_size = max(1, min(self._client.txn_ops, self._values_bytes // self._client.value_bytes))
         while chunks:
             batch = dict(chunks[-batch_size:])
