--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -1,7 +1,7 @@
 """Preemption for gangs of one task that fit few machine types.
 
-Tasks of lower priority stop, and what they free is reserved for the gang. Owns the reservations. Called by the machines
-actor at each tick; placement and claims read the reservations.
+Tasks of lower priority are stopped, and their machine is reserved for the gang. Owns the reservations. The machines
+actor calls this module at each tick; placement and claims read the reservations.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class GangPreemption:
-    """Makes free capacity for gangs of one task, and reserves it until they are placed."""
+    """Frees capacity for gangs of one task, and reserves it until they are placed."""
 
     def __init__(self, shard: ShardState, kill: Callable[[Machine, Attempt, float], None]) -> None:
         context = shard.context
@@ -32,13 +32,13 @@
         self.queue = shard.queue
         self.tick_interval_s = shard.tick_interval_s
         self.kill = kill
-        # By machine.
+        # The reservations, by machine.
         self.reservations: dict[str, placement.Reservation] = {}
 
     def preempt_for_gangs(self, now: float) -> None:
-        """Stops tasks of lower priority for each gang of one task that fits nowhere.
+        """Stops tasks of lower priority for each gang of one task that has been queued for a while.
 
-        The machine is reserved for the gang until it is placed or a worker lease is over.
+        The machine is reserved for the gang until the gang is placed, but no longer than a worker lease.
         """
         self._expire_reservations(now)
         if not self.queue.scarce_types:
@@ -79,12 +79,12 @@
     def _preempt_within_team(
         self, job: Job, chosen: preemption.Preemption, shortfall: quota.ResourceUsage, order: preemption.QueueOrder
     ) -> list[Attempt] | None:
-        """The team's tasks on other machines that have to stop so that the gang fits within its quota.
+        """Selects the team's tasks on other machines that have to stop so that the gang fits within the team's quota.
 
-        What stops counts towards the quota until it is gone.
+        A task that is stopped counts towards the quota until it has ended.
 
         Returns:
-            The attempts to stop, or None when stopping all that may be stopped is not enough.
+            The attempts to stop; None if stopping all preemptible ones is not enough.
         """
         spec = job.spec
         for attempt in chosen.attempts:
@@ -109,9 +109,9 @@
                     self.kill(machine, attempt, attempt.spec.save_s)
 
     def reserved_usage(self) -> dict[str, quota.ReservedQuota]:
-        """What gangs with a reservation, and which are not placed, will take of their teams' quotas, by job.
+        """By job, what gangs with a reservation that are not placed yet will use of their teams' quotas.
 
-        Guards against small tasks of the team that take one by one what was freed for a gang.
+        Without this, small tasks of the team would use up, one by one, the quota that was freed for a gang.
         """
         reserved: dict[str, quota.ReservedQuota] = {}
         for reservation in self.reservations.values():
@@ -123,7 +123,7 @@
         return reserved
 
     def usage_with_reservations(self, job: Job) -> quota.ResourceUsage:
-        """What the job's team uses of its quota, and what is reserved of it for other jobs."""
+        """The usage of the job's team plus what is reserved of its quota for other jobs."""
         usage = self.quota.usage(job.spec.team)
         for name, reserved in self.reserved_usage().items():
             if reserved.team == job.spec.team and name != job.spec.id:
@@ -131,7 +131,7 @@
         return usage
 
     def _expire_reservations(self, now: float) -> None:
-        """Ends reservations whose job is placed or over, or that are older than a worker lease."""
+        """Drops reservations older than a worker lease and those whose job is not runnable or has no unclaimed task."""
         recovered = self.tables.recovery_complete()
         for name, reservation in list(self.reservations.items()):
             job = self.tables.jobs.get(reservation.job)
@@ -144,13 +144,13 @@
                 del self.reservations[name]
 
     def _unplaced_gangs(self, now: float) -> Iterator[Job]:
-        """Gangs of one task that have been queued for a while, in the order of the queue.
+        """Yields the unclaimed gangs of one task that have been queued for a while, in the order of the queue.
 
-        The controller at which a job's image is goes first, the others a report interval later each, so that they do
-        not all preempt tasks for it.
+        The controller with affinity to the job's image goes first. The others follow at offsets of one report interval,
+        so that they do not all preempt tasks for the same gang.
 
-        A claim of an incarnation that is gone is none. Guards against a gang that was claimed when its controller
-        ended: open to all, it would count as claimed here, and get no capacity.
+        Once recovery is complete, a claim of a departed incarnation does not count. If it did, a gang whose controller
+        terminated after claiming it would never get capacity, although every controller may claim it.
         """
         recovered = self.tables.recovery_complete()
         members = [member for member, _ in self.leadership.view.members]
@@ -164,7 +164,7 @@
                 or not self.tables.unclaimed_tasks(job, recovered)
             ):
                 continue
-            visited.add(spec.id)  # it may be in the queue twice
+            visited.add(spec.id)  # a starved job is in the queue twice
             wait_s = 4 * self.tick_interval_s + (
                 0 if self.queue.has_image_affinity(job) else (1 + position) * self.settings.report_s
             )
@@ -173,7 +173,7 @@
             yield job
 
     def _scarce_capacities(self) -> dict[str, placement.FreeCapacity]:
-        """What is free on machines of types that some live job fits and others not, by machine."""
+        """By machine, the free capacity of schedulable machines of scarce types."""
         return {
             machine.name: self.registry.free_capacity(machine, self.tables.machine_types[machine.type])
             for machine in self.registry.machines.values()
--- a/sloeswitch/actors/runnable_queue.py
+++ b/sloeswitch/actors/runnable_queue.py
@@ -1,7 +1,7 @@
-"""The queue of runnable jobs as one controller sees it, rebuilt with every tick of the machines actor.
+"""The queue of runnable jobs of one controller, rebuilt at every tick of the machines actor.
 
-Owns the order of the queue and what follows from it. The order itself is computed by core.job_queue. Rebuilt by the
-machines actor only; other modules read it.
+Owns the order of the queue, which core.job_queue computes, and values derived from it. Only the machines actor rebuilds
+the queue; other modules read it.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
         self.leadership = context.leadership
         self.clock = context.clock
         self.registry = registry
-        # Where admission is on: what marks deferred jobs.
+        # Marks deferred jobs. Set if admission is enabled.
         self.admission: JobAdmission | None = None
         self.jobs: list[Job] = []
-        # When the jobs of the queue were first seen in it, in seconds of the clock.
+        # When each job of the queue was first seen there, in seconds on the monotonic clock.
         self.queued_since: dict[str, float] = {}
-        # The smallest number of cores that a task of any queued job wants.
+        # The smallest number of cores that a task of any queued job needs.
         self.least_cores = 0.0
-        # Machine types kept for jobs that fit no other.
+        # The machine types that fit some queued job which does not fit all types; see core.placement.
         self.scarce_types: set[str] = set()
-        # Whether all controllers had recovered their shards under the view, as of the last tick.
+        # Whether all controllers of the view had recovered their shards, as of the last tick.
         self.recovery_complete = False
 
     def rebuild(self) -> None:
-        """Computes the order anew from the tables."""
+        """Recomputes the queue from the tables."""
         self.recovery_complete = self.tables.recovery_complete()
         if self.admission is not None:
             self.admission.apply()
@@ -44,26 +44,26 @@
         self.least_cores = min((job.spec.cores for job in self.jobs), default=0.0)
 
     def record_queued(self, now: float) -> None:
-        """Notes when jobs are first seen in the queue, and forgets those that left it."""
+        """Records when jobs are first seen in the queue, and drops those that left it."""
         self.queued_since = {job.spec.id: self.queued_since.get(job.spec.id, now) for job in self.jobs}
 
     def waiting_jobs(self) -> list[Job]:
-        """The queue, followed by the jobs that admission defers, oldest first: those may go to another cell too."""
+        """The queue, followed by the jobs that admission defers, oldest first; all of them may go to another cell."""
         if self.admission is None:
             return self.jobs
         deferred = [job for job in self.tables.jobs.values() if job.deferred and job.is_runnable]
         return self.jobs + sorted(deferred, key=lambda job: job.ready_revision)
 
     def has_image_affinity(self, job: Job) -> bool:
-        """Whether the job's image is one that this controller's machines are to have."""
+        """Whether the job's image is assigned to the machines of this controller."""
         return self.leadership.owner_of("image " + job.spec.image) == self.settings.member
 
     def _has_begun(self, job: Job) -> bool:
-        """Whether any of the job's tasks has begun, so that the job is no longer ordered as a new one.
+        """Whether any task of the job has started. A job without a started task moves to the front when it is starved.
 
-        Tasks claimed by this controller and placed nowhere yet have not begun: the job must not lose its place in the
-        queue for that. Nor have those that only an incarnation claimed that is gone, once recovery is complete: such
-        a job never went first for having waited.
+        Tasks that this controller has claimed but not placed have not started; otherwise the job would lose its place
+        in the queue by the claim. Claims of departed incarnations do not count either, once recovery is complete;
+        otherwise a job with such a claim could never move to the front.
         """
         if job.progress.done or self.registry.placed_tasks.get(job.spec.id):
             return True
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -1,7 +1,7 @@
-"""Placement: tasks that this controller has claimed are put on its machines.
+"""Places the tasks that this controller has claimed on its machines.
 
-Owns the jobs with claimed tasks that are not placed, and the numbers of attempts. Called by the machines actor at each
-tick and each heartbeat; others only read what is free.
+Owns the list of jobs with claimed tasks that are not placed, and the numbers of attempts. The machines actor calls this
+module at each tick and each heartbeat; other modules only read the free capacity.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 log = logging.getLogger("machines")
 
-# Work is claimed about this part of a worker's lease before it can start.
+# Tasks are claimed about this fraction of a worker lease before they can start.
 CLAIM_AHEAD_SHARE = 0.2
 
 
 class TaskPlacement:
-    """Places claimed tasks within quotas, and releases those for which no machine has free capacity for long."""
+    """Places claimed tasks within quotas, and releases those that have waited too long for free capacity."""
 
     def __init__(self, shard: ShardState, gang_preemption: GangPreemption) -> None:
         context = shard.context
@@ -38,20 +38,20 @@
         self.queue = shard.queue
         self.task_updates = shard.task_updates
         self.gang_preemption = gang_preemption
-        # As of the last tick: jobs with tasks claimed and not placed, in the order of the queue.
+        # As of the last tick: the jobs with claimed tasks that are not placed, in the order of the queue.
         self.unplaced_jobs: list[Job] = []
-        # Since when jobs have had claimed tasks that were not placed; each placement counts anew.
+        # By job, since when it has had claimed tasks that are not placed. Each placement of its tasks resets the time.
         self.unplaced_since: dict[str, float] = {}
         self.attempts_started = 0
         self.claim_ahead_s = CLAIM_AHEAD_SHARE * context.settings.lease_s
 
     def free_capacities(self, now: float) -> list[placement.FreeCapacity]:
-        """What is free on each machine that may get tasks and could hold one of the queue."""
+        """The free capacity of each machine that may get tasks and may have enough cores for a queued one."""
         capacities = (self._free_capacity(machine, now) for machine in self.registry.machines.values())
         return [capacity for capacity in capacities if capacity is not None]
 
     def place_unplaced(self) -> None:
-        """Puts claimed tasks on machines; those of lost machines go before anything newly claimed."""
+        """Places claimed tasks on machines, also those that ran on lost machines; runs before new tasks are claimed."""
         capacities: list[placement.FreeCapacity] | None = None
         now = self.clock.now()
         self.unplaced_jobs = []
@@ -76,16 +76,16 @@
                 self._release_after_wait(name, unplaced, now)
 
     def fill_machine(self, machine: Machine) -> None:
-        """Puts claimed tasks on one machine, with the answer to its heartbeat."""
+        """Places claimed tasks on one machine, to be started with the answer to its heartbeat."""
         if not self.unplaced_jobs:
             return
         now = self.clock.now()
         capacity = self._free_capacity(machine, now)
         if capacity is None:
             return
-        # Little is claimed ahead, so that whose image is here may go first: it saves a fetch and bends the
-        # order among a few only. Priorities above standard come before that: a stage of a pipeline would wait while
-        # machines have only the images of others.
+        # Jobs whose image is on the machine go first, which saves fetching an image. This changes the order of a few
+        # tasks only, as few are claimed ahead. It does not apply across priorities above standard; otherwise an urgent
+        # pipeline stage would wait while the machines have only images of other jobs.
         for job in sorted(
             self.unplaced_jobs,
             key=lambda job: (
@@ -99,21 +99,21 @@
                 for name, machine_type in self.tables.machine_types.items()
                 if name not in self.queue.scarce_types
             ):
-                continue  # placed there at the tick, if nowhere else
+                continue  # placed on a scarce type at the next tick if no other machine has free capacity
             if capacity.max_tasks(job.spec) and job.is_runnable and not job.spec.gang:
                 unplaced = self.task_updates.unplaced_tasks(job)
                 if unplaced and not self.health.is_job_paused(job.spec.id, now):
                     self._place(job, unplaced, [capacity], now)
 
     def _free_capacity(self, machine: Machine, now: float) -> placement.FreeCapacity | None:
-        """What the machine has free, or None if no task may go there or none would fit."""
+        """The free capacity of the machine; None if no task may be placed there or none would fit."""
         machine_type = self.tables.machine_types.get(machine.type)
         if (
             machine_type is None
             or self.registry.free_cores(machine, machine_type) + quota.ROUNDING_TOLERANCE < self.queue.least_cores
             or not self.registry.is_schedulable(machine)
-            # A machine that misses its reports gets nothing new. Guards against one that answers commands and cannot
-            # report: it got tasks again and again, which were removed again when no report came to be answered.
+            # A machine whose reports are late gets no new tasks. Otherwise a machine that answers commands but cannot
+            # report would get tasks again and again: they start only with the answer to a report, and are removed.
             or machine.last_heartbeat_at is None
             or now - machine.last_heartbeat_at >= self.settings.late_s
             or machine.name not in self.tables.machines
@@ -125,14 +125,14 @@
         return capacity
 
     def _release_after_wait(self, job: str, unplaced: int, now: float) -> None:
-        """Gives up claims that waited for a machine much longer than claiming ahead explains."""
+        """Releases claimed tasks that have waited for a machine much longer than tasks claimed ahead do."""
         since = self.unplaced_since.setdefault(job, now)
         if now - since > self.claim_ahead_s + 2 * self.settings.report_s and self.leadership.is_leader:
             self.task_updates.release(job, unplaced)
             del self.unplaced_since[job]
 
     def _place(self, job: Job, tasks: int, capacities: list[placement.FreeCapacity], now: float) -> bool:
-        """Starts attempts at as many of the tasks as quota and capacities allow; whether there were any."""
+        """Creates attempts for as many of the tasks as quota and capacities allow; returns whether it created any."""
         name = job.spec.id
         tasks = self._within_limits(job, tasks)
         usable = placement.eligible(name, capacities, self.gang_preemption.reservations, self.health)
@@ -155,7 +155,7 @@
         return True
 
     def _within_limits(self, job: Job, tasks: int) -> int:
-        """Those of the tasks that the team's quota allows now; of a faulty job, one."""
+        """Returns the subset of the tasks that the team's quota currently allows; at most one task of a faulty job."""
         tasks = taskset.lowest(
             tasks,
             quota.tasks_within_quota(
@@ -186,7 +186,7 @@
             )
 
     def _next_attempt_number(self) -> int:
-        """An attempt number that no other controller, and no other view, gives out."""
+        """Returns an attempt number that is unique across controllers and views."""
         self.attempts_started += 1
         members = [member for member, _ in self.leadership.view.members]
         position = members.index(self.settings.member)
--- a/sloeswitch/actors/task_update_outbox.py
+++ b/sloeswitch/actors/task_update_outbox.py
@@ -1,7 +1,7 @@
-"""Task updates on their way to the jobs actor, until the tables show them.
+"""Task updates from the machines actor for the jobs actor, kept until the tables contain them.
 
-Owns the updates that are not sent yet, and the completions and releases that are sent and not stored. Called by the
-modules of the machines actor only.
+Owns the updates that are not sent yet, and the completions and releases that are not stored yet. Only the modules of
+the machines actor call it.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class TaskUpdateOutbox:
-    """Collects completed, released and adopted tasks and sends them to the jobs actor, many in one message.
+    """Collects completed, released and adopted tasks and sends them to the jobs actor in batches.
 
-    Sets of tasks are bit masks over a job's task indexes.
+    Sets of tasks are bit masks, see `core.taskset`.
     """
 
     def __init__(self, context: ControllerContext, registry: MachineRegistry, jobs: Jobs) -> None:
@@ -25,15 +25,15 @@
         self.leadership = context.leadership
         self.registry = registry
         self.jobs = jobs
-        # Not sent yet, and the view that this controller follows.
+        # The updates that are not sent yet, and the number of the view that this controller follows.
         self.pending = TaskUpdates()
         self.followed_view = 0
-        # Recorded here and not yet in the tables, as sets of tasks by job.
+        # The completions and releases that the tables do not contain yet, as sets of tasks by job.
         self.unstored_done: dict[str, int] = {}
         self.unstored_releases: dict[str, int] = {}
 
     def reset_claims(self) -> None:
-        """Another incarnation of this controller begins: earlier claims are not its own. Completions stay true."""
+        """Drops releases and adoptions, as a new incarnation does not own earlier claims; completions stay valid."""
         self.followed_view = 0
         self.unstored_releases.clear()
         self.pending.released.clear()
@@ -41,37 +41,37 @@
         self.jobs.reset_claims()
 
     def begin_view(self, view_number: int) -> None:
-        """Starts the adoptions of a view, from those that the registry has pending."""
+        """Replaces the pending adoptions by those that the registry has for a new view."""
         self.followed_view = view_number
         self.pending.adopted = dict(self.registry.pending_adoptions())
         self.pending.view_number = view_number
 
     def record_done(self, job: str, index: int) -> None:
-        """A task completed."""
+        """Records that a task completed."""
         add_tasks(self.pending.done, job, 1 << index)
         add_tasks(self.unstored_done, job, 1 << index)
 
     def record_adopted(self, job: str, index: int) -> None:
-        """A task was found on a machine that was taken over with it."""
+        """Records a task that was found on a machine taken over by this controller."""
         add_tasks(self.pending.adopted, job, 1 << index)
 
     def release(self, job: str, tasks: int) -> None:
-        """Gives up claims on tasks that are on no machine, so that other controllers may claim them."""
+        """Releases claims on tasks that are not placed, so that other controllers may claim them."""
         add_tasks(self.pending.released, job, tasks)
         add_tasks(self.unstored_releases, job, tasks)
 
     def withdraw_releases(self, claimed: dict[str, int]) -> None:
-        """Tasks were claimed anew, so they are not being released any more.
+        """Drops the releases of tasks that this controller claimed again.
 
-        Guards against tasks that are released and claimed again between two ticks: counted as on their way to others,
-        they would never be run by anybody.
+        A task may be released and claimed again between two ticks. If it still counted as being released, this
+        controller would never place it, and no other could claim it.
         """
         for name, tasks in claimed.items():
             if name in self.unstored_releases:
                 self.unstored_releases[name] &= ~tasks
 
     def send(self) -> None:
-        """Sends what is pending; with a full inbox it stays pending and is sent with what comes until then."""
+        """Sends the pending updates; if the inbox is full they stay pending and are sent with later ones."""
         if self.pending:
             try:
                 self.jobs.tell(self.pending)
@@ -80,7 +80,7 @@
             self.pending = TaskUpdates(view_number=self.followed_view)
 
     def prune_stored(self) -> None:
-        """Forgets completions and releases that the tables show by now."""
+        """Drops the completions and releases that the tables already contain."""
         for unstored, own_claims_only in ((self.unstored_done, False), (self.unstored_releases, True)):
             for name in list(unstored):
                 job = self.tables.jobs.get(name)
@@ -95,10 +95,9 @@
                     del unstored[name]
 
     def unplaced_tasks(self, job: Job) -> int:
-        """The set of the job's tasks that this controller has claimed, that are on no machine, and may be placed.
+        """The set of the job's tasks that this controller has claimed, that are on no machine, and that may be placed.
 
-        Those that ended, or are being released, are left out: sending that to the jobs actor and storing it take a
-        while.
+        Tasks that completed or are being released are excluded even while the tables do not show it yet.
         """
         claimed = job.progress.claims.get(self.leadership.incarnation_id, 0)
         if not claimed:
