--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -1,7 +1,7 @@
-"""What comes in over `bind`: users' requests on jobs, workers' heartbeats, and the health check.
+"""Handles the requests received at `bind`: users' requests on jobs, workers' heartbeats, metrics and health checks.
 
-Each request is answered by its own task. A request that cannot be carried out now is refused at once, so that the
-client goes to another controller.
+Each request is handled by its own task. A request that cannot be served now is refused at once, so that the client
+retries at another controller.
 """
 
 from __future__ import annotations
@@ -26,22 +26,23 @@
 
 log = logging.getLogger("users")
 
-# Users wait 2 s for a poll and 5 s for the rest (protocol); a refusal must come well before.
+# Users wait 2 s for the answer to a poll and 5 s for other answers (protocol). A refusal must be sent well before.
 READ_TIMEOUT_S = 1.0
-# State calls time out after a part of the controller lease; clients are to be back by then.
+# Requests to the state service time out after a fraction of the controller lease. Clients should retry by then.
 RETRY_AFTER_S = 1.0
-# The text format of Prometheus.
+# The Prometheus text format.
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# A heartbeat on the same connection within so many intervals shows that the answer before it was received.
+# A heartbeat that arrives on the same connection within this number of report intervals after an answer shows that the
+# worker received the answer.
 ANSWER_RECEIVED_INTERVALS = 2
 
 
-# The metrics as they are now, in the text format.
+# Returns the current metrics in the Prometheus text format.
 MetricsRenderer = Callable[[], Awaitable[bytes]]
 
 
 class Route(NamedTuple):
-    """One operation: its method, its path, whose first group is the job if there is one, and what answers it."""
+    """One operation: its method, its path and its handler. The first group of the path, if any, is the job id."""
 
     method: str
     path: re.Pattern[str]
@@ -49,42 +50,42 @@
 
 
 def error_answer(status: int, text: str) -> Answer:
-    """An answer that tells the client what is wrong with its request."""
+    """An answer whose body describes the error."""
     return Answer(status, wire.encode({"error": text}))
 
 
 def bad_request(text: str) -> Answer:
-    """The request is malformed."""
+    """The answer to a malformed request."""
     return error_answer(400, text)
 
 
 def not_found(text: str) -> Answer:
-    """There is no such thing."""
+    """The answer if the path or the job does not exist."""
     return error_answer(404, text)
 
 
 def method_not_allowed(allowed: str) -> Answer:
-    """The path takes another method."""
+    """The answer if the path does not support the method of the request."""
     return Answer(405, b'{"error":"method not allowed"}', [("Allow", allowed)])
 
 
 def unschedulable(reason: str) -> Answer:
-    """The job can never run."""
+    """The answer to the submission of a job that can never run."""
     return error_answer(422, reason)
 
 
 def unavailable() -> Answer:
-    """The request cannot be carried out now, by this controller."""
+    """The answer to a request that this controller cannot serve now."""
     return refuse(RETRY_AFTER_S)
 
 
 def job_answer(name: str, status: JobStatus, is_new: bool = False) -> Answer:
-    """The job's status, after a submission or a cancellation."""
+    """The answer to a submission or a cancellation: the job's status."""
     return Answer(201 if is_new else 200, wire.submission_reply(name, status))
 
 
 class Users:
-    """Answers the requests of users, workers and monitoring. Holds no state but that of the connections."""
+    """Answers the requests of users, workers and monitoring. Keeps no state except per connection."""
 
     def __init__(
         self, context: ControllerContext, jobs: Jobs, machines: Machines, render_metrics: MetricsRenderer | None = None
@@ -107,7 +108,7 @@
         )
 
     async def handle(self, request: Request) -> Answer:
-        """Answers one request; a fault in it is logged and ends only that request."""
+        """Answers one request; an unexpected exception is logged and the request is refused."""
         try:
             return await self._route(request)
         except InboxFullError:
@@ -131,16 +132,17 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this controller has read all it needs and is a member of the view."""
+        """Whether this controller has loaded the tables and the machine types and is a member of the view."""
         return self.replica.loaded and bool(self.tables.machine_types) and self.leadership.is_member
 
     @property
     def is_healthy(self) -> bool:
         """Whether clients should come to this controller.
 
-        Without the state service a controller still answers final statuses and refuses the rest at once, which is as
-        good as any other one can do, unless a sibling still reaches the state service. One that hears from none of
-        its siblings either is cut off: the others may be well.
+        A controller without the state service still answers requests on finished jobs and refuses others at once. If no
+        sibling reaches the state service, no controller can do more, so this one counts as healthy. It is unhealthy if
+        a sibling reaches the state service, and also if no sibling answers: then it is disconnected, and the others may
+        work normally.
         """
         if not self.is_ready:
             return False
@@ -173,20 +175,21 @@
         if name is None:
             return bad_request("id: not in the form wk-000412")
         if not self.replica.loaded or self._is_delegated(name):
-            # The name may be that of a job which another cell handed over, until that is acknowledged there.
+            # A job with this id was delegated by another cell. The id is not available until that cell has acknowledged
+            # the end of the delegation.
             return unavailable()
         if self.jobs.status(name) is not None:
             return await self._answer_known(name)
         try:
             spec = wire.check_spec(wire.decode(request.body, wire.JobSpec))
         except wire.MalformedError as error:
-            # A repeat of an accepted job is known whatever else is in it: look before refusing.
+            # A repeated submission of an accepted job gets the job's status, even if its other fields are invalid.
             log.info("submission malformed: job=%s error=%s", name, error)
             return await self._answer_known_or(name, bad_request(str(error)))
         return await self._refusal(spec) or await self._accept(spec)
 
     async def _refusal(self, spec: wire.JobSpec) -> Answer | None:
-        """The answer to a submission that is not to be accepted; None if it is."""
+        """Returns the refusal of a submission; None if it can be accepted."""
         if not self.tables.machine_types:
             return unavailable()
         reason = unschedulable_reason(spec, self.settings.teams, self.tables.machine_types)
@@ -197,12 +200,12 @@
         return await self._prerequisites_refusal(spec) if spec.prerequisites else None
 
     async def _prerequisites_refusal(self, spec: wire.JobSpec) -> Answer | None:
-        """The refusal of a submission for its prerequisites; None if they are all known.
+        """Returns the refusal of a submission because of its prerequisites; None if all of them are known.
 
-        Jobs once accepted stay known, so that only one which the tables lack needs a linearizable read.
+        An accepted job stays known, so a linearizable read is needed only if the tables lack a prerequisite.
         """
         if not self.tables.layout_complete:
-            # A controller of an earlier layout would start its tasks too early.
+            # A controller with an earlier layout would start the job's tasks too early.
             return unavailable()
         if any(self._is_delegated(name) for name in spec.prerequisites):
             return unavailable()
@@ -251,36 +254,36 @@
             return unavailable()
         return not_found("no such job") if isinstance(result, CancelFailure) else job_answer(name, result)
 
-    # -- what is known of a job
+    # -- known jobs
 
     def _is_delegated(self, name: str) -> bool:
-        """Whether another cell handed the job over: for this cell's users there is none of that name."""
+        """Whether another cell delegated the job to this one. Such jobs are hidden from the users of this cell."""
         job, finished = self.tables.jobs.get(name), self.tables.finished_jobs.get(name)
         return (job is not None and job.incoming_handoff is not None) or (
             finished is not None and finished.incoming_handoff is not None
         )
 
     async def _is_status_current(self, name: str) -> bool:
-        """Whether the tables' status of the job is not older than one that another controller answered.
+        """Whether the job's status in the tables is at least as recent as any status that another controller answered.
 
-        A final status is read from the tables as they are; any other needs a linearizable read.
+        A final status never changes, so only other statuses need a linearizable read.
         """
         return self.jobs.status(name) in FINAL_STATUSES or await self._read_linearizable()
 
     async def _answer_known(self, name: str) -> Answer:
-        """The status of a job that the tables have."""
+        """Answers with the status of a job that the tables contain."""
         if not await self._is_status_current(name):
             return unavailable()
         return job_answer(name, self.jobs.status(name) or JobStatus.QUEUED)
 
     async def _answer_known_or(self, name: str, otherwise: Answer) -> Answer:
-        """The status of the job if it was ever accepted; else the other answer."""
+        """Answers with the job's status if it was ever accepted, and otherwise with `otherwise`."""
         if not await self._read_linearizable():
             return unavailable()
         return await self._answer_known(name) if self.jobs.status(name) is not None else otherwise
 
     async def _read_linearizable(self) -> bool:
-        """Reads the tables afresh; returns whether that was possible in time."""
+        """Updates the tables by a linearizable read; returns whether it succeeded in time."""
         if not self.replica.loaded or not self.client.is_reachable:
             return False
         try:
@@ -297,8 +300,8 @@
         except wire.MalformedError as error:
             log.error("report malformed: error=%s", error)
             return bad_request(str(error))
-        # A report on the same connection, as soon as the next one is due, shows that the last answer was
-        # received. One that was held up on the way shows nothing of the kind.
+        # A report on the same connection within two report intervals of the last answer confirms that the worker
+        # received that answer. A later report confirms nothing, because it may have been delayed on the way.
         answered_at_s = request.connection_state.get(report.machine, -math.inf)
         received = self.client.now() - answered_at_s < ANSWER_RECEIVED_INTERVALS * self.settings.report_s
         answer: Answer | None = await self.machines.ask(HeartbeatRequest(report=report, last_answer_received=received))
