--- a/tests/test_actor_inbox.py
+++ b/tests/test_actor_inbox.py
@@ -1,4 +1,4 @@
-"""The inbox of an actor: bounded, and handled in turns."""
+"""The inbox of an actor: its limit, and how many messages are handled before other tasks run."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Halving(Actor[ActorRequest[int]]):
-    """Answers the first request with a half, and fails at the others."""
+    """Answers the first request with 2 and fails at all others."""
 
     def __init__(self) -> None:
         super().__init__(inbox_limit=2)
@@ -62,5 +62,5 @@
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    request.reply(3)  # it has its answer
+    request.reply(3)  # ignored: the request already has an answer
     assert answers == [2, None] and request.answer == 2
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -1,4 +1,4 @@
-"""The actors' own decisions, with scripted neighbours and a clock that stands where it is put."""
+"""Decisions of the jobs and the machines actor, with a scripted state service and a manual clock."""
 
 from __future__ import annotations
 
@@ -89,13 +89,16 @@
 
 
 def test_completion_between_telling_and_storing_is_not_started_again(world: World) -> None:
-    """Failure found on the bench: a task that had ended looked like work handed back."""
+    """Guards against starting a completed task again while its completion is not stored yet.
+
+    The task has left the machine and its claim is still stored, so that it could be taken for a task to place.
+    """
     machine_up(world)
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    assert answer.commands == []  # neither a start nor, before it is stored, a clear
+    assert answer.commands == []  # no start, and no clear before the completion is stored
     world.tell_jobs(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.round()
@@ -167,7 +170,11 @@
 
 
 def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
-    """Failure found by reasoning after a standstill: growing back must write, or nothing ever decides it."""
+    """Guards against an allocation that stays decreased for ever after a decrease with an unknown outcome.
+
+    The decreased amount applies while the decrease may still be committed. An increase that does not exceed
+    the stored allocation has to rewrite the row, because only another write makes the decrease fail for certain.
+    """
     world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
@@ -197,18 +204,18 @@
     attempt.running_at = world.clock.time - 61.0
     spared.reconciled = False  # no direct command in this test
     world.machines.surplus_drain.drain(world.clock.time)
-    assert attempt.kill_grace_s is None  # there is no room elsewhere
+    assert attempt.kill_grace_s is None  # no other machine has free capacity
     world.heartbeat(report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
     spared.reconciled = False
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
-    assert world.machines.registry.placed_tasks[JOB] == 0b1  # until it is reported gone
+    assert world.machines.registry.placed_tasks[JOB] == 0b1  # until the machine reports that it ended
 
 
 def test_cancelled_jobs_end_within_the_limit_of_a_transaction(world: World) -> None:
-    """Failure found on the bench: each was counted as one change and takes two."""
+    """Guards against transactions that exceed the limit of changes: the end of a cancelled job takes two."""
     names = [f"wk-{number:06d}" for number in range(20)]
     for name in names:
         world.store.job(spec(name, visits=1), JobState.CANCELLED)
@@ -255,13 +262,16 @@
 def test_leases_are_measured_by_a_clock_that_runs_on_within_a_turn_of_the_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time of uvloop is that of the turn's beginning, which a freeze may put long ago."""
+    """Guards against lease times from the clock of the event loop.
+
+    uvloop updates its time only once per iteration, so that after a pause of the process it lies in the past.
+    """
     monkeypatch.setattr(time, "monotonic", lambda: 77.5)
     assert controller.CLOCK.now() == 77.5
 
 
 def test_tasks_released_and_claimed_again_between_two_ticks_are_run(world: World) -> None:
-    """Failure found on the bench: their claim looked like the one being released, for ever."""
+    """Guards against tasks that are never placed because their new claim is taken for the one being released."""
     machine_up(world)
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -1,4 +1,4 @@
-"""Adoptions stored together: claims in addition to the jobs' own rows, until these are written next."""
+"""Adoption rows: they store adopted tasks of many jobs, until each job's progress row is written next."""
 
 from __future__ import annotations
 
@@ -26,13 +26,16 @@
 
 @pytest.fixture
 def world(store: Store) -> World:
-    """c0.1, which took over what a departed c1.9 had: every second task of each job is on its machines."""
+    """Controller c0.1, after the departure of c1.9, which had claimed tasks of every job.
+
+    Every second task of each job is on a machine that c0.1 took over.
+    """
     store.upgraded()
     world = World(store, NARROW)
     for name in NAMES:
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
-    store.member("c0", 1, settled=2)  # not settled: what the departed one had may still exist
+    store.member("c0", 1, settled=2)  # not recovered: tasks of c1.9 may still run
     store.put(keys.quota_key("red"), {"c1.9": [6.6, 0.0]})
     return world
 
@@ -47,7 +50,7 @@
 
 
 def test_a_take_over_is_a_few_changes_and_brings_its_part_of_the_limit(world: World) -> None:
-    """Failure found on the bench: a change for each job took half a minute at the state service's rate."""
+    """Guards against one change per adopted job, which takes half a minute at the write rate of the state service."""
     before = world.store.epoch
     adopt(world, 3)
     assert world.store.epoch - before <= 8
@@ -68,12 +71,12 @@
     for tables in (world.store.tables, world.store.read_again()):
         progress = tables.jobs[JOB].progress
         assert progress.claims["c0.1"] == HALF & ~0b10100 and progress.done == 0b10001
-        assert not progress.claimed_tasks() & 0b100  # open to others
+        assert not progress.claimed_tasks() & 0b100  # other controllers may claim it
 
 
 def test_a_write_that_did_not_know_of_an_adoption_does_not_undo_it(world: World) -> None:
     adopt(world, 3)
-    # c2.4, composed before it read the adoption and carried out after: without the epoch of it.
+    # c2.4 planned this write before it read the adoption, so it lacks the adoption's epoch. It is applied afterwards.
     row = Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
     world.store.put(keys.progress_key(JOB), encode_progress(row, dense=True))
     for tables in (world.store.tables, world.store.read_again()):
@@ -88,13 +91,13 @@
     assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == HALF for name in NAMES)
     assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
-    # Late in the other order: it comes first, and what was tried again under its key fails.
+    # The lost transaction is applied once more under a later view, and fails again.
     world.store.view(4, ("c0", 1))
     assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
 
 
 def test_adoptions_and_allowances_of_many_teams_keep_within_a_transaction(store: Store) -> None:
-    """The scripted state service refuses more than four changes."""
+    """The scripted state service rejects transactions with more than four changes."""
     more = "".join(
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
@@ -112,7 +115,7 @@
         world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=grow))
     claims = [store.tables.jobs[name].progress.claims for name in names]
     assert all(held.keys() == {"c0.1"} and held["c0.1"] & 1 for held in claims)
-    assert all(held["c0.1"].bit_count() > 1 for held in claims[2:4])  # claims are made beside
+    assert all(held["c0.1"].bit_count() > 1 for held in claims[2:4])  # new tasks are claimed too
 
 
 def test_adoptions_of_a_run_in_the_view_are_kept_and_those_of_former_ones_dropped(world: World) -> None:
@@ -125,7 +128,7 @@
     world.leadership.incarnation = 7
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 7})
     anyio.run(world.jobs.garbage_collector.collect)
-    assert set(world.store.tables.adoption_keys) == stored_keys  # not settled: still counted
+    assert set(world.store.tables.adoption_keys) == stored_keys  # not recovered: the adoptions still count
     world.store.member("c0", 7, settled=4)
     for _ in range(4):
         anyio.run(world.jobs.garbage_collector.collect)
@@ -133,7 +136,10 @@
 
 
 def test_a_completion_found_with_a_machine_is_stored_before_the_view_counts_as_recovered(store: Store) -> None:
-    """Another controller may void the former owner's claim from then on, and start the task once more."""
+    """Guards against a completed task that another controller starts again.
+
+    Once the view counts as recovered, the former owner's claims are void and its unfinished tasks are free to claim.
+    """
     world = World(store)
     store.member("c0", 1, settled=2)
     store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
@@ -146,7 +152,7 @@
 
 
 class Writer:
-    """A controller that may lag: tables and the revision up to which they are complete."""
+    """A controller that may lag: its tables and the revision up to which they are complete."""
 
     def __init__(self, incarnation_id: str) -> None:
         self.incarnation_id = incarnation_id
@@ -155,7 +161,7 @@
 
 
 class LaggingWriters:
-    """Three writers of one job's rows, and who has each of its tasks by what was decided, write by write."""
+    """Three lagging controllers that write one job's rows, and a model of who holds each task after each write."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -164,7 +170,7 @@
         job = spec(JOB, visits=30)
         self.put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(job)})
         self.put(keys.progress_key(JOB), encode_progress(Progress(0, {"c1.9": taskset.full(10)})))
-        # The holder of each task, or "done".
+        # By task, the incarnation that holds it, or "done". Free tasks are missing.
         self.truth = dict.fromkeys(range(10), "c1.9")
         self.writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
         self.adoption_count = 0
@@ -173,12 +179,12 @@
         self.log.append((key, value, self.store.put(key, value)))
 
     def step(self) -> None:
-        """One writer reads, or writes from what it knows."""
+        """One random writer reads all rows again, or it may catch up with the log and then writes from its tables."""
         writer = self.random.choice(self.writers)
         if self.random.random() < 0.5:
             self.catch_up(writer)
         elif self.random.random() < 0.1:
-            # A first reading: complete only up to where it began.
+            # An initial read of all rows, which counts as complete only up to the revision at which it started.
             writer.tables = self.store.read_again()
             writer.applied_revision = max(0, self.store.epoch - self.random.randrange(4))
             return
@@ -197,7 +203,7 @@
         writer.applied_revision = self.store.epoch
 
     def adopt(self, writer: Writer) -> None:
-        """Tasks found on its machines: of the departed one only, and known only to it."""
+        """The writer adopts random tasks of the departed c1.9, which no other writer can adopt."""
         mine = [task for task, holder in self.truth.items() if holder == "c1.9" and self.random.random() < 0.4]
         tasks = sum(1 << task for task in mine)
         if tasks:
@@ -207,7 +213,7 @@
             self.truth.update(dict.fromkeys(mine, writer.incarnation_id))
 
     def write_progress(self, writer: Writer, job: Job) -> None:
-        """Claims, releases and ends of tasks, on the condition of the row as the writer knows it."""
+        """The writer claims, releases and completes tasks, if its revision of the row is the stored one."""
         progress = job.progress.copy()
         own = progress.claims.get(writer.incarnation_id, 0)
         release = sum(1 << task for task in taskset.task_numbers(own) if self.random.random() < 0.3)
@@ -215,7 +221,7 @@
         free = job.all_tasks & ~progress.done & ~progress.claimed_tasks()
         claim = taskset.lowest(free, self.random.randrange(4))
         if job.progress_revision != self.store.rows[keys.progress_key(JOB)][1]:
-            return  # its condition fails
+            return  # the condition on the revision fails
         progress.done |= ended
         progress.claims[writer.incarnation_id] = (own & ~release & ~ended) | claim
         value = encode_progress(progress, dense=True) | {
@@ -230,9 +236,9 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_whatever_the_order_of_writes_all_readers_agree_on_who_has_a_task(seed: int) -> None:
-    """Random adoptions, claims, releases and ends by three lagging controllers.
+    """Random adoptions, claims, releases and completions by three lagging controllers.
 
-    One of them reads all again now and then: what the rows say is what was decided, write by write.
+    They sometimes read all rows again. The tables have to agree with the model that follows each write.
     """
     world = LaggingWriters(seed)
     for _ in range(150):
@@ -249,7 +255,10 @@
 def test_an_adoption_of_an_earlier_view_is_not_stored_where_decreases_leave_no_room_for_a_row_of_adoptions(
     store: Store,
 ) -> None:
-    """Guards against a task taken back from its machine's new owner: the view changes while the tables are read."""
+    """Guards against an adoption that takes a task away from the new owner of its machine.
+
+    The view changes while the tables are read for the transaction.
+    """
     store.upgraded()
     world = World(store)
     world.client.txn_ops = 3
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Direct commands: few at once, and one waiting for each machine."""
+"""Direct commands: the limit of those in flight, and at most one queued for each machine."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_a_machine_has_one_command_waiting_however_many_tasks_are_to_be_stopped(world: World) -> None:
-    """And what is decided once the content of a command is fixed goes with another one."""
+    """A stop that is decided after the content of a command was determined is sent with another command."""
     waiting: list[Any] = []
     world.machines.commands.spawn = lambda call, *args: waiting.append((call, args))
     machine = world.machines.registry.machines["vm-1"]
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -1,4 +1,4 @@
-"""Tasks that fit few machine types: small tasks avoid those, and tasks of lower priority stop for a gang of one."""
+"""Tasks that fit few machine types: small tasks avoid these types, and gangs of one task preempt lower priorities."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def world(store: Store, monkeypatch: pytest.MonkeyPatch) -> Iterator[World]:
-    """vm-1 is large and full of tasks of a job of the least priority."""
+    """vm-1 is a large machine, full of tasks of a job with the lowest priority."""
     world = World(store, SETTINGS.replace("cpus_max = 20.0", "cpus_max = 100.0"))
     monkeypatch.setattr(world.clock, "wall_clock_ms", lambda: int((world.clock.time - 1000.0) * 1000))
     store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
@@ -49,7 +49,11 @@
 
 
 def tick(world: World, seconds: float) -> int:
-    """How many tasks on the machine are to stop after a tick; direct commands are not sent here."""
+    """Runs a tick after some seconds, without sending direct commands.
+
+    Returns:
+        The number of tasks on the machine that are being stopped.
+    """
     later(world, seconds)
     world.machines.queue.rebuild()
     world.machines.queue.queued_since = {
@@ -79,12 +83,12 @@
     world.store.job(spec(SOLVE, **GANG))
     assert tick(world, 0.1) == 0  # another controller may have free capacity
     assert tick(world, 2.5) == 30
-    assert tick(world, 0.5) == 30  # once is enough
+    assert tick(world, 0.5) == 30  # no more tasks are stopped
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     running = ((attempt.name, attempt.number, "running") for attempt in left)
     world.heartbeat(large(5, 3, *running))
     assert machine(world).usage.cores == 2.0
-    # The stopped tasks do not take the capacity again.
+    # The tasks that were stopped are not placed on the reserved capacity again.
     world.machines.task_placement.place_unplaced()
     world.machines.task_placement.fill_machine(machine(world))
     assert machine(world).usage.cores == 2.0
@@ -101,7 +105,7 @@
         world.store.job(spec(SOLVE, **GANG), JobState.CANCELLED)
     tick(world, 0.1)
     assert bool(world.machines.gang_preemption.reservations) != cancelled
-    # The tasks do not stop, and no others may.
+    # The reservation expires although the tasks did not stop.
     tick(world, world.settings.lease_s)
     assert not world.machines.gang_preemption.reservations
 
@@ -116,7 +120,7 @@
 
 
 def test_tasks_of_jobs_before_it_in_the_queue_are_not_stopped(world: World) -> None:
-    """A job that waited too long goes by age: nothing starves for being stopped again and again."""
+    """Guards against starvation by repeated preemption: a job that has waited too long is ordered by age."""
     world.store.job(spec(SOLVE, **GANG))
     tick(world, 0.1)
     order = world.machines.queue.rebuild
@@ -131,7 +135,7 @@
 
 
 def test_a_team_that_uses_up_its_quota_has_its_own_tasks_stopped(world: World) -> None:
-    """The gang fits an empty machine and not the quota: nothing was stopped for it."""
+    """Guards against a gang that never starts because it fits an empty machine but not the team's quota."""
     world.store.put(keys.machine_group_key("g2"), {"m": {"vm-2": ["127.0.0.1:9000", "large", "a", False]}})
     for serial, token in ((1, 0), (2, 3)):
         world.heartbeat(msgspec.structs.replace(large(serial, token), machine="vm-2"))
@@ -143,7 +147,7 @@
     left = [attempt for attempt in machine(world).attempts.values() if attempt.kill_grace_s is None]
     world.store.put(keys.quota_key("red"), {"c0.1": [50.0, 0.0]})
     world.heartbeat(large(5, 3, *((attempt.name, attempt.number, "running") for attempt in left)))
-    # Small tasks of the team do not take what was freed, not even one by one.
+    # Small tasks of the team do not use up the freed quota.
     world.machines.task_placement.place_unplaced()
     assert world.machines.quota.usage("red").cores == 20.0
     assert all(FILL not in asked.task_counts for asked in world.claim_requests())
@@ -162,13 +166,16 @@
 
 
 def test_tasks_are_preempted_for_a_gang_that_only_an_ended_incarnation_has_claimed(world: World) -> None:
-    """Failure found on the bench: its controller had ended, and no other preempted tasks for it or let it go first."""
+    """Guards against a gang that never starts because the controller that claimed it terminated.
+
+    Such a gang must not count as started, and other controllers must preempt tasks for it.
+    """
     world.store.job(spec(SOLVE, **GANG))
     world.store.progress(SOLVE, c9_9=1)
     assert tick(world, 0.1) == 0
     assert not world.machines.queue._has_begun(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
-    # It is kept at the next tick too.
+    # The reservation remains at the next tick.
     assert tick(world, 0.1) == 30 and world.machines.gang_preemption.reservations
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Jobs that wait for others: release, cancellation, times, and what passes upstream."""
+"""Jobs with prerequisites: their release, cancellation, submission and demand, and how replicas read them."""
 
 from __future__ import annotations
 
@@ -50,8 +50,8 @@
     world.tell_jobs(
         world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={A: 1})
     )
-    assert queued_names(world.store) == [A]  # told, not stored
-    world.round()  # at once: nothing that others wait for is kept for company
+    assert queued_names(world.store) == [A]  # reported, not stored yet
+    world.round()  # without a delay, because another job depends on A
     assert queued_names(world.store) == [B]
     world.round(ClaimRequest(task_counts={B: 1}))
     assert world.store.tables.jobs[B].progress.claims == {"c0.1": 1}
@@ -69,9 +69,9 @@
     assert needed() == [A, C]
     world.machines.queue.rebuild()
     assert {name for request in world.claim_requests() for name in request.task_counts} == {A, C}
-    # The team's 8 cores hold A and C, which came after B.
+    # The team's guarantee of 8 cores covers A and C, although B was submitted before C.
     assert world.store.tables.jobs[C].guaranteed and world.store.tables.jobs[B].guaranteed is None
-    # For what may not use spot machines one is looked for once all that it still waits for has begun.
+    # A job that cannot use spot machines counts as demand as soon as all its unfinished prerequisites have started.
     world.store.job(spec(D, awaits=[A], loaners=False))
     assert needed() == [A, C]
     world.store.progress(A, c0_1=1)
@@ -86,7 +86,7 @@
     store.job(spec(C, awaits=[A, B, A]))
     assert store.tables.jobs[C].spec.prerequisites == (A, B)
     store_done(store, B)
-    store_done(store, B)  # seen again
+    store_done(store, B)  # applied a second time
     assert C not in queued_names(store)
     store_done(store, A)
     assert queued_names(store) == [C] and store.tables.jobs[C].unfinished_prerequisites == 0
@@ -109,8 +109,10 @@
 
 @pytest.mark.parametrize("backwards", [False, True])
 def test_whoever_takes_over_rebuilds_counters_and_cancellations_from_the_rows_alone(backwards: bool) -> None:
-    """The owner, or the coordinator, may end between the end of a prerequisite and the release; rows are read
-    by key, whatever they need."""
+    """Guards against lost releases if a controller terminates between the end of a prerequisite and the release.
+
+    An initial read returns the rows in the order of their keys, so that a job may be read before its prerequisites.
+    """
     rows = {
         keys.job_key("wk-000009"): {"s": JobState.DONE, "n": 1, "t": 5000},
         keys.job_key("wk-000008"): {"s": JobState.CANCELLED, "n": 1, "t": 5000},
@@ -148,7 +150,7 @@
     assert world.store.epoch == epoch + 1
     assert [status(world, name) for name in (A, B, C, D)] == [wire.JobStatus.CANCELLED] * 3 + [wire.JobStatus.QUEUED]
 
-    # Asked about, cancelled or submitted again the answer is the same, and needs no state service.
+    # Cancelled or submitted again, a cancelled job is answered without the state service.
     async def stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
@@ -172,7 +174,7 @@
 
 
 def test_a_submission_racing_a_cancellation_does_not_slip_through(world: World) -> None:
-    """The acceptance is decided on what was known before; what counts are the rows."""
+    """The submission's transaction is sent before the prerequisite is cancelled and applied afterwards."""
     world.store.job(spec(A))
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
@@ -189,13 +191,13 @@
     world.tell_jobs(TaskUpdates(done={A: 1}))
     if first == "end":
         world.client.lose_answers = 1
-        world.round()  # carried out later, its answer lost
+        world.round()  # the answer is lost, and the transaction is applied later
         world.client.apply(*world.client.late[0])
         assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.DONE
         assert queued_names(world.store) == [B]
     else:
         world.client.lose_answers = 4
-        assert anyio.run(world.jobs.cancel, A) is None  # sent, and carried out late
+        assert anyio.run(world.jobs.cancel, A) is None  # the outcome is unknown, and the transaction is applied later
         world.client.apply(*world.client.late[0])
         world.round()
         assert status(world, A) == status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
@@ -209,7 +211,7 @@
     assert anyio.run(world.jobs.cancel, A) is None
     world.store.progress(A, c1_2=1)
     world.client.apply(*world.client.late[0])
-    assert A in world.store.tables.jobs  # a task of it may run
+    assert A in world.store.tables.jobs  # one of its tasks may run
     assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.CANCELLED
     assert world.store.tables.jobs[A].progress.claims
 
@@ -223,7 +225,7 @@
     wrongs: list[Any] = ["wk-000001", [7], ["job-1"], None, {}]
     for wrong in wrongs:
         assert ask(world, "POST", "/submissions", submission(D, awaits=wrong)).status == 400
-    # Known jobs are answered before what they await is judged.
+    # A repeated submission is answered without a check of its prerequisites.
     assert submit(world, A, "wk-000404") == 200
     assert submit(world, C, A, B) == 200
     assert submit(world, D) == 201 and submit(world, "wk-000005") == 201
@@ -253,7 +255,7 @@
 
 
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
-    """Failure found by reasoning: claims alone would fill each round of three changes."""
+    """Guards against claims that fill every transaction of three changes, so that no end of a job is stored."""
     world = World(store, NARROW)
     world.client.controller_count = lambda: 3
     for number in range(1, 7):
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -30,14 +30,14 @@
     assert submit(world, "wk-100001", *names, "wk-100000") == 201
     job = store.tables.jobs["wk-100001"]
     assert job.unfinished_prerequisites == 1 and len(job.spec.prerequisites) == 1001
-    # Read by key, a job's row comes before its parts.
+    # An initial read returns rows in the order of their keys, the job's row before its chunks.
     again = Store()
     again.put(keys.job_key("wk-100001"), {"s": JobState.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())})
     assert not again.tables.jobs
     for number, text in store.tables.spec_chunks["wk-100001"][job.spec_chunks[0] if job.spec_chunks else ""].items():
         again.put(keys.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
     assert again.tables.jobs["wk-100001"].spec == job.spec
-    # With claims its cancelled row names the parts too; over, they are dropped.
+    # While the job has claims its cancelled row still refers to the chunks. They are deleted once it is finished.
     store.progress("wk-100001", c0_1=1)
     assert anyio.run(world.jobs.cancel, "wk-100001") == wire.JobStatus.CANCELLED
     assert store.tables.jobs["wk-100001"].is_cancelled
@@ -60,7 +60,7 @@
     for name in names:
         store_done(store, name)
 
-    # The row's own answer is lost, four parts before it are stored.
+    # The chunks are stored, and the answer to the transaction that writes the job's row is lost.
     commit = world.client.compare_and_swap
 
     async def lose_the_row(transaction: Transaction, *rest: Any, **more: Any) -> Any:
@@ -74,7 +74,7 @@
     anyio.run(world.jobs.garbage_collector.collect)
     world.clock.time += 5 * world.settings.lease_s
     anyio.run(world.jobs.garbage_collector.collect)
-    world.client.apply(*world.client.late[0])  # the row, carried out after its first part was dropped
+    world.client.apply(*world.client.late[0])  # the job's row, applied after its first chunk was deleted
     assert status_code(world, "wk-100001") == 404
     for _ in range(20):
         anyio.run(world.jobs.garbage_collector.collect)
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -1,4 +1,4 @@
-"""Submissions that can never run, and repeats of known ones."""
+"""Submissions of jobs that can never run, and repeated submissions of known jobs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 )
 def test_what_can_never_run_or_lacks_a_field_is_never_accepted(world: World, changes: Any, status: int) -> None:
     assert submit(world, JOB, **changes) == status
-    # Before the machine types are known it is not decided; what is malformed is so at any time.
+    # While the machine types are unknown, a submission is refused for now; a malformed one is always rejected.
     world.store.tables.machine_types.clear()
     undecided = 400 if status == 400 else 503
     assert submit(world, "wk-000002", **changes) == undecided
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -1,4 +1,4 @@
-"""Which operation a path and a method lead to."""
+"""The operations that paths and methods are routed to."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def ask(store: Store, method: str, path: str) -> Answer:
-    """What a controller with one job answers."""
+    """Returns the answer of a controller with one job."""
     world = World(store)
     store.job(spec())
     users = Users(world.context, world.jobs, world.machines)
