--- a/sloeswitch/actors/claim_requester.py
+++ b/sloeswitch/actors/claim_requester.py
@@ -80,8 +80,8 @@
             available_quota={team.name: self.quota.available(team, usage[team.name]) for team in teams.values()},
             quota_allocations={team: self.quota.allocation(team) for team in teams},
             idle_claims=self.task_updates.unplaced_tasks,
-            cores_ahead=self._cores_ahead(),
-            least_cores=self.queue.least_cores,
+            cores_ahead=self._expected_free_cores(),
+            min_task_cores=self.queue.min_task_cores,
             reservations=self.gang_preemption.reservations,
             reserved_usage=self.gang_preemption.reserved_usage(),
             health=self.health,
@@ -90,7 +90,7 @@
             now=now,
         )
 
-    def _cores_ahead(self) -> float:
+    def _expected_free_cores(self) -> float:
         """Estimates how many cores of this controller's machines become free in the time that a claim takes."""
         ahead_s = self.task_placement.claim_ahead_s
         cores = 0.0
--- a/sloeswitch/actors/runnable_queue.py
+++ b/sloeswitch/actors/runnable_queue.py
@@ -28,7 +28,7 @@
         # When each job of the queue was first seen there, in seconds on the monotonic clock.
         self.queued_since: dict[str, float] = {}
         # The smallest number of cores that a task of any queued job needs.
-        self.least_cores = 0.0
+        self.min_task_cores = 0.0
         # The machine types that fit some queued job which does not fit all types; see core.placement.
         self.scarce_types: set[str] = set()
         # Whether all controllers of the view had recovered their shards, as of the last tick.
@@ -39,9 +39,9 @@
         self.recovery_complete = self.tables.recovery_complete()
         if self.admission is not None:
             self.admission.apply()
-        self.jobs = job_queue.queue_order(self.tables, self.settings, self.clock.wall_clock_ms(), self._has_begun)
+        self.jobs = job_queue.queue_order(self.tables, self.settings, self.clock.wall_clock_ms(), self._has_started)
         self.scarce_types = placement.scarce_types((job.spec for job in self.jobs), self.tables.machine_types)
-        self.least_cores = min((job.spec.cores for job in self.jobs), default=0.0)
+        self.min_task_cores = min((job.spec.cores for job in self.jobs), default=0.0)
 
     def record_queued(self, now: float) -> None:
         """Records when jobs are first seen in the queue, and drops those that left it."""
@@ -58,7 +58,7 @@
         """Whether the job's image is assigned to the machines of this controller."""
         return self.leadership.owner_of("image " + job.spec.image) == self.settings.member
 
-    def _has_begun(self, job: Job) -> bool:
+    def _has_started(self, job: Job) -> bool:
         """Whether any task of the job has started. A job without a started task moves to the front when it is starved.
 
         Tasks that this controller has claimed but not placed have not started; otherwise the job would lose its place
--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -69,7 +69,7 @@
             if capacities is None:
                 capacities = self.free_capacities(now)
             if capacities and not self.health.is_job_paused(name, now) and self._place(job, unplaced, capacities, now):
-                capacities = placement.without_full(capacities, self.queue.least_cores)
+                capacities = placement.without_full(capacities, self.queue.min_task_cores)
                 unplaced = self.task_updates.unplaced_tasks(job)
             if unplaced:
                 self.unplaced_jobs.append(job)
@@ -110,7 +110,7 @@
         machine_type = self.tables.machine_types.get(machine.type)
         if (
             machine_type is None
-            or self.registry.free_cores(machine, machine_type) + quota.ROUNDING_TOLERANCE < self.queue.least_cores
+            or self.registry.free_cores(machine, machine_type) + quota.ROUNDING_TOLERANCE < self.queue.min_task_cores
             or not self.registry.is_schedulable(machine)
             # A machine whose reports are late gets no new tasks. Otherwise a machine that answers commands but cannot
             # report would get tasks again and again: they start only with the answer to a report, and are removed.
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -56,7 +56,7 @@
         idle_claims: Returns the set of a job's tasks that this controller has claimed but not placed. It is a function
             so that it is computed only for the jobs that the pass reaches.
         cores_ahead: The number of cores that are expected to become free in the time that a claim takes.
-        least_cores: The smallest number of cores that a task of any job needs.
+        min_task_cores: The smallest number of cores that a task of any job needs.
         reservations: The reservations, by machine.
         reserved_usage: By job with a reservation, the part of its team's limit that is reserved for it.
         health: The failures of jobs on machines.
@@ -71,7 +71,7 @@
     quota_allocations: Mapping[str, quota.ResourceAmount]
     idle_claims: Callable[[Job], int]
     cores_ahead: float
-    least_cores: float
+    min_task_cores: float
     reservations: Mapping[str, placement.Reservation]
     reserved_usage: Mapping[str, quota.ReservedQuota]
     health: Health
@@ -170,7 +170,7 @@
             position: The index of this controller among them; it keeps controllers from all claiming the same job.
         """
         for job in claim_order.order_by_affinity(queue, controller_count, position, self.snapshot.has_image_affinity):
-            if not self.capacities and self.remaining_cores_ahead < self.snapshot.least_cores:
+            if not self.capacities and self.remaining_cores_ahead < self.snapshot.min_task_cores:
                 self.claims.remaining_capacities = []
                 break  # no later job can get capacity; with a backlog the queue is long and is scanned often
             if (
@@ -278,7 +278,7 @@
             self.unplaceable_shapes.add(shape)
         self.planned_tasks[spec.id] = placed
         if placed:
-            self.capacities = placement.without_full(self.capacities, self.snapshot.least_cores)
+            self.capacities = placement.without_full(self.capacities, self.snapshot.min_task_cores)
         return placed
 
     def _claim(self, job: Job, unclaimed: int, idle: int, count: int, placed: int) -> None:
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -128,9 +128,9 @@
     return [capacity for capacity in capacities if not health.has_failed_on(job, capacity.machine)]
 
 
-def without_full(capacities: list[FreeCapacity], least_cores: float) -> list[FreeCapacity]:
+def without_full(capacities: list[FreeCapacity], min_task_cores: float) -> list[FreeCapacity]:
     """Drops the machines that have fewer free cores than a task of any job needs."""
-    return [capacity for capacity in capacities if capacity.cores + ROUNDING_TOLERANCE >= least_cores]
+    return [capacity for capacity in capacities if capacity.cores + ROUNDING_TOLERANCE >= min_task_cores]
 
 
 def satisfies_zone_binding(spec: JobSpec, task_index: int, zone: str, job_zone: str | None) -> bool:
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -173,7 +173,7 @@
     world.store.job(spec(SOLVE, **GANG))
     world.store.progress(SOLVE, c9_9=1)
     assert tick(world, 0.1) == 0
-    assert not world.machines.queue._has_begun(world.store.tables.jobs[SOLVE])
+    assert not world.machines.queue._has_started(world.store.tables.jobs[SOLVE])
     assert tick(world, 2.5) == 30
     # The reservation remains at the next tick.
     assert tick(world, 0.1) == 30 and world.machines.gang_preemption.reservations
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -74,9 +74,9 @@
 def test_a_job_whose_claimed_tasks_are_not_placed_has_not_started(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1)
-    assert not world.machines.queue._has_begun(world.store.tables.jobs[JOB])
+    assert not world.machines.queue._has_started(world.store.tables.jobs[JOB])
     world.store.progress(JOB, c1_2=0b1)
-    assert world.machines.queue._has_begun(world.store.tables.jobs[JOB])
+    assert world.machines.queue._has_started(world.store.tables.jobs[JOB])
 
 
 def test_starvation_rank_depends_on_age_and_on_started_tasks() -> None:
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -59,7 +59,7 @@
     world.store.job(spec(**bound))
     world.store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     machine(world).draining = True
-    world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
+    world.machines.claims._expected_free_cores = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
     assert all(not request.task_counts for request in world.claim_requests())
     world.round(ClaimRequest(task_counts={JOB: 4}))
