--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -72,12 +72,12 @@
 
     async def submit(self, spec: wire.JobSpec) -> Submission | None:
         """Accepts a job; returns None if it cannot be stored now."""
-        transaction = await self._submission(spec)
+        transaction = await self._submission_transaction(spec)
         if transaction is None:
             return None
         outcome = await self._commit(transaction)
         if outcome is TransactionOutcome.COMMITTED:
-            return Submission(self.status(spec.id) or self._first_status(spec), is_new=True)
+            return Submission(self.status(spec.id) or self._initial_status(spec), is_new=True)
         # If the transaction was not rejected, another controller stored the job first or the answer was lost. A read
         # shows whether the job is stored.
         if outcome is TransactionOutcome.REJECTED or not await self._read_linearizable():
@@ -85,7 +85,7 @@
         status = self.status(spec.id)
         return None if status is None else Submission(status, is_new=False)
 
-    async def _submission(self, spec: wire.JobSpec) -> Transaction | None:
+    async def _submission_transaction(self, spec: wire.JobSpec) -> Transaction | None:
         """Returns the transaction that creates the job's row; None if the spec cannot be stored now."""
         key = keys.job_key(spec.id)
         submitted_ms = self._clock.wall_clock_ms()
@@ -100,7 +100,7 @@
         first_chunk = keys.chunk_key(spec.id, stored.attempt, 0)
         return Transaction({key: 0, first_chunk: stored.first_chunk_revision}, {key: value})
 
-    def _first_status(self, spec: wire.JobSpec) -> JobStatus:
+    def _initial_status(self, spec: wire.JobSpec) -> JobStatus:
         """The status of a job that was just accepted: cancelled if one of its prerequisites is cancelled."""
         is_cancelled = any(self.status(name) is JobStatus.CANCELLED for name in spec.prerequisites)
         return JobStatus.CANCELLED if is_cancelled else JobStatus.QUEUED
@@ -140,14 +140,14 @@
         if job.outgoing_handoffs is not None and job.outgoing_handoffs.open_handoffs:
             await self._request_cancellation(job, job.outgoing_handoffs)
             return _CancelAttempt()
-        outcome = await self._commit(self._cancellation(job))
+        outcome = await self._commit(self._cancellation_transaction(job))
         if outcome is TransactionOutcome.COMMITTED:
             return _CancelAttempt(JobStatus.CANCELLED)
         if outcome is TransactionOutcome.REJECTED:
             return _CancelAttempt()
         return _CancelAttempt(is_conflict=await self._read_linearizable())
 
-    def _cancellation(self, job: Job) -> Transaction:
+    def _cancellation_transaction(self, job: Job) -> Transaction:
         """Returns the transaction that cancels a job without tasks in other cells."""
         key, progress_key = keys.job_key(job.spec.id), keys.progress_key(job.spec.id)
         now_ms = self._clock.wall_clock_ms()
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -50,12 +50,12 @@
         self.clock = context.clock
         self.uncommitted = UncommittedUpdates()
         # The claim request for the next transaction, and the event that is set when a message arrives.
-        self.request: ClaimRequest | None = None
+        self.claim_request: ClaimRequest | None = None
         self.wake = anyio.Event()
         # How long the commit loop waits when no message arrives, in seconds. Also the delay of updates that end this
         # controller's claims on a job (see CommitDelays), and the pause after an error.
-        self.batch_s = 0.3
-        self.requests = JobRequests(context)
+        self.commit_interval_s = 0.3
+        self.job_requests = JobRequests(context)
         self.garbage_collector = GarbageCollector(context)
         # A transaction whose values are larger than this may not fit another value.
         self.values_bytes = transaction_values_bytes(context.settings.value_bytes)
@@ -71,9 +71,9 @@
         if isinstance(message, TaskUpdates):
             self.uncommitted.merge(message, self.clock.now())
         else:
-            if self.request is not None:
-                self.request.reply(False)
-            self.request = message
+            if self.claim_request is not None:
+                self.claim_request.reply(False)
+            self.claim_request = message
         self.wake.set()
 
     def reset_claims(self) -> None:
@@ -85,23 +85,23 @@
     async def commit_forever(self) -> None:
         """Commits due updates and requested claims, one transaction after the other."""
         while True:
-            with anyio.move_on_after(self.batch_s):
+            with anyio.move_on_after(self.commit_interval_s):
                 await self.wake.wait()
             self.wake = anyio.Event()
             try:
                 await self._commit_round()
             except Exception:
                 log.exception("transaction failed")
-                await anyio.sleep(self.batch_s)
+                await anyio.sleep(self.commit_interval_s)
 
     async def _commit_round(self) -> None:
         """Commits at most one transaction and answers the waiting claim request."""
-        request, self.request = self.request, None
+        request, self.claim_request = self.claim_request, None
         outcome = await self._commit_due(request)
         if request is not None:
             request.reply(outcome is TransactionOutcome.COMMITTED)
         if outcome in (TransactionOutcome.UNKNOWN, TransactionOutcome.REJECTED):
-            await anyio.sleep(self.batch_s / 2)
+            await anyio.sleep(self.commit_interval_s / 2)
 
     async def _commit_due(self, request: ClaimRequest | None) -> TransactionOutcome | None:
         """Commits the due updates together with the request; returns None if there is nothing to commit."""
@@ -206,7 +206,7 @@
             updates=self.uncommitted,
             incarnation_id=self.leadership.incarnation_id,
             is_coordinator=self.leadership.is_coordinator,
-            delays=CommitDelays(claim_end_s=self.batch_s, other_s=self.settings.lease_s),
+            delays=CommitDelays(claim_end_s=self.commit_interval_s, other_s=self.settings.lease_s),
             now_s=self.clock.now(),
         )
 
@@ -220,15 +220,15 @@
 
     async def submit(self, spec: wire.JobSpec) -> Submission | None:
         """Accepts a job; returns None if it cannot be stored now."""
-        return await self.requests.submit(spec)
+        return await self.job_requests.submit(spec)
 
     async def cancel(self, name: str, only_unclaimed: bool = False) -> JobStatus | CancelFailure | None:
         """Cancels a job; see `JobRequests.cancel`."""
-        return await self.requests.cancel(name, only_unclaimed)
+        return await self.job_requests.cancel(name, only_unclaimed)
 
     def status(self, name: str) -> JobStatus | None:
         """The job's status according to the replicated tables; None if they do not contain the job."""
-        return self.requests.status(name)
+        return self.job_requests.status(name)
 
     async def collect_garbage_forever(self) -> None:
         """Deletes stored rows that are no longer needed, while this controller is the coordinator."""
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -40,7 +40,7 @@
         self._leadership = context.leadership
         self._values_bytes = transaction_values_bytes(context.settings.value_bytes)
         # The number of attempts of this incarnation. It is a part of the keys, so that no two attempts share a key.
-        self._attempts = 0
+        self._attempt_count = 0
 
     async def store(self, spec: wire.JobSpec) -> StoredSpec | None:
         """Stores the spec's chunks, the first one last; returns None unless all of them are known to be stored.
@@ -48,8 +48,8 @@
         The caller writes the job's row on the condition that the first chunk still has the returned revision. So no job
         is accepted after its chunks were deleted as garbage (see `actors.garbage_collection`).
         """
-        self._attempts += 1
-        attempt = f"{self._leadership.incarnation_id}.{self._attempts}"
+        self._attempt_count += 1
+        attempt = f"{self._leadership.incarnation_id}.{self._attempt_count}"
         texts = split_spec(spec, self._client.value_bytes)
         chunk_keys = [keys.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
         if not await self._write_from_last(list(zip(chunk_keys, texts, strict=True))):
--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -65,7 +65,7 @@
         self.leadership.incarnation = boot
         self.context = ControllerContext(settings, client, self.replica, self.leadership, world.clock)
         self.jobs = Jobs(self.context)
-        self.jobs.batch_s = 0.0
+        self.jobs.commit_interval_s = 0.0
         peers = tuple(PeerCell(name, ()) for name in CELLS if name != cell.name)
         features = CellFeatures(cell.name, 1, world.moving, 30, peers, CLASSES)
         self.target = CellTarget(self.context, features, self.jobs)
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -279,7 +279,7 @@
     world.machines.task_updates.release(JOB, 0b11)
     world.tell_jobs(world.machines.task_updates.pending)
     world.machines.task_updates.pending = TaskUpdates()
-    world.clock.time += 2 * world.jobs.batch_s
+    world.clock.time += 2 * world.jobs.commit_interval_s
 
     async def rounds() -> None:
         await world.jobs._commit_round()
