--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -79,10 +79,10 @@
         self.timeout_s = min(2.0, settings.lease_s / 6)
         self._sockets = anyio.Semaphore(max(1, int(settings.fd_limit * SOCKETS_SHARE)))
         # Machines with a command that waits for a socket. Its content is determined only once it has one.
-        self._waiting: set[str] = set()
+        self._queued: set[str] = set()
         # By machine: when the content of the last command was determined, when a command last failed, and when the
         # machine last answered one. All in seconds on the monotonic clock.
-        self._begun_at: dict[str, float] = {}
+        self._sent_at: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
         self._replied_at: dict[str, float] = {}
         # Machines with an invalid answer that was logged.
@@ -94,8 +94,8 @@
         A queued command covers everything that is decided before it is sent. One command per task would exhaust the
         memory when many jobs on thousands of machines are cancelled.
         """
-        if machine.name not in self._waiting:
-            self._waiting.add(machine.name)
+        if machine.name not in self._queued:
+            self._queued.add(machine.name)
             self.spawn(self._command, machine)
 
     def kill(self, machine: Machine, attempt: Attempt, grace_s: float) -> None:
@@ -123,14 +123,14 @@
     def awaits_first_answer(self, machine: Machine, now: float) -> bool:
         """Whether a command is queued or in flight and none has failed since this controller owns the machine."""
         name = machine.name
-        is_open = name in self._waiting or now < self._begun_at.get(name, float("-inf")) + self.timeout_s
+        is_open = name in self._queued or now < self._sent_at.get(name, float("-inf")) + self.timeout_s
         return is_open and self._failed_at.get(name, float("-inf")) < machine.owned_since
 
-    def record_reply(self, machine: str) -> None:
+    def reset_failures(self, machine: str) -> None:
         """Resets the failure count of a machine that reported."""
         self.failures.pop(machine, None)
 
-    def record_alive(self, machine: str) -> None:
+    def record_reply_received(self, machine: str) -> None:
         """Records that the machine answered a command; even an invalid answer shows that it does not hang."""
         self._replied_at[machine] = self.now()
 
@@ -142,15 +142,15 @@
         """Drops the state of a machine that is gone."""
         self.failures.pop(machine, None)
         self.probe_at.pop(machine, None)
-        self._begun_at.pop(machine, None)
+        self._sent_at.pop(machine, None)
         self._failed_at.pop(machine, None)
         self._replied_at.pop(machine, None)
         self._invalid_repliers.discard(machine)
 
-    def record_begun(self, machine: Machine) -> None:
+    def record_sending(self, machine: Machine) -> None:
         """Records that the content of a command is being determined; later decisions need another command."""
-        self._waiting.discard(machine.name)
-        self._begun_at[machine.name] = self.now()
+        self._queued.discard(machine.name)
+        self._sent_at[machine.name] = self.now()
 
     def record_failure(self, machine: Machine) -> None:
         """Records that a command got no answer."""
@@ -162,7 +162,7 @@
 
         A machine that this controller no longer owns may be probed at once if it returns.
         """
-        self._waiting.discard(machine.name)
+        self._queued.discard(machine.name)
         if machine.name in self.registry.machines:
             self.probe_at[machine.name] = self.now() + self.settings.report_s / 4
         else:
@@ -172,7 +172,7 @@
         """Sends one command once a socket is available, and records the result."""
         try:
             async with self._sockets:
-                self.record_begun(machine)
+                self.record_sending(machine)
                 await self._send_commands(machine)
         except HttpTransportError:
             self.record_failure(machine)
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -61,8 +61,8 @@
             chosen = preemption.plan_preemption(job, fitting, order, at_limit)
             if chosen is None:
                 continue
-            more = self._preempt_within_team(job, chosen, shortfall, order) if at_limit else []
-            if more is None:
+            team_victims = self._choose_team_victims(job, chosen, shortfall, order) if at_limit else []
+            if team_victims is None:
                 continue
             self.reservations[chosen.machine] = placement.Reservation(job.spec.id, now + self.settings.lease_s)
             del capacities[chosen.machine]
@@ -72,11 +72,13 @@
                 chosen.machine,
                 len(chosen.attempts),
             )
-            if more:
-                log.info("tasks preempted for quota: job=%s team=%s tasks=%d", job.spec.id, job.spec.team, len(more))
-            self._stop([*chosen.attempts, *more])
+            if team_victims:
+                log.info(
+                    "tasks preempted for quota: job=%s team=%s tasks=%d", job.spec.id, job.spec.team, len(team_victims)
+                )
+            self._stop([*chosen.attempts, *team_victims])
 
-    def _preempt_within_team(
+    def _choose_team_victims(
         self, job: Job, chosen: preemption.Preemption, shortfall: quota.ResourceUsage, order: preemption.QueueOrder
     ) -> list[Attempt] | None:
         """Selects the team's tasks on other machines that have to stop so that the gang fits within the team's quota.
--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -104,7 +104,7 @@
 
     def apply_command_reply(self, report: wire.WorkerReport) -> None:
         """Reconciles a machine's answer to a direct command with the registry, unless the view has changed since."""
-        self.commands.record_alive(report.machine)
+        self.commands.record_reply_received(report.machine)
         machine = self.registry.machines.get(report.machine)
         followed_view = self.ownership.followed_view
         if machine is None or followed_view != self.leadership.view.number:
@@ -144,7 +144,7 @@
     def _apply_reconciled(self, machine: Machine, result: ReconcileResult) -> None:
         """Passes on what a report revealed: completions, failures and adoptions."""
         now = self.now()
-        self.commands.record_reply(machine.name)
+        self.commands.reset_failures(machine.name)
         for (job, index), name in result.done:
             self.health.record_success(job, name)
             self.task_updates.record_done(job, index)
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -179,13 +179,13 @@
             # the end of the delegation.
             return unavailable()
         if self.jobs.status(name) is not None:
-            return await self._answer_known(name)
+            return await self._answer_known_job(name)
         try:
             spec = wire.check_spec(wire.decode(request.body, wire.JobSpec))
         except wire.MalformedError as error:
             # A repeated submission of an accepted job gets the job's status, even if its other fields are invalid.
             log.info("submission malformed: job=%s error=%s", name, error)
-            return await self._answer_known_or(name, bad_request(str(error)))
+            return await self._answer_known_job_or(name, bad_request(str(error)))
         return await self._refusal(spec) or await self._accept(spec)
 
     async def _refusal(self, spec: wire.JobSpec) -> Answer | None:
@@ -194,7 +194,7 @@
             return unavailable()
         reason = unschedulable_reason(spec, self.settings.teams, self.tables.machine_types)
         if reason is not None:
-            return await self._answer_known_or(spec.id, unschedulable(reason))
+            return await self._answer_known_job_or(spec.id, unschedulable(reason))
         if not self.client.is_reachable:
             return unavailable()
         return await self._prerequisites_refusal(spec) if spec.prerequisites else None
@@ -214,7 +214,7 @@
         if not await self._read_linearizable():
             return unavailable()
         if self.jobs.status(spec.id) is not None:
-            return await self._answer_known(spec.id)
+            return await self._answer_known_job(spec.id)
         unknown = [name for name in spec.prerequisites if self.jobs.status(name) is None]
         return unschedulable(f"awaits {unknown[0]}, which was never accepted") if unknown else None
 
@@ -238,8 +238,8 @@
         job = self.tables.jobs[name]
         done = job.progress.done.bit_count()
         running = job.progress.claimed_tasks().bit_count()
-        placement = None if job.outgoing_handoffs is None else job.outgoing_handoffs.moved_to
-        cell = None if placement is None else placement.target
+        handoff = None if job.outgoing_handoffs is None else job.outgoing_handoffs.moved_to
+        cell = None if handoff is None else handoff.target
         return Answer(200, wire.poll_reply(name, status, done, running, cell))
 
     async def _cancel(self, _request: Request, name: str) -> Answer:
@@ -270,17 +270,17 @@
         """
         return self.jobs.status(name) in FINAL_STATUSES or await self._read_linearizable()
 
-    async def _answer_known(self, name: str) -> Answer:
+    async def _answer_known_job(self, name: str) -> Answer:
         """Answers with the status of a job that the tables contain."""
         if not await self._is_status_current(name):
             return unavailable()
         return job_answer(name, self.jobs.status(name) or JobStatus.QUEUED)
 
-    async def _answer_known_or(self, name: str, otherwise: Answer) -> Answer:
+    async def _answer_known_job_or(self, name: str, otherwise: Answer) -> Answer:
         """Answers with the job's status if it was ever accepted, and otherwise with `otherwise`."""
         if not await self._read_linearizable():
             return unavailable()
-        return await self._answer_known(name) if self.jobs.status(name) is not None else otherwise
+        return await self._answer_known_job(name) if self.jobs.status(name) is not None else otherwise
 
     async def _read_linearizable(self) -> bool:
         """Updates the tables by a linearizable read; returns whether it succeeded in time."""
--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -45,7 +45,7 @@
         node, world = self.node, self.node.world
         worker = world.worker(machine.name)
         commands = node.machines.commands
-        commands.record_begun(machine)
+        commands.record_sending(machine)
         if worker is None or not node.leadership.may_answer_workers:
             return
         orders = node.machines.registry.commands(machine, node.tables, None) if machine.reconciled else []
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -225,7 +225,7 @@
             reply = None if name == hung else self._worker_report(number, 4)
             anyio.run(self.machines.handle, InspectionReply(name, reply))
             return
-        commands.record_begun(machine)
+        commands.record_sending(machine)
         if name == hung:
             commands.record_failure(machine)
         else:
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -54,7 +54,7 @@
             self.inspected_machines.append(args[0])
             return
         commands = self.world.machines.commands
-        commands.record_begun(args[0])
+        commands.record_sending(args[0])
         commands.record_failure(args[0])
         commands.record_ended(args[0])
 
@@ -158,7 +158,7 @@
     takeover = Takeover(store, {"x": 1})
     commands = takeover.world.machines.commands
     commands._failed_at.clear()
-    commands._waiting.update(MACHINES[1:])
+    commands._queued.update(MACHINES[1:])
     commands.probe_at.update(dict.fromkeys(MACHINES[1:], float("inf")))
     takeover.pass_time(10)
     assert takeover.deleted == [MACHINES[0]]
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -69,6 +69,6 @@
     for _ in range(300):
         world.machines.commands.send(machine)
     assert len(waiting) == 1
-    world.machines.commands.record_begun(machine)
+    world.machines.commands.record_sending(machine)
     world.machines.commands.send(machine)
     assert len(waiting) == 2
