--- a/tests/test_actor_inbox.py
+++ b/tests/test_actor_inbox.py
@@ -9,7 +9,7 @@
 from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, ActorRequest, InboxFullError, UnansweredError
 
 
-def test_an_actor_lets_others_have_their_turn_and_says_when_it_is_full() -> None:
+def test_an_actor_yields_to_other_tasks_and_rejects_messages_when_its_inbox_is_full() -> None:
     handled: list[int] = []
     turns = 0
 
@@ -46,7 +46,7 @@
         message.reply(self.numbers.pop() // 2)
 
 
-def test_a_request_is_answered_also_when_the_actor_fails_at_it() -> None:
+def test_a_request_returns_none_if_the_actor_fails_while_handling_it() -> None:
     answers: list[int | None] = []
     request = ActorRequest[int]()
     with pytest.raises(UnansweredError):
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -25,7 +25,7 @@
     yield World(store)
 
 
-def test_claim_and_allowance_are_stored_before_any_start(world: World) -> None:
+def test_claim_and_quota_allocation_are_stored_before_any_start(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
     assert world.heartbeat(report(3, 3)).commands == []
@@ -35,30 +35,30 @@
     assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
 
 
-def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
+def test_claimed_tasks_start_only_within_the_quota_allocation(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
     assert len(world.heartbeat(report(3, 3)).commands) == 2
 
 
-def test_an_old_view_claims_nothing(world: World) -> None:
+def test_no_claim_is_committed_under_an_outdated_view(world: World) -> None:
     world.store.job(spec())
-    standing_view = world.leadership.view_conditions()
+    outdated_conditions = world.leadership.view_conditions()
     world.store.view(4, ("c0", 1), ("c1", 2))
-    world.leadership.view_conditions = lambda: standing_view  # type: ignore[method-assign]
+    world.leadership.view_conditions = lambda: outdated_conditions  # type: ignore[method-assign]
     world.round(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
-def test_nothing_is_claimed_outside_the_lease(world: World) -> None:
+def test_nothing_is_claimed_without_the_controller_lease(world: World) -> None:
     world.store.job(spec())
     world.clock.time += world.settings.controller_lease_s
     world.round(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
-def test_outside_the_lease_no_machine_is_answered_unless_every_sibling_confirms(world: World) -> None:
+def test_without_the_lease_heartbeats_are_answered_only_if_every_sibling_confirms_the_view(world: World) -> None:
     machine_up(world)
     mesh = meshed(world)
     world.clock.time += world.settings.controller_lease_s
@@ -77,7 +77,7 @@
     assert refused.answer.status == 503
 
 
-def test_claim_with_a_lost_answer_that_is_carried_out_later_is_used(world: World) -> None:
+def test_claim_committed_after_its_answer_was_lost_is_used(world: World) -> None:
     machine_up(world)
     world.store.job(spec())
     world.client.lose_answers = 1
@@ -88,7 +88,7 @@
     assert len(world.heartbeat(report(4, 3)).commands) == 4
 
 
-def test_completion_between_telling_and_storing_is_not_started_again(world: World) -> None:
+def test_task_is_not_started_again_before_its_completion_is_stored(world: World) -> None:
     """Guards against starting a completed task again while its completion is not stored yet.
 
     The task has left the machine and its claim is still stored, so that it could be taken for a task to place.
@@ -107,7 +107,7 @@
     assert [order.verb for order in cleared.commands] == ["clear"]
 
 
-def test_a_thousand_completions_are_one_message(world: World) -> None:
+def test_completions_of_one_heartbeat_are_sent_in_one_message(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=2000, cores=0.001, memoryGb=0.0))
     world.store.progress(JOB, c1_9=(1 << 2000) - 1)
@@ -116,7 +116,7 @@
     assert len(world.jobs._inbox) == 1
 
 
-def test_cancel_goes_before_a_later_completion(world: World) -> None:
+def test_a_completion_after_the_cancellation_does_not_change_the_status(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c0_1=0b1)
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
@@ -132,7 +132,7 @@
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.DONE
 
 
-def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
+def test_cancelled_task_is_killed_and_its_claim_released_once_it_has_ended(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
@@ -159,7 +159,7 @@
     assert anyio.run(world.jobs.submit, spec()) == (wire.JobStatus.QUEUED, False)
 
 
-def test_machine_of_another_owner_is_sent_there(world: World) -> None:
+def test_machine_of_another_owner_is_redirected(world: World) -> None:
     from sloeswitch.core.rendezvous import owner
 
     world.store.view(4, ("c0", 1), ("c1", 2))
@@ -169,7 +169,7 @@
     assert (message.answer.status, message.answer.body) == (421, b'{"foreman":"c1"}')
 
 
-def test_shrinking_allowance_is_kept_to_until_its_write_is_decided(world: World) -> None:
+def test_decreased_allocation_applies_until_the_outcome_of_its_write_is_known(world: World) -> None:
     """Guards against an allocation that stays decreased for ever after a decrease with an unknown outcome.
 
     The decreased amount applies while the decrease may still be committed. An increase that does not exceed
@@ -183,38 +183,38 @@
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
 
 
-def test_malformed_report_is_refused(world: World) -> None:
+def test_malformed_report_is_rejected(world: World) -> None:
     machine_up(world)
     message = HeartbeatRequest(report=report(3, 3, ("nonsense", 1, "running")))
     anyio.run(world.machines.handle, message)
     assert message.answer.status == 400
 
 
-def test_last_tasks_that_save_move_off_a_machine_that_is_not_needed(world: World) -> None:
+def test_last_tasks_with_checkpoints_move_off_a_surplus_machine(world: World) -> None:
     machine_up(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
-    spared = world.machines.registry.machines["vm-1"]
-    (attempt,) = spared.attempts.values()
-    spared.surplus = True
+    surplus_machine = world.machines.registry.machines["vm-1"]
+    (attempt,) = surplus_machine.attempts.values()
+    surplus_machine.surplus = True
     world.clock.time += 2.0
     world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
-    spared.reconciled = False  # no direct command in this test
+    surplus_machine.reconciled = False  # no direct command in this test
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s is None  # no other machine has free capacity
     world.heartbeat(report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(2, 3, name="vm-2"))
-    spared.reconciled = False
+    surplus_machine.reconciled = False
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
     assert world.machines.registry.placed_tasks[JOB] == 0b1  # until the machine reports that it ended
 
 
-def test_cancelled_jobs_end_within_the_limit_of_a_transaction(world: World) -> None:
+def test_cancelled_jobs_finish_within_the_change_limit_of_transactions(world: World) -> None:
     """Guards against transactions that exceed the limit of changes: the end of a cancelled job takes two."""
     names = [f"wk-{number:06d}" for number in range(20)]
     for name in names:
@@ -230,7 +230,7 @@
     assert set(names) <= world.store.tables.finished_jobs.keys()
 
 
-def test_scattered_progress_is_stored_within_the_size_of_a_transaction(world: World) -> None:
+def test_scattered_progress_is_stored_within_the_size_limit_of_transactions(world: World) -> None:
     names = [f"wk-{number:06d}" for number in range(10)]
     scattered = sum(1 << index for index in range(0, 2400, 2))
     for name in names:
@@ -242,24 +242,24 @@
     assert all(world.store.tables.jobs[name].progress.done == scattered for name in names)
 
 
-def test_a_new_job_is_left_for_a_moment_to_the_controller_that_has_its_image(world: World) -> None:
+def test_a_new_job_is_first_left_to_the_controller_with_affinity_to_its_image(world: World) -> None:
     machine_up(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.machines.ownership.follow_view()
-    kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
+    images = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(9, 3, name=name))
     world.heartbeat(report(10, 4, name=name))
-    world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
-    world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
+    world.store.job(spec("wk-000001", kit=images["c1"], visits=1))
+    world.store.job(spec("wk-000002", kit=images["c0"], visits=1))
     world.machines.queue.rebuild()
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000002"}]
     world.clock.time += 2 * world.machines.claims.tick_interval_s
     assert [set(request.task_counts) for request in world.claim_requests()] == [{"wk-000001", "wk-000002"}]
 
 
-def test_leases_are_measured_by_a_clock_that_runs_on_within_a_turn_of_the_loop(
+def test_lease_clock_advances_within_an_iteration_of_the_event_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against lease times from the clock of the event loop.
@@ -270,7 +270,7 @@
     assert controller.CLOCK.now() == 77.5
 
 
-def test_tasks_released_and_claimed_again_between_two_ticks_are_run(world: World) -> None:
+def test_tasks_released_and_claimed_again_between_two_ticks_can_be_placed(world: World) -> None:
     """Guards against tasks that are never placed because their new claim is taken for the one being released."""
     machine_up(world)
     world.store.job(spec(visits=2))
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -40,16 +40,16 @@
     return world
 
 
-HALF = sum(1 << index for index in range(2, 12, 2))
+EVEN_TASKS = sum(1 << index for index in range(2, 12, 2))
 
 
 def adopt(world: World, rounds: int = 1) -> None:
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view_number=3))
+    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, EVEN_TASKS), view_number=3))
     for _ in range(rounds):
         world.round()
 
 
-def test_a_take_over_is_a_few_changes_and_brings_its_part_of_the_limit(world: World) -> None:
+def test_adoptions_of_many_jobs_take_few_changes_and_move_the_quota_allocation(world: World) -> None:
     """Guards against one change per adopted job, which takes half a minute at the write rate of the state service."""
     before = world.store.epoch
     adopt(world, 3)
@@ -57,46 +57,46 @@
     for tables in (world.store.tables, world.store.read_again()):
         for name in NAMES:
             claims = tables.jobs[name].progress.claims
-            assert claims == {"c0.1": HALF, "c1.9": taskset.full(12) & ~0b1 & ~HALF}
-    held = world.store.tables.quota_allocations["red"]
-    assert held["c0.1"][0] == pytest.approx(0.01 * 5 * 60) and held["c1.9"][0] == pytest.approx(6.6 - 3.0)
+            assert claims == {"c0.1": EVEN_TASKS, "c1.9": taskset.full(12) & ~0b1 & ~EVEN_TASKS}
+    allocations = world.store.tables.quota_allocations["red"]
+    assert allocations["c0.1"][0] == pytest.approx(0.01 * 5 * 60) and allocations["c1.9"][0] == pytest.approx(6.6 - 3.0)
     assert not world.jobs.uncommitted
 
 
-def test_what_is_given_up_after_an_adoption_stays_given_up(world: World) -> None:
+def test_tasks_released_or_completed_after_an_adoption_stay_so(world: World) -> None:
     adopt(world, 3)
     world.tell_jobs(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
     world.clock.time += 20.0
     world.round()
     for tables in (world.store.tables, world.store.read_again()):
         progress = tables.jobs[JOB].progress
-        assert progress.claims["c0.1"] == HALF & ~0b10100 and progress.done == 0b10001
+        assert progress.claims["c0.1"] == EVEN_TASKS & ~0b10100 and progress.done == 0b10001
         assert not progress.claimed_tasks() & 0b100  # other controllers may claim it
 
 
-def test_a_write_that_did_not_know_of_an_adoption_does_not_undo_it(world: World) -> None:
+def test_a_progress_write_planned_before_an_adoption_does_not_undo_it(world: World) -> None:
     adopt(world, 3)
     # c2.4 planned this write before it read the adoption, so it lacks the adoption's epoch. It is applied afterwards.
     row = Progress(0b11, {"c1.9": taskset.full(12) & ~0b11})
     world.store.put(keys.progress_key(JOB), encode_progress(row, dense=True))
     for tables in (world.store.tables, world.store.read_again()):
-        assert tables.jobs[JOB].progress.claims["c0.1"] == HALF
+        assert tables.jobs[JOB].progress.claims["c0.1"] == EVEN_TASKS
         assert tables.jobs[JOB].progress.done == 0b11
 
 
-def test_a_late_adoption_is_carried_out_once_or_never(world: World) -> None:
+def test_an_adoption_with_a_lost_answer_is_committed_at_most_once(world: World) -> None:
     world.client.lose_answers = 1
     adopt(world, 4)
     conditions, writes, _drops = world.client.late[0]
     assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
-    assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == HALF for name in NAMES)
+    assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == EVEN_TASKS for name in NAMES)
     assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
     # The lost transaction is applied once more under a later view, and fails again.
     world.store.view(4, ("c0", 1))
     assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
 
 
-def test_adoptions_and_allowances_of_many_teams_keep_within_a_transaction(store: Store) -> None:
+def test_adoptions_and_allocations_of_many_teams_respect_the_change_limit(store: Store) -> None:
     """The scripted state service rejects transactions with more than four changes."""
     more = "".join(
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
@@ -111,14 +111,14 @@
         store.progress(name, c1_9=0b1)
     world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
     for _ in range(8):
-        grow = {f"t{number}": ResourceAmount(3.0) for number in (2, 3)}
-        world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=grow))
+        increases = {f"t{number}": ResourceAmount(3.0) for number in (2, 3)}
+        world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=increases))
     claims = [store.tables.jobs[name].progress.claims for name in names]
-    assert all(held.keys() == {"c0.1"} and held["c0.1"] & 1 for held in claims)
-    assert all(held["c0.1"].bit_count() > 1 for held in claims[2:4])  # new tasks are claimed too
+    assert all(holder_claims.keys() == {"c0.1"} and holder_claims["c0.1"] & 1 for holder_claims in claims)
+    assert all(holder_claims["c0.1"].bit_count() > 1 for holder_claims in claims[2:4])  # new tasks are claimed too
 
 
-def test_adoptions_of_a_run_in_the_view_are_kept_and_those_of_former_ones_dropped(world: World) -> None:
+def test_only_adoptions_of_former_incarnations_are_deleted_as_garbage(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     adopt(world, 3)
     stored_keys = set(world.store.tables.adoption_keys)
@@ -135,7 +135,7 @@
     assert not world.store.tables.adoption_keys and not world.store.tables.adoptions
 
 
-def test_a_completion_found_with_a_machine_is_stored_before_the_view_counts_as_recovered(store: Store) -> None:
+def test_a_completion_found_on_a_taken_over_machine_is_stored_before_recovery_is_reported(store: Store) -> None:
     """Guards against a completed task that another controller starts again.
 
     Once the view counts as recovered, the former owner's claims are void and its unfinished tasks are free to claim.
@@ -171,7 +171,7 @@
         self.put(keys.job_key(JOB), {"s": JobState.LIVE, "n": 30, "t": 0, "spec": msgspec.to_builtins(job)})
         self.put(keys.progress_key(JOB), encode_progress(Progress(0, {"c1.9": taskset.full(10)})))
         # By task, the incarnation that holds it, or "done". Free tasks are missing.
-        self.truth = dict.fromkeys(range(10), "c1.9")
+        self.expected_holders = dict.fromkeys(range(10), "c1.9")
         self.writers = [Writer(f"c{number}.{number + 2}") for number in range(3)]
         self.adoption_count = 0
 
@@ -204,13 +204,15 @@
 
     def adopt(self, writer: Writer) -> None:
         """The writer adopts random tasks of the departed c1.9, which no other writer can adopt."""
-        mine = [task for task, holder in self.truth.items() if holder == "c1.9" and self.random.random() < 0.4]
-        tasks = sum(1 << task for task in mine)
+        adopted = [
+            task for task, holder in self.expected_holders.items() if holder == "c1.9" and self.random.random() < 0.4
+        ]
+        tasks = sum(1 << task for task in adopted)
         if tasks:
             self.adoption_count += 1
             key = keys.adoption_key(writer.incarnation_id, self.adoption_count)
             self.put(key, {"m": {JOB: taskset.pack_dense(tasks)}})
-            self.truth.update(dict.fromkeys(mine, writer.incarnation_id))
+            self.expected_holders.update(dict.fromkeys(adopted, writer.incarnation_id))
 
     def write_progress(self, writer: Writer, job: Job) -> None:
         """The writer claims, releases and completes tasks, if its revision of the row is the stored one."""
@@ -229,13 +231,13 @@
         }
         self.put(keys.progress_key(JOB), value)
         for task in taskset.task_numbers(release):
-            self.truth.pop(task)
-        self.truth.update(dict.fromkeys(taskset.task_numbers(claim), writer.incarnation_id))
-        self.truth.update(dict.fromkeys(taskset.task_numbers(ended), "done"))
+            self.expected_holders.pop(task)
+        self.expected_holders.update(dict.fromkeys(taskset.task_numbers(claim), writer.incarnation_id))
+        self.expected_holders.update(dict.fromkeys(taskset.task_numbers(ended), "done"))
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_whatever_the_order_of_writes_all_readers_agree_on_who_has_a_task(seed: int) -> None:
+def test_tables_agree_on_the_holder_of_each_task_after_writes_of_lagging_controllers(seed: int) -> None:
     """Random adoptions, claims, releases and completions by three lagging controllers.
 
     They sometimes read all rows again. The tables have to agree with the model that follows each write.
@@ -243,16 +245,16 @@
     world = LaggingWriters(seed)
     for _ in range(150):
         world.step()
-    told = world.store.read_again().jobs[JOB].progress
-    assert told.claims == world.store.tables.jobs[JOB].progress.claims
+    progress_read = world.store.read_again().jobs[JOB].progress
+    assert progress_read.claims == world.store.tables.jobs[JOB].progress.claims
     for task in range(30):
-        holders = [holder for holder, mask in told.claims.items() if mask >> task & 1]
-        if told.done >> task & 1:
+        holders = [holder for holder, mask in progress_read.claims.items() if mask >> task & 1]
+        if progress_read.done >> task & 1:
             holders.append("done")
-        assert holders == ([world.truth[task]] if task in world.truth else []), task
+        assert holders == ([world.expected_holders[task]] if task in world.expected_holders else []), task
 
 
-def test_an_adoption_of_an_earlier_view_is_not_stored_where_decreases_leave_no_room_for_a_row_of_adoptions(
+def test_an_outdated_adoption_is_not_stored_when_decreases_use_up_the_change_limit(
     store: Store,
 ) -> None:
     """Guards against an adoption that takes a task away from the new owner of its machine.
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -21,20 +21,20 @@
     yield world
 
 
-def test_a_takeover_probes_few_machines_at_once_and_all_in_the_end(world: World) -> None:
+def test_a_takeover_probes_all_machines_with_limited_concurrency(world: World) -> None:
     probed: list[str] = []
     most = 0
 
     async def run() -> None:
         nonlocal most
         under_way = 0
-        go = anyio.Event()
+        finish = anyio.Event()
 
         async def send(machine: Any) -> None:
             nonlocal under_way, most
             under_way += 1
             most = max(most, under_way)
-            await go.wait()
+            await finish.wait()
             under_way -= 1
             probed.append(machine.name)
 
@@ -55,13 +55,13 @@
                 )
                 world.machines.commands.probe(machine, world.clock.time)
             await anyio.wait_all_tasks_blocked()
-            go.set()
+            finish.set()
 
     anyio.run(run)
     assert len(probed) == 400 and most <= world.settings.fd_limit / 8
 
 
-def test_a_machine_has_one_command_waiting_however_many_tasks_are_to_be_stopped(world: World) -> None:
+def test_a_machine_has_at_most_one_queued_command(world: World) -> None:
     """A stop that is decided after the content of a command was determined is sent with another command."""
     waiting: list[Any] = []
     world.machines.commands.spawn = lambda call, *args: waiting.append((call, args))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -39,7 +39,7 @@
     return world
 
 
-def test_a_job_is_released_only_by_the_stored_end_of_all_that_it_awaits(world: World) -> None:
+def test_a_job_is_released_only_when_the_ends_of_all_prerequisites_are_stored(world: World) -> None:
     world.store.job(spec(A, visits=1))
     world.store.job(spec(B, visits=1, awaits=[A]))
     assert queued_names(world.store) == [A]
@@ -57,7 +57,7 @@
     assert world.store.tables.jobs[B].progress.claims == {"c0.1": 1}
 
 
-def test_a_waiting_job_has_no_part_of_room_limit_or_guarantee(world: World) -> None:
+def test_a_job_that_waits_for_prerequisites_gets_no_capacity_quota_or_guarantee(world: World) -> None:
     world.store.job(spec(A, visits=1))
     world.store.job(spec(B, visits=4, awaits=[A], urgency="critical"))
     world.store.job(spec(C, visits=3))
@@ -80,7 +80,7 @@
     assert queued_names(world.store) == [B, C, D]
 
 
-def test_prerequisites_that_end_at_two_controllers_release_once_both_are_stored(store: Store) -> None:
+def test_a_job_is_released_once_the_ends_of_both_prerequisites_are_stored(store: Store) -> None:
     for name in (A, B):
         store.job(spec(name))
     store.job(spec(C, awaits=[A, B, A]))
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("backwards", [False, True])
-def test_whoever_takes_over_rebuilds_counters_and_cancellations_from_the_rows_alone(backwards: bool) -> None:
+def test_counters_and_cancellations_are_rebuilt_from_the_rows_in_any_order(backwards: bool) -> None:
     """Guards against lost releases if a controller terminates between the end of a prerequisite and the release.
 
     An initial read returns the rows in the order of their keys, so that a job may be read before its prerequisites.
@@ -128,7 +128,7 @@
     assert [name for name in sorted(jobs) if jobs[name].is_cancelled] == [C, D]
 
 
-def test_a_thousand_in_a_chain_and_a_thousand_side_by_side_neither_recurse_nor_cost_a_look_each(store: Store) -> None:
+def test_a_chain_and_a_fan_out_of_a_thousand_jobs_are_cancelled_without_recursion(store: Store) -> None:
     names = [f"wk-{number:06d}" for number in range(1000)]
     for number, name in enumerate(names):
         store.job(spec(name, awaits=names[number - 1 : number] if number else [], cores=0.001))
@@ -140,7 +140,7 @@
     assert all(job.is_cancelled for job in store.tables.jobs.values()) and queued_names(store) == []
 
 
-def test_cancelling_decides_all_that_needs_it_at_once_and_its_rows_are_settled_later(world: World) -> None:
+def test_a_cancellation_applies_to_all_dependents_at_once_and_their_rows_are_written_later(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for name, awaits in ((A, []), (B, [A]), (C, [B])):
         assert submit(world, name, *awaits) == 201
@@ -165,7 +165,7 @@
     assert status(world, C) == wire.JobStatus.CANCELLED
 
 
-def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled(world: World) -> None:
+def test_a_job_with_a_cancelled_prerequisite_is_accepted_and_cancelled(world: World) -> None:
     world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 1})
     assert submit(world, B, A) == 201
     assert submit(world, C, B) == 201
@@ -173,7 +173,7 @@
     assert queued_names(world.store) == []
 
 
-def test_a_submission_racing_a_cancellation_does_not_slip_through(world: World) -> None:
+def test_a_submission_that_races_the_cancellation_of_its_prerequisite_is_cancelled(world: World) -> None:
     """The submission's transaction is sent before the prerequisite is cancelled and applied afterwards."""
     world.store.job(spec(A))
     world.client.lose_answers = 1
@@ -203,7 +203,7 @@
         assert status(world, A) == status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
-def test_a_job_never_claimed_is_over_with_the_change_that_cancels_it_unless_it_is_claimed_meanwhile(
+def test_a_late_cancellation_of_an_unclaimed_job_fails_if_it_was_claimed_meanwhile(
     world: World,
 ) -> None:
     world.store.job(spec(A))
@@ -216,22 +216,22 @@
     assert world.store.tables.jobs[A].progress.claims
 
 
-def test_submissions_are_judged_by_what_they_await(world: World) -> None:
+def test_prerequisites_of_submissions_are_checked(world: World) -> None:
     world.store.job(spec(A))
     store_done(world.store, B)
     assert submit(world, C, A, B) == 201
     assert submit(world, D, A, "wk-000404") == 422
     assert submit(world, D, D) == 422
-    wrongs: list[Any] = ["wk-000001", [7], ["job-1"], None, {}]
-    for wrong in wrongs:
-        assert ask(world, "POST", "/submissions", submission(D, awaits=wrong)).status == 400
+    malformed: list[Any] = ["wk-000001", [7], ["job-1"], None, {}]
+    for value in malformed:
+        assert ask(world, "POST", "/submissions", submission(D, awaits=value)).status == 400
     # A repeated submission is answered without a check of its prerequisites.
     assert submit(world, A, "wk-000404") == 200
     assert submit(world, C, A, B) == 200
     assert submit(world, D) == 201 and submit(world, "wk-000005") == 201
 
 
-def test_an_unknown_prerequisite_is_judged_on_a_fresh_read_only(world: World) -> None:
+def test_an_unknown_prerequisite_needs_a_linearizable_read(world: World) -> None:
     async def stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
@@ -245,7 +245,7 @@
     assert submit(world, B, A) == 201
 
 
-def test_an_acceptance_whose_answer_was_lost_is_found_when_repeated(world: World) -> None:
+def test_a_repeated_submission_finds_a_job_whose_first_answer_was_lost(world: World) -> None:
     world.store.job(spec(A))
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
@@ -254,7 +254,7 @@
     assert world.store.tables.jobs[B].unfinished_prerequisites == 1
 
 
-def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
+def test_ends_of_jobs_are_stored_before_claims_when_a_transaction_takes_few_changes(store: Store) -> None:
     """Guards against claims that fill every transaction of three changes, so that no end of a job is stored."""
     world = World(store, NARROW)
     world.client.controller_count = lambda: 3
@@ -272,7 +272,7 @@
     assert "wk-000006" in store.tables.finished_jobs
 
 
-class Answers:
+class ScriptedAnswers:
     """Scripted answers of the state service to a replica's reads."""
 
     def __init__(self, world: World, *answers: dict[str, Any]) -> None:
@@ -290,10 +290,10 @@
         anyio.run(self.replica._read_changes, 0.0)
 
 
-def test_the_end_of_a_job_releases_its_successors_before_it_is_read(world: World) -> None:
+def test_the_own_write_that_ends_a_job_releases_successors_before_it_is_read_back(world: World) -> None:
     row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B, awaits=[A])}
     ended = {"s": JobState.DONE, "n": 4, "t": 5}
-    answers = Answers(
+    answers = ScriptedAnswers(
         world,
         {"epoch": 11, "events": [{"write": keys.job_key(B), "v": row, "stamp": 11}]},
         {"epoch": 13, "events": [{"write": keys.job_key(A), "v": ended, "stamp": 13}]},
@@ -307,9 +307,9 @@
     assert answers.replica.loaded and tables.jobs[B].unfinished_prerequisites == 0
 
 
-def test_a_stamp_that_is_not_the_one_told_has_all_read_again(world: World) -> None:
+def test_a_stamp_that_differs_from_that_of_the_own_write_triggers_a_full_read(world: World) -> None:
     row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B)}
-    answers = Answers(world, {"epoch": 14, "events": [{"write": keys.job_key(B), "v": row, "stamp": 12}]})
+    answers = ScriptedAnswers(world, {"epoch": 14, "events": [{"write": keys.job_key(B), "v": row, "stamp": 12}]})
     answers.replica.apply_own_write(13, {keys.job_key(B): row})
     answers.read()
     assert not answers.replica.loaded
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_job_that_awaits_a_thousand_is_stored_in_parts_its_own_row_last(store: Store) -> None:
+def test_a_job_with_a_thousand_prerequisites_is_stored_in_chunks_before_its_row(store: Store) -> None:
     store.upgraded()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
@@ -31,12 +31,14 @@
     job = store.tables.jobs["wk-100001"]
     assert job.unfinished_prerequisites == 1 and len(job.spec.prerequisites) == 1001
     # An initial read returns rows in the order of their keys, the job's row before its chunks.
-    again = Store()
-    again.put(keys.job_key("wk-100001"), {"s": JobState.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())})
-    assert not again.tables.jobs
+    initial_read = Store()
+    initial_read.put(
+        keys.job_key("wk-100001"), {"s": JobState.LIVE, "n": 4, "t": 0, "parts": list(job.spec_chunks or ())}
+    )
+    assert not initial_read.tables.jobs
     for number, text in store.tables.spec_chunks["wk-100001"][job.spec_chunks[0] if job.spec_chunks else ""].items():
-        again.put(keys.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
-    assert again.tables.jobs["wk-100001"].spec == job.spec
+        initial_read.put(keys.chunk_key("wk-100001", job.spec_chunks[0] if job.spec_chunks else "", number), text)
+    assert initial_read.tables.jobs["wk-100001"].spec == job.spec
     # While the job has claims its cancelled row still refers to the chunks. They are deleted once it is finished.
     store.progress("wk-100001", c0_1=1)
     assert anyio.run(world.jobs.cancel, "wk-100001") == wire.JobStatus.CANCELLED
@@ -53,7 +55,7 @@
     )
 
 
-def test_parts_without_a_job_are_no_job_and_are_cleared_away_before_a_late_row_can_need_them(store: Store) -> None:
+def test_chunks_without_a_job_are_deleted_and_a_late_row_of_the_job_fails(store: Store) -> None:
     store.upgraded()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
@@ -63,11 +65,11 @@
     # The chunks are stored, and the answer to the transaction that writes the job's row is lost.
     commit = world.client.compare_and_swap
 
-    async def lose_the_row(transaction: Transaction, *rest: Any, **more: Any) -> Any:
+    async def lose_row_answer(transaction: Transaction, *rest: Any, **more: Any) -> Any:
         world.client.lose_answers = int(keys.job_key("wk-100001") in transaction.writes)
         return await commit(transaction, *rest, **more)
 
-    world.client.compare_and_swap = lose_the_row  # type: ignore[method-assign]
+    world.client.compare_and_swap = lose_row_answer  # type: ignore[method-assign]
     assert submit(world, "wk-100001", *names) == 503
     assert len(world.client.late) == 1 and store.tables.spec_chunks
     assert status_code(world, "wk-100001") == 404
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -34,7 +34,7 @@
         *(({name: {}}, 400) for name in submission() if name != "id"),
     ],
 )
-def test_what_can_never_run_or_lacks_a_field_is_never_accepted(world: World, changes: Any, status: int) -> None:
+def test_a_job_that_can_never_run_or_is_malformed_is_rejected(world: World, changes: Any, status: int) -> None:
     assert submit(world, JOB, **changes) == status
     # While the machine types are unknown, a submission is refused for now; a malformed one is always rejected.
     world.store.tables.machine_types.clear()
@@ -42,7 +42,7 @@
     assert submit(world, "wk-000002", **changes) == undecided
 
 
-def test_a_repeat_of_a_known_job_is_answered_whatever_else_is_in_it(world: World) -> None:
+def test_a_repeated_submission_of_a_known_job_is_answered_despite_other_fields(world: World) -> None:
     assert submit(world, JOB) == 201
     for changes in ({"visits": 7}, {"cores": 99.0}, {"crew": "nobody"}, {"kit": ...}, {"urgency": 5}):
         assert submit(world, JOB, **changes) == 200
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -70,7 +70,7 @@
         (f"/submissions/{JOB}/cancel", "POST"),
     ],
 )
-def test_another_method_is_told_the_allowed_one(store: Store, path: str, allowed: str) -> None:
+def test_an_unsupported_method_is_answered_with_the_allowed_one(store: Store, path: str, allowed: str) -> None:
     for method in {"GET", "POST", "PUT"} - {allowed}:
         answer = ask(store, method, path)
         assert (answer.status, answer.headers) == (405, [("Allow", allowed)])
