--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -1,7 +1,8 @@
 """An HTTP/1.1 server over anyio streams, parsed by h11, for users and workers.
 
-A worker sends the same head with every heartbeat of a length, and parsing and writing heads was over half of what a
-heartbeat costs: what h11 made of a plain head is remembered, byte for byte, in both directions.
+Without a cache, parsing and writing heads takes over half of the cost of a heartbeat. A worker sends the same request
+head with every heartbeat whose body has the same length. The server therefore caches the request heads that h11 parsed,
+by their exact bytes, and the response heads that h11 wrote.
 """
 
 from __future__ import annotations
@@ -44,8 +45,8 @@
         method: The HTTP method.
         path: The path with its query.
         body: The body, empty if there is none.
-        connection_state: What the handler keeps with the connection. Requests are never pipelined (protocol), so that
-            one that comes after an answer on the same connection shows that the answer was received.
+        connection_state: State that the handler keeps per connection. Requests are never pipelined (protocol), so a
+            request that follows an answer on the same connection shows that the client received that answer.
     """
 
     method: str
@@ -59,7 +60,7 @@
 
 @dataclass
 class Answer:
-    """A response to send; `close` has the connection closed after it."""
+    """A response to send. If `close` is set, the connection is closed after it."""
 
     status: int
     body: bytes = b"{}"
@@ -69,7 +70,7 @@
 
 
 def refuse(retry_s: float) -> Answer:
-    """The answer that a request cannot be taken now, and may come again after so many seconds."""
+    """Returns a 503 that asks the client to retry after `retry_s` seconds, rounded, but at least 1."""
     return Answer(503, b'{"error":"not now"}', [("Retry-After", str(max(1, round(retry_s))))])
 
 
@@ -77,12 +78,14 @@
 
 
 def listener_socket(address: Address, backlog: int) -> socket.socket:
-    """A listening socket, made without a name look-up, which the machines do not offer.
+    """Returns a listening socket for an IP address.
+
+    It does not resolve names, since the machines provide no name resolution.
 
     Args:
-        address: Where to listen.
-        backlog: How many connections may wait to be accepted. All workers may connect at once, when the other
-            controllers are gone.
+        address: The address to listen on.
+        backlog: The maximum number of connections that wait to be accepted. All workers may connect at once, when the
+            other controllers have failed.
 
     Raises:
         OSError: The address cannot be bound.
@@ -95,19 +98,19 @@
     return sock
 
 
-# -- heads that are remembered
+# -- the cache of heads
 
-# Where h11 sees a head end.
+# The end of a request head, by the same rule as in h11.
 HEAD_END = re.compile(rb"\n\r?\n")
 MAX_REMEMBERED_HEAD_BYTES = 1024
 REMEMBERED_HEADS_PER_CONNECTION = 4
 REMEMBERED_ANSWER_HEADS = 1024
-# Headers that bear on more than the one request's body.
+# Headers that affect the connection or how the body is sent. A request head that has one of them is not cached.
 CONNECTION_HEADERS = {b"connection", b"expect", b"transfer-encoding", b"upgrade"}
 
 
 class Head(NamedTuple):
-    """What h11 made of a request's head."""
+    """The fields of a parsed request head that the server needs."""
 
     method: str
     path: str
@@ -115,7 +118,11 @@
 
 
 def plain_head(request: h11.Request) -> Head | None:
-    """The head of a request that says nothing of the connection and has a body of known length, or None."""
+    """Returns the fields of a request head that may be cached, or None.
+
+    A head may be cached if it is a GET or POST of HTTP/1.1 without headers that affect the connection, and has a
+    body of known length within the size limit.
+    """
     headers = dict(request.headers)
     if request.http_version != b"1.1" or request.method not in (b"GET", b"POST"):
         return None
@@ -126,7 +133,7 @@
 
 
 def encode_head(parser: h11.Connection, answer: Answer) -> bytes:
-    """The status line and headers of an answer."""
+    """Encodes the status line and headers of an answer."""
     headers = [("Content-Type", answer.content_type), ("Content-Length", str(len(answer.body))), *answer.headers]
     if answer.close:
         headers.append(("Connection", "close"))
@@ -135,7 +142,7 @@
 
 
 def encode_answer(parser: h11.Connection, answer: Answer, bodiless: bool = False) -> bytes:
-    """A whole answer; `bodiless`: without the body that its head describes."""
+    """Encodes a whole answer; with `bodiless`, the head still has the length of the body, but no body follows."""
     data = encode_head(parser, answer)
     if not bodiless:
         data += parser.send(h11.Data(data=answer.body)) or b""
@@ -144,6 +151,7 @@
 
 @functools.lru_cache(maxsize=REMEMBERED_ANSWER_HEADS)
 def _encode_plain_head(status: int, body_bytes: int, headers: tuple[tuple[str, str], ...], content_type: str) -> bytes:
+    # h11 writes a response only after it has received a request.
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(b"GET / HTTP/1.1\r\nHost: any\r\n\r\n")
     parser.next_event()
@@ -152,7 +160,7 @@
 
 
 def encode_plain_answer(answer: Answer) -> bytes:
-    """The answer to a request with a plain head, with the head that h11 wrote for the first answer like it."""
+    """Encodes the answer to a request whose head was cached, with the cached response head."""
     head = _encode_plain_head(answer.status, len(answer.body), tuple(answer.headers), answer.content_type)
     return head + answer.body
 
@@ -165,10 +173,11 @@
     """One accepted connection.
 
     Attributes:
-        stream: Its stream.
-        closes_at: When it is closed if nothing comes or goes on it, in seconds of the server's clock.
-        connection_state: What the handler keeps with the connection.
-        pending: Bytes that were received and not yet read as a request.
+        stream: The stream to the client.
+        closes_at: When the connection is closed unless the wait for the client ends first, in seconds of the server's
+            clock.
+        connection_state: State that the handler keeps per connection.
+        pending: Bytes that were received and not yet parsed as a request.
     """
 
     stream: SocketStream
@@ -180,17 +189,18 @@
 class Server:
     """Serves one address.
 
-    When all connections are taken, a new one takes the place of the one idle longest. The times are watched by one
-    sweep for all connections: a timer for each request took a tenth of what a heartbeat costs.
+    When the maximum number of connections is open, a new connection replaces the one that has been idle longest. One
+    loop checks the time limits of all connections, because a timer per request took a tenth of the cost of a heartbeat.
 
     Attributes:
-        handler: Answers a request.
-        idle_s: How long a connection may be idle.
-        request_s: Within how long a request, once begun, must be whole, and an answer be taken.
-        max_connections: How many connections are open at once.
+        handler: Returns the answer to a request.
+        idle_s: How long a connection may wait for the next request.
+        request_s: The time limit for receiving a request after its first bytes, and for sending an answer.
+        max_connections: The maximum number of open connections.
+        now: The monotonic clock, in seconds.
         open: All open connections.
-        idle: The connections between requests, the longest idle first.
-        heads: What h11 made of plain heads, by their bytes; the oldest is forgotten first.
+        idle: The connections that wait for a request, the longest idle first.
+        heads: The cached request heads, by their bytes; the oldest entry is evicted first.
     """
 
     def __init__(
@@ -218,15 +228,15 @@
         try:
             await self._serve_requests(connection)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError):
-            pass  # the client connects again
+            pass  # the client reconnects
         except Exception:
-            # Guards against a fault in one connection that would end the others.
+            # An exception that left this function would end all other connections.
             log.exception("connection failed")
         finally:
             await self._close(connection)
 
     async def sweep_forever(self) -> None:
-        """Closes connections whose time is over."""
+        """Periodically closes the connections that exceeded their time limit."""
         while True:
             await anyio.sleep(self.request_s / 4)
             now = self.now()
@@ -245,7 +255,7 @@
             connection.closes_at = self.now() + self.request_s
             request = await self._read_remembered(connection)
             if request is not None:
-                # Not a function of its own, since most heartbeats come this way. The handler may take any time.
+                # Inlined, since most heartbeats take this path. The handler has no time limit.
                 connection.closes_at = math.inf
                 answer = await self.handler(request)
                 connection.closes_at = self.now() + self.request_s
@@ -254,7 +264,7 @@
                 return
 
     async def _serve_parsed(self, connection: Connection) -> bool:
-        """Serves a request whose head is not remembered; returns whether the connection may serve another one."""
+        """Serves a request whose head is not cached; returns whether the connection may serve another one."""
         parser = h11.Connection(h11.SERVER)
         try:
             request = await self._read_parsed(connection, parser)
@@ -270,7 +280,7 @@
             connection.closes_at = math.inf
             answer = await self.handler(request)
         connection.closes_at = self.now() + self.request_s
-        # Guards against h11's refusal to write a body in an answer to HEAD, which would end the whole controller.
+        # h11 raises an error for a body in an answer to HEAD, which would end the whole controller if uncaught.
         await connection.stream.send(encode_answer(parser, answer, bodiless=request.method == "HEAD"))
         if answer.close or parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             return False
@@ -278,7 +288,7 @@
         return True
 
     async def _wait_request(self, connection: Connection) -> None:
-        """Waits for the first bytes of a request; raises EndOfStream when none comes any more."""
+        """Waits for the first bytes of a request; raises EndOfStream when the client closes the connection."""
         self.idle[connection] = None
         connection.closes_at = self.now() + self.idle_s
         try:
@@ -287,7 +297,7 @@
             self.idle.pop(connection, None)
 
     async def _read_remembered(self, connection: Connection) -> Request | None:
-        """The request, if its head is remembered. Else None, and nothing is read."""
+        """Returns the request if its head is cached; otherwise returns None and reads nothing."""
         data = connection.pending
         end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
         head = self.heads.get(data[: end.end()]) if end is not None else None
@@ -300,7 +310,7 @@
         return Request(head.method, head.path, data[start:stop], connection.connection_state)
 
     def _remember(self, data: bytes, request: h11.Request, body: bytes) -> None:
-        """Remembers the head of a request, if it is plain and its body follows it as it is."""
+        """Caches the head of a request, if it may be cached and the body follows it unencoded."""
         end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
         head = plain_head(request)
         if end is None or head is None or len(body) != head.body_bytes or not data[end.end() :].startswith(body):
@@ -310,10 +320,12 @@
         self.heads[data[: end.end()]] = head
 
     async def _read_parsed(self, connection: Connection, parser: h11.Connection) -> Request | None:
-        """The request as h11 parses it; None when the connection ends before.
+        """Reads a request with h11; returns None if the client closes the connection before it sends one.
+
+        Reading stops once the body is over the size limit. The caller has to check the length.
 
         Raises:
-            h11.RemoteProtocolError: It is not HTTP.
+            h11.RemoteProtocolError: The bytes are not a valid HTTP request.
         """
         head: h11.Request | None = None
         data, body = connection.pending, b""
@@ -339,7 +351,7 @@
 
     @staticmethod
     async def _receive_into(parser: h11.Connection, stream: SocketStream) -> bytes:
-        """Passes the next bytes to the parser and returns them; empty at the end of the stream."""
+        """Passes the next bytes of the stream to the parser and returns them; none at the end of the stream."""
         if parser.they_are_waiting_for_100_continue:
             response = h11.InformationalResponse(status_code=100, headers=[])
             await stream.send(parser.send(response) or b"")
--- a/sloeswitch/http_client.py
+++ b/sloeswitch/http_client.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 client over anyio streams, parsed by h11, that keeps connections.
+"""An HTTP/1.1 client over anyio streams, parsed by h11, with persistent connections.
 
-The clients of the state service and of the cloud, and the direct commands to workers, send their requests through it.
+Requests to the state service and to the cloud, and direct commands to workers, are sent by it.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class HttpTransportError(Exception):
-    """There is no whole response; the request may or may not have been carried out, or may yet be.
+    """No complete response was received; the request may have been executed, or may still be.
 
-    The message names the cause: the connection failed, the response was broken or did not come in time.
+    The message names the cause: a failed connection, an invalid response or a timeout.
     """
 
 
@@ -38,16 +38,16 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether both sides are done with an exchange, and neither asked to close the connection."""
+        """Whether both sides have completed the exchange, and neither asked to close the connection."""
         return self.parser.our_state is h11.DONE and self.parser.their_state is h11.DONE
 
 
 class Client:
-    """Sends requests to one address over kept connections, each used by one request at a time.
+    """Sends requests to one address over persistent connections, each used by one request at a time.
 
     Attributes:
-        address: Where requests go.
-        max_idle_connections: How many connections are kept between requests.
+        address: The address of the server.
+        max_idle_connections: The maximum number of connections that stay open between requests.
     """
 
     def __init__(self, address: Address, max_idle_connections: int = 4) -> None:
@@ -56,16 +56,16 @@
         self._idle: list[_Connection] = []
 
     async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Reply:
-        """Sends one request, once, and returns the response.
+        """Sends one request, without retries, and returns the response.
 
         Args:
             method: The HTTP method.
             path: The path with its query.
-            body: The JSON body; None: no body.
-            timeout_s: How long the connection and the response are waited for together.
+            body: The JSON body, or None for a request without a body.
+            timeout_s: The time limit for connecting and receiving the response together.
 
         Raises:
-            HttpTransportError: There is no whole response in time.
+            HttpTransportError: No complete response was received within the time limit.
         """
         connection: _Connection | None = None
         try:
