--- a/sloeswitch/frame_link.py
+++ b/sloeswitch/frame_link.py
@@ -1,6 +1,6 @@
-"""Requests to other controllers by frames of the mesh, over one connection that is kept while it answers.
+"""Sends requests of optional features to other controllers, as frames of the mesh over one persistent connection.
 
-Used for frames of features: `cells.link` asks the controllers of another cell, `admission.frames` asks a sibling.
+`cells.link` sends them to the controllers of another cell, `admission.frames` to a sibling.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 
 class NoAnswerError(Exception):
-    """The other side did not answer; what was asked for may or may not have happened."""
+    """No valid answer was received; the request may or may not have been executed."""
 
 
 class FrameLink:
-    """Sends frames to one of several addresses at a time, and goes to the next one when it does not answer.
+    """Sends frames to one of several addresses, and switches to the next address when an exchange fails.
 
     Attributes:
-        name: Whose addresses they are, for error messages.
-        addresses: Mesh addresses of controllers that can answer.
-        timeout_s: How long a connection and an answer are waited for together.
+        name: The cell or controller that the addresses belong to, for error messages.
+        addresses: The mesh addresses of the controllers that can answer.
+        timeout_s: The time limit for connecting and receiving the answer together.
     """
 
     def __init__(self, name: str, addresses: tuple[Address, ...], timeout_s: float) -> None:
@@ -37,7 +37,7 @@
         """Sends a frame and returns the body of the answer.
 
         Raises:
-            NoAnswerError: There is no answer of the right type in time.
+            NoAnswerError: No answer of the right type was received within the time limit.
         """
         try:
             with anyio.fail_after(self.timeout_s):
@@ -56,7 +56,7 @@
 
     async def _connect(self) -> SocketStream:
         address = self.addresses[self._next_address % len(self.addresses)]
-        # The next controller is tried if this one does not answer.
+        # The next connection, made after this one failed, goes to the next controller.
         self._next_address += 1
         return await anyio.connect_tcp(address.host, address.port)
 
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -1,7 +1,7 @@
-"""The mesh: the connections of this controller with its siblings, and what they said last.
+"""The mesh: this controller's connections to its siblings, and the last status received from each.
 
-Each controller polls all others. Their answers let a controller go on answering machines while the state service
-refuses it (see actors.leadership); the frames are described in mesh_frames.
+Each controller polls all others. As long as they all confirm its view, it may go on answering the reports of workers
+while it cannot use the state service (see actors.leadership). The frames are described in mesh_frames.
 """
 
 from __future__ import annotations
@@ -37,25 +37,27 @@
 
 log = logging.getLogger("mesh")
 
-# In pauses between polls: how long an answer is waited for, and how long a connection may be silent.
+# The time limit for an answer, and for a connection without requests; both in intervals between polls.
 ANSWER_TIMEOUT_PAUSES = 2
 SILENCE_TIMEOUT_PAUSES = 20
 
-# Answers a frame of a feature, given its type and body. None or a FrameError: the connection is closed.
+# Returns the answer's body to a frame of an optional feature, given the frame's type and body. If it returns None or
+# raises FrameError, the connection is closed.
 FrameHandler = Callable[[int, bytes], Awaitable[bytes | None]]
 
 
 @dataclass(frozen=True)
 class PeerStatus:
-    """What a controller says of itself.
+    """The status that a controller reports to its siblings.
 
     Attributes:
-        view_number: The highest view number that it knows; 0: none yet.
-        state_reachable: Whether it reaches the state service.
-        read_revision: Up to where it has read everything; 0 before the first reading.
-        fully_read: Whether it has read the tables since it started. Before that it may have told its users of
-            cancellations, as a former process, that it does not know.
-        layout_complete: Whether every configured controller has run with a layout whose frames are these.
+        view_number: The highest view number that the controller knows; 0 if it knows none yet.
+        state_reachable: Whether the controller reaches the state service.
+        read_revision: The revision up to which the controller has read all changes; 0 before the first read.
+        fully_read: Whether the controller has read all tables since it started. Before that it may not know of
+            cancellations that its previous process confirmed to users.
+        layout_complete: Whether every configured controller has run a version that supports status frames, as the
+            recorded versions of the layout show.
     """
 
     view_number: int
@@ -67,11 +69,11 @@
 
 @dataclass(frozen=True)
 class MeshCallbacks:
-    """What the mesh needs from the controller that it belongs to.
+    """What the mesh needs from its controller.
 
     Attributes:
-        status: The controller's present status.
-        apply_cancellations: Takes in cancellations that a sibling sent, before its status counts.
+        status: Returns the controller's current status.
+        apply_cancellations: Applies cancellations that a sibling sent; called before the sibling's status is recorded.
     """
 
     status: Callable[[], PeerStatus]
@@ -80,17 +82,18 @@
 
 @dataclass
 class Peer:
-    """What a sibling said last.
+    """The last status received from a sibling.
 
     Attributes:
-        asked_at: When the request that it answered was sent.
-        view_number: The highest view number that it knew.
-        state_reachable: Whether it reached the state service.
-        cancellations_complete: Whether all cancellations that it may have told its users are known here by now.
-        log_id: Its log of cancellations.
-        log_position: Up to where that log is known here.
-        is_earlier_version: Whether it is polled with frames of earlier versions, because it closed a connection on a
-            status request, or because not every controller has run with these frames yet.
+        asked_at: When the request for this status was sent, in seconds of the monotonic clock.
+        view_number: The highest view number that the sibling knew.
+        state_reachable: Whether the sibling reached the state service.
+        cancellations_complete: Whether this controller knows all cancellations that the sibling may have confirmed to
+            users.
+        log_id: The identifier of the sibling's cancellation log; 0 if none was read yet.
+        log_position: The position up to which this controller has read that log.
+        is_earlier_version: Whether the sibling is polled with frames of earlier versions, because it closed a
+            connection after a status request, or because not every controller has run a version with status frames yet.
     """
 
     asked_at: float = float("-inf")
@@ -103,12 +106,15 @@
 
 
 class Mesh:
-    """Owns the connections to the siblings, and what they said last.
+    """Owns the connections to the siblings and the last status of each.
 
     Attributes:
-        pause_s: The time between polls of a sibling.
-        peers: What each sibling said last, by member name.
-        handlers: The handlers of features that are on, by the types of the frames that they answer.
+        pause_s: The time between two polls of a sibling.
+        now: The monotonic clock, in seconds.
+        callbacks: The functions of the controller that the mesh calls.
+        cancellations: The log of cancellations that siblings read.
+        peers: The last status of each sibling, by member name.
+        handlers: The handlers of the enabled features, by the type of the frames that they answer.
     """
 
     def __init__(
@@ -138,7 +144,7 @@
         except FrameError as error:
             log.error("connection closed on a frame: error=%s", error)
         except CONNECTION_ERRORS:
-            pass  # the sibling connects again
+            pass  # the sibling reconnects
         finally:
             await anyio.aclose_forcefully(stream)
 
@@ -156,11 +162,11 @@
     async def _answer_feature(self, frame_type: int, body: bytes) -> bytes:
         answer = await self.handlers[frame_type](frame_type, body)
         if answer is None or len(answer) > MAX_BODY_BYTES:
-            raise FrameError(f"no answer to a frame of type {frame_type}")
+            raise FrameError(f"the answer to a frame of type {frame_type} is missing or too long")
         return pack_frame(ANSWER_TYPES[frame_type], answer)
 
     def status_for(self, request: StatusRequest) -> StatusFrame:
-        """The answer to a sibling's status request."""
+        """Returns the answer to a sibling's status request."""
         status = self.callbacks.status()
         delta = self.cancellations.since(
             request.applied_revision, request.log_id, request.log_position, MAX_CANCELLATIONS
@@ -172,13 +178,13 @@
     # -- polling siblings
 
     async def poll_forever(self, sibling: Sibling) -> None:
-        """Polls one sibling, and connects to it again whenever the connection ends."""
+        """Polls one sibling, and reconnects whenever the connection ends."""
         while True:
             await self._poll_connection(sibling, self.peers[sibling.member])
             await anyio.sleep(self.pause_s)
 
     async def _poll_connection(self, sibling: Sibling, peer: Peer) -> None:
-        """Polls over one connection until it ends, or until frames of this version may be tried again."""
+        """Polls over one connection until it ends, or until status requests can be tried again."""
         stream: SocketStream | None = None
         answered = False
         try:
@@ -197,10 +203,10 @@
         except FrameError as error:
             log.error("connection closed on a frame: sibling=%s error=%s", sibling.member, error)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            # An earlier version closes the connection on a frame that it does not know.
+            # An earlier version closes the connection when it receives a frame type that it does not know.
             peer.is_earlier_version = not peer.is_earlier_version and not answered
         except CONNECTION_ERRORS:
-            pass  # connected to again after a pause
+            pass  # poll_forever() reconnects
         finally:
             if stream is not None:
                 await anyio.aclose_forcefully(stream)
@@ -210,7 +216,7 @@
         return self.callbacks.status().layout_complete
 
     async def _request_status(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
-        """Polls with a frame of this version; returns whether there is more to be asked for at once."""
+        """Polls with a status request; returns whether the next request should follow at once."""
         asked_at = self.now()
         status = self.callbacks.status()
         request = StatusRequest(status.view_number, status.read_revision, peer.log_id, peer.log_position)
@@ -220,7 +226,7 @@
         return answer.delta.more and bool(answer.delta.cancellations)
 
     def apply_status(self, peer: Peer, asked_at: float, answer: StatusFrame) -> None:
-        """Takes in a sibling's status. Its cancellations are known here before the status counts for anything."""
+        """Applies the cancellations that a sibling sent, and then records its status."""
         if answer.delta.cancellations:
             self.callbacks.apply_cancellations(answer.delta.cancellations)
         peer.log_id, peer.log_position = answer.log_id, answer.delta.position
@@ -229,7 +235,7 @@
         peer.cancellations_complete = answer.fully_read and not answer.delta.more
 
     async def _request_view(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
-        """Polls with a frame of earlier versions, whose answer confirms nothing; there is never more to ask for."""
+        """Polls with a view request of earlier versions, whose answer confirms nothing; returns False."""
         asked_at = self.now()
         await stream.send(pack_view_request(self.callbacks.status().view_number))
         body = await reader.read_body(await reader.read_header(), FrameType.VIEW, VIEW.size)
--- a/sloeswitch/mesh_frames.py
+++ b/sloeswitch/mesh_frames.py
@@ -1,15 +1,17 @@
-"""The frames of the mesh, over which controllers speak with each other: their types, layouts and codecs.
-
-A frame is a header (magic, version, type, length of the body) and a body, in network byte order. A status request
-carries the view number under which the requester acts, the revision up to which it has read everything, and its
-position in the answerer's log of cancellations. A status carries the highest view number that the answerer knows (0:
-none yet), flags, the identifier of its log of cancellations, the position up to which the requester now has that log,
-and the cancellations that the requester lacks. Only a status that leaves nothing out confirms that the requester may go
-on answering machines without the state service.
-
-A view request and its answer are frames of earlier versions, which close a connection on any other frame. Earlier
-versions know nothing of cancellations, so that their frames confirm nothing: the answer to a view request names a view
-that nobody acts under. A frame of another version, type or length closes its connection and nothing else.
+"""The types, layouts and codecs of the frames that controllers exchange over the mesh.
+
+A frame is a header (magic, version, type, length of the body) and a body, in network byte order.
+
+A status request carries the view number under which the requester acts, the revision up to which it has read all
+changes, and its position in the responder's log of cancellations. A status carries the highest view number that the
+responder knows (0 for none), flags, the identifier of the responder's log of cancellations, the position in that log
+that the requester has reached with this answer, and the cancellations that the requester lacks. Only a status without
+missing cancellations confirms that the requester may go on answering workers without the state service.
+
+Earlier versions send view requests and views instead, and close the connection when they receive any other frame. They
+do not know of cancellations, so neither frame confirms anything: a controller of this version answers a view request
+with a view number that no controller acts under. A frame with an unexpected version, type or length closes only its
+connection.
 """
 
 from __future__ import annotations
@@ -28,7 +30,10 @@
 
 
 class FrameType(IntEnum):
-    """The type byte of a frame. Bodies of cells' frames: cells.frames; of idle capacity: admission.frames."""
+    """The type byte of a frame.
+
+    The bodies of the cell and summary frames are defined in cells.frames, those of idle capacity in admission.frames.
+    """
 
     VIEW_REQUEST = 1
     VIEW = 2
@@ -42,7 +47,7 @@
     IDLE_CAPACITY = 10
 
 
-# The types of requests that are served only where a feature is on, and the types of their answers.
+# The types of the requests that belong to optional features, with the types of their answers.
 ANSWER_TYPES: dict[int, FrameType] = {
     FrameType.CELL_REQUEST: FrameType.CELL_ANSWER,
     FrameType.SUMMARY_REQUEST: FrameType.SUMMARY,
@@ -51,7 +56,7 @@
 
 
 class StatusFlag(IntFlag):
-    """The flags of a status."""
+    """The bits of the flags byte in a status."""
 
     STATE_REACHABLE = 1
     FULLY_READ = 2
@@ -62,25 +67,25 @@
 HEADER = struct.Struct("!4sBBH")
 # The requester's view number.
 VIEW_REQUEST = struct.Struct("!Q")
-# The answerer's view number, and whether it reaches the state service.
+# The responder's view number, and whether it reaches the state service.
 VIEW = struct.Struct("!QB")
 # View number, applied revision, log identifier, log position.
 STATUS_REQUEST = struct.Struct("!QQQQ")
 # View number, flags, log identifier, log position, number of cancellations that follow.
 STATUS = struct.Struct("!QBQQH")
-# Revision and length of the job's name, which follows.
+# The revision, and the length of the job name, which follows.
 CANCELLATION = struct.Struct("!QB")
 
 MAX_BODY_BYTES = 0xFFFF
 MAX_NAME_BYTES = 255
-# The most cancellations in one frame, so that it keeps within its length whatever the jobs are called.
+# The most cancellations in one frame: a frame with this many job names of maximum length still fits the body limit.
 MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + MAX_NAME_BYTES)
-# Later than any view: an earlier version takes it for a reason to stop.
+# Higher than the number of any view, so that a controller of an earlier version stops answering workers.
 UNCONFIRMING_VIEW_NUMBER = (1 << 64) - 1
 
 
 class FrameError(Exception):
-    """The bytes are not a frame that may come here; the connection is to be closed."""
+    """The received bytes are not a valid frame of the expected type; the connection has to be closed."""
 
 
 @dataclass(frozen=True)
@@ -88,10 +93,10 @@
     """Asks a sibling for its status and for the cancellations that this controller lacks.
 
     Attributes:
-        view_number: The view under which the requester acts.
-        applied_revision: Up to where the requester has read everything.
-        log_id: The log of cancellations that the requester last read from the sibling; 0: none.
-        log_position: Up to where the requester has that log.
+        view_number: The number of the view under which the requester acts.
+        applied_revision: The revision up to which the requester has read all changes.
+        log_id: The identifier of the sibling's cancellation log that the requester last read; 0 if it read none.
+        log_position: The position up to which the requester has read that log.
     """
 
     view_number: int
@@ -106,7 +111,7 @@
 
     @staticmethod
     def unpack(body: bytes) -> StatusRequest:
-        """The request in a body, whose length was checked with its header."""
+        """Decodes a body whose length was already checked against the header."""
         return StatusRequest(*STATUS_REQUEST.unpack(body))
 
 
@@ -115,11 +120,11 @@
     """A controller's status, and the cancellations that the requester lacks.
 
     Attributes:
-        view_number: The highest view number that the answerer knows; 0: none yet.
-        state_reachable: Whether it reaches the state service.
-        fully_read: Whether it has read the tables since it started.
-        log_id: Identifies its log of cancellations.
-        delta: The cancellations, and the position in the log up to which the requester then has it.
+        view_number: The highest view number that the responder knows; 0 if it knows none yet.
+        state_reachable: Whether the responder reaches the state service.
+        fully_read: Whether the responder has read all tables since it started.
+        log_id: The identifier of the responder's log of cancellations.
+        delta: The cancellations, and the position in the log that the requester has reached with them.
     """
 
     view_number: int
@@ -144,10 +149,10 @@
 
     @staticmethod
     def unpack(body: bytes) -> StatusFrame:
-        """The status in a body.
+        """Decodes the body of a status.
 
         Raises:
-            FrameError: The body is cut off, goes on after its end, or a name is not UTF-8.
+            FrameError: The body is truncated, has extra bytes at its end, or a job name is not UTF-8.
         """
         try:
             view_number, flags, log_id, position, count = STATUS.unpack_from(body)
@@ -155,7 +160,7 @@
         except (struct.error, UnicodeDecodeError) as error:
             raise FrameError(str(error)) from None
         if end != len(body):
-            raise FrameError(f"{len(body) - end} bytes too many")
+            raise FrameError(f"status has {len(body) - end} bytes after its last cancellation")
         return StatusFrame(
             view_number,
             bool(flags & StatusFlag.STATE_REACHABLE),
@@ -166,69 +171,69 @@
 
 
 def _unpack_cancellations(body: bytes, offset: int, count: int) -> tuple[list[Cancellation], int]:
-    """The cancellations from an offset on, and the offset of their end."""
+    """Decodes `count` cancellations from an offset on; returns them and the offset of their end."""
     cancellations: list[Cancellation] = []
     for _ in range(count):
         revision, length = CANCELLATION.unpack_from(body, offset)
         offset += CANCELLATION.size
         if offset + length > len(body):
-            raise FrameError("a name is cut off")
+            raise FrameError("status ends within the name of a cancelled job")
         cancellations.append(Cancellation(body[offset : offset + length].decode(), revision))
         offset += length
     return cancellations, offset
 
 
 def pack_frame(frame_type: int, body: bytes) -> bytes:
-    """A header and the body."""
+    """Returns a whole frame: the header and the body."""
     return HEADER.pack(MAGIC, VERSION, frame_type, len(body)) + body
 
 
 def pack_view_request(view_number: int) -> bytes:
-    """The whole frame by which an earlier version asks for a view number."""
+    """Returns a whole view request, the frame by which earlier versions poll."""
     return pack_frame(FrameType.VIEW_REQUEST, VIEW_REQUEST.pack(view_number))
 
 
 def pack_view(view_number: int, state_reachable: bool) -> bytes:
-    """The whole frame by which an earlier version answers with its view number."""
+    """Returns a whole view, the answer to a view request."""
     return pack_frame(FrameType.VIEW, VIEW.pack(view_number, state_reachable))
 
 
 def frame_type_of(header: bytes) -> int:
-    """The type byte of a header, which need not be a known type."""
+    """Returns the type byte of a header, which may be an unknown type."""
     return int(HEADER.unpack(header)[2])
 
 
 def check_header(header: bytes, frame_type: int, body_bytes: int | None = None) -> int:
-    """The length of the body that follows, in bytes.
+    """Checks a header and returns the length of the body that follows, in bytes.
 
     Args:
         header: The header of a frame.
-        frame_type: The type that it must have.
-        body_bytes: The length that its body must have; None: any.
+        frame_type: The expected type.
+        body_bytes: The expected length of the body, or None for any length.
 
     Raises:
-        FrameError: It is a frame of another kind, or none.
+        FrameError: The magic, version, type or length differs from the expected one.
     """
     magic, version, actual_type, length = HEADER.unpack(header)
     if (magic, version, actual_type) != (MAGIC, VERSION, frame_type):
-        raise FrameError(f"frame {header!r}")
+        raise FrameError(f"unexpected magic, version or type in header {header!r}")
     if body_bytes is not None and length != body_bytes:
-        raise FrameError(f"frame {header!r}")
+        raise FrameError(f"unexpected body length in header {header!r}")
     return int(length)
 
 
 class FrameReader:
-    """Reads exact numbers of bytes from a stream."""
+    """Reads frames from a stream."""
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
         self._received = b""
 
     async def read_exactly(self, size_bytes: int) -> bytes:
-        """The next bytes of the stream, exactly so many.
+        """Returns the next `size_bytes` bytes of the stream.
 
         Raises:
-            anyio.EndOfStream: The stream ends before.
+            anyio.EndOfStream: The stream ended first.
         """
         while len(self._received) < size_bytes:
             self._received += await self.stream.receive()
@@ -236,15 +241,15 @@
         return part
 
     async def read_header(self) -> bytes:
-        """The header of the next frame."""
+        """Returns the header of the next frame."""
         return await self.read_exactly(HEADER.size)
 
     async def read_body(self, header: bytes, frame_type: int, body_bytes: int | None = None) -> bytes:
-        """The body that follows a header, which must have the given type and length; see check_header()."""
+        """Checks a header as check_header() does, and returns the body that follows it."""
         return await self.read_exactly(check_header(header, frame_type, body_bytes))
 
 
-# What ends a connection without anything being wrong with the frames on it.
+# Exceptions that end a connection without an invalid frame.
 CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
