--- a/sloeswitch/wire/__init__.py
+++ b/sloeswitch/wire/__init__.py
@@ -1,16 +1,17 @@
-"""The messages of the platform's protocol over HTTP, to and from users, workers, the cloud and the state service.
+"""The HTTP messages of the platform's protocol, exchanged with users, workers, the cloud and the state service.
 
-This package is the only place that knows the protocol's own words. The rest of the code uses the terms of the field,
-and each message maps its fields to the words on the wire in the table `rename` at its head; a field that is not in the
-table has the same name on the wire. Words that are values, such as the status of a job, are the values of enumerations.
+Only this package uses the protocol's names. Each message class maps its fields to their names on the wire in `rename`;
+a field that is not listed there has the same name on the wire. Protocol terms that are values, such as the status of a
+job, are the values of enumerations.
 
 On the wire a machine is a `host`, a machine type a `build`, a task a `visit`, an attempt a `try`, an array a `sweep`, a
 gang a `group`, a class of jobs a `roster`, a team a `crew`, a priority an `urgency`, an image a `kit`, a spot machine
 a `loaner`, a zone a `district`, a fencing token a `baton`, the epoch of a worker's agent a `shift`, a command an
-`order`, a checkpoint a `snapshot`, a lease a `permit`, the revision of a key a `stamp`, that of the store an `epoch`.
+`order`, a checkpoint a `snapshot`, a lease a `permit`, the revision of a key a `stamp`, the revision of the
+store an `epoch`.
 
-Units: durations (`_s`) are in seconds, `memory` and sizes of images (`_gb`) in GB, `cores` and `gpus` in processor
-cores and accelerators, whole or in part. Any field that may be None may be left out on the wire.
+Units: durations (`_s`) are in seconds, `memory` and sizes of images (`_gb`) in GB; `cores` and `gpus` are numbers of
+processor cores and accelerators, possibly fractional. A field that may be None may be missing on the wire.
 """
 
 from sloeswitch.wire.cloud import (
--- a/sloeswitch/wire/cloud.py
+++ b/sloeswitch/wire/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types, and instances of them."""
+"""Messages of the cloud: its machine types and its instances."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
     cores: float
     gpus: float
     memory: float
-    # Room for images, and how many GB of an image are fetched a second, give or take a third.
+    # The size of the image cache, and the rate at which images are fetched in GB per second, which varies by a third.
     cache_gb: float
     fetch_gb_s: float
-    # Per hour, charged by the second; the spot price moves by up to a third.
+    # Prices per hour, billed by the second; the spot price varies by up to a third.
     price: float
     spot_price: float
-    # Usually 0.6 to 1.5 times as long.
+    # The typical boot time; the actual time is usually 0.6 to 1.5 times as long.
     boot_s: float
     zones: list[str]
 
@@ -44,9 +44,10 @@
 
 
 class InstanceRequest(Struct, rename={"name": "booking", "type": "build", "zone": "district", "spot": "loaners"}):
-    """Asks the cloud for instances (POST /machines).
+    """A request to create instances (POST /machines).
 
-    A repeated name gets the first answer and rents nothing; it is never used for another request.
+    The name makes the request idempotent: a request with a name that was already used gets the first answer and creates
+    nothing. A name is never reused for a different request.
     """
 
     name: str
@@ -57,7 +58,7 @@
 
 
 class InstancesCreated(Struct, rename={"instances": "hosts"}):
-    """The names of the instances that the cloud created; fewer than asked for if there was no room for more."""
+    """The names of the created instances; fewer than requested if the cloud had no capacity for more."""
 
     instances: list[str]
 
@@ -65,7 +66,7 @@
 class Instance(
     Struct, rename={"type": "build", "zone": "district", "spot": "loaners", "state": "status", "age_s": "heldS"}
 ):
-    """An instance in the cloud's list: `starting`, `running` or `failed`; its age counts from the request."""
+    """An instance in the cloud's list: `starting`, `running` or `failed`. Its age counts from the request."""
 
     id: str
     address: str
@@ -77,12 +78,12 @@
 
 
 class InstancePage(Struct, rename={"instances": "hosts", "more": "hasNext"}):
-    """A page of the cloud's instances, by name (GET /machines). The list lags behind."""
+    """A page of the list of instances, sorted by name (GET /machines). The list lags behind the actual instances."""
 
     instances: list[Instance]
     more: bool
 
 
 def delete_body(machines: list[str]) -> bytes:
-    """The body that asks the cloud to delete instances (POST /machines/delete)."""
+    """Encodes the body of a request to delete instances (POST /machines/delete)."""
     return encode({"hosts": machines})
--- a/sloeswitch/wire/codec.py
+++ b/sloeswitch/wire/codec.py
@@ -1,4 +1,4 @@
-"""Messages to and from their JSON bodies."""
+"""Encodes messages to JSON bodies and decodes them."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 import msgspec
 
 T = TypeVar("T")
-# The largest body of a request.
+# The size limit of a request body.
 MAX_BODY_BYTES = 64 * 1024
 
 
 class MalformedError(Exception):
-    """A message that is not what the protocol says."""
+    """A message does not conform to the protocol."""
 
 
 _decoders: dict[Any, msgspec.json.Decoder[Any]] = {}
 
 
 def decode(data: bytes, message_type: type[T]) -> T:
-    """A message of the given type, or MalformedError saying what is wrong with it."""
+    """Decodes a message of the given type; raises MalformedError with the reason."""
     decoder = _decoders.get(message_type)
     if decoder is None:
         decoder = _decoders[message_type] = msgspec.json.Decoder(message_type)
--- a/sloeswitch/wire/jobs.py
+++ b/sloeswitch/wire/jobs.py
@@ -1,4 +1,4 @@
-"""Submissions of jobs by users, polls, cancellations, and the names of tasks."""
+"""Messages of users (job submissions, polls, cancellations) and the names of tasks."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from sloeswitch.wire.codec import MalformedError, decode, encode
 
 JOB_ID_PATTERN = re.compile(r"wk-[0-9]{1,32}")
-# The most tasks of one job.
+# The maximum number of tasks per job.
 MAX_TASKS = 100_000
 
 
 class JobStatus(StrEnum):
-    """What users are told of a job."""
+    """The status of a job as reported to users."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -28,14 +28,14 @@
 
 
 class JobShape(StrEnum):
-    """Whether a job's tasks are independent (array), or run at the same time or not at all (gang)."""
+    """Whether the tasks of a job are independent (array) or must all run at the same time (gang)."""
 
     ARRAY = "sweep"
     GANG = "group"
 
 
 class Priority(StrEnum):
-    """Priorities of jobs, the highest first."""
+    """The priorities of jobs, in descending order."""
 
     CRITICAL = "critical"
     URGENT = "urgent"
@@ -69,10 +69,11 @@
 ):
     """A job as its user submits it (POST /submissions).
 
-    Its shape and priority are plain texts, since a submission with others is refused in the words of `check_spec`.
+    The shape and the priority are strings and not enums, so that `check_spec` can reject an unknown value with its own
+    error text.
     """
 
-    # The job, and whose guarantee, limit and objectives apply to it.
+    # The job id, the class whose objectives apply, and the team whose guarantee and limit apply.
     id: str
     job_class: str
     team: str
@@ -80,49 +81,54 @@
     priority: str
     # The number of tasks.
     tasks: int
-    # What each task takes of its machine.
+    # The resources that each task needs.
     cores: float
     gpus: float
     memory: float
-    # What a machine has to fetch before a task can start.
+    # The image that a machine has to fetch before a task can start, and its size.
     image: str
     image_gb: float
-    # All tasks in one zone; at most half of them in any zone; whether spot machines are allowed.
+    # Whether all tasks must be in one zone, whether at most half of them may be in the same zone, and whether spot
+    # machines are allowed.
     one_zone: bool
     spread: bool
     spot: bool
-    # The owner's estimate of a task's run time without the image, often wrong by half; the interval of checkpoints, 0
-    # if the task saves none; and how long it takes to save when it is stopped.
+    # The user's estimate of a task's run time without fetching the image, often wrong by half; the interval of
+    # checkpoints, 0 if the task saves none; and the time that a task needs to save its progress when it is stopped.
     estimate_s: float
     checkpoint_s: float
     save_s: float
-    # The machine types and the zone that are allowed; None: any.
+    # The allowed machine types and the allowed zone; None allows any.
     types: list[str] | None = None
     zone: str | None = None
-    # When the job should be complete, from its submission; None: no deadline.
+    # The deadline of the job, counted from its submission; None for no deadline.
     deadline_s: float | None = None
-    # Jobs that have to be done before any task of this one starts.
+    # The jobs that must be done before any task of this job starts.
     prerequisites: tuple[str, ...] = ()
 
     @property
     def gang(self) -> bool:
-        """Whether its tasks run together or not at all."""
+        """Whether all tasks must run at the same time."""
         return self.shape == JobShape.GANG
 
     @property
     def zone_bound(self) -> bool:
-        """Whether the zones of its tasks depend on each other."""
+        """Whether the zone of a task depends on the zones of the other tasks."""
         return self.one_zone or self.spread
 
 
 def submitted_id(data: bytes) -> str | None:
-    """The job id of a submission whatever else is in it; MalformedError unless it is a JSON object."""
+    """Returns the job id of a submission without checking its other fields, or None if the id is missing or invalid.
+
+    Raises:
+        MalformedError: The body is not a JSON object.
+    """
     body = decode(data, dict[str, Any])
     job = body.get("id")
     return job if isinstance(job, str) and JOB_ID_PATTERN.fullmatch(job) else None
 
 
-# Amounts that a submission must give, by the words in which a fault of theirs is told to users.
+# The amounts in a submission that are checked, by their names in error texts to users.
 _AMOUNTS: dict[str, Callable[[JobSpec], float]] = {
     "cores": lambda spec: spec.cores,
     "gpus": lambda spec: spec.gpus,
@@ -135,9 +141,13 @@
 
 
 def check_spec(spec: JobSpec) -> JobSpec:
-    """Refuses what has the right types and still cannot be a job.
+    """Checks the values of a decoded submission.
+
+    Returns:
+        The spec without repeated prerequisites.
 
-    Returns the spec with each prerequisite named once. Raises MalformedError, whose text is told to the user.
+    Raises:
+        MalformedError: A value is invalid; the user receives the text of the error.
     """
     if not JOB_ID_PATTERN.fullmatch(spec.id):
         raise MalformedError("id: not in the form wk-000412")
@@ -164,25 +174,25 @@
 
 
 def task_name(job: str, index: int) -> str:
-    """The task's name on the wire; tasks of a job are numbered from 0."""
+    """Returns the name of a task on the wire; the tasks of a job are numbered from 0."""
     return f"{job}/{index}"
 
 
 def split_task(name: str) -> tuple[str, int]:
-    """The job and the number of a task; MalformedError if the name is not a task's."""
+    """Splits the name of a task into its job and its number; raises MalformedError for an invalid name."""
     job, _, index = name.rpartition("/")
     if not job or not index.isdigit():
-        raise MalformedError(f"task name {name!r}")
+        raise MalformedError(f"task name {name!r} is not in the form JOB/INDEX")
     return job, int(index)
 
 
 def submission_reply(job: str, status: str) -> bytes:
-    """The body that answers a submission or a cancellation."""
+    """Encodes the answer to a submission or a cancellation."""
     return encode({"id": job, "status": status})
 
 
 def poll_reply(job: str, status: str, done: int, running: int, cell: str | None = None) -> bytes:
-    """The body that answers a poll: counts of tasks, and the cell if the job runs in another one."""
+    """Encodes the answer to a poll: the counts of tasks, and the cell if the job runs in another cell."""
     reply = {"id": job, "status": status, "done": done, "running": running}
     if cell is not None:
         reply["cell"] = cell
--- a/sloeswitch/wire/state_service.py
+++ b/sloeswitch/wire/state_service.py
@@ -1,4 +1,4 @@
-"""Rows, changes, transactions and leases of the state service."""
+"""Messages of the state service: rows, changes, transactions and leases."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StoredRow(Struct, rename={"key": "k", "value": "v", "mod_revision": "stamp"}):
-    """A stored value, and the store's revision at its last change."""
+    """A key with its value and its modification revision, the store's revision at its last change."""
 
     key: str
     value: Any
@@ -18,7 +18,7 @@
 
 
 class StoredRowPage(Struct, rename={"revision": "epoch", "more": "hasNext"}):
-    """A page of stored values, by key (GET /kv), read at a revision of the store."""
+    """A page of rows sorted by key (GET /kv), and the revision of the store at which it was read."""
 
     rows: list[StoredRow]
     revision: int
@@ -26,7 +26,7 @@
 
 
 class ChangeEvent(Struct, rename={"mod_revision": "stamp", "value": "v"}):
-    """A change of one key: a write of a value, or a drop."""
+    """A change of one key: `write` has the key of a written value, `drop` the key of a deletion."""
 
     mod_revision: int
     write: str | None = None
@@ -35,14 +35,14 @@
 
 
 class ChangeFeed(Struct, rename={"revision": "epoch"}):
-    """All changes since a revision of the store, up to another (GET /changes)."""
+    """The changes after the requested revision of the store, up to and including `revision` (GET /changes)."""
 
     revision: int
     events: list[ChangeEvent]
 
 
 class RevisionReply(Struct, rename={"revision": "epoch"}):
-    """The store's revision after a transaction."""
+    """The answer to a transaction: the revision of the store after it."""
 
     revision: int
 
@@ -54,10 +54,14 @@
 
 
 def commit_body(conditions: dict[str, int], writes: dict[str, Any], drops: list[str], lease: dict[str, int]) -> bytes:
-    """The body of a transaction (POST /multi).
-
-    It is carried out if each key in `conditions` has this modification revision, 0 if it is absent. `lease` has the
-    lease to which a written key is bound.
+    """Encodes the body of a transaction (POST /multi).
+
+    Args:
+        conditions: The modification revision that each of these keys must have, 0 for an absent key. Otherwise the
+            transaction is not executed.
+        writes: The values to write, by key.
+        drops: The keys to delete.
+        lease: The lease to which a written key is attached, by key.
     """
     then: list[dict[str, Any]] = []
     for key, value in writes.items():
--- a/sloeswitch/wire/workers.py
+++ b/sloeswitch/wire/workers.py
@@ -1,4 +1,4 @@
-"""Reports of workers, and commands to them."""
+"""Messages of workers: their reports and the commands to them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommandVerb(StrEnum):
-    """What a worker is told to do with an attempt of a task; CLEAR removes one that ended from its reports."""
+    """What a worker must do with an attempt of a task; CLEAR removes an ended attempt from the worker's reports."""
 
     START = "start"
     KILL = "kill"
@@ -20,7 +20,7 @@
 class ReportedTask(Struct, rename={"task": "visit", "attempt": "try", "state": "status"}):
     """One attempt of a task in a worker's report.
 
-    The cause says why it ended; `saved` is true if its progress was saved when it was stopped.
+    For an attempt that ended, `cause` is the reason, and `saved` is true if its progress was saved when it was stopped.
     """
 
     task: str
@@ -44,27 +44,27 @@
         "tasks": "visits",
     },
 ):
-    """A worker's report (POST /agent/beat), and its answer to a direct command or an inspection."""
+    """A worker's report: its heartbeat (POST /agent/beat), or its answer to a direct command or an inspection."""
 
     machine: str
     address: str
     type: str
     zone: str
     spot: bool
-    # The worker's epoch begins at 1 and rises when its lease ends; the sequence rises with each report. Of two reports
-    # the one with the larger pair is the newer.
+    # The worker's epoch starts at 1 and increases when its lease expires; the sequence increases with each report. The
+    # report with the larger pair (epoch, sequence) is the newer one.
     agent_epoch: int
     sequence: int
-    # The highest that the worker has seen; 0 at first.
+    # The highest fencing token that the worker has received; 0 before the first.
     fencing_token: int
-    # All attempts on the machine, those that ended included until they are cleared.
+    # All attempts on the machine, including those that ended and are not yet cleared.
     tasks: list[ReportedTask]
-    # Until the cloud takes the machine away; None: no notice.
+    # The time until the cloud reclaims the spot machine; None without a notice.
     preemption_notice_s: float | None = None
 
 
 class WorkerCommand(Struct, omit_defaults=True, rename={"task": "visit", "attempt": "try", "grace_s": "windDownS"}):
-    """A command to a worker. The grace of a kill is the time in which the task may save its progress."""
+    """A command to a worker. For a kill, `grace_s` is the time that the task has to save its progress."""
 
     verb: str
     task: str
@@ -75,9 +75,10 @@
 class WorkerCommands(
     Struct, omit_defaults=True, rename={"fencing_token": "baton", "commands": "orders", "agent_epoch": "shift"}
 ):
-    """The answer to a report, or a direct command (POST /commands), which names the worker's epoch.
+    """Commands to a worker: the answer to a report, or a direct command (POST /commands) with the worker's epoch.
 
-    The worker executes the commands in order, and drops all if the token is lower than the highest it has seen.
+    The worker executes the commands in order. It ignores all of them if the fencing token is lower than the highest one
+    that it has received.
     """
 
     fencing_token: int
@@ -86,5 +87,5 @@
 
 
 def redirect_reply(member: str | None) -> bytes:
-    """The body of a 421: the controller to which the worker should report, if it is known."""
+    """Encodes the body of a 421: the controller to which the worker should report, if it is known."""
     return encode({"foreman": member}) if member else b"{}"
