--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform hands to every controller: read, checked, and the ratios that follow from it.
+"""Reads and checks the settings file that the platform passes to every controller, and derives limits from it.
 
-The platform's page on deployment describes the file. Its fields keep their names there; `parse` maps them to the fields
-of `Settings`. Unknown fields are ignored, since later versions of the platform may add some.
+The platform's page on deployment describes the file. `parse` maps the names of its fields to those of `Settings`.
+Unknown fields are ignored, since later versions of the platform may add some.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 
 __all__ = ["Address", "Objective", "ObjectiveKind", "Settings", "SettingsError", "Sibling", "Team", "load", "parse"]
 
-# Of the largest value that the state service takes, what is used; the rest is for what it may count besides the value.
+# The fraction of the state service's limit on the size of a value that is used. The rest is a margin, since the service
+# may count more than the value itself.
 STORED_VALUE_SHARE = 0.9
-# A controller's lease is short beside the workers' leases, so that a crashed controller's machines are taken over
-# while their tasks still live.
+# A controller's lease as a fraction of a worker's lease. It is short, so that the machines of a crashed controller are
+# taken over before their workers' leases expire and their tasks are lost.
 CONTROLLER_LEASE_SHARE = 0.3
 MIN_CONTROLLER_LEASE_S = 0.1
-# Report intervals after which a machine that was not heard has missed a report, the spread of the interval allowed for.
+# A machine has missed a report if none arrived for this many report intervals; the value allows for jitter.
 MISSED_REPORT_INTERVALS = 2.2
-# A machine may be silent for so many of its report intervals, and for this share of a worker's lease.
+# A machine may be silent for this many report intervals or this fraction of a worker's lease, whichever is longer.
 MAX_SILENCE_REPORT_INTERVALS = 3.5
 MAX_SILENCE_LEASE_SHARE = 0.35
-# Added to the end of a worker's lease before its tasks count as gone.
+# The margin after the end of a worker's lease before its tasks count as ended.
 LEASE_END_MARGIN_S = 0.1
 
 
@@ -49,21 +50,21 @@
 
 
 class ObjectiveKind(StrEnum):
-    """What an objective expects of a job."""
+    """The event that an objective limits in time, and from which time limit."""
 
-    # Done by the job's own deadline, its time stretched by the objective's factor.
+    # The job is done by its own deadline; the time until the deadline is multiplied by the objective's factor.
     DEADLINE = "deadline"
-    # Begun, or done, within the objective's time.
+    # The job starts, or is done, within the objective's time.
     BEGUN = "wait"
     DONE = "finished"
 
 
 @dataclass(frozen=True)
 class Objective:
-    """What is expected of one class of jobs: a part of them, `share` (0 to 1), must meet it.
+    """A service level objective of one class of jobs: the fraction `share` (0 to 1) of the jobs has to meet it.
 
-    `kind` is an `ObjectiveKind` as text, since kinds that are not known are passed over; `times` is the factor of a
-    deadline.
+    `kind` is the text of an `ObjectiveKind`, and not the enum, since unknown kinds are ignored. `within_s` is the time
+    limit of the kinds other than a deadline, and `times` the factor of a deadline.
     """
 
     kind: str
@@ -75,9 +76,9 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """One controller's settings. Durations are in seconds, rates in requests or changes a second."""
+    """One controller's settings. Durations are in seconds, rates in requests or changes per second."""
 
-    # This controller: its name, its zone, and where users, workers and siblings reach it.
+    # This controller: its name, its zone, its address for users and workers, and its address for siblings.
     member: str
     zone: str
     http_address: Address
@@ -88,40 +89,40 @@
     cloud_address: Address
     state_address: Address
 
-    # The deployment: how many controllers it has, the machines' zones, the bound on the error of the time of day, the
-    # teams by name, and what is expected of the classes of jobs.
+    # The deployment: the number of controllers, the zones of the machines, the maximum error of the wall clock, the
+    # teams by name, and the objectives of the job classes.
     controller_count: int
     zones: tuple[str, ...]
     clock_error_s: float
     teams: dict[str, Team]
     objectives: tuple[Objective, ...]
 
-    # Workers: the interval of their reports, their lease, how long a gang's task waits for the others, after how long
-    # it notices that one is gone, and by when a cancelled job's tasks must be gone.
+    # Workers: the interval of their reports, their lease, how long a task of a gang waits for the other tasks, how long
+    # it takes to notice that one of them is gone, and the time limit for ending the tasks of a cancelled job.
     report_s: float
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
     cancel_s: float
 
-    # The state service's limits: requests and changes a second, the largest value in KiB, and changes a transaction.
-    # Of the limits now and those announced (`state.next`) the lesser: they fall without notice, and what is stored
-    # before must be writable after.
+    # The limits of the state service: requests per second, changes per second, the size of a value in KiB, and changes
+    # per transaction. Each is the lower one of the current limit and the announced limit (`state.next`), because the
+    # change takes effect without notice, and values stored before it must remain writable after it.
     state_rps: float
     state_write_rps: float
     value_kb: float
     txn_ops: int
 
-    # The cloud: requests a second, and how long its list of machines lags behind.
+    # The cloud: requests per second, and by how much its list of machines lags behind.
     cloud_rps: float
     list_lag_s: float
 
-    # The machine that this controller runs on: its share of a core, its memory in MB, and its sockets.
+    # The limits of this controller's process: CPU cores, memory in MB, and open file descriptors.
     controller_cores: float
     controller_memory_mb: float
     fd_limit: int
 
-    # Steady clocks drift apart by at most 0.05% (protocol); twice that covers a pair of them.
+    # A monotonic clock drifts by at most 0.05% (protocol); twice that bounds the drift between two clocks.
     clock_drift: float = 0.001
 
     @property
@@ -131,37 +132,37 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value to be stored."""
+        """The maximum size of a stored value, in bytes."""
         return int(self.value_kb * 1024 * STORED_VALUE_SHARE)
 
     @property
     def controller_lease_s(self) -> float:
-        """Lease of a controller in the state service."""
+        """The lease of a controller in the state service."""
         return max(MIN_CONTROLLER_LEASE_S, CONTROLLER_LEASE_SHARE * self.lease_s)
 
     @property
     def late_s(self) -> float:
-        """After this long without a report, one of the machine's reports was missed."""
+        """The time without a report after which a machine has missed at least one."""
         return MISSED_REPORT_INTERVALS * self.report_s
 
     @property
     def max_silence_s(self) -> float:
-        """For so long a machine may neither report nor be answered before it counts as not responding."""
+        """How long a machine may neither report nor be answered before it counts as unresponsive."""
         return max(MAX_SILENCE_REPORT_INTERVALS * self.report_s, MAX_SILENCE_LEASE_SHARE * self.lease_s)
 
     @property
     def worker_gone_s(self) -> float:
-        """After this long without an answer a worker has certainly dropped its tasks."""
+        """The time without an answer after which a worker's lease has certainly expired and its tasks have ended."""
         return self.lease_s * (1 + 2 * self.clock_drift) + LEASE_END_MARGIN_S
 
     @property
     def takeover_gone_s(self) -> float:
-        """The same for a worker whose former owner may have answered until its permission ended."""
+        """The same for a worker whose previous owner may have answered it until the owner's own lease expired."""
         return self.controller_lease_s * (1 + 2 * self.clock_drift) + self.worker_gone_s
 
 
 class _Tables:
-    """The tables of a settings file. Those that are missing are named in the order of this list."""
+    """The tables of a settings file, read in the order in which missing tables are reported."""
 
     def __init__(self, top: TableReader) -> None:
         self.top = top
@@ -213,13 +214,13 @@
 
 
 def _lesser_limit(tables: _Tables, key: str) -> float:
-    """A limit of the state service: what holds now or what is announced, whichever is less."""
+    """Returns the lower one of the current and the announced value of a limit of the state service."""
     limit = tables.state.number(key, least=0.1)
     return min(limit, tables.announced_state.number(key, least=0.1)) if key in tables.announced_state else limit
 
 
 def _lesser_transaction_size(tables: _Tables) -> int:
-    """The same for the number of changes in a transaction."""
+    """The same for the number of changes per transaction, which is an integer."""
     changes = tables.state.integer("txn_ops", least=2)
     if "txn_ops" not in tables.announced_state:
         return changes
@@ -227,10 +228,10 @@
 
 
 def parse(text: str) -> Settings:
-    """Settings from TOML text; raises SettingsError naming every fault."""
+    """Parses settings from TOML text; raises SettingsError with every fault."""
     tables = _Tables(read_toml(text))
     top, deployment, workers = tables.top, tables.deployment, tables.workers
-    # Read first, since faults are named in the order of reading.
+    # Read first, because faults are reported in the order in which the fields are read.
     siblings, teams, objectives = _siblings(top), _teams(deployment), _objectives(deployment)
     zones = deployment.texts("zones")
     settings = Settings(
@@ -267,5 +268,5 @@
 
 
 def load(path: str) -> Settings:
-    """Settings from a file; raises SettingsError."""
+    """Loads settings from a file; raises SettingsError with every fault."""
     return parse(read_file(path))
--- a/sloeswitch/toml_reader.py
+++ b/sloeswitch/toml_reader.py
@@ -1,4 +1,4 @@
-"""Checked reading of the TOML files that a controller is given: the settings and the features."""
+"""Reads and checks the TOML files of a controller: the settings and the features."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SettingsError(Exception):
-    """A file of settings or features is refused; `faults` has one line for each fault found in it."""
+    """A file of settings or features is invalid; `faults` has one line for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -19,40 +19,40 @@
 
 @dataclass(frozen=True)
 class Address:
-    """Where a peer listens (IPv4)."""
+    """An IPv4 address and a port."""
 
     host: str
     port: int
 
 
 class TableReader:
-    """Takes checked fields out of one TOML table and adds a line to `faults` for each that is wrong.
+    """Reads checked fields from one TOML table, and adds a line to `faults` for each invalid or missing field.
 
-    A field that is wrong is replaced by a value of the right type, so that reading goes on and all faults of a file are
-    named at once. The readers of a file's tables share one list of faults.
+    An invalid field is replaced by a value of the right type, so that reading continues and all faults of a file are
+    reported at once. The readers of all tables of a file share one list of faults.
     """
 
     def __init__(self, values: Mapping[str, Any], faults: list[str], path: str = "") -> None:
         self.values = values
         self.faults = faults
-        # What stands before a field's name in faults: empty, or the table's name with a dot.
+        # The prefix of a field's name in faults: empty for the top table, or the table's path with a dot at its end.
         self.path = path
 
     def __contains__(self, key: str) -> bool:
         return key in self.values
 
     def add_fault(self, key: str, fault: str) -> None:
-        """Says what is wrong with a field of this table."""
+        """Adds a fault of a field of this table."""
         self.faults.append(f"{self.path}{key}: {fault}")
 
     def refuse_unknown(self, known: set[str]) -> None:
-        """Adds a fault for each field that is not known."""
+        """Adds a fault for each field of this table that is not in `known`."""
         for key in self.values:
             if key not in known:
                 self.add_fault(key, "unknown field")
 
     def text(self, key: str) -> str:
-        """A text that is not empty."""
+        """Returns a string that must not be empty."""
         value = self.values.get(key)
         if isinstance(value, str) and value:
             return value
@@ -60,7 +60,7 @@
         return ""
 
     def number(self, key: str, *, least: float = 0.0) -> float:
-        """A finite number of at least `least`."""
+        """Returns a finite number that must be at least `least`."""
         value = self.values.get(key)
         if isinstance(value, (int, float)) and not isinstance(value, bool) and least <= value < math.inf:
             return float(value)
@@ -68,7 +68,7 @@
         return max(least, 1.0)
 
     def integer(self, key: str, *, least: int = 1) -> int:
-        """A whole number of at least `least`."""
+        """Returns an integer that must be at least `least`."""
         value = self.values.get(key)
         if isinstance(value, int) and not isinstance(value, bool) and value >= least:
             return value
@@ -76,14 +76,14 @@
         return least
 
     def switch(self, key: str) -> bool:
-        """True or false; true if left out."""
+        """Returns a boolean; true if the field is missing."""
         value = self.values.get(key, True)
         if not isinstance(value, bool):
             self.add_fault(key, f"must be true or false, is {value!r}")
         return value is True
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts; empty if left out."""
+        """Returns a list of strings; empty if the field is missing."""
         value = self.values.get(key, [])
         if isinstance(value, list) and all(isinstance(item, str) for item in value):
             return tuple(value)
@@ -91,11 +91,11 @@
         return ()
 
     def address(self, key: str) -> Address:
-        """An address as HOST:PORT."""
+        """Returns an address, written as HOST:PORT."""
         return self._address(key, self.values.get(key))
 
     def addresses(self, key: str) -> tuple[Address, ...]:
-        """A list of addresses that is not empty."""
+        """Returns a list of addresses that must not be empty."""
         value = self.values.get(key)
         if not isinstance(value, list) or not value:
             self.add_fault(key, "must be a list of HOST:PORT")
@@ -111,7 +111,7 @@
         return Address("", 0)
 
     def table(self, key: str) -> TableReader:
-        """A table within this one. Within a table that is missing itself, it is not named as missing again."""
+        """Returns a reader of a nested table; a missing one is reported unless the outer table is missing, too."""
         value = self.values.get(key)
         path = f"{self.path}{key}."
         if isinstance(value, dict):
@@ -121,11 +121,11 @@
         return TableReader({}, self.faults, path)
 
     def optional_table(self, key: str) -> TableReader:
-        """The same for a table that may be left out."""
+        """Returns a reader of a nested table that may be missing."""
         return self.table(key) if key in self.values else TableReader({}, self.faults, f"{self.path}{key}.")
 
     def tables(self, key: str) -> list[TableReader]:
-        """A list of tables; empty if left out."""
+        """Returns readers of a list of tables; empty if the field is missing."""
         value = self.values.get(key, [])
         if isinstance(value, list) and all(isinstance(item, dict) for item in value):
             return [TableReader(item, self.faults, f"{self.path}{key}[{index}].") for index, item in enumerate(value)]
@@ -134,7 +134,7 @@
 
 
 def read_toml(text: str) -> TableReader:
-    """The top table of a TOML text; raises SettingsError if it is not TOML."""
+    """Returns a reader of the top table of a TOML text; raises SettingsError if the text is not TOML."""
     try:
         return TableReader(tomllib.loads(text), [])
     except tomllib.TOMLDecodeError as error:
@@ -142,7 +142,7 @@
 
 
 def read_file(path: str) -> str:
-    """The text of a file; raises SettingsError if it cannot be read."""
+    """Returns the text of a file; raises SettingsError if the file cannot be read as UTF-8."""
     try:
         with open(path, "rb") as file:
             return file.read().decode()
