--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -99,7 +99,7 @@
         return all(
             peer.cancellations_complete
             and peer.view_number <= self.view.number
-            and self.now() < peer.asked_at + self.lease_span_s
+            and self.now() < peer.requested_at + self.lease_span_s
             for peer in peers
         )
 
@@ -115,7 +115,8 @@
         now = self.now()
         peers = self.mesh.peers.values() if self.mesh is not None else ()
         return not any(
-            peer.view_number > self.view.number or (peer.state_reachable and now < peer.asked_at + self.lease_span_s)
+            peer.view_number > self.view.number
+            or (peer.state_reachable and now < peer.requested_at + self.lease_span_s)
             for peer in peers
         )
 
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -150,7 +150,7 @@
         if mesh is None or not mesh.peers:
             return True
         now_s, lease_s = self.client.now(), self.settings.controller_lease_s
-        connected = [peer for peer in mesh.peers.values() if now_s - peer.asked_at < lease_s]
+        connected = [peer for peer in mesh.peers.values() if now_s - peer.requested_at < lease_s]
         return bool(connected) and not any(peer.state_reachable for peer in connected)
 
     async def _health(self, _request: Request, _job: str) -> Answer:
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -38,8 +38,8 @@
 log = logging.getLogger("mesh")
 
 # The time limit for an answer, and for a connection without requests; both in intervals between polls.
-ANSWER_TIMEOUT_PAUSES = 2
-SILENCE_TIMEOUT_PAUSES = 20
+ANSWER_TIMEOUT_POLL_INTERVALS = 2
+IDLE_TIMEOUT_POLL_INTERVALS = 20
 
 # Returns the answer's body to a frame of an optional feature, given the frame's type and body. If it returns None or
 # raises FrameError, the connection is closed.
@@ -85,31 +85,31 @@
     """The last status received from a sibling.
 
     Attributes:
-        asked_at: When the request for this status was sent, in seconds of the monotonic clock.
+        requested_at: When the request for this status was sent, in seconds of the monotonic clock.
         view_number: The highest view number that the sibling knew.
         state_reachable: Whether the sibling reached the state service.
         cancellations_complete: Whether this controller knows all cancellations that the sibling may have confirmed to
             users.
         log_id: The identifier of the sibling's cancellation log; 0 if none was read yet.
         log_position: The position up to which this controller has read that log.
-        is_earlier_version: Whether the sibling is polled with frames of earlier versions, because it closed a
+        uses_earlier_frames: Whether the sibling is polled with frames of earlier versions, because it closed a
             connection after a status request, or because not every controller has run a version with status frames yet.
     """
 
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
     view_number: int = 0
     state_reachable: bool = False
     cancellations_complete: bool = False
     log_id: int = 0
     log_position: int = 0
-    is_earlier_version: bool = False
+    uses_earlier_frames: bool = False
 
 
 class Mesh:
     """Owns the connections to the siblings and the last status of each.
 
     Attributes:
-        pause_s: The time between two polls of a sibling.
+        poll_interval_s: The time between two polls of a sibling.
         now: The monotonic clock, in seconds.
         callbacks: The functions of the controller that the mesh calls.
         cancellations: The log of cancellations that siblings read.
@@ -120,12 +120,12 @@
     def __init__(
         self,
         siblings: tuple[Sibling, ...],
-        pause_s: float,
+        poll_interval_s: float,
         now: Callable[[], float],
         callbacks: MeshCallbacks,
         cancellations: CancellationLog,
     ) -> None:
-        self.pause_s = pause_s
+        self.poll_interval_s = poll_interval_s
         self.now = now
         self.callbacks = callbacks
         self.cancellations = cancellations
@@ -139,7 +139,7 @@
         reader = FrameReader(stream)
         try:
             while True:
-                with anyio.fail_after(SILENCE_TIMEOUT_PAUSES * self.pause_s):
+                with anyio.fail_after(IDLE_TIMEOUT_POLL_INTERVALS * self.poll_interval_s):
                     await stream.send(await self._answer_next(reader))
         except FrameError as error:
             log.error("connection closed on a frame: error=%s", error)
@@ -181,30 +181,30 @@
         """Polls one sibling, and reconnects whenever the connection ends."""
         while True:
             await self._poll_connection(sibling, self.peers[sibling.member])
-            await anyio.sleep(self.pause_s)
+            await anyio.sleep(self.poll_interval_s)
 
     async def _poll_connection(self, sibling: Sibling, peer: Peer) -> None:
         """Polls over one connection until it ends, or until status requests can be tried again."""
         stream: SocketStream | None = None
         answered = False
         try:
-            with anyio.fail_after(ANSWER_TIMEOUT_PAUSES * self.pause_s):
+            with anyio.fail_after(ANSWER_TIMEOUT_POLL_INTERVALS * self.poll_interval_s):
                 stream = await anyio.connect_tcp(sibling.address.host, sibling.address.port)
             reader = FrameReader(stream)
-            peer.is_earlier_version = peer.is_earlier_version or not self._layout_complete
-            while not (peer.is_earlier_version and answered and self._layout_complete):
-                request = self._request_view if peer.is_earlier_version else self._request_status
-                with anyio.fail_after(ANSWER_TIMEOUT_PAUSES * self.pause_s):
+            peer.uses_earlier_frames = peer.uses_earlier_frames or not self._layout_complete
+            while not (peer.uses_earlier_frames and answered and self._layout_complete):
+                request = self._request_view if peer.uses_earlier_frames else self._request_status
+                with anyio.fail_after(ANSWER_TIMEOUT_POLL_INTERVALS * self.poll_interval_s):
                     has_more = await request(peer, stream, reader)
                 answered = True
                 if not has_more:
-                    await anyio.sleep(self.pause_s)
-            peer.is_earlier_version = False
+                    await anyio.sleep(self.poll_interval_s)
+            peer.uses_earlier_frames = False
         except FrameError as error:
             log.error("connection closed on a frame: sibling=%s error=%s", sibling.member, error)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
             # An earlier version closes the connection when it receives a frame type that it does not know.
-            peer.is_earlier_version = not peer.is_earlier_version and not answered
+            peer.uses_earlier_frames = not peer.uses_earlier_frames and not answered
         except CONNECTION_ERRORS:
             pass  # poll_forever() reconnects
         finally:
@@ -217,30 +217,30 @@
 
     async def _request_status(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         """Polls with a status request; returns whether the next request should follow at once."""
-        asked_at = self.now()
+        requested_at = self.now()
         status = self.callbacks.status()
         request = StatusRequest(status.view_number, status.read_revision, peer.log_id, peer.log_position)
         await stream.send(request.pack())
         answer = StatusFrame.unpack(await reader.read_body(await reader.read_header(), FrameType.STATUS))
-        self.apply_status(peer, asked_at, answer)
+        self.apply_status(peer, requested_at, answer)
         return answer.delta.more and bool(answer.delta.cancellations)
 
-    def apply_status(self, peer: Peer, asked_at: float, answer: StatusFrame) -> None:
+    def apply_status(self, peer: Peer, requested_at: float, answer: StatusFrame) -> None:
         """Applies the cancellations that a sibling sent, and then records its status."""
         if answer.delta.cancellations:
             self.callbacks.apply_cancellations(answer.delta.cancellations)
         peer.log_id, peer.log_position = answer.log_id, answer.delta.position
-        peer.asked_at = asked_at
+        peer.requested_at = requested_at
         peer.view_number, peer.state_reachable = answer.view_number, answer.state_reachable
         peer.cancellations_complete = answer.fully_read and not answer.delta.more
 
     async def _request_view(self, peer: Peer, stream: SocketStream, reader: FrameReader) -> bool:
         """Polls with a view request of earlier versions, whose answer confirms nothing; returns False."""
-        asked_at = self.now()
+        requested_at = self.now()
         await stream.send(pack_view_request(self.callbacks.status().view_number))
         body = await reader.read_body(await reader.read_header(), FrameType.VIEW, VIEW.size)
         view_number, state_reachable = VIEW.unpack(body)
-        peer.asked_at = asked_at
+        peer.requested_at = requested_at
         peer.view_number, peer.state_reachable = view_number, bool(state_reachable)
         peer.cancellations_complete = False
         return False
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -65,7 +65,7 @@
     refused = HeartbeatRequest(report=report(3, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
-    mesh.peers["c1"].asked_at, mesh.peers["c1"].view_number, mesh.peers["c1"].cancellations_complete = (
+    mesh.peers["c1"].requested_at, mesh.peers["c1"].view_number, mesh.peers["c1"].cancellations_complete = (
         world.clock.time,
         3,
         True,
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -115,7 +115,7 @@
         self.set_sibling_status(view=0, state_ok=False)
 
     def set_sibling_status(self, view: int, state_ok: bool) -> None:
-        self.peer.asked_at, self.peer.view_number, self.peer.state_reachable = self.world.clock.time, view, state_ok
+        self.peer.requested_at, self.peer.view_number, self.peer.state_reachable = self.world.clock.time, view, state_ok
 
     def start_soon(self, call: Any, *args: Any) -> None:
         assert call.__name__ == "_inspect"
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -35,7 +35,7 @@
 
 def cut_off(world: World) -> Users:
     mesh = meshed(world)
-    mesh.peers["c1"].asked_at = world.clock.time
+    mesh.peers["c1"].requested_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
     return Users(world.context, world.jobs, world.machines)
@@ -58,7 +58,7 @@
     users = cut_off(world)
     mesh = world.leadership.mesh
     assert mesh is not None
-    mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
+    mesh.peers["c1"].requested_at, mesh.peers["c1"].state_reachable = world.clock.time, False
     assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 200
     mesh.peers["c1"].state_reachable = True
     assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 503
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -83,7 +83,7 @@
         return Earlier()
 
     own = meshed(world)
-    own.pause_s = 0.01
+    own.poll_interval_s = 0.01
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
         anyio.run(own.poll_forever, world.settings.siblings[0])
