--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -16,7 +16,7 @@
 from sloeswitch.actors.task_placement import TaskPlacement
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.reconciliation import ReceivedReport, ReconcileResult, is_outdated, reconcile
-from sloeswitch.http import Answer, refuse
+from sloeswitch.http import Answer, retry_later
 
 log = logging.getLogger("machines")
 
@@ -66,7 +66,7 @@
         elif is_outdated(machine, report):
             # Neither a sign of life nor worth an answer that could renew the machine's lease: the registry
             # goes by newer reports. Were it the machine's last report after all, its next one is newer.
-            return refuse(1)
+            return retry_later(1)
         was_reconciled = machine.reconciled
         try:
             result = reconcile(self.registry, machine, ReceivedReport(report, True, now, view_number), self.tables)
@@ -93,13 +93,13 @@
         """The answer to a machine that this controller may not serve now; None, with the view applied, for others."""
         leadership = self.leadership
         if not leadership.may_answer_workers:
-            return refuse(1)
+            return retry_later(1)
         owner = leadership.owner_of(report.machine)
         if owner != self.settings.member:
             return Answer(421, wire.redirect_reply(owner))
         self.ownership.follow_view()
         if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
-            return refuse(1)
+            return retry_later(1)
         return None
 
     def apply_command_reply(self, report: wire.WorkerReport) -> None:
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -20,7 +20,7 @@
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.machines import Machines
 from sloeswitch.core.quota import unschedulable_reason
-from sloeswitch.http import Answer, Request, refuse
+from sloeswitch.http import Answer, Request, retry_later
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.wire import JobStatus
 
@@ -75,7 +75,7 @@
 
 def unavailable() -> Answer:
     """The request cannot be carried out now, by this controller."""
-    return refuse(RETRY_AFTER_S)
+    return retry_later(RETRY_AFTER_S)
 
 
 def job_answer(name: str, status: JobStatus, is_new: bool = False) -> Answer:
--- a/sloeswitch/cli.py
+++ b/sloeswitch/cli.py
@@ -13,25 +13,25 @@
 # Values of the environment variable LOG_LEVEL; any other value means `info`.
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 # The exit status for an invalid file; argparse exits with the same status on a wrong argument.
-EXIT_REFUSED = 2
+EXIT_INVALID_FILE = 2
 
 
 def main(argv: list[str] | None = None) -> int:
     """Runs the command that the arguments select, and returns the exit status."""
     arguments = sys.argv[1:] if argv is None else argv
     if arguments[:1] == ["admission"]:
-        return _answer_about_admission(arguments[1:])
+        return _run_admission(arguments[1:])
     return _run_controller(arguments)
 
 
-def _answer_about_admission(arguments: list[str]) -> int:
+def _run_admission(arguments: list[str]) -> int:
     """Runs `sloeswitch admission ...`, and returns the exit status."""
     parser = argparse.ArgumentParser(prog="sloeswitch admission", description="Questions about admission.")
     commands = parser.add_subparsers(dest="command", required=True)
-    comparing = commands.add_parser(
+    compare_parser = commands.add_parser(
         "compare", help="name the first difference between the decisions that controllers logged"
     )
-    comparing.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
+    compare_parser.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
     options = parser.parse_args(arguments)
     # Imported here, so that starting a controller does not load it.
     from sloeswitch.admission import compare
@@ -58,13 +58,13 @@
     try:
         settings = load(path)
     except SettingsError as error:
-        return _refuse(path, error)
+        return _print_faults(path, error)
     enabled = features.Features()
     if options.features is not None:
         try:
             enabled = features.load(options.features, settings)
         except SettingsError as error:
-            return _refuse(options.features, error)
+            return _print_faults(options.features, error)
     if options.check:
         return 0
     logging.basicConfig(
@@ -79,8 +79,8 @@
     return 0
 
 
-def _refuse(path: str, error: SettingsError) -> int:
+def _print_faults(path: str, error: SettingsError) -> int:
     """Prints each fault of a file on its own line, and returns the exit status."""
     for fault in error.faults:
         print(f"{path}: {fault}", file=sys.stderr)
-    return EXIT_REFUSED
+    return EXIT_INVALID_FILE
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -100,8 +100,8 @@
     machines.termination.autoscaler, scale_in.machines = scale_in, machines
     server = Server(
         Users(context, jobs, machines, metrics_renderer(context, machines)).handle,
-        idle_s=IDLE_CONNECTION_WORKER_LEASES * settings.lease_s,
-        request_s=settings.lease_s / 2,
+        idle_timeout_s=IDLE_CONNECTION_WORKER_LEASES * settings.lease_s,
+        request_timeout_s=settings.lease_s / 2,
         max_connections=int(SERVER_SOCKETS_SHARE * settings.fd_limit),
         now=CLOCK.now,
     )
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -25,7 +25,7 @@
 
 log = logging.getLogger("http")
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     201: b"Created",
     400: b"Bad Request",
@@ -69,7 +69,7 @@
     content_type: str = JSON_CONTENT_TYPE
 
 
-def refuse(retry_s: float) -> Answer:
+def retry_later(retry_s: float) -> Answer:
     """Returns a 503 that asks the client to retry after `retry_s` seconds, rounded, but at least 1."""
     return Answer(503, b'{"error":"not now"}', [("Retry-After", str(max(1, round(retry_s))))])
 
@@ -102,14 +102,14 @@
 
 # The end of a request head, by the same rule as in h11.
 HEAD_END = re.compile(rb"\n\r?\n")
-MAX_REMEMBERED_HEAD_BYTES = 1024
-REMEMBERED_HEADS_PER_CONNECTION = 4
-REMEMBERED_ANSWER_HEADS = 1024
+MAX_CACHED_HEAD_BYTES = 1024
+CACHED_HEADS_PER_CONNECTION = 4
+MAX_CACHED_ANSWER_HEADS = 1024
 # Headers that affect the connection or how the body is sent. A request head that has one of them is not cached.
 CONNECTION_HEADERS = {b"connection", b"expect", b"transfer-encoding", b"upgrade"}
 
 
-class Head(NamedTuple):
+class RequestHead(NamedTuple):
     """The fields of a parsed request head that the server needs."""
 
     method: str
@@ -117,7 +117,7 @@
     body_bytes: int
 
 
-def plain_head(request: h11.Request) -> Head | None:
+def cacheable_head(request: h11.Request) -> RequestHead | None:
     """Returns the fields of a request head that may be cached, or None.
 
     A head may be cached if it is a GET or POST of HTTP/1.1 without headers that affect the connection, and has a
@@ -129,7 +129,11 @@
     if not CONNECTION_HEADERS.isdisjoint(headers):
         return None
     body_bytes = int(headers.get(b"content-length", b"0"))
-    return Head(request.method.decode(), request.target.decode(), body_bytes) if body_bytes <= MAX_BODY_BYTES else None
+    return (
+        RequestHead(request.method.decode(), request.target.decode(), body_bytes)
+        if body_bytes <= MAX_BODY_BYTES
+        else None
+    )
 
 
 def encode_head(parser: h11.Connection, answer: Answer) -> bytes:
@@ -137,20 +141,20 @@
     headers = [("Content-Type", answer.content_type), ("Content-Length", str(len(answer.body))), *answer.headers]
     if answer.close:
         headers.append(("Connection", "close"))
-    reason = REASONS.get(answer.status, b"")
+    reason = REASON_PHRASES.get(answer.status, b"")
     return parser.send(h11.Response(status_code=answer.status, headers=headers, reason=reason)) or b""
 
 
-def encode_answer(parser: h11.Connection, answer: Answer, bodiless: bool = False) -> bytes:
-    """Encodes a whole answer; with `bodiless`, the head still has the length of the body, but no body follows."""
+def encode_answer(parser: h11.Connection, answer: Answer, without_body: bool = False) -> bytes:
+    """Encodes a whole answer; with `without_body`, the head still has the length of the body, but no body follows."""
     data = encode_head(parser, answer)
-    if not bodiless:
+    if not without_body:
         data += parser.send(h11.Data(data=answer.body)) or b""
     return data + (parser.send(h11.EndOfMessage()) or b"")
 
 
-@functools.lru_cache(maxsize=REMEMBERED_ANSWER_HEADS)
-def _encode_plain_head(status: int, body_bytes: int, headers: tuple[tuple[str, str], ...], content_type: str) -> bytes:
+@functools.lru_cache(maxsize=MAX_CACHED_ANSWER_HEADS)
+def _cached_answer_head(status: int, body_bytes: int, headers: tuple[tuple[str, str], ...], content_type: str) -> bytes:
     # h11 writes a response only after it has received a request.
     parser = h11.Connection(h11.SERVER)
     parser.receive_data(b"GET / HTTP/1.1\r\nHost: any\r\n\r\n")
@@ -159,9 +163,9 @@
     return encode_head(parser, Answer(status, bytes(body_bytes), list(headers), content_type=content_type))
 
 
-def encode_plain_answer(answer: Answer) -> bytes:
+def encode_with_cached_head(answer: Answer) -> bytes:
     """Encodes the answer to a request whose head was cached, with the cached response head."""
-    head = _encode_plain_head(answer.status, len(answer.body), tuple(answer.headers), answer.content_type)
+    head = _cached_answer_head(answer.status, len(answer.body), tuple(answer.headers), answer.content_type)
     return head + answer.body
 
 
@@ -194,37 +198,42 @@
 
     Attributes:
         handler: Returns the answer to a request.
-        idle_s: How long a connection may wait for the next request.
-        request_s: The time limit for receiving a request after its first bytes, and for sending an answer.
+        idle_timeout_s: How long a connection may wait for the next request.
+        request_timeout_s: The time limit for receiving a request after its first bytes, and for sending an answer.
         max_connections: The maximum number of open connections.
         now: The monotonic clock, in seconds.
-        open: All open connections.
-        idle: The connections that wait for a request, the longest idle first.
-        heads: The cached request heads, by their bytes; the oldest entry is evicted first.
+        open_connections: All open connections.
+        idle_connections: The connections that wait for a request, the longest idle first.
+        cached_heads: The cached request heads, by their bytes; the oldest entry is evicted first.
     """
 
     def __init__(
-        self, handler: Handler, idle_s: float, request_s: float, max_connections: int, now: Callable[[], float]
+        self,
+        handler: Handler,
+        idle_timeout_s: float,
+        request_timeout_s: float,
+        max_connections: int,
+        now: Callable[[], float],
     ) -> None:
         self.handler = handler
-        self.idle_s = idle_s
-        self.request_s = request_s
+        self.idle_timeout_s = idle_timeout_s
+        self.request_timeout_s = request_timeout_s
         self.max_connections = max_connections
         self.now = now
-        self.open: dict[Connection, None] = {}
-        self.idle: dict[Connection, None] = {}
-        self.heads: dict[bytes, Head] = {}
+        self.open_connections: dict[Connection, None] = {}
+        self.idle_connections: dict[Connection, None] = {}
+        self.cached_heads: dict[bytes, RequestHead] = {}
 
     async def serve(self, stream: SocketStream) -> None:
         """Serves one accepted connection until it ends, and closes it."""
-        if len(self.open) >= self.max_connections:
-            longest_idle = next(iter(self.idle), None)
+        if len(self.open_connections) >= self.max_connections:
+            longest_idle = next(iter(self.idle_connections), None)
             if longest_idle is None:
                 await anyio.aclose_forcefully(stream)
                 return
             await self._close(longest_idle)
-        connection = Connection(stream, self.now() + self.idle_s)
-        self.open[connection] = None
+        connection = Connection(stream, self.now() + self.idle_timeout_s)
+        self.open_connections[connection] = None
         try:
             await self._serve_requests(connection)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError):
@@ -238,28 +247,28 @@
     async def sweep_forever(self) -> None:
         """Periodically closes the connections that exceeded their time limit."""
         while True:
-            await anyio.sleep(self.request_s / 4)
+            await anyio.sleep(self.request_timeout_s / 4)
             now = self.now()
-            for connection in [connection for connection in self.open if connection.closes_at < now]:
+            for connection in [connection for connection in self.open_connections if connection.closes_at < now]:
                 await self._close(connection)
 
     async def _close(self, connection: Connection) -> None:
-        self.open.pop(connection, None)
-        self.idle.pop(connection, None)
+        self.open_connections.pop(connection, None)
+        self.idle_connections.pop(connection, None)
         await anyio.aclose_forcefully(connection.stream)
 
     async def _serve_requests(self, connection: Connection) -> None:
         while True:
             if not connection.pending:
                 await self._wait_request(connection)
-            connection.closes_at = self.now() + self.request_s
-            request = await self._read_remembered(connection)
+            connection.closes_at = self.now() + self.request_timeout_s
+            request = await self._read_with_cached_head(connection)
             if request is not None:
                 # Inlined, since most heartbeats take this path. The handler has no time limit.
                 connection.closes_at = math.inf
                 answer = await self.handler(request)
-                connection.closes_at = self.now() + self.request_s
-                await connection.stream.send(encode_plain_answer(answer))
+                connection.closes_at = self.now() + self.request_timeout_s
+                await connection.stream.send(encode_with_cached_head(answer))
             elif not await self._serve_parsed(connection):
                 return
 
@@ -279,9 +288,9 @@
         else:
             connection.closes_at = math.inf
             answer = await self.handler(request)
-        connection.closes_at = self.now() + self.request_s
+        connection.closes_at = self.now() + self.request_timeout_s
         # h11 raises an error for a body in an answer to HEAD, which would end the whole controller if uncaught.
-        await connection.stream.send(encode_answer(parser, answer, bodiless=request.method == "HEAD"))
+        await connection.stream.send(encode_answer(parser, answer, without_body=request.method == "HEAD"))
         if answer.close or parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             return False
         connection.pending = parser.trailing_data[0]
@@ -289,18 +298,18 @@
 
     async def _wait_request(self, connection: Connection) -> None:
         """Waits for the first bytes of a request; raises EndOfStream when the client closes the connection."""
-        self.idle[connection] = None
-        connection.closes_at = self.now() + self.idle_s
+        self.idle_connections[connection] = None
+        connection.closes_at = self.now() + self.idle_timeout_s
         try:
             connection.pending = await connection.stream.receive()
         finally:
-            self.idle.pop(connection, None)
+            self.idle_connections.pop(connection, None)
 
-    async def _read_remembered(self, connection: Connection) -> Request | None:
+    async def _read_with_cached_head(self, connection: Connection) -> Request | None:
         """Returns the request if its head is cached; otherwise returns None and reads nothing."""
         data = connection.pending
-        end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
-        head = self.heads.get(data[: end.end()]) if end is not None else None
+        end = HEAD_END.search(data, 0, MAX_CACHED_HEAD_BYTES)
+        head = self.cached_heads.get(data[: end.end()]) if end is not None else None
         if head is None or end is None:
             return None
         start, stop = end.end(), end.end() + head.body_bytes
@@ -309,15 +318,15 @@
         connection.pending = data[stop:]
         return Request(head.method, head.path, data[start:stop], connection.connection_state)
 
-    def _remember(self, data: bytes, request: h11.Request, body: bytes) -> None:
+    def _cache_head(self, data: bytes, request: h11.Request, body: bytes) -> None:
         """Caches the head of a request, if it may be cached and the body follows it unencoded."""
-        end = HEAD_END.search(data, 0, MAX_REMEMBERED_HEAD_BYTES)
-        head = plain_head(request)
+        end = HEAD_END.search(data, 0, MAX_CACHED_HEAD_BYTES)
+        head = cacheable_head(request)
         if end is None or head is None or len(body) != head.body_bytes or not data[end.end() :].startswith(body):
             return
-        if len(self.heads) >= REMEMBERED_HEADS_PER_CONNECTION * self.max_connections:
-            del self.heads[next(iter(self.heads))]
-        self.heads[data[: end.end()]] = head
+        if len(self.cached_heads) >= CACHED_HEADS_PER_CONNECTION * self.max_connections:
+            del self.cached_heads[next(iter(self.cached_heads))]
+        self.cached_heads[data[: end.end()]] = head
 
     async def _read_parsed(self, connection: Connection, parser: h11.Connection) -> Request | None:
         """Reads a request with h11; returns None if the client closes the connection before it sends one.
@@ -346,7 +355,7 @@
                 return None
         if head is None:
             return None
-        self._remember(data, head, body)
+        self._cache_head(data, head, body)
         return Request(head.method.decode(), head.target.decode(), bytes(body), connection.connection_state)
 
     @staticmethod
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -79,7 +79,9 @@
         world = self.world
         world.machines.ask = self.ask  # type: ignore[method-assign, assignment]
         users = Users(world.context, world.jobs, world.machines)
-        self.server = Server(users.handle, idle_s=60, request_s=60, max_connections=4, now=world.clock.now)
+        self.server = Server(
+            users.handle, idle_timeout_s=60, request_timeout_s=60, max_connections=4, now=world.clock.now
+        )
 
     async def ask(self, message: HeartbeatRequest) -> Any:
         """The machines' actor, in this turn; each report shows that the answer before it was received."""
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -16,7 +16,7 @@
 
 from sloeswitch import wire
 from sloeswitch.core import machine
-from sloeswitch.http import REASONS, refuse
+from sloeswitch.http import REASON_PHRASES, retry_later
 
 FROZEN: dict[str, dict[str, Any]] = json.loads((Path(__file__).parent / "frozen" / "wire.json").read_text())
 
@@ -85,7 +85,7 @@
     "delete": lambda: wire.delete_body(["vm-000231", "vm-000232"]),
     "commit": lambda: wire.commit_body({"a/b": 0, "e": 5}, {"a/b": {"z": 1}, "f": [2]}, ["c/d"], {"a/b": 7}),
     "commit of nothing": lambda: wire.commit_body({}, {}, [], {}),
-    "refusal": lambda: refuse(2.0).body,
+    "refusal": lambda: retry_later(2.0).body,
 }
 
 WORDS: dict[str, Callable[[], Any]] = {
@@ -106,8 +106,8 @@
     "job id": lambda: wire.JOB_ID_PATTERN.pattern,
     "task name": lambda: wire.task_name("wk-000412", 3),
     "limits": lambda: [wire.MAX_TASKS, wire.MAX_BODY_BYTES],
-    "statuses": lambda: {str(status): reason.decode() for status, reason in REASONS.items()},
-    "retry header": lambda: [list(header) for header in refuse(2.0).headers],
+    "statuses": lambda: {str(status): reason.decode() for status, reason in REASON_PHRASES.items()},
+    "retry header": lambda: [list(header) for header in retry_later(2.0).headers],
 }
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from sloeswitch.http import Answer, Connection, Head, Request, Server
+from sloeswitch.http import Answer, Connection, Request, RequestHead, Server
 
 
 class Pipe:
@@ -36,9 +36,9 @@
 
 def talk(*chunks: bytes) -> bytes:
     pipe: Any = Pipe(*chunks)
-    server = Server(echo, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
+    server = Server(echo, idle_timeout_s=60, request_timeout_s=60, max_connections=4, now=lambda: 0.0)
     anyio.run(server.serve, pipe)
-    assert pipe.closed and not server.open and not server.idle
+    assert pipe.closed and not server.open_connections and not server.idle_connections
     sent: bytes = pipe.sent
     return sent
 
@@ -70,10 +70,10 @@
 
 
 def test_a_new_connection_takes_the_place_of_the_longest_idle_one() -> None:
-    server = Server(echo, idle_s=60, request_s=60, max_connections=1, now=lambda: 0.0)
+    server = Server(echo, idle_timeout_s=60, request_timeout_s=60, max_connections=1, now=lambda: 0.0)
     old: Any = Pipe()
     connection = Connection(old, closes_at=60.0)
-    server.open, server.idle = {connection: None}, {connection: None}
+    server.open_connections, server.idle_connections = {connection: None}, {connection: None}
     new: Any = Pipe(b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
     anyio.run(server.serve, new)
     assert old.closed and new.sent.startswith(b"HTTP/1.1 200")
@@ -102,19 +102,19 @@
     ],
 )
 def test_a_head_that_bears_on_the_connection_is_never_remembered(head: bytes) -> None:
-    server = Server(echo, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
+    server = Server(echo, idle_timeout_s=60, request_timeout_s=60, max_connections=4, now=lambda: 0.0)
     for _ in range(2):
         pipe: Any = Pipe(head + b"hi", *[b"x" * 20_000] * 4)
         anyio.run(server.serve, pipe)
-        assert not server.heads
+        assert not server.cached_heads
 
 
 def test_remembered_heads_are_bounded() -> None:
-    server = Server(echo, idle_s=60, request_s=60, max_connections=1, now=lambda: 0.0)
+    server = Server(echo, idle_timeout_s=60, request_timeout_s=60, max_connections=1, now=lambda: 0.0)
     for number in range(9):
         pipe: Any = Pipe(b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
         anyio.run(server.serve, pipe)
-    assert len(server.heads) == 4
+    assert len(server.cached_heads) == 4
 
 
 def test_half_a_request_with_a_remembered_head_is_closed() -> None:
@@ -125,10 +125,10 @@
     async def fail(request: Request) -> Answer:
         raise RuntimeError
 
-    server = Server(fail, idle_s=60, request_s=60, max_connections=4, now=lambda: 0.0)
+    server = Server(fail, idle_timeout_s=60, request_timeout_s=60, max_connections=4, now=lambda: 0.0)
     pipe: Any = Pipe(POST + b"hi")
     anyio.run(server.serve, pipe)
-    assert pipe.closed and not server.open
+    assert pipe.closed and not server.open_connections
 
 
 def test_head_gets_the_length_and_no_body() -> None:
@@ -171,8 +171,8 @@
         await anyio.wait_all_tasks_blocked()
 
     monkeypatch.setattr("sloeswitch.http.anyio.sleep", pause)
-    server = Server(echo, idle_s=60, request_s=10, max_connections=3, now=lambda: clock[0])
-    server.heads[POST] = Head("POST", "/b", 2)
+    server = Server(echo, idle_timeout_s=60, request_timeout_s=10, max_connections=3, now=lambda: clock[0])
+    server.cached_heads[POST] = RequestHead("POST", "/b", 2)
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
@@ -183,10 +183,10 @@
             await anyio.wait_all_tasks_blocked()
             clock[0] = 9.0
             await sweep()
-            assert len(server.open) == 3
+            assert len(server.open_connections) == 3
             clock[0] = 11.0
             await sweep()
-            assert not server.open and all(client.closed.is_set() for client in clients)
+            assert not server.open_connections and all(client.closed.is_set() for client in clients)
             late: Any = Mute(POST + b"hi")
             group.start_soon(server.serve, late)
             await anyio.wait_all_tasks_blocked()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -8,7 +8,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.machine import AttemptKey, Machine
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http import encode_plain_answer
+from sloeswitch.http import encode_with_cached_head
 from sloeswitch.http_client import HttpTransportError, Reply
 from sloeswitch.metrics import MachineCondition, machine_condition
 from sloeswitch.rate_budget import RequestPriority
@@ -108,7 +108,7 @@
 
 
 def test_metrics_are_answered_as_text_and_jobs_as_json(world: World) -> None:
-    assert b"Content-Type: text/plain; version=0.0.4" in encode_plain_answer(ask(world, "GET", "/metrics"))
+    assert b"Content-Type: text/plain; version=0.0.4" in encode_with_cached_head(ask(world, "GET", "/metrics"))
     world.store.job(spec())
-    assert b"Content-Type: application/json" in encode_plain_answer(ask(world, "GET", f"/submissions/{JOB}"))
+    assert b"Content-Type: application/json" in encode_with_cached_head(ask(world, "GET", f"/submissions/{JOB}"))
     assert ask(world, "POST", "/metrics").status == 405
