--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -120,7 +120,11 @@
             raise CloudError(str(error)) from None
 
     async def _wait_for_rate(self) -> None:
-        """Takes a token for one call, and waits while the bucket is overdrawn, so that calls go out in order."""
+        """Takes a token for one call, and waits until the bucket is no longer overdrawn.
+
+        Calls use the priority that may overdraw the bucket, so that each call waits longer than the one before it and
+        calls go out in order.
+        """
         fraction = self._coordinator_fraction if self.is_coordinator() else self._follower_fraction
         self.call_tokens.rate = self._rate * fraction
         self.call_tokens.acquire(1.0, RequestPriority.LEASE, self.now())
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -178,8 +178,8 @@
 
     Attributes:
         stream: The stream to the client.
-        closes_at: When the connection is closed unless the wait for the client ends first, in seconds of the server's
-            clock.
+        closes_at: When the connection times out in its current phase, in seconds of the server's clock; infinite
+            while the handler runs.
         connection_state: State that the handler keeps per connection.
         pending: Bytes that were received and not yet parsed as a request.
     """
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -37,7 +37,7 @@
 
 log = logging.getLogger("mesh")
 
-# The time limit for an answer, and for a connection without requests; both in intervals between polls.
+# Time limits in poll intervals: for the answer to a poll, and for the next request on an accepted connection.
 ANSWER_TIMEOUT_POLL_INTERVALS = 2
 IDLE_TIMEOUT_POLL_INTERVALS = 20
 
@@ -203,7 +203,8 @@
         except FrameError as error:
             log.error("connection closed on a frame: sibling=%s error=%s", sibling.member, error)
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            # An earlier version closes the connection when it receives a frame type that it does not know.
+            # An earlier version closes the connection when it receives a frame type that it does not know. If a status
+            # request got no answer, view requests are tried next.
             peer.uses_earlier_frames = not peer.uses_earlier_frames and not answered
         except CONNECTION_ERRORS:
             pass  # poll_forever() reconnects
--- a/sloeswitch/mesh_frames.py
+++ b/sloeswitch/mesh_frames.py
@@ -5,8 +5,8 @@
 A status request carries the view number under which the requester acts, the revision up to which it has read all
 changes, and its position in the responder's log of cancellations. A status carries the highest view number that the
 responder knows (0 for none), flags, the identifier of the responder's log of cancellations, the position in that log
-that the requester has reached with this answer, and the cancellations that the requester lacks. Only a status without
-missing cancellations confirms that the requester may go on answering workers without the state service.
+that the requester has reached with this answer, and the cancellations that the requester lacks. Only a status whose
+list of cancellations is complete confirms that the requester may go on answering workers without the state service.
 
 Earlier versions send view requests and views instead, and close the connection when they receive any other frame. They
 do not know of cancellations, so neither frame confirms anything: a controller of this version answers a view request
@@ -105,7 +105,7 @@
     log_position: int
 
     def pack(self) -> bytes:
-        """The whole frame."""
+        """Returns the whole frame."""
         body = STATUS_REQUEST.pack(self.view_number, self.applied_revision, self.log_id, self.log_position)
         return pack_frame(FrameType.STATUS_REQUEST, body)
 
@@ -134,7 +134,7 @@
     delta: CancellationDelta
 
     def pack(self) -> bytes:
-        """The whole frame."""
+        """Returns the whole frame."""
         flags = (
             StatusFlag.STATE_REACHABLE * self.state_reachable
             | StatusFlag.FULLY_READ * self.fully_read
@@ -249,7 +249,7 @@
         return await self.read_exactly(check_header(header, frame_type, body_bytes))
 
 
-# Exceptions that end a connection without an invalid frame.
+# The exceptions raised when a connection ends or times out; invalid bytes raise FrameError instead.
 CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -50,7 +50,7 @@
 
 
 class ObjectiveKind(StrEnum):
-    """The event that an objective limits in time, and from which time limit."""
+    """What has to happen in time for a job to meet an objective."""
 
     # The job is done by its own deadline; the time until the deadline is multiplied by the objective's factor.
     DEADLINE = "deadline"
@@ -117,7 +117,8 @@
     cloud_rps: float
     list_lag_s: float
 
-    # The limits of this controller's process: CPU cores, memory in MB, and open file descriptors.
+    # The machine that this controller runs on: its CPU cores, possibly fractional, its memory in MB, and the limit on
+    # open file descriptors.
     controller_cores: float
     controller_memory_mb: float
     fd_limit: int
