--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -1,5 +1,7 @@
-"""HTTP paths, methods and whole exchanges, byte by byte: what a controller answers, and what it asks of the state
-service, the cloud and workers. The literals in frozen/http.json never change; the names of the code may.
+"""Tests of a controller's HTTP exchanges, byte by byte.
+
+They cover its answers, and its requests to the state service, the cloud and workers. The literals in frozen/http.json
+never change; the Python names used here may.
 """
 
 from __future__ import annotations
@@ -45,17 +47,17 @@
 
 
 class Stream:
-    """A connection in memory: gives literal bytes, keeps what is sent."""
+    """An in-memory connection that returns the given bytes once and records what is sent."""
 
-    def __init__(self, given: bytes = b"") -> None:
-        self.given = given
+    def __init__(self, received: bytes = b"") -> None:
+        self.received = received
         self.sent = b""
 
     async def receive(self, _max_bytes: int = 65536) -> bytes:
-        given, self.given = self.given, b""
-        if not given:
+        received, self.received = self.received, b""
+        if not received:
             raise anyio.EndOfStream
-        return given
+        return received
 
     async def send(self, data: bytes) -> None:
         self.sent += data
@@ -64,10 +66,10 @@
         pass
 
 
-# -- what a controller answers
+# -- answers of a controller
 
 
-class Answering:
+class ServingController:
     """One controller behind its HTTP server, with a scripted state service."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,20 +86,20 @@
         )
 
     async def ask(self, message: HeartbeatRequest) -> Any:
-        """The machines' actor, in this turn; each report shows that the answer before it was received."""
+        """Runs the machines' actor at once; every report counts as a receipt for the previous answer."""
         message.last_answer_received = True
         await self.world.machines.handle(message)
         return message.answer
 
     def exchange(self, request: str) -> str:
-        """The answer to one request on a connection of its own."""
+        """Sends one request over a new connection and returns the answer."""
         stream: Any = Stream(request.encode())
         anyio.run(self.server.serve, stream)
         sent: bytes = stream.sent
         return sent.decode()
 
 
-# What happens in the controller between requests.
+# Events in the controller between requests, by their names in the frozen file.
 STEPS: dict[str, Callable[[World], Any]] = {
     "claim": lambda world: world.round(
         ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": ResourceAmount(4.0, 0.0)})
@@ -116,23 +118,23 @@
 
 
 @pytest.mark.parametrize("name", FROZEN["sessions"])
-def test_a_controller_answers_as_ever(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Requests one after another, each with its whole answer, and then what is stored."""
-    answering = Answering(monkeypatch)
+def test_the_answers_of_a_controller_are_unchanged(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Compares the whole answer to each request of a session, and the stored rows at its end."""
+    server_side = ServingController(monkeypatch)
     for request, answer in FROZEN["sessions"][name]["exchanges"]:
         if request in STEPS:
-            STEPS[request](answering.world)
+            STEPS[request](server_side.world)
         else:
-            assert answering.exchange(request) == answer, request
-    rows = {key: value for key, (value, _stamp) in answering.world.store.rows.items()}
+            assert server_side.exchange(request) == answer, request
+    rows = {key: value for key, (value, _stamp) in server_side.world.store.rows.items()}
     assert wire.encode(rows).decode() == FROZEN["sessions"][name]["stored"]
 
 
-# -- what a controller asks
+# -- requests of a controller
 
 
-class Asking:
-    """The clients of one controller, whose connections all lead to one scripted peer."""
+class RequestingController:
+    """The clients of one controller; all their connections lead to one scripted peer."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, answers: list[tuple[int, str]]) -> None:
         self.answers = list(answers)
@@ -142,26 +144,26 @@
         self.tables = Tables(CancellationLog(9, 7))
         self.client = StateClient(settings, lambda: 1, self.now)
         self.replica = Replica(self.client, self.tables, self.now)
-        self.replica.read_linearizable = self.fresh  # type: ignore[method-assign]
+        self.replica.read_linearizable = self.read_nothing  # type: ignore[method-assign]
         self.leadership = Leadership(settings, self.tables, self.replica, self.now)
         context = ControllerContext(settings, self.client, self.replica, self.leadership, Clock())
         self.membership = Membership(context)
         self.cloud = CloudClient(settings, lambda: True, self.now)
-        self.told: list[Any] = []
+        self.replies: list[Any] = []
         registry = MachineRegistry()
         self.machine = registry.add_machine(
             Machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, owned_since_token=3, lease_expires_at=9e9)
         )
-        self.commands = CommandSender(context, registry, lambda *_: None, self.told.append)
-        # A busy machine may take long over an exchange in memory.
+        self.commands = CommandSender(context, registry, lambda *_: None, self.replies.append)
+        # Even in-memory exchanges may take long on a busy machine.
         self.client.timeout_s = self.cloud.timeout_s = self.commands.timeout_s = 60.0
 
     @staticmethod
     def now() -> float:
         return 1000.0
 
-    async def fresh(self, timeout_s: float) -> None:
-        """All is read."""
+    async def read_nothing(self, timeout_s: float) -> None:
+        """Replaces the read of the latest revision, as if everything was read already."""
 
     async def connect(self, host: str, port: int) -> Any:
         status, body = self.answers.pop(0)
@@ -171,88 +173,88 @@
         return self.streams[-1]
 
     def store(self, *rows: tuple[str, Any]) -> None:
-        """What is read of the state service."""
+        """Applies rows as if they were read from the state service."""
         for stamp, (key, value) in enumerate(rows, 5):
             self.tables.apply(key, value, stamp)
         self.replica.loaded = True
 
-    def act(self) -> None:
-        """This controller may act and answer, under view 3 and lease 7."""
+    def become_leader(self) -> None:
+        """Makes the controller a leader that may answer workers, under view 3 and lease 7."""
         self.store(("s1/m/c0", {"boot": 7, "settled": 3, "layout": 3}), ("s1/view", {"n": 3, "members": [["c0", 7]]}))
         self.leadership.incarnation, self.leadership.lease_renewed_at, self.replica.linearizable_at = 7, 1000.0, 1000.0
 
 
-async def inspect(asking: Asking) -> Any:
-    await asking.commands._inspect("vm-000231", "10.1.0.232:9000")
-    return asking.told[0].report
+async def inspect(client_side: RequestingController) -> Any:
+    await client_side.commands._inspect("vm-000231", "10.1.0.232:9000")
+    return client_side.replies[0].report
 
 
-async def command(asking: Asking) -> Any:
-    asking.act()
-    asking.machine.reconciled, asking.machine.agent_epoch = True, 2
-    asking.machine.foreign_attempts[AttemptKey("wk-000377/1", 4)] = None
-    await asking.commands._send_commands(asking.machine)
-    return [reply.report for reply in asking.told]
+async def command(client_side: RequestingController) -> Any:
+    client_side.become_leader()
+    client_side.machine.reconciled, client_side.machine.agent_epoch = True, 2
+    client_side.machine.foreign_attempts[AttemptKey("wk-000377/1", 4)] = None
+    await client_side.commands._send_commands(client_side.machine)
+    return [reply.report for reply in client_side.replies]
 
 
-async def renew(asking: Asking) -> Any:
-    asking.leadership.incarnation = 7
-    await asking.membership._renew()
-    return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
+async def renew(client_side: RequestingController) -> Any:
+    client_side.leadership.incarnation = 7
+    await client_side.membership._renew()
+    return [client_side.leadership.incarnation, client_side.leadership.lease_renewed_at]
 
 
-async def join(asking: Asking) -> Any:
-    asking.replica.loaded = True
-    await asking.membership._renew()
-    return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
+async def join(client_side: RequestingController) -> Any:
+    client_side.replica.loaded = True
+    await client_side.membership._renew()
+    return [client_side.leadership.incarnation, client_side.leadership.lease_renewed_at]
 
 
-async def coordinate(asking: Asking) -> Any:
-    asking.act()
-    await asking.membership._coordinate()
+async def coordinate(client_side: RequestingController) -> Any:
+    client_side.become_leader()
+    await client_side.membership._coordinate()
 
 
-async def write_view(asking: Asking) -> Any:
-    asking.act()
-    asking.store(("s1/coord", {"member": "c0", "boot": 7}), ("s1/m/c1", {"boot": 8, "settled": 0, "layout": 3}))
-    await asking.membership._coordinate()
+async def write_view(client_side: RequestingController) -> Any:
+    client_side.become_leader()
+    client_side.store(("s1/coord", {"member": "c0", "boot": 7}), ("s1/m/c1", {"boot": 8, "settled": 0, "layout": 3}))
+    await client_side.membership._coordinate()
 
 
-async def mark(asking: Asking) -> Any:
-    asking.act()
-    await asking.membership._record_layout()
+async def mark(client_side: RequestingController) -> Any:
+    client_side.become_leader()
+    await client_side.membership._record_layout()
 
 
-async def commit(asking: Asking) -> Any:
-    outcome, epoch = await asking.client.compare_and_swap(
+async def commit(client_side: RequestingController) -> Any:
+    outcome, epoch = await client_side.client.compare_and_swap(
         Transaction({"a/b": 0}, {"a/b": {"x": 1}}, ["c/d"]), RequestPriority.USER, leases={"a/b": 7}
     )
     return [outcome.value, epoch]
 
 
-async def load(asking: Asking) -> Any:
-    await asking.replica._load()
-    return [asking.replica.applied_revision, asking.tables.view.number]
+async def load(client_side: RequestingController) -> Any:
+    await client_side.replica._load()
+    return [client_side.replica.applied_revision, client_side.tables.view.number]
 
 
-async def watch(asking: Asking) -> Any:
-    asking.replica.loaded, asking.replica.applied_revision = True, 431
-    await asking.replica._read_changes(10.0)
-    return [asking.replica.applied_revision, asking.tables.view.number]
+async def watch(client_side: RequestingController) -> Any:
+    client_side.replica.loaded, client_side.replica.applied_revision = True, 431
+    await client_side.replica._read_changes(10.0)
+    return [client_side.replica.applied_revision, client_side.tables.view.number]
 
 
-async def read_fresh(asking: Asking) -> Any:
-    asking.replica.loaded, asking.replica.applied_revision = True, 431
-    await asking.replica._read_changes(0.0)
-    return [asking.replica.applied_revision, asking.tables.view.number]
+async def read_fresh(client_side: RequestingController) -> Any:
+    client_side.replica.loaded, client_side.replica.applied_revision = True, 431
+    await client_side.replica._read_changes(0.0)
+    return [client_side.replica.applied_revision, client_side.tables.view.number]
 
 
-# By what is asked for; what follows a colon tells the answers apart.
-CALLS: dict[str, Callable[[Asking], Awaitable[Any]]] = {
-    "catalog": lambda asking: asking.cloud.read_catalog(),
-    "rent": lambda asking: asking.cloud.create_instances(wire.InstanceRequest("r-17", "g8", "a", True, 12)),
-    "delete": lambda asking: asking.cloud.delete_instances(["vm-000231", "vm-000232"]),
-    "machines": lambda asking: asking.cloud.list_instances(),
+# The calls by name. In the frozen file, a colon and the kind of the answer may follow the name.
+CALLS: dict[str, Callable[[RequestingController], Awaitable[Any]]] = {
+    "catalog": lambda client_side: client_side.cloud.read_catalog(),
+    "rent": lambda client_side: client_side.cloud.create_instances(wire.InstanceRequest("r-17", "g8", "a", True, 12)),
+    "delete": lambda client_side: client_side.cloud.delete_instances(["vm-000231", "vm-000232"]),
+    "machines": lambda client_side: client_side.cloud.list_instances(),
     "commit": commit,
     "read all": load,
     "watch": watch,
@@ -272,20 +274,20 @@
 
 
 @pytest.mark.parametrize("name", FROZEN["calls"])
-def test_a_controller_asks_as_ever(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The address and bytes of each request, and what its answer gives."""
+def test_the_requests_of_a_controller_are_unchanged(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Compares the address and the bytes of each request, and the result of its answer."""
     frozen = FROZEN["calls"][name]
-    asking = Asking(monkeypatch, frozen["answers"])
-    result = anyio.run(CALLS[name.partition(":")[0]], asking)
-    assert [stream.sent.decode() for stream in asking.streams] == frozen["sent"]
-    assert msgspec.to_builtins(result) == frozen["result"] and not asking.answers
+    client_side = RequestingController(monkeypatch, frozen["answers"])
+    result = anyio.run(CALLS[name.partition(":")[0]], client_side)
+    assert [stream.sent.decode() for stream in client_side.streams] == frozen["sent"]
+    assert msgspec.to_builtins(result) == frozen["result"] and not client_side.answers
 
 
-# -- what workers report
+# -- reports of workers
 
 
-def heard(state: str, cause: str | None) -> list[int]:
-    """How many tasks a report of this state and cause shows to be done, and failed."""
+def count_results(state: str, cause: str | None) -> list[int]:
+    """Returns the numbers of done and failed tasks that follow from a report of a task with this state and cause."""
     registry, tables = MachineRegistry(), Tables(CancellationLog(9, 7))
     machine = registry.add_machine(
         Machine("vm-000231", "10.1.0.232:9000", "g8", "a", True, owned_since_token=3, lease_expires_at=9e9)
@@ -298,14 +300,14 @@
 
 
 @pytest.mark.parametrize("state", FROZEN["task states"])
-def test_a_task_state_is_taken_as_ever(state: str) -> None:
+def test_the_handling_of_a_task_state_is_unchanged(state: str) -> None:
     if FROZEN["task states"][state] is None:
         with pytest.raises(wire.MalformedError):
-            heard(state, None)
+            count_results(state, None)
     else:
-        assert heard(state, "done") == FROZEN["task states"][state]
+        assert count_results(state, "done") == FROZEN["task states"][state]
 
 
 @pytest.mark.parametrize("cause", FROZEN["causes"])
-def test_a_cause_is_taken_as_ever(cause: str) -> None:
-    assert heard("ended", cause) == FROZEN["causes"][cause]
+def test_the_handling_of_a_cause_is_unchanged(cause: str) -> None:
+    assert count_results("ended", cause) == FROZEN["causes"][cause]
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -1,5 +1,6 @@
-"""Every frame that controllers and cells exchange, byte by byte. The literals in frozen/mesh.json never change; the
-names of the code may, and only the maps below name it.
+"""Tests of every frame that controllers and cells exchange, byte by byte.
+
+The literals in frozen/mesh.json never change. The Python names may; only the maps below use them.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 
 
 @dataclass(frozen=True)
-class Form:
-    """A value, what writes it and what reads it."""
+class FrameCase:
+    """A value with the functions that encode and decode it."""
 
     value: Any
-    write: Callable[[Any], bytes]
-    read: Callable[[bytes], Any]
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Any]
 
 
 SPEC = JobSpec(
@@ -59,8 +60,8 @@
     900.0,
 )
 HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
-KNOWN = mesh.PeerStatus(3, True, 9, True, True)
-CALLBACKS = mesh.MeshCallbacks(lambda: KNOWN, lambda _found: None)
+STATUS = mesh.PeerStatus(3, True, 9, True, True)
+CALLBACKS = mesh.MeshCallbacks(lambda: STATUS, lambda _found: None)
 CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
 SUMMARY = Summary(
     "north",
@@ -74,76 +75,76 @@
 )
 
 
-def inform(answer: mesh_frames.StatusFrame) -> Form:
-    """An answer between controllers, with its header."""
-    return Form(
+def status_case(answer: mesh_frames.StatusFrame) -> FrameCase:
+    """A status between controllers, with its header."""
+    return FrameCase(
         answer,
         mesh_frames.StatusFrame.pack,
         lambda frame: mesh_frames.StatusFrame.unpack(frame[mesh_frames.HEADER.size :]),
     )
 
 
-def cell_request(request: Request, offer: cell_frames.Offer | None = None) -> Form:
+def cell_request(request: Request, offer: cell_frames.Offer | None = None) -> FrameCase:
     """A request between cells."""
     value = cell_frames.CellRequest(RequestMessage(HANDOFF, request), 2, offer)
-    return Form(value, cell_frames.CellRequest.pack, cell_frames.CellRequest.unpack)
+    return FrameCase(value, cell_frames.CellRequest.pack, cell_frames.CellRequest.unpack)
 
 
-def cell_answer(answer: Answer | None) -> Form:
+def cell_answer(answer: Answer | None) -> FrameCase:
     """An answer between cells."""
-    return Form(cell_frames.CellAnswer(2, answer), cell_frames.CellAnswer.pack, cell_frames.CellAnswer.unpack)
+    return FrameCase(cell_frames.CellAnswer(2, answer), cell_frames.CellAnswer.pack, cell_frames.CellAnswer.unpack)
 
 
-def summary(value: Summary | None) -> Form:
-    """What a cell tells of its room."""
-    return Form(value, cell_frames.pack_summary, cell_frames.unpack_summary)
+def summary(value: Summary | None) -> FrameCase:
+    """The summary that a cell sends of its free capacity."""
+    return FrameCase(value, cell_frames.pack_summary, cell_frames.unpack_summary)
 
 
-def idle_room(*rooms: IdleCapacity) -> Form:
-    """What a controller tells of its idle room."""
-    return Form(list(rooms), admission_frames.pack_idle_capacity, admission_frames.unpack_idle_capacity)
+def idle_capacity(*capacities: IdleCapacity) -> FrameCase:
+    """The idle capacity that a controller reports."""
+    return FrameCase(list(capacities), admission_frames.pack_idle_capacity, admission_frames.unpack_idle_capacity)
 
 
-def fixed(body: Any, kind: int, value: tuple[Any, ...], write: Callable[..., bytes]) -> Form:
-    """A frame of a fixed length."""
+def fixed_length(body: Any, kind: int, value: tuple[Any, ...], encode: Callable[..., bytes]) -> FrameCase:
+    """A frame of fixed length."""
 
-    def read(frame: bytes) -> Any:
+    def decode(frame: bytes) -> Any:
         assert mesh_frames.check_header(frame[: mesh_frames.HEADER.size], kind, body.size) == body.size
         return body.unpack(frame[mesh_frames.HEADER.size :])
 
-    return Form(value, lambda each: write(*each), read)
+    return FrameCase(value, lambda each: encode(*each), decode)
 
 
-FORMS: dict[str, Form] = {
-    "ask": fixed(
+FRAME_CASES: dict[str, FrameCase] = {
+    "ask": fixed_length(
         mesh_frames.VIEW_REQUEST,
         mesh_frames.FrameType.VIEW_REQUEST,
         (0x0102030405060708,),
         mesh_frames.pack_view_request,
     ),
-    "tell": fixed(mesh_frames.VIEW, mesh_frames.FrameType.VIEW, (9, True), mesh_frames.pack_view),
-    "tell without state service": fixed(
+    "tell": fixed_length(mesh_frames.VIEW, mesh_frames.FrameType.VIEW, (9, True), mesh_frames.pack_view),
+    "tell without state service": fixed_length(
         mesh_frames.VIEW, mesh_frames.FrameType.VIEW, (9, False), mesh_frames.pack_view
     ),
-    "tell that confirms nothing": fixed(
+    "tell that confirms nothing": fixed_length(
         mesh_frames.VIEW,
         mesh_frames.FrameType.VIEW,
         (mesh_frames.UNCONFIRMING_VIEW_NUMBER, True),
         mesh_frames.pack_view,
     ),
-    "inquire": fixed(
+    "inquire": fixed_length(
         mesh_frames.STATUS_REQUEST,
         mesh_frames.FrameType.STATUS_REQUEST,
         (1, 2, 3, 0x0102030405060708),
         lambda *fields: mesh_frames.StatusRequest(*fields).pack(),
     ),
-    "inform of nothing": inform(mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
-    "inform with state service": inform(mesh_frames.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
-    "inform by a whole reader": inform(mesh_frames.StatusFrame(3, False, True, 7, CancellationDelta([], 9))),
-    "inform with more to come": inform(
+    "inform of nothing": status_case(mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta([], 9))),
+    "inform with state service": status_case(mesh_frames.StatusFrame(3, True, False, 7, CancellationDelta([], 9))),
+    "inform by a whole reader": status_case(mesh_frames.StatusFrame(3, False, True, 7, CancellationDelta([], 9))),
+    "inform with more to come": status_case(
         mesh_frames.StatusFrame(3, False, False, 7, CancellationDelta(CANCELLED, 9, True))
     ),
-    "inform with all": inform(
+    "inform with all": status_case(
         mesh_frames.StatusFrame(1 << 63, True, True, (1 << 63) + 7, CancellationDelta(CANCELLED, 1 << 40, True))
     ),
     "offer": cell_request(Request.OFFER, cell_frames.Offer(SPEC, 1_700_000_000_123)),
@@ -163,11 +164,11 @@
     "summary": summary(SUMMARY),
     "summary of nothing": summary(Summary("north", 2, 431)),
     "no summary": summary(None),
-    "idle room": idle_room(
+    "idle room": idle_capacity(
         IdleCapacity(InstanceKind("g8", "a", True), 2.5, 61.5),
         IdleCapacity(InstanceKind("small", "zone-b", False), 0.25, 0.0),
     ),
-    "no idle room": idle_room(),
+    "no idle room": idle_capacity(),
 }
 
 CONSTANTS: dict[str, Callable[[], Any]] = {
@@ -203,14 +204,16 @@
 
 def test_nothing_frozen_is_left_out() -> None:
     assert set(FROZEN) == {"frames", "constants", "refused", "exchanges", "served"}
-    assert set(FROZEN["frames"]) == set(FORMS)
+    assert set(FROZEN["frames"]) == set(FRAME_CASES)
     assert set(FROZEN["constants"]) == set(CONSTANTS)
 
 
 def test_every_request_and_answer_of_cells_is_frozen() -> None:
-    asked = {form.value.message.request for form in FORMS.values() if isinstance(form.value, cell_frames.CellRequest)}
-    told = {form.value.answer for form in FORMS.values() if isinstance(form.value, cell_frames.CellAnswer)}
-    assert asked == set(Request) and told == {None, *Answer}
+    requests = {
+        case.value.message.request for case in FRAME_CASES.values() if isinstance(case.value, cell_frames.CellRequest)
+    }
+    answers = {case.value.answer for case in FRAME_CASES.values() if isinstance(case.value, cell_frames.CellAnswer)}
+    assert requests == set(Request) and answers == {None, *Answer}
 
 
 def test_every_type_number_is_frozen() -> None:
@@ -219,28 +222,28 @@
 
 
 @pytest.mark.parametrize("name", FROZEN["frames"])
-def test_a_frame_is_written_and_read_as_ever(name: str) -> None:
-    form, literal = FORMS[name], bytes.fromhex(FROZEN["frames"][name])
-    assert form.write(form.value).hex() == literal.hex()
-    read = form.read(literal)
-    assert read == form.value
-    assert form.write(read).hex() == literal.hex()
+def test_the_encoding_of_a_frame_is_unchanged(name: str) -> None:
+    case, literal = FRAME_CASES[name], bytes.fromhex(FROZEN["frames"][name])
+    assert case.encode(case.value).hex() == literal.hex()
+    decoded = case.decode(literal)
+    assert decoded == case.value
+    assert case.encode(decoded).hex() == literal.hex()
 
 
 @pytest.mark.parametrize("name", FROZEN["constants"])
-def test_a_constant_is_as_ever(name: str) -> None:
+def test_a_constant_is_unchanged(name: str) -> None:
     assert CONSTANTS[name]() == FROZEN["constants"][name]
 
 
 @pytest.mark.parametrize("name", FROZEN["refused"])
-def test_what_is_cut_off_or_too_long_or_of_an_unknown_code_is_refused(name: str) -> None:
+def test_a_frame_that_is_truncated_or_too_long_or_has_an_unknown_code_is_rejected(name: str) -> None:
     frame = bytes.fromhex(FROZEN["refused"][name])
     with pytest.raises(mesh_frames.FrameError):
-        FORMS[name.partition(":")[0]].read(frame)
+        FRAME_CASES[name.partition(":")[0]].decode(frame)
 
 
 class ScriptedStream:
-    """The far end of a connection: keeps what is sent and gives a literal answer."""
+    """The other side of a connection: records what is sent and returns a literal answer once."""
 
     def __init__(self, answer: bytes = b"") -> None:
         self.sent = b""
@@ -260,22 +263,22 @@
 
 
 @pytest.mark.parametrize("kind", FROZEN["exchanges"])
-def test_a_feature_is_asked_and_answered_as_ever(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both ends of one exchange of frames, with their headers."""
+def test_the_exchange_of_a_feature_is_unchanged(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Compares the frame that is sent, with its header, and the returned body of the answer."""
     question, answer = map(bytes.fromhex, FROZEN["exchanges"][kind])
-    far: Any = ScriptedStream(answer)
+    other_side: Any = ScriptedStream(answer)
 
     async def connect(_host: str, _port: int) -> Any:
-        return far
+        return other_side
 
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     link = frame_link.FrameLink("south", (Address("127.0.0.1", 9081),), 60.0)
     assert anyio.run(link.exchange, int(kind), question[mesh_frames.HEADER.size :]) == answer[mesh_frames.HEADER.size :]
-    assert far.sent.hex() == question.hex()
+    assert other_side.sent.hex() == question.hex()
 
 
 @pytest.mark.parametrize("kind", FROZEN["exchanges"])
-def test_a_mesh_serves_a_feature_as_ever(kind: str) -> None:
+def test_the_answer_of_the_mesh_for_a_feature_is_unchanged(kind: str) -> None:
     question, answer = map(bytes.fromhex, FROZEN["exchanges"][kind])
     asked: list[tuple[int, bytes]] = []
 
@@ -283,17 +286,17 @@
         asked.append((number, body))
         return answer[mesh_frames.HEADER.size :]
 
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
-    serving.handlers[int(kind)] = handle
-    near: Any = ScriptedStream(question)
-    anyio.run(serving.serve, near)
-    assert asked == [(int(kind), question[mesh_frames.HEADER.size :])] and near.sent.hex() == answer.hex()
+    served_mesh = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
+    served_mesh.handlers[int(kind)] = handle
+    connection: Any = ScriptedStream(question)
+    anyio.run(served_mesh.serve, connection)
+    assert asked == [(int(kind), question[mesh_frames.HEADER.size :])] and connection.sent.hex() == answer.hex()
 
 
 @pytest.mark.parametrize(("asked", "told"), [("ask", "tell that confirms nothing"), ("inquire", "inform served")])
-def test_a_mesh_answers_controllers_as_ever(asked: str, told: str) -> None:
+def test_the_answer_of_the_mesh_to_controllers_is_unchanged(asked: str, told: str) -> None:
     literals = FROZEN["frames"] | FROZEN["served"]
-    near: Any = ScriptedStream(bytes.fromhex(literals[asked]))
-    serving = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
-    anyio.run(serving.serve, near)
-    assert near.sent.hex() == literals[told]
+    connection: Any = ScriptedStream(bytes.fromhex(literals[asked]))
+    served_mesh = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
+    anyio.run(served_mesh.serve, connection)
+    assert connection.sent.hex() == literals[told]
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -1,5 +1,6 @@
-"""Every key of the settings file and of the features file, the command line and the deploy file. The literals in
-frozen/settings.json never change; the names of the code may, and only the maps below name it.
+"""Tests of every key of the settings file and the features file, of the command line and of the deploy file.
+
+The literals in frozen/settings.json never change. The Python names may; only the maps below use them.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 
 
 def address(value: settings.Address) -> str:
-    """As it is written in the file."""
+    """Formats an address as it is written in the file."""
     return f"{value.host}:{value.port}"
 
 
 def classes(value: features.CellFeatures) -> dict[str, str]:
-    """The policy of each class that has one, by the word in the file."""
-    return {klass: policy.value for klass, policy in value.policies.items()}
+    """The policies of the job classes, as written in the file."""
+    return {job_class: policy.value for job_class, policy in value.policies.items()}
 
 
-# By the key that gives the value; keys of lists are those of the first item.
+# The parsed value of each key; for a key in a list, the value of the first item.
 VALUES: dict[str, dict[str, Callable[[Any], Any]]] = {
     "settings": {
         "member": lambda s: s.member,
@@ -89,7 +90,7 @@
     },
 }
 
-OTHERS: dict[str, Callable[[], Any]] = {
+OTHER_NAMES: dict[str, Callable[[], Any]] = {
     "log levels": lambda: {word: logging.getLevelName(level) for word, level in cli.LOG_LEVELS.items()},
     "keys of cells": lambda: sorted(features.CELL_FIELDS),
     "keys of peers": lambda: sorted(features.PEER_FIELDS),
@@ -100,14 +101,14 @@
 
 
 def read(file: str, text: str) -> Any:
-    """What a text gives, as a file of this kind."""
+    """Parses a text as the settings file or the features file."""
     if file == "settings":
         return settings.parse(text)
     return features.parse(text, settings.parse(FROZEN["settings"]["text"]))
 
 
 def outcome(file: str, text: str, key: str) -> Any:
-    """The faults that a text has, or the value that it gives for a key."""
+    """Returns the faults of a text, or, without any, the parsed value of a key."""
     try:
         return {"value": VALUES[file][key](read(file, text))}
     except settings.SettingsError as error:
@@ -115,7 +116,7 @@
 
 
 def replaced(text: str, key: str, line: str | None) -> str:
-    """The text with another line for a key, or none."""
+    """Returns the text with another value for a key, or without the key."""
     table, found, lines = "", 0, []
     for old in text.splitlines():
         if old.startswith("["):
@@ -131,7 +132,7 @@
 
 
 def without_table(text: str, name: str) -> str:
-    """The text without a table and what is below it."""
+    """Returns the text without a table and the tables nested in it."""
     parts = ("\n" + text).split("\n[")
     kept = [part for part in parts if not (part.strip("[").partition("]")[0] + ".").startswith(name + ".")]
     assert len(kept) < len(parts), name
@@ -139,12 +140,12 @@
 
 
 def cases(part: str) -> list[tuple[str, str]]:
-    """What is frozen of both files, by name."""
+    """The frozen cases of one part for both files, as pairs of file and name."""
     return [(file, name) for file in FILES for name in FROZEN[file][part]]
 
 
 def keys_of(table: dict[str, Any], where: str = "") -> set[str]:
-    """All keys of parsed TOML, with dots."""
+    """All keys of parsed TOML, as dotted paths."""
     keys: set[str] = set()
     for key, value in table.items():
         items = value if isinstance(value, list) else [value]
@@ -155,30 +156,30 @@
 
 @pytest.mark.parametrize("file", FILES)
 def test_the_frozen_text_has_every_key(file: str) -> None:
-    ours = FROZEN[file]
-    assert keys_of(tomllib.loads(ours["text"])) == set(VALUES[file]) == set(ours["values"])
-    assert set(ours["missing"]) == set(ours["wrong"]) == set(VALUES[file])
+    frozen = FROZEN[file]
+    assert keys_of(tomllib.loads(frozen["text"])) == set(VALUES[file]) == set(frozen["values"])
+    assert set(frozen["missing"]) == set(frozen["wrong"]) == set(VALUES[file])
 
 
 @pytest.mark.parametrize(("file", "key"), cases("values"))
-def test_a_key_gives_the_value_it_ever_gave(file: str, key: str) -> None:
+def test_the_value_of_a_key_is_unchanged(file: str, key: str) -> None:
     assert VALUES[file][key](read(file, FROZEN[file]["text"])) == FROZEN[file]["values"][key]
 
 
 @pytest.mark.parametrize(("file", "key"), cases("missing"))
-def test_a_missing_key_is_named_or_has_the_same_default(file: str, key: str) -> None:
+def test_a_missing_key_is_reported_or_has_the_same_default(file: str, key: str) -> None:
     text = replaced(FROZEN[file]["text"], key, None)
     assert outcome(file, text, key) == FROZEN[file]["missing"][key]
 
 
 @pytest.mark.parametrize(("file", "key"), cases("wrong"))
-def test_a_key_of_a_wrong_type_is_named(file: str, key: str) -> None:
+def test_a_key_of_a_wrong_type_is_reported(file: str, key: str) -> None:
     text = replaced(FROZEN[file]["text"], key, "{}")
     assert outcome(file, text, key) == FROZEN[file]["wrong"][key]
 
 
 @pytest.mark.parametrize(("file", "table"), cases("missing tables"))
-def test_a_missing_table_is_named_or_may_be_absent(file: str, table: str) -> None:
+def test_a_missing_table_is_reported_or_optional(file: str, table: str) -> None:
     try:
         read(file, without_table(FROZEN[file]["text"], table))
         faults = []
@@ -188,8 +189,8 @@
 
 
 @pytest.mark.parametrize(("file", "line"), cases("unknown"))
-def test_an_unknown_key_is_ignored_in_settings_and_named_in_features(file: str, line: str) -> None:
-    """The line is put below its table, which is written before a colon."""
+def test_an_unknown_key_is_ignored_in_settings_and_reported_in_features(file: str, line: str) -> None:
+    """The table before the colon is the one to which the line is added."""
     table, _, item = line.rpartition(":")
     text = FROZEN[file]["text"]
     text = text.replace(table, f"{table}\n{item}", 1) if table else f"{item}\n{text}"
@@ -202,14 +203,14 @@
 
 
 @pytest.mark.parametrize("name", FROZEN["others"])
-def test_a_name_beside_the_files_is_as_ever(name: str) -> None:
-    assert set(FROZEN["others"]) == set(OTHERS)
-    assert OTHERS[name]() == FROZEN["others"][name]
+def test_a_name_outside_the_files_is_unchanged(name: str) -> None:
+    assert set(FROZEN["others"]) == set(OTHER_NAMES)
+    assert OTHER_NAMES[name]() == FROZEN["others"][name]
 
 
 @pytest.fixture
 def files(tmp_path: Path) -> dict[str, str]:
-    """The frozen texts as files, by the words that stand for them in frozen command lines."""
+    """Writes the frozen texts to files; returns the paths by their placeholders in the frozen command lines."""
     paths = {"SETTINGS": tmp_path / "settings.toml", "FEATURES": tmp_path / "features.toml", "BAD": tmp_path / "bad"}
     paths["SETTINGS"].write_text(FROZEN["settings"]["text"])
     paths["FEATURES"].write_text(FROZEN["features"]["text"])
@@ -218,7 +219,7 @@
 
 
 class Program:
-    """Runs the program and keeps what it started instead of starting it."""
+    """Runs the command line, and records what it would start instead of starting it."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.monkeypatch = monkeypatch
@@ -227,9 +228,9 @@
         monkeypatch.setattr(compare, "main", self.compare)
         monkeypatch.setattr(logging, "basicConfig", self.log)
 
-    def serve(self, ours: Any, enabled: Any) -> None:
+    def serve(self, parsed: Any, enabled: Any) -> None:
         whole = read("features", FROZEN["features"]["text"])
-        assert ours == read("settings", FROZEN["settings"]["text"]) and enabled in (features.Features(), whole)
+        assert parsed == read("settings", FROZEN["settings"]["text"]) and enabled in (features.Features(), whole)
         self.started.append("serve with features" if enabled == whole else "serve")
 
     def compare(self, paths: list[str], _out: Any, _errors: Any) -> int:
@@ -241,27 +242,27 @@
         self.started.append(f"log {logging.getLevelName(given['level'])} {given['format']}")
 
     def run(self, arguments: list[str], environment: dict[str, str]) -> Any:
-        """The exit status."""
+        """Runs the command line and returns its exit status."""
         for name in ("LOG_LEVEL", *environment):
             self.monkeypatch.delenv(name, raising=False)
         for name, value in environment.items():
             self.monkeypatch.setenv(name, value)
         try:
             return cli.main(arguments)
-        except SystemExit as ended:
-            return ended.code
+        except SystemExit as exit_error:
+            return exit_error.code
 
 
 @pytest.mark.parametrize("line", FROZEN["command lines"])
-def test_a_command_line_does_what_it_ever_did(
+def test_the_behaviour_of_a_command_line_is_unchanged(
     line: str, files: dict[str, str], monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """The exit status, what is started, and the last line of what is printed to standard error."""
+    """Compares the exit status, what is started, and the last line on standard error."""
     program = Program(monkeypatch)
     words = line.split()
     environment = dict(word.split("=") for word in words if "=" in word)
     status = program.run([files.get(word, word) for word in words if "=" not in word], environment)
-    told = capsys.readouterr().err.splitlines()
+    printed = capsys.readouterr().err.splitlines()
     for word, path in files.items():
-        told = [each.replace(path, word) for each in told]
-    assert [status, program.started, told[-1:]] == FROZEN["command lines"][line]
+        printed = [each.replace(path, word) for each in printed]
+    assert [status, program.started, printed[-1:]] == FROZEN["command lines"][line]
--- a/tests/test_frozen_wire.py
+++ b/tests/test_frozen_wire.py
@@ -1,7 +1,7 @@
-"""Every message on HTTP, byte by byte. The literals in frozen/wire.json never change; the names of the code may.
+"""Tests of every HTTP message, byte by byte.
 
-The maps below are the only places that name the code: a message is built by position, with a different value in each
-field, so that a field that takes another's name on the wire is seen.
+The literals in frozen/wire.json never change. The Python names may; only the maps below use them. Messages are built
+from positional arguments with a different value in each field, so that swapped names on the wire are detected.
 """
 
 from __future__ import annotations
@@ -112,7 +112,7 @@
 
 
 def structs() -> set[type[msgspec.Struct]]:
-    """Every message type of the module."""
+    """All message types of the wire package."""
     found = (value for value in vars(wire).values() if isinstance(value, type))
     return {value for value in found if issubclass(value, msgspec.Struct) and value is not msgspec.Struct}
 
@@ -129,18 +129,18 @@
 
 def test_nothing_frozen_is_left_out() -> None:
     assert set(FROZEN) == {"messages", "bodies", "words", "read", "refused"}
-    for part, ours in (("messages", set(MESSAGES)), ("bodies", set(BODIES)), ("words", set(WORDS))):
-        assert set(FROZEN[part]) == ours
+    for part, in_this_file in (("messages", set(MESSAGES)), ("bodies", set(BODIES)), ("words", set(WORDS))):
+        assert set(FROZEN[part]) == in_this_file
 
 
-def test_every_function_that_makes_a_body_is_frozen() -> None:
+def test_every_function_that_encodes_a_body_is_frozen() -> None:
     makers = {name for name in vars(wire) if name.endswith(("_reply", "_body"))}
     used = {name for make in BODIES.values() for name in make.__code__.co_names}
     assert makers and makers <= used
 
 
 @pytest.mark.parametrize("name", FROZEN["messages"])
-def test_a_message_is_written_and_read_as_ever(name: str) -> None:
+def test_the_encoding_of_a_message_is_unchanged(name: str) -> None:
     message, literal = MESSAGES[name], FROZEN["messages"][name].encode()
     assert wire.encode(message) == literal
     read = wire.decode(literal, type(message))
@@ -148,25 +148,25 @@
 
 
 @pytest.mark.parametrize("name", FROZEN["bodies"])
-def test_a_body_is_written_as_ever(name: str) -> None:
+def test_the_encoding_of_a_body_is_unchanged(name: str) -> None:
     assert BODIES[name]() == FROZEN["bodies"][name].encode()
 
 
 @pytest.mark.parametrize("name", FROZEN["words"])
-def test_a_word_is_as_ever(name: str) -> None:
+def test_a_word_is_unchanged(name: str) -> None:
     assert WORDS[name]() == FROZEN["words"][name]
 
 
 @pytest.mark.parametrize("name", FROZEN["read"])
-def test_nulls_and_unknown_fields_are_read_as_ever(name: str) -> None:
-    """The first text is read as the message of this name, which is then written as the second one."""
+def test_the_decoding_of_nulls_and_unknown_fields_is_unchanged(name: str) -> None:
+    """The first text is decoded as the message of this name; encoding the message gives the second text."""
     text, again = FROZEN["read"][name]
     read = wire.decode(text.encode(), type(MESSAGES[name]))
     assert wire.encode(read) == again.encode()
 
 
 @pytest.mark.parametrize("fault", FROZEN["refused"])
-def test_a_submission_is_refused_in_the_same_words(fault: str) -> None:
+def test_the_error_text_for_an_invalid_submission_is_unchanged(fault: str) -> None:
     change = FROZEN["refused"][fault]
     text = json.dumps(json.loads(FROZEN["messages"]["submission"]) | change).encode()
     with pytest.raises(wire.MalformedError) as error:
