--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -1,4 +1,4 @@
-"""Frames between controllers of this version and of earlier ones."""
+"""Tests of the mesh between controllers of this version and of earlier versions."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     yield world
 
 
-def test_frames_of_an_earlier_version_confirm_nothing_and_are_not_confirmed(world: World) -> None:
+def test_view_requests_and_views_confirm_nothing(world: World) -> None:
     answers: list[bytes] = []
     leadership = world.leadership
-    own = meshed(world)
+    mesh = meshed(world)
 
     class Stream:
         def __init__(self, *frames: bytes) -> None:
@@ -39,27 +39,30 @@
         async def aclose(self) -> None:
             pass
 
-    async def play() -> None:
-        await own.serve(Stream(mesh_frames.pack_view_request(3)))  # type: ignore[arg-type]
+    async def exchange_frames() -> None:
+        await mesh.serve(Stream(mesh_frames.pack_view_request(3)))  # type: ignore[arg-type]
         stream = Stream(mesh_frames.pack_view(3, False))
-        await own._request_view(own.peers["c1"], stream, mesh_frames.FrameReader(stream))  # type: ignore[arg-type]
+        await mesh._request_view(mesh.peers["c1"], stream, mesh_frames.FrameReader(stream))  # type: ignore[arg-type]
 
     state_outage(world)
-    anyio.run(play)
+    anyio.run(exchange_frames)
     assert answers[0] == mesh_frames.pack_view(mesh_frames.UNCONFIRMING_VIEW_NUMBER, False)
-    assert own.peers["c1"].view_number == 3 and not leadership.may_answer_workers
+    assert mesh.peers["c1"].view_number == 3 and not leadership.may_answer_workers
 
 
 @pytest.mark.parametrize("upgraded", [False, True])
-def test_an_earlier_version_is_asked_with_its_frames(
+def test_an_earlier_version_is_polled_with_view_requests(
     world: World, upgraded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It closes the connection on a frame that it does not know; none is sent before the mark."""
+    """An earlier version closes the connection on a status request, and is then polled with a view request.
+
+    Before the layout is recorded as complete, no status request is sent.
+    """
     if upgraded:
         world.store.upgraded()
     frame_types: list[int] = []
 
-    class Earlier:
+    class EarlierVersion:
         def __init__(self) -> None:
             self.reply = b""
 
@@ -67,7 +70,7 @@
             frame_type = mesh_frames.frame_type_of(data[: mesh_frames.HEADER.size])
             frame_types.append(frame_type)
             if len(frame_types) == 5:
-                raise KeyboardInterrupt  # enough is seen
+                raise KeyboardInterrupt  # ends the polling
             self.reply = mesh_frames.pack_view(3, True) if frame_type == mesh_frames.FrameType.VIEW_REQUEST else b""
 
         async def receive(self) -> bytes:
@@ -79,13 +82,13 @@
         async def aclose(self) -> None:
             pass
 
-    async def connect(host: str, port: int) -> Earlier:
-        return Earlier()
+    async def connect(host: str, port: int) -> EarlierVersion:
+        return EarlierVersion()
 
-    own = meshed(world)
-    own.poll_interval_s = 0.01
+    mesh = meshed(world)
+    mesh.poll_interval_s = 0.01
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
-        anyio.run(own.poll_forever, world.settings.siblings[0])
+        anyio.run(mesh.poll_forever, world.settings.siblings[0])
     status, view = mesh_frames.FrameType.STATUS_REQUEST, mesh_frames.FrameType.VIEW_REQUEST
     assert frame_types == ([status, view, status, view, status] if upgraded else [view] * 5)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is no such file, limits that are announced, and ratios that follow from settings."""
+"""Tests of the settings: invalid files, announced limits, and values derived from settings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(("content", "fault"), [(b"\xff", "not UTF-8 text"), (b"x =", "not TOML")])
-def test_a_file_that_is_no_toml_is_refused(tmp_path: object, content: bytes, fault: str) -> None:
+def test_a_file_that_is_not_toml_is_rejected(tmp_path: object, content: bytes, fault: str) -> None:
     path = f"{tmp_path}/settings.toml"
     with open(path, "wb") as file:
         file.write(content)
@@ -17,12 +17,12 @@
         load(path)
 
 
-def test_a_limit_that_is_announced_holds_at_once_if_it_is_lower() -> None:
+def test_an_announced_limit_applies_at_once_if_it_is_lower() -> None:
     settings = parse(SETTINGS + "[deployment.state.next]\nrps = 50.0\nvalue_kb = 90.0\ntxn_ops = 4\n")
     assert (settings.state_rps, settings.value_kb, settings.txn_ops, settings.state_write_rps) == (50.0, 16.0, 4, 20.0)
 
 
-def test_ratios_follow_from_the_settings(settings: Settings) -> None:
+def test_values_derived_from_the_settings(settings: Settings) -> None:
     assert settings.members == ("c0", "c1")
     assert settings.value_bytes == 14745  # nine tenths of 16 KiB
     assert settings.controller_lease_s == 3.0
--- a/tests/test_toml_reader.py
+++ b/tests/test_toml_reader.py
@@ -1,4 +1,4 @@
-"""Fields of a TOML table are checked, and all faults of a file are named at once."""
+"""Tests of the TOML reader: fields are checked, and all faults of a file are reported at once."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     assert read(table) == value and table.faults == faults
 
 
-def test_tables_share_their_faults_and_name_their_path() -> None:
+def test_tables_share_one_list_of_faults_with_full_paths() -> None:
     top = read_toml("[a]\ny = 1\n[[b]]\n[[b]]\nz = 1\n")
     top.table("a").table("c").text("x")
     top.tables("b")[1].text("z")
@@ -61,14 +61,14 @@
     ]
 
 
-def test_a_table_within_a_missing_one_is_not_named_again() -> None:
+def test_a_table_within_a_missing_one_is_not_reported_again() -> None:
     top = read_toml("")
     top.table("a").table("b")
     top.optional_table("c")
     assert top.faults == ["a: table is missing"]
 
 
-def test_unknown_fields_are_named_where_they_are_refused() -> None:
+def test_unknown_fields_are_reported() -> None:
     top = read_toml("[a]\nx = 1\ny = 2\n")
     top.table("a").report_unknown({"y"})
     assert top.faults == ["a.x: unknown field"]
