--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -17,7 +17,7 @@
     if spec.deadline_s is None:
         return set()
     times = {
-        objective.times
+        objective.deadline_factor
         for objective in objectives
         if objective.kind == ObjectiveKind.DEADLINE and objective.job_class == spec.job_class
     }
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -63,15 +63,15 @@
 class Objective:
     """A service level objective of one class of jobs: the fraction `share` (0 to 1) of the jobs has to meet it.
 
-    `kind` is the text of an `ObjectiveKind`, and not the enum, since unknown kinds are ignored. `within_s` is the time
-    limit of the kinds other than a deadline, and `times` the factor of a deadline.
+    `kind` is the text of an `ObjectiveKind`, and not the enum, since unknown kinds are ignored. The kind `deadline`
+    multiplies the time until a job's own deadline by `deadline_factor`; the other kinds have the time limit `within_s`.
     """
 
     kind: str
     job_class: str
     within_s: float | None
     share: float
-    times: float
+    deadline_factor: float
 
 
 @dataclass(frozen=True)
@@ -210,7 +210,7 @@
         job_class if isinstance(job_class, str) else "",
         within_s=table.number("within_s") if "within_s" in table else None,
         share=table.number("share") if "share" in table else 0.0,
-        times=table.number("times") if "times" in table else 1.0,
+        deadline_factor=table.number("times") if "times" in table else 1.0,
     )
 
 
--- a/sloeswitch/wire/cloud.py
+++ b/sloeswitch/wire/cloud.py
@@ -26,7 +26,7 @@
     cores: float
     gpus: float
     memory: float
-    # The size of the image cache, and the rate at which images are fetched in GB per second, which varies by a third.
+    # The size of the image cache, and the rate at which images are fetched, in GB per second, give or take a third.
     cache_gb: float
     fetch_gb_s: float
     # Prices per hour, billed by the second; the spot price varies by up to a third.
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -293,10 +293,10 @@
     assert asked == [(int(kind), question[mesh_frames.HEADER.size :])] and connection.sent.hex() == answer.hex()
 
 
-@pytest.mark.parametrize(("asked", "told"), [("ask", "tell that confirms nothing"), ("inquire", "inform served")])
-def test_the_answer_of_the_mesh_to_controllers_is_unchanged(asked: str, told: str) -> None:
+@pytest.mark.parametrize(("question", "answer"), [("ask", "tell that confirms nothing"), ("inquire", "inform served")])
+def test_the_answer_of_the_mesh_to_controllers_is_unchanged(question: str, answer: str) -> None:
     literals = FROZEN["frames"] | FROZEN["served"]
-    connection: Any = ScriptedStream(bytes.fromhex(literals[asked]))
+    connection: Any = ScriptedStream(bytes.fromhex(literals[question]))
     served_mesh = mesh.Mesh((), 60.0, lambda: 0.0, CALLBACKS, CancellationLog(9, 7))
     anyio.run(served_mesh.serve, connection)
-    assert connection.sent.hex() == literals[told]
+    assert connection.sent.hex() == literals[answer]
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -58,7 +58,7 @@
         "deployment.objectives.class": lambda s: s.objectives[0].job_class,
         "deployment.objectives.within_s": lambda s: s.objectives[0].within_s,
         "deployment.objectives.share": lambda s: s.objectives[0].share,
-        "deployment.objectives.times": lambda s: s.objectives[0].times,
+        "deployment.objectives.times": lambda s: s.objectives[0].deadline_factor,
         "deployment.workers.report_s": lambda s: s.report_s,
         "deployment.workers.lease_s": lambda s: s.lease_s,
         "deployment.workers.gang_wait_s": lambda s: s.gang_wait_s,
