--- a/tests/test_cancellation_log.py
+++ b/tests/test_cancellation_log.py
@@ -1,12 +1,12 @@
-"""The log of cancellations that controllers send each other."""
+"""The log of cancellations that controllers send to their siblings."""
 
 from __future__ import annotations
 
 from sloeswitch.core.cancellation_log import CancellationLog
 
 
-def test_what_was_learnt_later_is_sent_later_whatever_its_revision() -> None:
-    """Own writes are known before what others stored earlier."""
+def test_entries_are_sent_in_the_order_of_learning_not_of_revision() -> None:
+    """A process knows its own writes before it reads earlier writes of others."""
     log = CancellationLog(100, 9)
     log.add("wk-2", 50)
     first = log.since(40, 0, 0, 10)
@@ -14,11 +14,11 @@
     log.add("wk-1", 45)
     assert log.since(40, 9, first.position, 10).cancellations == [("wk-1", 45)]
     assert log.since(47, 9, first.position, 10).cancellations == []
-    # The position in another process's log says nothing.
+    # A position in the log of another process counts as 0.
     assert len(log.since(40, 8, first.position, 10).cancellations) == 2
 
 
-def test_who_may_lack_what_was_dropped_is_not_confirmed() -> None:
+def test_sibling_that_may_lack_dropped_entries_gets_none_and_more_is_set() -> None:
     log = CancellationLog(2, 9)
     for revision in (10, 20, 30):
         log.add(f"wk-{revision}", revision)
@@ -28,7 +28,7 @@
     assert [entry.revision for entry in log.since(5, 9, 1, 10).cancellations] == [20, 30]
 
 
-def test_an_answer_is_bounded_and_the_next_one_goes_on_from_its_position() -> None:
+def test_delta_is_bounded_and_the_next_one_continues_at_its_position() -> None:
     log = CancellationLog(100, 9)
     for revision in (10, 20, 30, 40, 50):
         log.add(f"wk-{revision}", revision)
@@ -38,8 +38,8 @@
     assert [entry.revision for entry in rest.cancellations] == [40, 50] and not rest.more and rest.position == 5
 
 
-def test_a_position_beyond_the_log_counts_as_none() -> None:
-    """Guards against a log id that two processes drew: nothing must be taken for known."""
+def test_position_beyond_the_log_counts_as_zero() -> None:
+    """Guards against two processes that drew the same log id: no entry may count as known."""
     log = CancellationLog(100, 9)
     log.add("wk-10", 10)
     assert len(log.since(0, 9, 7, 10).cancellations) == 1
