--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -207,7 +207,8 @@
     def due_for_inspection(self, unaccounted: dict[str, CancelledJob], now: float) -> set[str]:
         """Machines to inspect now.
 
-        A machine's owner first gets `missed_report_s` to account for it, unless the deadline of the cancellation is near.
+        A machine's owner first gets `missed_report_s` to account for it, unless the deadline of the cancellation is
+        near.
         """
         self._suspected_since = {name: self._suspected_since.get(name, now) for name in unaccounted}
         urgent_s = URGENT_SHARE * self.settings.cancel_s
