--- a/tests/support/cell_state.py
+++ b/tests/support/cell_state.py
@@ -1,4 +1,4 @@
-"""A cell's state service, as one of its controllers reaches it."""
+"""The simulated state service of a cell."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class CellState(ScriptedState):
-    """A cell's state service as one controller reaches it; answers are lost, and some of these changes come late."""
+    """The state service of a cell as seen by one controller.
+
+    Some answers are lost: the transaction was applied, or is applied later.
+    """
 
     cell: Cell
 
@@ -31,16 +34,18 @@
         world.recorder.transaction(f"{cell.name}/{self.settings.member}", conditions, writes, drops, leases)
         if cell.outage:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
-        luck = world.rng.random() if world.troubled else 1.0
-        if luck < 0.03:
-            world.late.append((world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops)))
+        draw = world.rng.random() if world.faults_enabled else 1.0
+        if draw < 0.03:
+            world.late_transactions.append(
+                (world.clock.time + 20 * world.rng.random(), cell, self, (conditions, writes, drops))
+            )
             return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         outcome = self.apply(conditions, writes, drops)
-        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.06 else outcome
+        return TransactionResult(TransactionOutcome.UNKNOWN) if draw < 0.06 else outcome
 
 
 class CellReplica(ScriptedReplica):
-    """Knows all that is stored, unless the state service is out."""
+    """A replica that is always up to date; reads fail while the state service is out."""
 
     cell: Cell
 
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -1,4 +1,4 @@
-"""Cells: the link over the mesh, and its frames."""
+"""Cells: the link over the mesh, and the encoding of its frames."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 JOB = "wk-000001"
 
 
-def test_a_link_talks_to_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
-    """By frames; an answer that does not come closes the connection, and the next controller is tried."""
-    world = CellWorld(1, troubled=False)
+def test_a_link_exchanges_frames_with_the_mesh_of_another_cell(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request without an answer closes the connection, and the next request goes to the next controller."""
+    world = CellWorld(1, faults_enabled=False)
     south = world.cells["south"]
     south.renew()
     target = south.controllers["c0"].target
@@ -35,7 +35,7 @@
 
     async def run() -> None:
         for controller in south.controllers.values():
-            await controller.origin.mark()
+            await controller.origin.record_member()
         mesh = Mesh(
             (),
             1.0,
@@ -56,7 +56,7 @@
             with pytest.raises(NoAnswerError):
                 await link.summary()
             with pytest.raises(NoAnswerError):
-                await link.summary()  # the feature is off there: the mesh closes the connection
+                await link.summary()  # without a handler, as with the feature off, the mesh closes the connection
             mesh.handlers[FrameType.SUMMARY_REQUEST] = mesh.handlers[FrameType.CELL_REQUEST] = partial(
                 answer_frame, target
             )
@@ -72,7 +72,7 @@
     anyio.run(run)
 
 
-def test_frames_survive_the_way_and_what_is_none_is_refused() -> None:
+def test_frames_round_trip_and_invalid_frames_are_refused() -> None:
     handoff = HandoffId("north", JOB, 77)
     request = CellRequest(RequestMessage(handoff, Request.OFFER), 3, Offer(spec(JOB), 1234))
     assert CellRequest.unpack(request.pack()) == request
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -193,8 +193,8 @@
     "limits": lambda: [
         mesh_frames.MAX_BODY_BYTES,
         mesh_frames.MAX_CANCELLATIONS,
-        cell_frames.MOST_SPEC_BYTES,
-        admission_frames.MOST_ENTRIES,
+        cell_frames.MAX_SPEC_BYTES,
+        admission_frames.MAX_ENTRIES,
     ],
     "request codes": lambda: {request.value: code for request, code in cell_frames.REQUEST_CODES.items()},
     "answer codes": lambda: {answer.value: code for answer, code in cell_frames.ANSWER_CODES.items()},
