--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -1,7 +1,10 @@
-"""A seeded world of four controllers with admission on, under more work than room.
+"""A seeded simulation of four controllers with admission enabled, under overload.
 
-What is checked is what controllers logged, what is stored, what users were told and what machines ran: decisions are
-alike, no stored cut falls, no lane stands still beyond its bound, and in calm times no job waits beside room.
+Checks logs, stored rows, answers to users, and what machines ran: all controllers decide alike, no stored cut (a lane's
+admission watermark) is lowered, no lane waits longer than its bound, and without failures no job waits for long while
+there is free capacity for it.
+
+    python3 -m tests.support.admission FIRST LAST    # long simulations of these seeds, outside CI
 """
 
 from __future__ import annotations
@@ -15,13 +18,13 @@
 from sloeswitch.admission import compare
 from sloeswitch.admission.capacity import IdleCapacity
 from sloeswitch.admission.coordinator import AdmissionCoordinator
-from sloeswitch.admission.cuts import ROOT, Lane, LaneCut, Ticket, row_of
+from sloeswitch.admission.cuts import ROOT_PATH, Lane, LaneCut, Ticket, row_path
 from sloeswitch.admission.decision_log import DecisionLog, DecisionRecord, EpochRecord, encode
 from sloeswitch.admission.decisions import Decision, decide, lane_of, ticket_of
 from sloeswitch.admission.frames import pack_idle_capacity
 from sloeswitch.admission.gate import AdmissionGate
 from sloeswitch.admission.idle_capacity import IdleCapacityTracker
-from sloeswitch.admission.limits import LONGEST_WAIT_S, AdmissionLimits
+from sloeswitch.admission.limits import MAX_WAIT_WITH_CAPACITY_S, AdmissionLimits
 from sloeswitch.core import keys
 from sloeswitch.core.records import JobState
 from sloeswitch.features import AdmissionFeatures
@@ -43,7 +46,7 @@
 
 
 def cluster_text(teams: dict[str, tuple[float, float]] | None = None) -> str:
-    """Settings with these teams: name -> guarantee and limit, in cores."""
+    """Settings with these teams: by name, the guarantee and the limit in cores."""
     rows = "".join(
         f'[[deployment.teams]]\nname = "{name}"\ncpus = {cpus}\ncpus_max = {most}\ngpus = 0.0\ngpus_max = 0.0\n'
         for name, (cpus, most) in (teams or TEAMS).items()
@@ -54,26 +57,26 @@
 
 
 class RecordingLog(DecisionLog):
-    """Keeps what a controller logs, as lines of its log."""
+    """Appends what a controller logs to a list, as lines of its log."""
 
     def __init__(self, lines: list[str]) -> None:
         self.lines = lines
 
-    def epochs(self, before: Any, after: Any) -> None:
+    def log_changed_rows(self, before: Any, after: Any) -> None:
         for path, row in after.items():
             if before.get(path) != row:
                 self._add(EpochRecord("r" + path, row.number, row.digest))
 
-    def decision(self, job: str, decision: Decision) -> None:
+    def log_decision(self, job: str, decision: Decision) -> None:
         row = "" if decision.row is None else "r" + decision.row
-        self._add(DecisionRecord(job, row, decision.number, decision.ground.value, decision.by))
+        self._add(DecisionRecord(job, row, decision.number, decision.reason.value, decision.decided_by))
 
     def _add(self, record: Any) -> None:
         self.lines.append(f"I admission: {encode(record)}\n")
 
 
 class ScriptedIdleLink:
-    """The way from one controller to another, which may be cut in one direction."""
+    """The connection from one controller to another; it may be interrupted."""
 
     def __init__(self, world: AdmissionWorld, sender: str, receiver: str) -> None:
         self.world = world
@@ -81,20 +84,24 @@
         self.receiver = receiver
 
     async def idle_capacity(self) -> list[IdleCapacity]:
-        """Asks for idle room; lost where a way is cut."""
+        """Asks for idle capacity; there is no answer if a message is lost in either direction."""
         world = self.world
         lost = world.troubled and world.rng.random() < 0.1
-        if lost or (self.sender, self.receiver) in world.cuts or (self.receiver, self.sender) in world.cuts:
+        if (
+            lost
+            or (self.sender, self.receiver) in world.broken_links
+            or (self.receiver, self.sender) in world.broken_links
+        ):
             raise NoAnswerError("lost")
         node = world.nodes[self.receiver]
         assert isinstance(node, AdmissionNode)
-        rooms = node.idle.report(world.clock.time)
-        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_capacity(rooms))
-        return rooms
+        capacities = node.idle.report(world.clock.time)
+        world.recorder.record("idle room", self.receiver, self.sender, pack_idle_capacity(capacities))
+        return capacities
 
 
 class AdmissionNode(Node):
-    """One process of a controller, with admission."""
+    """A controller process with admission."""
 
     world: AdmissionWorld
 
@@ -109,36 +116,36 @@
         self.machines.queue.admission = AdmissionGate(
             self.tables, RecordingLog(lines), lambda: self.admission.switched_on
         )
-        self.machines.claims.on_remaining_capacities = lambda rooms, at: self.idle.observe(
-            rooms, self.tables.machine_types, at
+        self.machines.claims.on_remaining_capacities = lambda capacities, at: self.idle.observe(
+            capacities, self.tables.machine_types, at
         )
-        self.look_at = 0.0
+        self.next_epoch_at = 0.0
 
-    def look(self) -> None:
-        """What the coordinator's loops do in the time of an epoch."""
-        if self.world.clock.time < self.look_at:
+    def run_epoch_when_due(self) -> None:
+        """Runs the coordinator's loops once, about once in an epoch."""
+        if self.world.clock.time < self.next_epoch_at:
             return
-        self.look_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
+        self.next_epoch_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
 
         async def loops() -> None:
             await self.admission.feature.record_member()
             for member in self.admission.links:
                 try:
-                    await self.admission.ask(member)
+                    await self.admission.request_idle_capacity(member)
                 except NoAnswerError:
                     continue
             try:
-                await self.admission.epoch()
+                await self.admission.run_epoch()
             except StaleReplicaError:
                 return
             if self.admission.switched_on and self.leadership.is_coordinator and self.reaches:
-                self.world.looked()
+                self.world.count_epoch()
 
         anyio.run(loops)
 
 
 class AdmissionWorld(World):
-    """Time, what is stored, the workers, and the rules of admission besides those of the protocol."""
+    """The simulated cluster, with checks of admission in addition to those of the protocol."""
 
     nodes: dict[str, Any]
 
@@ -152,18 +159,18 @@
     ) -> None:
         self.deferring = deferring
         self.logs: dict[str, list[str]] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        # The highest cut that was stored, by lane.
+        self.broken_links: set[tuple[str, str]] = set()
+        # The highest stored cut, by lane.
         self.highest: dict[Lane, Ticket] = {}
-        # Deferred jobs that are their lane's head: since when, in time in which a coordinator looked.
+        # Since when each deferred head of a lane has been the head, in the time of `coordinated_s`.
         self.head_since: dict[str, float] = {}
         self.longest_as_head_s = 0.0
-        self.undisturbed_s = 0.0
-        self.looked_at = 0.0
-        # Since when machines have room, and jobs could start that do not.
-        self.room_since: dict[str, float] = {}
-        self.waits_since: dict[str, float] = {}
-        self.limits = AdmissionLimits.of(parse(settings_text("c0", MEMBERS, text or cluster_text())))
+        self.coordinated_s = 0.0
+        self.last_epoch_at = 0.0
+        # Since when each machine has had free capacity, and since when each job could have started but has not.
+        self.free_since: dict[str, float] = {}
+        self.startable_since: dict[str, float] = {}
+        self.limits = AdmissionLimits.from_settings(parse(settings_text("c0", MEMBERS, text or cluster_text())))
         super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
         self.task_ends = 0.012
         self.store.put(keys.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
@@ -178,16 +185,16 @@
         if not self.outage and self.elect_coordinator():
             self.happened["coordinator"] += 1
 
-    def looked(self) -> None:
-        """A coordinator that reaches the state service has reckoned an epoch."""
-        self.undisturbed_s += min(self.limits.epoch_s, self.clock.time - self.looked_at)
-        self.looked_at = self.clock.time
+    def count_epoch(self) -> None:
+        """Counts an epoch of a coordinator that reaches the state service."""
+        self.coordinated_s += min(self.limits.epoch_s, self.clock.time - self.last_epoch_at)
+        self.last_epoch_at = self.clock.time
         self.happened["look"] += 1
 
     # -- steps
 
     def happen(self, luck: float, node: Node) -> None:
-        """More troubles of controllers, and more work than room."""
+        """Injects failures of controllers, links and the state service, cancellations, and mesh status requests."""
         if not self.troubled:
             return
         if luck < 0.003 or (self.outage and luck < 0.03):
@@ -204,21 +211,25 @@
             self.happened["all crash"] += 1
         elif luck < 0.03:
             one, other = self.rng.sample(self.members, 2)
-            self.cuts ^= {(one, other)}
+            self.broken_links ^= {(one, other)}
         elif luck < 0.045 and self.sizes:
             self.cancel(self.rng.choice(sorted(self.sizes)), node)
         elif luck < 0.3:
             self.ask_sibling(node)
 
     @property
-    def past_lead(self) -> bool:
-        """Whether the common cut is behind the clock, so that what comes now may be deferred."""
-        root = self.store.tables.admission_rows.get(ROOT)
-        return root is not None and root.common.cut.submitted_ms < 1000 * self.clock.time
-
-    def submit_some(self, most: int) -> None:
-        """Users submit jobs of all teams and classes, some of which wait for others."""
-        if self.rng.random() > 0.35 or len(self.sizes) >= most or (len(self.sizes) >= most / 2 and not self.past_lead):
+    def past_common_cut(self) -> bool:
+        """Whether the common cut is behind the clock, so that new jobs may be deferred."""
+        root = self.store.tables.admission_rows.get(ROOT_PATH)
+        return root is not None and root.common.ticket.submitted_ms < 1000 * self.clock.time
+
+    def submit_at_random(self, most: int) -> None:
+        """Submits a job of a random team and class from time to time; some have a prerequisite."""
+        if (
+            self.rng.random() > 0.35
+            or len(self.sizes) >= most
+            or (len(self.sizes) >= most / 2 and not self.past_common_cut)
+        ):
             return
         self.number += 1
         team = self.rng.choices(list(TEAMS), weights=[6, 2, 1])[0]
@@ -239,35 +250,35 @@
     def step(self, calm: bool = False) -> None:
         super().step(calm)
         for node in self.nodes.values():
-            node.look()
+            node.run_epoch_when_due()
         self.check_cuts()
         self.check_bound()
         if calm:
-            self.check_idle_room()
+            self.check_idle_capacity()
 
     def end_troubles(self) -> None:
         super().end_troubles()
         self.troubled = False
-        self.cuts.clear()
-        self.waits_since.clear()
+        self.broken_links.clear()
+        self.startable_since.clear()
 
-    # -- rules
+    # -- checks
 
     def check_cuts(self) -> None:
-        """No stored cut falls, and no controller holds one above it."""
+        """Checks that no stored cut is lowered, and that no controller has a higher one than is stored."""
         rows = self.store.tables.admission_rows
         for lane in {lane_of(job.spec) for job in self.store.tables.jobs.values()} | self.highest.keys():
-            path = row_of(rows, lane)
-            stored = rows[path].of(lane).cut if path is not None else Ticket(0, "")
-            assert stored >= self.highest.get(lane, stored), f"a cut falls: {lane}"
+            path = row_path(rows, lane)
+            stored = rows[path].cut_of(lane).ticket if path is not None else Ticket(0, "")
+            assert stored >= self.highest.get(lane, stored), f"a cut was lowered: {lane}"
             self.highest[lane] = stored
             for node in self.nodes.values():
-                held = row_of(node.tables.admission_rows, lane)
-                cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].of(lane)
-                assert cut is None or cut.cut <= stored, f"{node.settings.member} is ahead: {lane}"
+                held = row_path(node.tables.admission_rows, lane)
+                cut: LaneCut | None = None if held is None else node.tables.admission_rows[held].cut_of(lane)
+                assert cut is None or cut.ticket <= stored, f"{node.settings.member} exceeds the stored cut: {lane}"
 
     def check_bound(self) -> None:
-        """A lane's head is admitted within its bound, reckoned in time in which a coordinator looks undisturbed."""
+        """Checks that each head of a lane is admitted within its bound, in time with a working coordinator."""
         tables = self.store.tables
         heads: dict[Lane, Any] = {}
         for name, decision in decide(tables).items():
@@ -279,31 +290,33 @@
         names = {job.spec.id for job in heads.values()}
         self.head_since = {name: since for name, since in self.head_since.items() if name in names}
         for name in names:
-            since = self.head_since.setdefault(name, self.undisturbed_s)
-            waited = self.undisturbed_s - since
+            since = self.head_since.setdefault(name, self.coordinated_s)
+            waited = self.coordinated_s - since
             self.longest_as_head_s = max(self.longest_as_head_s, waited)
-            # Lost and late changes cost a look each; a few of them may follow one another.
+            # Each lost or late write costs one epoch; several may follow one another.
             allowed = self.limits.head_bound_s(len(tables.admission_rows)) + 6 * self.limits.epoch_s
-            assert waited <= allowed, f"a lane stands still: {name}"
+            assert waited <= allowed, f"a lane starves: {name}"
+
+    def check_idle_capacity(self) -> None:
+        """Checks that no job within its team's limit waits for long while a machine has free capacity for it.
 
-    def check_idle_room(self) -> None:
-        """No job waits while a machine has room that fits, one and the same all the time, and its team is under its
-        limit. Tasks that end leave room on some machine at most moments."""
+        It has to be the same machine all the time: at most moments some machine has capacity, since tasks end.
+        """
         now = self.clock.time
         tasks = [task for task, _ in self.present()]
         cores: Counter[str] = Counter()
         for task, machine in self.present():
             cores[machine] += int(self.specs[task.partition("/")[0]].cores)
         names = {worker.name for worker in self.workers if cores[worker.name] + TASK_CORES <= CORES}
-        self.room_since = {name: self.room_since.get(name, now) for name in names}
-        longest = min(self.room_since.values(), default=now)
+        self.free_since = {name: self.free_since.get(name, now) for name in names}
+        earliest_free = min(self.free_since.values(), default=now)
         waiting = {name for name in self.unfinished() if self._could_start(name, tasks)}
-        self.waits_since = {name: self.waits_since.get(name, now) for name in waiting}
-        for name, since in self.waits_since.items():
-            assert now - max(since, longest) < LONGEST_WAIT_S, f"waits beside room: {name}"
+        self.startable_since = {name: self.startable_since.get(name, now) for name in waiting}
+        for name, since in self.startable_since.items():
+            assert now - max(since, earliest_free) < MAX_WAIT_WITH_CAPACITY_S, f"waits beside free capacity: {name}"
 
     def _could_start(self, name: str, tasks: list[str]) -> bool:
-        """Whether a task of the job is open and within the limit of its team."""
+        """Whether the job has an unclaimed task that its team's limit allows."""
         job = self.store.tables.jobs.get(name)
         if job is None or not job.is_runnable or not self.store.tables.unclaimed_tasks(job, True):
             return False
@@ -311,22 +324,22 @@
         return bool(self.used(job.spec.team, tasks) + job.spec.cores <= limit)
 
     def check_logs(self) -> None:
-        """All controllers logged the same decisions."""
+        """Checks that all controllers logged the same decisions."""
         difference = compare.compare(list(self.logs.items()))
         assert difference is None, f"decisions differ: {difference.one} | {difference.other}"
 
     def deferred(self) -> int:
-        """How many jobs were deferred when they were first decided on, by any controller."""
+        """Returns how many jobs any controller logged as deferred."""
         lines = [line for lines in self.logs.values() for line in lines]
         return len({line.partition('"job":')[2].partition(",")[0] for line in lines if '"deferred"' in line})
 
 
 def play(seed: int, steps: int, calm_steps: int = 0, jobs: int = 120) -> AdmissionWorld:
-    """Plays a world of overload, and then calm times in which everything is to end."""
+    """Simulates overload with failures, then a time without failures in which all jobs have to end."""
     world = AdmissionWorld(seed)
     world.start()
     for _ in range(steps):
-        world.submit_some(jobs)
+        world.submit_at_random(jobs)
         world.step()
     world.end_troubles()
     for _ in range(calm_steps):
@@ -338,12 +351,12 @@
 
 
 def play_long(seed: int) -> None:
-    """Ten simulated minutes of overload, and the calm after it."""
+    """Simulates ten minutes of overload, and then a time without failures."""
     world = play(seed, 4000, 16_000, jobs=600)
     left = sorted(world.unfinished())
     assert not left, f"left: {len(left)} of {len(world.sizes)}, first {left[:3]}"
 
 
 if __name__ == "__main__":
-    # Long worlds of these seeds, outside CI.
+    # Long simulations of these seeds.
     sys.exit(play_seeds(play_long, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -1,4 +1,4 @@
-"""Admission decided from stored rows: a cluster without actors, and one controller that coordinates."""
+"""Fixtures of admission tests: stored rows of a cluster without controllers, and a controller that coordinates."""
 
 from __future__ import annotations
 
@@ -31,26 +31,26 @@
 
 
 class Cluster:
-    """What is stored, with a clock that stands where it is put; two small machines for 16 cores."""
+    """Stored rows and a clock that only the test moves; by default two small machines with 16 cores together."""
 
     def __init__(self, teams: dict[str, tuple[float, float]] | None = None, machines: int = 2) -> None:
         self.store = Store()
         self.store.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE, LARGE])))
         self.settings: Settings = parse(cluster_text(teams or {"red": (0.0, 4000.0), "blue": (0.0, 4000.0)}))
-        self.limits = AdmissionLimits.of(self.settings)
+        self.limits = AdmissionLimits.from_settings(self.settings)
         self.now_ms = START_MS
         self.machines("small", machines)
         self.epoch()
 
     def machines(self, kind: str, count: int) -> None:
         rows = {f"vm-{kind}-{n}": ["127.0.0.1:9000", kind, "a", True] for n in range(count)}
-        self.store.put(keys.group_key(kind), {"m": rows})
+        self.store.put(keys.machine_group_key(kind), {"m": rows})
 
     def later(self, seconds: float) -> None:
         self.now_ms += int(1000 * seconds)
 
     def after_lead(self) -> None:
-        """Past the common cut."""
+        """Moves the clock past the common cut, so that new jobs are deferred."""
         self.later(2 * self.limits.lead_s + 1)
 
     def submit(self, name: str, at_ms: int | None = None, **changes: Any) -> None:
@@ -63,10 +63,12 @@
         self.store.put(keys.job_key(name), {**self.store.rows[keys.job_key(name)][0], "s": JobState.CANCELLED})
 
     def changes(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> list[epochs.RowChange]:
-        return epochs.next_rows(self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes)
+        return epochs.compute_changes(
+            self.store.tables, self.settings, self.limits, idle or [], self.now_ms, value_bytes
+        )
 
     def epoch(self, idle: list[IdleCapacity] | None = None, value_bytes: int = 10000) -> int:
-        """Stores all changes of an epoch; how many values that were."""
+        """Stores all changes of an epoch; returns the number of rows written."""
         count = 0
         for change in self.changes(idle, value_bytes):
             for path, row in change.rows.items():
@@ -75,7 +77,7 @@
         return count
 
     def overload(self, count: int = 20, **changes: Any) -> list[str]:
-        """More work than room: one job that fills the machines and is admitted, and then others."""
+        """Submits more work than fits: an admitted job that fills the machines, and then `count` deferred ones."""
         self.after_lead()
         self.submit("wk-000000", at_ms=START_MS, visits=1000)
         names = [f"wk-{number + 1:06d}" for number in range(count)]
@@ -95,11 +97,11 @@
 
 
 def overloaded_world(store: Store, monkeypatch: pytest.MonkeyPatch) -> tuple[World, AdmissionCoordinator]:
-    """A controller that coordinates, with a lane of deferred jobs and no machine."""
+    """A controller that coordinates, with a lane of deferred jobs and without machines."""
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
-    each = coordinator(world)
-    anyio.run(each.epoch)
-    later(world, 2 * each.limits.lead_s + 1)
+    admission = coordinator(world)
+    anyio.run(admission.run_epoch)
+    later(world, 2 * admission.limits.lead_s + 1)
     for number in range(5):
         job = spec(f"wk-{number:06d}")
         value = {
@@ -109,19 +111,19 @@
             "spec": msgspec.to_builtins(job),
         }
         store.put(keys.job_key(job.id), value)
-    later(world, each.limits.patience_s + 1)
-    return world, each
+    later(world, admission.limits.starvation_timeout_s + 1)
+    return world, admission
 
 
 class ScriptedLink:
-    """A sibling that tells one room, or does not answer."""
+    """A sibling that reports one kind of idle capacity, or does not answer."""
 
     def __init__(self) -> None:
         self.asked = 0
-        self.rooms: list[IdleCapacity] | None = [IdleCapacity(InstanceKind("small", "a", True), 2.0, 1.0)]
+        self.capacities: list[IdleCapacity] | None = [IdleCapacity(InstanceKind("small", "a", True), 2.0, 1.0)]
 
     async def idle_capacity(self) -> list[IdleCapacity]:
         self.asked += 1
-        if self.rooms is None:
+        if self.capacities is None:
             raise NoAnswerError("lost")
-        return self.rooms
+        return self.capacities
--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -1,4 +1,4 @@
-"""Snapshots that the commit planner plans from, and what its plans write."""
+"""Helpers for tests of the commit planner: snapshots to plan from, and the claims and conditions of a plan."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 JOB, OTHER, THIRD = "wk-000001", "wk-000002", "wk-000003"
 OWN, SIBLING, DEPARTED = "c0.1", "c1.2", "c1.1"
 NOW_MS = 1_700_000_000_000
-ROOMY = CommitLimits(changes=12, transaction_changes=12, value_bytes=16_000, total_bytes=100_000)
+LARGE_LIMITS = CommitLimits(changes=12, transaction_changes=12, value_bytes=16_000, total_bytes=100_000)
 TEAMS = {"red": Team("red", 8.0, 20.0, 0.0, 0.0), "blue": Team("blue", 8.0, 20.0, 0.0, 0.0)}
 
 
-def recovered(store: Store) -> None:
-    """View 3 of this controller and a sibling, both recovered."""
+def store_recovered_view(store: Store) -> None:
+    """Stores view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
     store.member("c0", 1, settled=3)
     store.member("c1", 2, settled=3)
 
 
 def snapshot(store: Store, updates: dict[str, JobUpdates] | None = None, **changes: Any) -> CommitSnapshot:
-    """What the leader c0.1 plans from."""
+    """Returns the snapshot of the leader c0.1, with `changes` to its fields."""
     tables = store.tables
     base = CommitSnapshot(
         tables=tables,
         teams=TEAMS,
         incarnation_id=OWN,
         updates=updates or {},
-        limits=ROOMY,
+        limits=LARGE_LIMITS,
         is_leader=True,
         recovery_complete=tables.recovery_complete(),
         view_conditions={keys.VIEW_KEY: tables.mod_revision(keys.VIEW_KEY)},
@@ -43,12 +43,12 @@
     return replace(base, **changes)
 
 
-def claim(count: int, job: str = JOB, **changes: Any) -> RequestedClaims:
+def claim_request(count: int, job: str = JOB, **changes: Any) -> RequestedClaims:
     return RequestedClaims(task_counts={job: count}, **changes)
 
 
 def stored_claims(plan: CommitPlan, name: str = JOB) -> dict[str, int]:
-    """The claims in the progress that a plan writes."""
+    """Returns the claims in the progress row that a plan writes."""
     packed = plan.transaction.writes[keys.progress_key(name)]["c"]
     return {holder: taskset.unpack(tasks) for holder, tasks in packed.items()}
 
