--- a/sloeswitch/cli.py
+++ b/sloeswitch/cli.py
@@ -1,4 +1,4 @@
-"""The command line: runs a controller, checks its files, or answers operators' questions about admission."""
+"""The command line: runs a controller, checks its files, or runs the operators' admission commands."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from sloeswitch import __version__, features
 from sloeswitch.settings import SettingsError, load
 
-# Words of the variable LOG_LEVEL; any other counts as `info`.
+# Values of the environment variable LOG_LEVEL; any other value means `info`.
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-# The exit status when a file is refused; argparse has the same for a wrong argument.
-EXIT_REFUSED = 2
+# The exit status for an invalid file; argparse exits with the same status on a wrong argument.
+EXIT_INVALID_FILE = 2
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs what the arguments ask for; the exit status."""
+    """Runs the command that the arguments select, and returns the exit status."""
     arguments = sys.argv[1:] if argv is None else argv
     if arguments[:1] == ["admission"]:
-        return _answer_about_admission(arguments[1:])
+        return _run_admission(arguments[1:])
     return _run_controller(arguments)
 
 
-def _answer_about_admission(arguments: list[str]) -> int:
-    """Questions that operators ask about admission."""
+def _run_admission(arguments: list[str]) -> int:
+    """Runs `sloeswitch admission ...`, and returns the exit status."""
     parser = argparse.ArgumentParser(prog="sloeswitch admission", description="Questions about admission.")
     commands = parser.add_subparsers(dest="command", required=True)
-    comparing = commands.add_parser(
+    compare_parser = commands.add_parser(
         "compare", help="name the first difference between the decisions that controllers logged"
     )
-    comparing.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
+    compare_parser.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
     options = parser.parse_args(arguments)
-    # Imported late, so that a controller that starts needs none of it.
+    # Imported here, so that starting a controller does not load it.
     from sloeswitch.admission import compare
 
     return compare.main(options.logs, sys.stdout, sys.stderr)
@@ -49,7 +49,7 @@
 
 
 def _run_controller(arguments: list[str]) -> int:
-    """Runs one controller, or checks its files."""
+    """Runs one controller, or only checks its files, and returns the exit status."""
     parser = _controller_parser()
     options = parser.parse_args(arguments)
     path = options.check or options.config
@@ -58,13 +58,13 @@
     try:
         settings = load(path)
     except SettingsError as error:
-        return _refuse(path, error)
+        return _print_faults(path, error)
     enabled = features.Features()
     if options.features is not None:
         try:
             enabled = features.load(options.features, settings)
         except SettingsError as error:
-            return _refuse(options.features, error)
+            return _print_faults(options.features, error)
     if options.check:
         return 0
     logging.basicConfig(
@@ -72,15 +72,15 @@
         level=LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO),
         format="%(levelname).1s %(name)s: %(message)s",
     )
-    # Imported late, so that --check and --version need none of it.
+    # Imported here, so that --check and --version do not load it.
     from sloeswitch.controller import run
 
     run(settings, enabled)
     return 0
 
 
-def _refuse(path: str, error: SettingsError) -> int:
-    """Prints each fault of a file on a line; the exit status."""
+def _print_faults(path: str, error: SettingsError) -> int:
+    """Prints each fault of a file on its own line, and returns the exit status."""
     for fault in error.faults:
         print(f"{path}: {fault}", file=sys.stderr)
-    return EXIT_REFUSED
+    return EXIT_INVALID_FILE
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -17,7 +17,7 @@
     if spec.deadline_s is None:
         return set()
     times = {
-        objective.times
+        objective.deadline_factor
         for objective in objectives
         if objective.kind == ObjectiveKind.DEADLINE and objective.job_class == spec.job_class
     }
@@ -40,7 +40,7 @@
             continue
         if objective.kind == ObjectiveKind.DONE:
             found.add(waited_s + objective.within_s)
-        elif objective.kind == ObjectiveKind.BEGUN:
+        elif objective.kind == ObjectiveKind.STARTED:
             found.add(waited_s + objective.within_s + spec.estimate_s)
     if spec.deadline_s is not None and not found:
         found.add(spec.deadline_s)
