--- a/sloeswitch/actors/task_placement.py
+++ b/sloeswitch/actors/task_placement.py
@@ -115,7 +115,7 @@
             # A machine whose reports are late gets no new tasks. Otherwise a machine that answers commands but cannot
             # report would get tasks again and again: they start only with the answer to a report, and are removed.
             or machine.last_heartbeat_at is None
-            or now - machine.last_heartbeat_at >= self.settings.late_s
+            or now - machine.last_heartbeat_at >= self.settings.missed_report_s
             or machine.name not in self.tables.machines
             or self.health.is_machine_quarantined(machine.name)
         ):
