--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -1,9 +1,9 @@
-"""Rollouts: which configured controllers have run with a layout or feature, and whether all have.
+"""Rollouts: which configured controllers have run with a layout or feature, and whether all of them have.
 
-A rollout is one stored row. Every controller adds its member name once it runs with what is rolled out; when all
-configured members are in it the row is complete, for good, and rows and frames that others would not know may be
-written. Guards against a controller that is down, of an earlier version or of another configuration: it has not been
-seen yet, so it may come back and ignore, or wrongly rewrite, what it does not know.
+Each rollout is one stored row. A controller adds its member name to the row once it runs with the layout or feature.
+When the row contains all configured members it is permanently complete; only then may rows and frames of the new form
+be written. A controller that is down, runs an earlier version or has another configuration may come back and ignore or
+wrongly rewrite data that it does not understand, so the rollout waits for it.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
 
 @dataclass(frozen=True)
 class RolloutRow:
-    """The stored row of one rollout, as the replica has it."""
+    """The stored row of one rollout, as last read by the replica."""
 
     key: str
     status: FeatureStatus
-    # Whether it may become complete once every configured member is in it.
+    # Whether the row may be marked complete when it contains every configured member.
     may_complete: bool
     priority: RequestPriority
 
 
 async def record_in_rollout(context: ControllerContext, row: RolloutRow) -> FeatureStatus | None:
-    """Adds this member to a rollout's row, on condition of the row and of the view.
+    """Adds this member to a rollout's row, on condition that neither the row nor the view has changed.
 
-    Returns the status that was stored; None if there was nothing to add, or if it was not stored.
+    Returns:
+        The stored status; None if there was nothing to add or the write failed.
     """
     known_members = set(row.status.seen)
     members = {*known_members, context.settings.member}
@@ -53,7 +54,7 @@
 
 
 class FeatureRollout:
-    """The rollout of one feature of the features file; its owner asks `is_complete` before it uses the feature."""
+    """The rollout of one feature from the features file. Its owner checks `is_complete` before using the feature."""
 
     def __init__(self, feature: str, context: ControllerContext) -> None:
         self.feature = feature
@@ -61,7 +62,7 @@
 
     @property
     def status(self) -> FeatureStatus:
-        """Who has run with the feature, as the replica has it."""
+        """Which controllers have run with the feature, as last read by the replica."""
         return self.context.tables.features.get(self.feature, FeatureStatus())
 
     @property
@@ -70,9 +71,9 @@
         return self.status.complete
 
     async def record_member(self) -> None:
-        """Stores that this controller runs with the feature; complete once every configured one does."""
+        """Records that this controller runs with the feature."""
         status = self.status
-        # An earlier layout does not know rows of features.
+        # Controllers of an earlier layout cannot read the rows of features.
         if status.complete or not (self.context.leadership.is_leader and self.context.tables.layout_complete):
             return
         stored = await record_in_rollout(
--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -1,14 +1,15 @@
-"""Leadership: what this run of the controller may do, and until when.
+"""Leadership: which actions this controller process is allowed to take, and until when.
 
-Three things bound it, each counted from the moment at which the question was *sent*, on this process's own clock:
+Permission comes from three sources. Each is valid for a limited time, measured on this process's monotonic clock from
+the moment the request was *sent*:
 
-- its lease at the state service, which the membership actor renews;
-- the last linearizable read, which would have shown a newer view;
-- the confirmations of its siblings over the mesh, on which it may go on answering workers while the state service
-  is unreachable.
+- the lease at the state service, which the membership actor renews;
+- the last linearizable read, which would have returned any newer view;
+- the confirmations of siblings over the mesh, which allow this controller to keep answering workers while the state
+  service is unreachable.
 
-"Leader" is meant per shard: every member of the view leads the machines that the view gives it. The one coordinator
-among the members, which writes views and rents machines, is elected by a key of its own (`actors/membership.py`).
+Leadership is per shard: every member of the view leads the machines that the view assigns to it. One member is also
+the coordinator, which writes views and creates machines; it is elected by a separate key (`actors/membership.py`).
 """
 
 from __future__ import annotations
@@ -29,67 +30,72 @@
 
 
 class Leadership:
-    """The rights of this run. Only the membership actor writes it; every actor reads it before it acts.
+    """What the current incarnation is allowed to do. Only the membership actor writes it; every actor reads it.
 
-    A sibling that becomes the owner of a machine waits one controller lease longer than a confirmation of ours could
-    still keep workers alive (`core/machine_registry.py`).
+    An incarnation is one process run of a member, identified by its lease. The answers of an earlier owner of a machine
+    may keep a worker alive until the confirmations from siblings expire. A sibling that becomes the owner therefore
+    waits one controller lease on top of the worker's lease before it assumes that the worker is gone
+    (`Settings.takeover_gone_s`).
     """
 
     def __init__(self, settings: Settings, tables: Tables, replica: Replica, now: Callable[[], float]) -> None:
         self.settings = settings
         self.tables = tables
         self.replica = replica
-        # Seconds of the monotonic clock.
+        # Returns the monotonic time in seconds.
         self.now = now
-        # The id of this run's lease; 0 while it has none.
+        # The lease id of this incarnation; 0 without a lease.
         self.incarnation = 0
-        # When the last renewal that was granted had been sent.
+        # When the last successful renewal was sent.
         self.lease_renewed_at = float("-inf")
-        # Set once the mesh is there; the mesh sends `peer_status` to siblings.
+        # Set after construction, because the mesh needs `peer_status`, which it sends to siblings.
         self.mesh: Mesh | None = None
-        # How long a lease or a confirmation may be relied on here, however our clock drifts from its giver's.
+        # How long a lease or a confirmation is valid here; shortened by the largest drift between two nodes' clocks.
         self.lease_span_s = settings.controller_lease_s * (1 - settings.clock_drift)
 
     @property
     def own_incarnation(self) -> Incarnation:
-        """This run, as views name it."""
+        """This incarnation in the form used by views."""
         return Incarnation(self.settings.member, self.incarnation)
 
     @property
     def incarnation_id(self) -> str:
-        """This run, as claims and quota allocations name it."""
+        """This incarnation in the form used by claims and quota allocations."""
         return keys.incarnation_id_of(self.settings.member, self.incarnation)
 
     @property
     def view(self) -> View:
-        """The newest view that this controller has read: the numbered list of members that own machines."""
+        """The newest view that this controller has read: a numbered list of the members that own machines."""
         return self.tables.view
 
     @property
     def is_member(self) -> bool:
-        """Whether this run, and not a former one of the same member, stands in the newest view known."""
+        """Whether the newest known view contains this incarnation, not only an earlier one of the same member."""
         return self.incarnation != 0 and self.view.incarnation_of(self.settings.member) == self.incarnation
 
     @property
     def is_leader(self) -> bool:
-        """Whether this run may start tasks, store claims and settle machines: it is a member, within its lease."""
-        # The linearizable read bounds how long a newer view can have gone unseen; the renewal bounds the lease.
+        """Whether this incarnation may start tasks, store claims and reconcile machines.
+
+        It must be a member of the view, and both its lease and its last linearizable read must still be valid.
+        """
+        # A recent linearizable read limits for how long a newer view can have been missed.
         return (
             self.is_member and self.now() < min(self.lease_renewed_at, self.replica.linearizable_at) + self.lease_span_s
         )
 
     @property
     def is_coordinator(self) -> bool:
-        """Whether this run is the elected coordinator, which writes views and rents machines."""
+        """Whether this incarnation is the elected coordinator, which writes views and creates machines."""
         return self.is_leader and self.tables.coordinator == (self.settings.member, self.incarnation)
 
     @property
     def may_answer_workers(self) -> bool:
-        """Whether this run may answer reports, which keeps workers and their tasks alive.
+        """Whether this incarnation may answer heartbeats, which renews the leases of workers and keeps tasks running.
 
-        A leader may. So may a member whose siblings all confirm, within the span of a lease, that they know of no newer
-        view and have passed on every cancellation that their users may know of. That keeps workers alive
-        through an outage of the state service.
+        A leader may. A member may also do so if every sibling has confirmed within the validity of a lease that it
+        knows no newer view and has sent every cancellation that it has confirmed to users. This keeps workers alive
+        during an outage of the state service.
         """
         if self.is_leader:
             return True
@@ -105,10 +111,11 @@
 
     @property
     def is_leaderless(self) -> bool:
-        """Whether, as far as can be known here, no controller may answer machines.
+        """Whether, to this controller's knowledge, no controller at all may answer machines.
 
-        That is so while the state service does not answer, some sibling confirms nothing, and none reports that it
-        reaches the state service or knows of a newer view. A controller that has not read all tables cannot tell.
+        True if this controller may not answer, cannot reach the state service, and no sibling knows a newer view or has
+        recently reported that it can reach the state service. False until this controller has read all tables, because
+        it cannot know before.
         """
         if self.may_answer_workers or not self.replica.fully_read or self.replica.client.is_reachable:
             return False
@@ -120,7 +127,7 @@
         )
 
     def peer_status(self) -> PeerStatus:
-        """What this controller confirms to its siblings over the mesh."""
+        """The status that this controller sends to its siblings over the mesh."""
         replica = self.replica
         return PeerStatus(
             self.view.number,
@@ -131,16 +138,16 @@
         )
 
     def apply_peer_cancellations(self, cancellations: list[Cancellation]) -> None:
-        """Takes cancellations from a sibling into the tables; they are stored, but this replica lacks them."""
+        """Applies cancellations from a sibling, which are stored but not yet read by this replica, to the tables."""
         for cancellation in cancellations:
             self.tables.apply_peer_cancellation(cancellation)
         log.info("cancellations received from a sibling: count=%d", len(cancellations))
         self.replica.notify_peer_update()
 
     def owner_of(self, machine: str) -> str | None:
-        """The member that owns a machine under the newest view known; None while there is no view."""
+        """The member that owns a machine under the newest known view; None without a view."""
         return self.view.owner(machine)
 
     def view_conditions(self) -> dict[str, int]:
-        """The condition of every write that relies on the view: that nobody has stored a newer one."""
+        """The transaction condition for writes that depend on the view: the view must not have changed."""
         return {keys.VIEW_KEY: self.tables.mod_revision(keys.VIEW_KEY)}
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -1,11 +1,11 @@
 """Membership: this controller's lease, the election of the coordinator, and the numbered views.
 
-Every controller holds a lease at the state service; its member row is bound to that lease and vanishes with it. The
-coordinator is elected by a key that is bound to its lease too: whoever writes the key while it is free is elected, and
-is so until the key vanishes with its lease (leader election by a leased key). The coordinator watches the member
-rows and writes a new view, the numbered list of members that own machines, whenever members come or go.
+Every controller holds a lease at the state service. Its member row is bound to that lease and is deleted when the lease
+expires. The coordinator is elected by a key that is bound to the coordinator's lease: the first controller to write the
+key while it does not exist is elected, until its lease expires and the key is deleted. The coordinator watches the
+member rows and writes a new view, the numbered list of members that own machines, whenever a member joins or leaves.
 
-The membership actor alone writes `Leadership`, by which all others know what this run may do.
+Only the membership actor writes `Leadership`, from which all other actors read what this incarnation is allowed to do.
 """
 
 from __future__ import annotations
@@ -31,23 +31,26 @@
 
 log = logging.getLogger("membership")
 
-# The lease is renewed so many times within its span.
+# The number of lease renewals per lease duration.
 RENEWALS_PER_LEASE = 4
-# Two renewals are at least this part of a lease's span apart, however long the one before took.
+# The minimum pause between two renewals, as a fraction of the lease duration, even after a slow renewal.
 MIN_RENEWAL_PAUSE_LEASES = 1 / 16
-# How often the member row is tried when another write got there first.
+# The number of attempts at writing the member row when concurrent writes conflict.
 MEMBER_ROW_ATTEMPTS = 3
 
 
 @dataclass
 class ShardRecovered:
-    """Recovery after a view change is over: every machine that the view gives this controller is accounted for."""
+    """Recovery after a view change is complete: every machine that the view assigns to this controller is known.
+
+    A machine is known once it has reported or can no longer run tasks of an earlier owner.
+    """
 
     view_number: int
 
 
 class Membership(Actor[ShardRecovered]):
-    """Keeps this run's lease and member row, and writes views while this run is the elected coordinator."""
+    """Maintains this incarnation's lease and member row, and writes views while it is the elected coordinator."""
 
     name = "membership"
 
@@ -58,11 +61,11 @@
         self.client = context.client
         self.replica = context.replica
         self.leadership = context.leadership
-        # The last view under which this run has recovered its shard; stored in the member row.
+        # The number of the last view under which this incarnation recovered its shard; stored in the member row.
         self.recovered_view = 0
 
     async def handle(self, message: ShardRecovered) -> None:
-        """Stores the view under which this shard has recovered, so that others need not wait for it any more."""
+        """Stores the view under which this shard has recovered, so that other members stop waiting for it."""
         if message.view_number != self.recovered_view:
             self.recovered_view = message.view_number
             await self._write_member()
@@ -70,7 +73,7 @@
     # -- the lease
 
     async def keep_lease(self) -> None:
-        """Renews the lease and reads the view afresh, several times within a lease's span, until cancelled."""
+        """Renews the lease and does a linearizable read, RENEWALS_PER_LEASE times per lease, until cancelled."""
         period_s = self.settings.controller_lease_s / RENEWALS_PER_LEASE
         while True:
             while not self.replica.loaded:
@@ -87,26 +90,26 @@
             await anyio.sleep(max(pause_s, self.settings.controller_lease_s * MIN_RENEWAL_PAUSE_LEASES))
 
     async def _renew(self) -> None:
-        """Renews the lease, or joins with a new one if there is none or the former is over."""
+        """Renews the lease, or joins with a new one if there is none or the old one has expired."""
         if self.leadership.incarnation:
             await self._renew_lease()
         if not self.leadership.incarnation:
             await self._join()
 
     async def _renew_lease(self) -> None:
-        """Renews the lease; this run has no incarnation any more if the state service says that the lease is over."""
+        """Renews the lease; resets the incarnation to 0 if the state service reports that the lease has expired."""
         leadership = self.leadership
         sent_at = self.client.now()
         reply = await self.client.call("POST", f"/grants/{leadership.incarnation}/renew", b"{}", RequestPriority.LEASE)
         if reply.status == 200:
             leadership.lease_renewed_at = sent_at
         elif reply.status == 404:
-            # Others may already have acted on our absence: whatever this run held is no longer its own.
+            # Other controllers may already have taken over what this incarnation owned.
             log.info("lease expired, joining again: lease=%d", leadership.incarnation)
             leadership.incarnation = 0
 
     async def _join(self) -> None:
-        """Takes a new lease and stores the member row under it."""
+        """Obtains a new lease and stores the member row bound to it."""
         leadership = self.leadership
         sent_at = self.client.now()
         body = wire.encode({"lifeMs": int(self.settings.controller_lease_s * 1000)})
@@ -127,18 +130,18 @@
     # -- the member row
 
     def _current_row(self, lease_id: int) -> MemberRow:
-        """The member row as this run would store it."""
+        """The member row that this incarnation should have stored."""
         return MemberRow(lease_id, self.recovered_view, keys.LAYOUT_VERSION)
 
     def _row_is_current(self, lease_id: int) -> bool:
         return self.replica.tables.members.get(self.settings.member) == self._current_row(lease_id)
 
     async def _write_member(self, lease_id: int | None = None) -> bool:
-        """Stores this run's member row, on condition of what is there; True once it is stored.
+        """Stores the member row by compare-and-swap; returns whether it is stored.
 
-        Guards against a former run of this member, killed a moment ago, whose own write is carried out only now: it
-        must not take the row from us, nor may the row vanish with that run's lease. Should it have come first, ours
-        follows.
+        A delayed write of an earlier incarnation of this member, sent just before that process was killed, may be
+        carried out at the same time. It must not replace this row, or the row would be deleted when that incarnation's
+        lease expires. If the earlier incarnation's write is carried out first, this one conflicts and is retried.
         """
         lease_id = lease_id or self.leadership.incarnation
         if not lease_id:
@@ -158,11 +161,11 @@
         return False
 
     async def _record_layout(self) -> None:
-        """Stores that this controller has run with this layout of the rows.
+        """Records that this controller has run with the current layout of stored rows.
 
-        Complete for good once every configured controller has, and none of an earlier layout is a member. Guards
-        against a controller that is down: it has not been seen, so it may come back old, and would ignore what a job
-        awaits.
+        The layout is permanently complete once every configured controller has recorded it and no member runs an
+        earlier layout. A controller that is down and has not recorded the layout may restart with an earlier version,
+        which would ignore the prerequisites of jobs.
         """
         tables = self.replica.tables
         row = RolloutRow(
@@ -184,7 +187,7 @@
     # -- the coordinator and the view
 
     async def coordinate(self) -> None:
-        """Stands for election while the coordinator's key is free, and writes views while elected, until cancelled."""
+        """Runs for coordinator while none is elected, and writes views while elected, until cancelled."""
         while True:
             await self.replica.wait_change(self.settings.controller_lease_s / RENEWALS_PER_LEASE)
             if not self.leadership.incarnation or not self.replica.loaded:
@@ -195,7 +198,7 @@
                 log.exception("coordination failed")
 
     async def _coordinate(self) -> None:
-        """One step: stands for election, or writes the view that the member rows call for."""
+        """Does one step: runs for coordinator, or writes a view that matches the member rows."""
         tables, own = self.replica.tables, self.leadership.own_incarnation
         row = tables.members.get(own.member)
         if row is None or row.incarnation != own.lease_id:
@@ -206,12 +209,15 @@
             await self._write_view()
 
     def _is_former_run(self, incarnation: Incarnation) -> bool:
-        """Whether it is an earlier run of this very member. That process is gone, so the key that it held is free."""
+        """Whether this is an earlier incarnation of the same member, whose process has ended.
+
+        The coordinator key of an earlier incarnation may be replaced.
+        """
         own = self.leadership.own_incarnation
         return incarnation.member == own.member and incarnation.lease_id != own.lease_id
 
     async def _stand_for_election(self) -> None:
-        """Writes the coordinator's key, bound to this run's lease, on condition that nobody has written it since."""
+        """Writes the coordinator key, bound to this incarnation's lease, if it has not changed since it was read."""
         own, key = self.leadership.own_incarnation, keys.COORDINATOR_KEY
         change = Transaction(
             {key: self.replica.tables.mod_revision(key)}, {key: {"member": own.member, "boot": own.lease_id}}
@@ -222,7 +228,7 @@
             log.info("elected coordinator: incarnation=%s", own.id)
 
     async def _write_view(self) -> None:
-        """Writes the next view if members have come or gone, on condition of still being the coordinator."""
+        """Writes the next view if the members have changed, on condition of still being the coordinator."""
         tables = self.replica.tables
         members = tuple(sorted(Incarnation(member, row.incarnation) for member, row in tables.members.items()))
         if members == tables.view.members:
@@ -238,11 +244,11 @@
         await self._refresh_replica()
 
     async def _commit(self, change: Transaction, leases: dict[str, int] | None = None) -> TransactionOutcome:
-        """One transaction of the most urgent priority. `leases`: the lease that each key is bound to, by key."""
+        """Commits a transaction with the highest priority; `leases` maps a key to the lease that it is bound to."""
         outcome, _revision = await self.client.compare_and_swap(change, RequestPriority.LEASE, leases=leases)
         return outcome
 
     async def _refresh_replica(self) -> None:
-        """Reads what is stored by now; no matter if that fails, as the next step tries again."""
+        """Does a linearizable read. A failure is ignored, because the next step retries."""
         with contextlib.suppress(StaleReplicaError):
             await self.replica.read_linearizable(self.client.timeout_s)
