--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -1,6 +1,6 @@
-"""Puts a controller together from its parts and runs it.
+"""Builds a controller from its components and runs it.
 
-Only the command line calls `run`; no other module knows how the parts are connected.
+Only the command line calls `run`; no other module knows how the components are connected.
 """
 
 from __future__ import annotations
@@ -40,19 +40,19 @@
 
 CLOCK = SystemClock()
 
-# Worker leases for which the log of cancellations holds all that the state service can take: more than the longest
-# spell without it that machines outlive.
+# The log of cancellations can hold every cancellation that the state service can store during this many worker leases.
+# This is longer than the longest outage of the state service that machines survive.
 CANCELLATION_LOG_WORKER_LEASES = 16
-# Worker leases after which a connection on which nothing arrives is closed.
+# An idle connection is closed after this many worker leases.
 IDLE_CONNECTION_WORKER_LEASES = 6
-# Of all sockets, those for users and workers; the others are for the state service, the cloud, the siblings and direct
-# commands.
+# The fraction of all sockets that users and workers may use; the others are for the state service, the cloud, siblings
+# and commands sent directly to workers.
 SERVER_SOCKETS_SHARE = 0.7
 
 
 @dataclass(frozen=True)
 class Controller:
-    """The parts of one controller, connected to each other; none of them runs yet."""
+    """The components of one controller, connected to each other; their loops are started by `start_loops`."""
 
     settings: Settings
     replica: Replica
@@ -65,7 +65,7 @@
     server: Server
 
     def start_loops(self, group: TaskGroup) -> None:
-        """Starts the loops of all parts; they run until the group is cancelled."""
+        """Starts the loops of all components; they run until the group is cancelled."""
         self.machines.group = group
         self.replica.start(group)
         for sibling in self.settings.siblings:
@@ -89,7 +89,7 @@
 
 
 def build_controller(settings: Settings) -> Controller:
-    """Makes the parts of a controller, without any I/O."""
+    """Creates the components of a controller, without any I/O."""
     context, mesh = build_context(settings)
     membership = Membership(context)
     jobs = Jobs(context)
@@ -109,13 +109,16 @@
 
 
 def metrics_renderer(context: ControllerContext, machines: Machines) -> Callable[[], Awaitable[bytes]]:
-    """What renders the metrics; the first call loads their library, which a controller that nobody asks lacks."""
-    # Filled by the first call.
+    """Returns a function that renders the metrics; its first call imports the metrics library.
+
+    A controller whose metrics are never requested thus does not load the library.
+    """
+    # The renderer; empty until the first call.
     loaded: list[Callable[[], bytes]] = []
 
     async def render() -> bytes:
         if not loaded:
-            # In a thread, since it takes longer than a heartbeat should wait.
+            # Imported in a thread, because the import would delay heartbeats for too long.
             module = await anyio.to_thread.run_sync(importlib.import_module, "sloeswitch.metrics")
             loaded[:] = [module.ControllerMetrics(context, machines).render]
         return loaded[0]()
@@ -124,7 +127,7 @@
 
 
 def build_context(settings: Settings) -> tuple[ControllerContext, Mesh]:
-    """Makes what all actors share, and the mesh by which the leadership learns what siblings know."""
+    """Creates the context that all actors share, and the mesh that brings the status of siblings to the leadership."""
     log_size = int(CANCELLATION_LOG_WORKER_LEASES * settings.lease_s * settings.state_write_rps)
     cancellations = CancellationLog(log_size, 1 + secrets.randbits(63))
     tables = Tables(cancellations)
@@ -167,8 +170,8 @@
 
 
 def start_cells(group: TaskGroup, settings: Settings, features: CellFeatures, machines: Machines, mesh: Mesh) -> None:
-    """Starts what hands jobs over to other cells, and takes theirs."""
-    # Imported late, so that a controller without the feature loads none of it.
+    """Starts the loops that hand off jobs to other cells, and accepts jobs from them."""
+    # Imported here, so that a controller without the feature does not load its modules.
     from sloeswitch.cells.link import MeshLink, answer_frame
     from sloeswitch.cells.origin import CellOrigin, Link
     from sloeswitch.cells.target import CellTarget
@@ -189,7 +192,7 @@
 def start_admission(
     group: TaskGroup, settings: Settings, features: AdmissionFeatures, machines: Machines, mesh: Mesh
 ) -> None:
-    """Starts what defers jobs under overload."""
+    """Starts admission control, which defers jobs under overload."""
     from sloeswitch.admission.coordinator import AdmissionCoordinator
     from sloeswitch.admission.decision_log import DecisionLog
     from sloeswitch.admission.frames import MeshIdleCapacityLink, pack_idle_capacity
@@ -222,6 +225,6 @@
 
 
 def run(settings: Settings, features: Features) -> None:
-    """Runs one controller in an event loop of its own."""
-    # The event loop takes a third of what a report costs; uvloop's takes half of that.
+    """Runs one controller in a new event loop."""
+    # A third of the processing time of a heartbeat is spent in asyncio's event loop; uvloop takes half as long.
     anyio.run(serve, settings, features, backend_options={"use_uvloop": True})
--- a/sloeswitch/metrics.py
+++ b/sloeswitch/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of one controller in the Prometheus text format, computed from its state when they are asked for.
+"""Metrics of one controller in the Prometheus text format, computed from its state on each request.
 
-Imported with the first request for them (`controller.metrics_renderer`): `prometheus_client` takes memory and start-up
-time, which a controller that nobody scrapes does not pay. Operators' list of the metrics, with alerts:
-docs/operations/metrics.md.
+This module is imported on the first request for metrics (`controller.metrics_renderer`), so that a controller that is
+not scraped does not spend memory and start-up time on `prometheus_client`. The metrics and alerts are documented for
+operators in docs/operations/metrics.md.
 """
 
 from __future__ import annotations
@@ -22,21 +22,22 @@
 from sloeswitch.wire import split_task
 
 PREFIX = "sloeswitch_"
-# Machines that are listed by name in one answer, at most.
+# The maximum number of machines that one answer lists by name.
 MAX_LISTED_MACHINES = 20
 
 
 class MachineCondition(StrEnum):
-    """What a machine is good for at present; each machine is in one of these conditions."""
+    """Whether a machine can be given tasks, and if not, why; each machine is in exactly one condition."""
 
-    # Its tasks are not known yet after a change of owner.
+    # Its tasks are not yet known after a change of owner.
     UNRECOVERED = "unrecovered"
-    # Its lease is over, or it has not reported since the change of owner; it holds nothing.
+    # Its lease has expired, or it has not reported since the change of owner; it runs no tasks.
     SILENT = "silent"
-    # It reports and is not seen to receive answers.
+    # It reports, but has not confirmed that it receives messages.
     UNREACHABLE = "unreachable"
-    # It reports and gets no tasks: it is drained, surplus, or about to be preempted.
+    # It reports but gets no tasks, because it is draining, surplus or about to be preempted.
     DRAINING = "draining"
+    # It reports, receives messages and may be given tasks.
     SCHEDULABLE = "schedulable"
 
 
@@ -54,7 +55,7 @@
 
 
 class ControllerMetrics(Collector):
-    """Collects the metrics of one controller; reads the state of its actors and changes none of it."""
+    """Collects the metrics of one controller from the state of its actors, without changing that state."""
 
     def __init__(self, context: ControllerContext, machines: Machines) -> None:
         self._context = context
@@ -63,11 +64,11 @@
         self._registry.register(self)
 
     def render(self) -> bytes:
-        """All metrics, in the text format."""
+        """Returns all metrics in the text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
-        """The metrics as they are now."""
+        """Yields the current metrics."""
         yield from self._leadership()
         yield from self._state_service()
         yield from self._shard()
@@ -180,7 +181,7 @@
         )
 
     def _foreign_usage(self) -> dict[str, ResourceUsage]:
-        """By team, what foreign attempts use whose jobs are known."""
+        """The usage of foreign attempts by team; attempts of unknown jobs are left out."""
         usage: dict[str, ResourceUsage] = {}
         for machine in self._machines.registry.machines.values():
             for key in machine.foreign_attempts:
@@ -209,7 +210,7 @@
 
 
 def _team_amounts(name: str, text: str, amounts: Mapping[str, ResourceAmount | ResourceUsage]) -> Metric:
-    """Cores and GPUs by team."""
+    """A metric of cores and GPUs by team."""
     family = GaugeMetricFamily(f"{PREFIX}team_{name}", f"{text} In cores and GPUs.", labels=["team", "resource"])
     for team, amount in sorted(amounts.items()):
         family.add_metric([team, "cores"], amount.cores)
