--- a/sloeswitch/actors/claim_requester.py
+++ b/sloeswitch/actors/claim_requester.py
@@ -55,7 +55,7 @@
         now = self.now()
         members = [member for member, _ in self.leadership.view.members]
         self.queue.record_queued(now)
-        limits = PlanLimits.of(self.settings, self.client.txn_ops, self.tick_interval_s)
+        limits = PlanLimits.of(self.settings, self.client.max_transaction_changes, self.tick_interval_s)
         planner = ClaimPlanner(self.capacity_snapshot(now), limits, self.tables)
         claims = planner.plan(self.queue.jobs, len(members), members.index(self.settings.member))
         if self.on_remaining_capacities is not None and claims.remaining_capacities is not None:
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -89,7 +89,7 @@
         key = keys.job_key(spec.id)
         submitted_ms = self._clock.wall_clock_ms()
         value = encode_job(JobState.LIVE, spec, submitted_ms)
-        if len(wire.encode(value)) <= self._client.value_bytes:
+        if len(wire.encode(value)) <= self._client.max_value_bytes:
             return Transaction({key: 0}, {key: value})
         # Controllers of an earlier layout read no chunks.
         stored = await self._spec_chunks.store(spec) if self._tables.layout_complete else None
--- a/sloeswitch/actors/jobs.py
+++ b/sloeswitch/actors/jobs.py
@@ -146,7 +146,10 @@
             incarnation_id=self.leadership.incarnation_id,
             updates=self.uncommitted.by_job,
             limits=CommitLimits(
-                available_changes, self.client.txn_ops, self.client.value_bytes, total_bytes=self.values_bytes
+                available_changes,
+                self.client.max_transaction_changes,
+                self.client.max_value_bytes,
+                total_bytes=self.values_bytes,
             ),
             is_leader=is_leader,
             recovery_complete=self.tables.recovery_complete(),
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -122,7 +122,9 @@
             now: The clock's time in seconds.
         """
         # Some changes of a round are left for claims.
-        max_teams = max(1, min(self.client.txn_ops // 2, self.client.available_changes(RequestPriority.CLAIM) - 1))
+        max_teams = max(
+            1, min(self.client.max_transaction_changes // 2, self.client.available_changes(RequestPriority.CLAIM) - 1)
+        )
         for name, usage in usable.items():
             if len(request.quota_increases) + len(request.quota_decreases) >= max_teams:
                 break
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -70,7 +70,7 @@
 
     def _max_values_bytes(self) -> int:
         """What the values of one transaction may take together, in bytes."""
-        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
+        return max(self.client.max_value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
 
     # -- new machines
 
@@ -86,7 +86,7 @@
         if all(row.layout >= keys.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             return self._grouped(unstored)
         # A member of an earlier layout knows no groups.
-        return self._one_by_one(unstored[: self.client.txn_ops])
+        return self._one_by_one(unstored[: self.client.max_transaction_changes])
 
     @staticmethod
     def _one_by_one(machines: list[Machine]) -> NewMachines:
@@ -97,8 +97,10 @@
 
     def _grouped(self, machines: list[Machine]) -> NewMachines:
         rows = {machine.name: [machine.address, machine.type, machine.zone, machine.spot] for machine in machines}
-        max_groups = min(self.client.txn_ops, max(1, self._max_values_bytes() // self.client.value_bytes))
-        groups = split_machine_groups(rows, self.client.value_bytes)[:max_groups]
+        max_groups = min(
+            self.client.max_transaction_changes, max(1, self._max_values_bytes() // self.client.max_value_bytes)
+        )
+        groups = split_machine_groups(rows, self.client.max_value_bytes)[:max_groups]
         return NewMachines(
             {name for group in groups for name in group}, {self._new_group_key(): {"m": group} for group in groups}
         )
@@ -147,10 +149,12 @@
                 continue
             # A group that is dropped is one change; one that is split may take several.
             changes = max(1, len(groups))
-            value_bytes = changes * self.client.value_bytes
-            if not removals and changes > self.client.txn_ops:
+            value_bytes = changes * self.client.max_value_bytes
+            if not removals and changes > self.client.max_transaction_changes:
                 return self._split_group(key, groups)
-            if removals and (len(removals) + changes > self.client.txn_ops or remaining_bytes < value_bytes):
+            if removals and (
+                len(removals) + changes > self.client.max_transaction_changes or remaining_bytes < value_bytes
+            ):
                 break
             remaining_bytes -= value_bytes
             self._replace_group(removals, key, groups)
@@ -164,7 +168,7 @@
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: encode_machine(self.tables.machines[name]) for name in names}
-        return split_machine_groups(rows, self.client.value_bytes)
+        return split_machine_groups(rows, self.client.max_value_bytes)
 
     def _replace_group(self, removals: Transaction, key: str, groups: list[MachineGroup]) -> None:
         """Adds to the removals that a key holds the first group and new keys the others; none: it is dropped."""
@@ -181,6 +185,6 @@
         At first all but its first part get groups of their own, which loses no machine; the group itself is rewritten
         once that is stored.
         """
-        split_off = groups[1 : self.client.txn_ops]
+        split_off = groups[1 : self.client.max_transaction_changes]
         writes = {self._new_group_key(key): {"m": group} for group in split_off}
         return Transaction({key: self.tables.mod_revision(key)}, writes)
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -119,7 +119,7 @@
     async def _store_catalog(self, types: list[wire.MachineType]) -> None:
         """Stores all types in one value if they fit; else each has its own, which an earlier layout does not read."""
         catalog = msgspec.to_builtins(wire.MachineTypeCatalog(types))
-        fits = len(wire.encode(catalog)) <= self.client.value_bytes
+        fits = len(wire.encode(catalog)) <= self.client.max_value_bytes
         if not fits and not self.tables.layout_complete:
             # Operators look for this line (docs/operations).
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
@@ -136,8 +136,8 @@
         """Commits writes, then deletions, so that no type is missing in between, on condition of being coordinator."""
         keys_left = [*change.writes, *change.deletes]
         while keys_left:
-            batch = set(keys_left[: self.client.txn_ops])
-            del keys_left[: self.client.txn_ops]
+            batch = set(keys_left[: self.client.max_transaction_changes])
+            del keys_left[: self.client.max_transaction_changes]
             outcome, _revision = await self.client.compare_and_swap(
                 Transaction(
                     {keys.COORDINATOR_KEY: self.tables.mod_revision(keys.COORDINATOR_KEY)},
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -50,7 +50,7 @@
         """
         self._attempts += 1
         attempt = f"{self._leadership.incarnation_id}.{self._attempts}"
-        texts = split_spec(spec, self._client.value_bytes)
+        texts = split_spec(spec, self._client.max_value_bytes)
         chunk_keys = [keys.chunk_key(spec.id, attempt, number) for number in range(len(texts))]
         if not await self._write_from_last(list(zip(chunk_keys, texts, strict=True))):
             return None
@@ -65,7 +65,9 @@
 
     async def _write_from_last(self, chunks: list[tuple[str, str]]) -> bool:
         """Writes the keys and their texts, the last ones first, in as few transactions as may be."""
-        batch_size = max(1, min(self._client.txn_ops, self._values_bytes // self._client.value_bytes))
+        batch_size = max(
+            1, min(self._client.max_transaction_changes, self._values_bytes // self._client.max_value_bytes)
+        )
         while chunks:
             batch = dict(chunks[-batch_size:])
             del chunks[-batch_size:]
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -118,9 +118,9 @@
             self.limits,
             self._known_idle_capacity(),
             self.clock.wall_clock_ms(),
-            self.client.value_bytes,
+            self.client.max_value_bytes,
         )
-        chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.txn_ops)
+        chosen = chosen_changes(changes, self.written_at, self.limits.max_changes, self.client.max_transaction_changes)
         if not chosen:
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -346,7 +346,7 @@
         return {**value, "x": self.clock.wall_clock_ms()}
 
     async def _commit(self, conditions: dict[str, int], writes: dict[str, Any]) -> bool:
-        if any(len(wire.encode(value)) > self.client.value_bytes for value in writes.values()):
+        if any(len(wire.encode(value)) > self.client.max_value_bytes for value in writes.values()):
             return False  # too close to the limit for the handoff beside the job; it stays
         outcome, epoch = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         if outcome is TransactionOutcome.COMMITTED:
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -135,7 +135,7 @@
             return False
         if unschedulable_reason(spec, self.settings.teams, tables.machine_types) is not None:
             return False
-        if len(wire.encode(self._delegated_job(handoff, offer))) > self.client.value_bytes:
+        if len(wire.encode(self._delegated_job(handoff, offer))) > self.client.max_value_bytes:
             return False
         task = task_resources(spec)
         least = spec.tasks if spec.gang else 1
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -90,9 +90,9 @@
             must outlast two timeouts.
         request_tokens: This controller's share of the requests per second.
         write_tokens: This controller's share of the changes per second.
-        txn_ops: The maximum number of changes in a transaction. Lowered if the state service accepts fewer than
-            configured.
-        value_bytes: The maximum size of a stored value. Lowered if the state service accepts less than configured.
+        max_transaction_changes: The maximum number of changes in a transaction; initially the configured limit, lowered
+            when the state service rejects a transaction.
+        max_value_bytes: The maximum size of a stored value; initially the configured limit, lowered in the same way.
         failing_since: When the current series of failed requests began; None while the service answers.
         requests_by_status: The number of requests by status of the answer; `none`: no answer.
         transactions_by_outcome: The number of transactions by outcome.
@@ -108,8 +108,8 @@
         self.timeout_s = settings.controller_lease_s / 4
         self.request_tokens = TokenBucket(settings.state_rps, now())
         self.write_tokens = TokenBucket(settings.state_write_rps, now())
-        self.txn_ops = settings.txn_ops
-        self.value_bytes = settings.value_bytes
+        self.max_transaction_changes = settings.txn_ops
+        self.max_value_bytes = settings.value_bytes
         self.failing_since: float | None = None
         self.requests_by_status: Counter[str] = Counter()
         self.transactions_by_outcome: Counter[TransactionOutcome] = Counter()
@@ -125,7 +125,7 @@
         """
         self._update_rates()
         unreserved_changes = int(self.write_tokens.rate * (1 - RESERVED_FRACTION[priority]))
-        return min(self.txn_ops, max(MIN_AVAILABLE_CHANGES, unreserved_changes))
+        return min(self.max_transaction_changes, max(MIN_AVAILABLE_CHANGES, unreserved_changes))
 
     async def acquire_changes(self, changes: int, priority: RequestPriority) -> None:
         """Waits until the write rate allows this number of changes, for a transaction that is built afterwards."""
@@ -259,12 +259,12 @@
         """
         changes = len(transaction)
         if changes > MIN_TRANSACTION_CHANGES:
-            self.txn_ops = max(MIN_TRANSACTION_CHANGES, changes // 2)
-            log.error("transaction limit lowered: max_changes=%d", self.txn_ops)
+            self.max_transaction_changes = max(MIN_TRANSACTION_CHANGES, changes // 2)
+            log.error("transaction limit lowered: max_changes=%d", self.max_transaction_changes)
         elif transaction.writes:
             largest_bytes = max(len(wire.encode(value)) for value in transaction.writes.values())
             least_bytes = int(self.settings.value_bytes * MIN_FRACTION_OF_VALUE_LIMIT)
             if largest_bytes > least_bytes:
                 lowered_bytes = int(LOWERED_FRACTION_OF_VALUE * largest_bytes)
-                self.value_bytes = max(least_bytes, min(self.value_bytes, lowered_bytes))
-                log.error("value limit lowered: max_bytes=%d", self.value_bytes)
+                self.max_value_bytes = max(least_bytes, min(self.max_value_bytes, lowered_bytes))
+                log.error("value limit lowered: max_bytes=%d", self.max_value_bytes)
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -213,7 +213,7 @@
     later_ms = wall_clock_ms + int(1000 * limits.patience_s) + DEFERRED_JOBS
 
     def reckon() -> list[epochs.RowChange]:
-        return epochs.next_rows(world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes)
+        return epochs.next_rows(world.store.tables, world.settings, limits, [], later_ms, world.client.max_value_bytes)
 
     timed("an epoch", reckon)
     (change,) = reckon()
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -252,7 +252,7 @@
     """Guards against a task taken back from its machine's new owner: the view changes while the tables are read."""
     store.upgraded()
     world = World(store)
-    world.client.txn_ops = 3
+    world.client.max_transaction_changes = 3
     store.job(spec(JOB, visits=2, cores=1.0))
     store.progress(JOB, c1_9=0b01)
     store.put(keys.team_key("red"), {"c0.1": [4.0, 0.0], "c1.9": [1.0, 0.0]})
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -136,12 +136,12 @@
 def test_a_completion_whose_row_is_too_large_does_not_hold_up_the_recovery_for_ever(store: Store) -> None:
     """Guards against a view that is never recovered, before all controllers read rows of adoptions."""
     world = Takeover(store, grouped=False)
-    world.client.value_bytes = 20
+    world.client.max_value_bytes = 20
     world.find(ENDED)
     assert world.recovered_views() == []
     world.commit()
     assert world.recovered_views() == [3]
-    world.client.value_bytes = 2048
+    world.client.max_value_bytes = 2048
     world.commit()
     assert store.tables.jobs[JOB].progress.done == 0b001 and not world.jobs.oversized_jobs
 
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -112,9 +112,9 @@
     other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
     world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
     world.given("layout mark, complete")
-    world.client.value_bytes = 200
+    world.client.max_value_bytes = 200
     world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
-    world.client.value_bytes = 400
+    world.client.max_value_bytes = 400
     world.run(scale_out._store_catalog, [MACHINE_TYPE])
 
 
@@ -150,13 +150,13 @@
 
 def group_in_parts(world: Recorder) -> None:
     world.given("one group", "layout mark, complete")
-    world.client.value_bytes = 64
+    world.client.max_value_bytes = 64
     unregister(world, "vm-1")
 
 
 def group_in_parts_first(world: Recorder) -> None:
     world.given("one group", "layout mark, complete")
-    world.client.value_bytes, world.client.txn_ops = 64, 2
+    world.client.max_value_bytes, world.client.max_transaction_changes = 64, 2
     unregister(world, "vm-1")
 
 
@@ -182,7 +182,7 @@
 
 def job_in_parts(world: Recorder) -> None:
     world.given("layout mark, complete")
-    world.client.value_bytes = 200
+    world.client.max_value_bytes = 200
     submit(world, JOB)
 
 
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -94,8 +94,8 @@
     rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
     store.put(keys.group_key("c0.1.1"), {"m": rows})
     registration = world.machines.registration
-    world.client.value_bytes = 4 * len('"vm-000":["127.0.0.1:9000","small","a",true],')
-    world.client.txn_ops = 3
+    world.client.max_value_bytes = 4 * len('"vm-000":["127.0.0.1:9000","small","a",true],')
+    world.client.max_transaction_changes = 3
     registration.pending_removals.add("vm-000")
     change = registration._removals()
     assert len(change) <= 3 and not change.deletes and keys.group_key("c0.1.1") not in change.writes
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -61,7 +61,7 @@
 
 def claim_planner(fleet: FleetWorld) -> ClaimPlanner:
     machines = fleet.machines
-    limits = PlanLimits.of(fleet.settings, fleet.client.txn_ops, machines.claims.tick_interval_s)
+    limits = PlanLimits.of(fleet.settings, fleet.client.max_transaction_changes, machines.claims.tick_interval_s)
     return ClaimPlanner(machines.claims.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -160,10 +160,10 @@
         await client.compare_and_swap(Transaction({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}), t_urgency())
 
     anyio.run(commit)
-    assert client.write_tokens.tokens <= 0.0 and client.txn_ops == 4
+    assert client.write_tokens.tokens <= 0.0 and client.max_transaction_changes == 4
     world.clock.time += 10.0
     anyio.run(commit)
-    assert client.txn_ops == 2
+    assert client.max_transaction_changes == 2
 
 
 def t_urgency() -> Any:
