--- a/sloeswitch/actors/feature_rollout.py
+++ b/sloeswitch/actors/feature_rollout.py
@@ -44,11 +44,11 @@
     if members == known_members and not complete:
         return None
     status = FeatureStatus(tuple(sorted(members)), complete)
-    change = Transaction(
+    transaction = Transaction(
         {row.key: context.tables.mod_revision(row.key), **context.leadership.view_conditions()},
         {row.key: {"seen": list(status.seen), "complete": status.complete}},
     )
-    outcome, _revision = await context.client.compare_and_swap(change, row.priority)
+    outcome, _revision = await context.client.compare_and_swap(transaction, row.priority)
     context.replica.request_read()
     return status if outcome is TransactionOutcome.COMMITTED else None
 
--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -51,7 +51,7 @@
         # Set after construction, because the mesh needs `peer_status`, which it sends to siblings.
         self.mesh: Mesh | None = None
         # How long a lease or a confirmation is valid here; shortened by the largest drift between two nodes' clocks.
-        self.lease_span_s = settings.controller_lease_s * (1 - settings.clock_drift)
+        self.lease_validity_s = settings.controller_lease_s * (1 - settings.clock_drift)
 
     @property
     def own_incarnation(self) -> Incarnation:
@@ -81,7 +81,8 @@
         """
         # A recent linearizable read limits for how long a newer view can have been missed.
         return (
-            self.is_member and self.now() < min(self.lease_renewed_at, self.replica.linearizable_at) + self.lease_span_s
+            self.is_member
+            and self.now() < min(self.lease_renewed_at, self.replica.linearizable_at) + self.lease_validity_s
         )
 
     @property
@@ -105,7 +106,7 @@
         return all(
             peer.cancellations_complete
             and peer.view_number <= self.view.number
-            and self.now() < peer.asked_at + self.lease_span_s
+            and self.now() < peer.asked_at + self.lease_validity_s
             for peer in peers
         )
 
@@ -122,7 +123,8 @@
         now = self.now()
         peers = self.mesh.peers.values() if self.mesh is not None else ()
         return not any(
-            peer.view_number > self.view.number or (peer.state_reachable and now < peer.asked_at + self.lease_span_s)
+            peer.view_number > self.view.number
+            or (peer.state_reachable and now < peer.asked_at + self.lease_validity_s)
             for peer in peers
         )
 
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -77,10 +77,10 @@
         period_s = self.settings.controller_lease_s / RENEWALS_PER_LEASE
         while True:
             while not self.replica.loaded:
-                await self.replica.wait_change(period_s)
+                await self.replica.wait_for_change(period_s)
             started = self.client.now()
             with contextlib.suppress(HttpTransportError, StaleReplicaError):
-                await self._renew()
+                await self._renew_or_join()
                 await self.replica.read_linearizable(self.client.timeout_s)
                 if self.leadership.incarnation and not self._row_is_current(self.leadership.incarnation):
                     await self._write_member()
@@ -89,7 +89,7 @@
             pause_s = period_s - (self.client.now() - started)
             await anyio.sleep(max(pause_s, self.settings.controller_lease_s * MIN_RENEWAL_PAUSE_LEASES))
 
-    async def _renew(self) -> None:
+    async def _renew_or_join(self) -> None:
         """Renews the lease, or joins with a new one if there is none or the old one has expired."""
         if self.leadership.incarnation:
             await self._renew_lease()
@@ -152,8 +152,8 @@
                 return True
             row = self._current_row(lease_id)
             value = {"boot": row.incarnation, "settled": row.recovered_view, "layout": row.layout}
-            change = Transaction({key: self.replica.tables.mod_revision(key)}, {key: value})
-            outcome = await self._commit(change, {key: lease_id})
+            transaction = Transaction({key: self.replica.tables.mod_revision(key)}, {key: value})
+            outcome = await self._commit(transaction, {key: lease_id})
             if outcome in (TransactionOutcome.COMMITTED, TransactionOutcome.NO_LEASE):
                 self.replica.request_read()
                 return outcome is TransactionOutcome.COMMITTED
@@ -189,7 +189,7 @@
     async def coordinate(self) -> None:
         """Runs for coordinator while none is elected, and writes views while elected, until cancelled."""
         while True:
-            await self.replica.wait_change(self.settings.controller_lease_s / RENEWALS_PER_LEASE)
+            await self.replica.wait_for_change(self.settings.controller_lease_s / RENEWALS_PER_LEASE)
             if not self.leadership.incarnation or not self.replica.loaded:
                 continue
             try:
@@ -203,12 +203,12 @@
         row = tables.members.get(own.member)
         if row is None or row.incarnation != own.lease_id:
             return
-        if tables.coordinator is None or self._is_former_run(tables.coordinator):
+        if tables.coordinator is None or self._is_earlier_incarnation(tables.coordinator):
             await self._stand_for_election()
         elif tables.coordinator == own:
             await self._write_view()
 
-    def _is_former_run(self, incarnation: Incarnation) -> bool:
+    def _is_earlier_incarnation(self, incarnation: Incarnation) -> bool:
         """Whether this is an earlier incarnation of the same member, whose process has ended.
 
         The coordinator key of an earlier incarnation may be replaced.
@@ -219,10 +219,10 @@
     async def _stand_for_election(self) -> None:
         """Writes the coordinator key, bound to this incarnation's lease, if it has not changed since it was read."""
         own, key = self.leadership.own_incarnation, keys.COORDINATOR_KEY
-        change = Transaction(
+        transaction = Transaction(
             {key: self.replica.tables.mod_revision(key)}, {key: {"member": own.member, "boot": own.lease_id}}
         )
-        outcome = await self._commit(change, {key: own.lease_id})
+        outcome = await self._commit(transaction, {key: own.lease_id})
         await self._refresh_replica()
         if outcome is TransactionOutcome.COMMITTED:
             log.info("elected coordinator: incarnation=%s", own.id)
@@ -234,18 +234,18 @@
         if members == tables.view.members:
             return
         number = tables.view.number + 1
-        change = Transaction(
+        transaction = Transaction(
             {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, keys.VIEW_KEY)},
             {keys.VIEW_KEY: {"n": number, "members": [list(member) for member in members]}},
         )
-        outcome = await self._commit(change)
+        outcome = await self._commit(transaction)
         if outcome is TransactionOutcome.COMMITTED:
             log.info("view changed: view=%d members=%s", number, ",".join(member.id for member in members))
         await self._refresh_replica()
 
-    async def _commit(self, change: Transaction, leases: dict[str, int] | None = None) -> TransactionOutcome:
+    async def _commit(self, transaction: Transaction, leases: dict[str, int] | None = None) -> TransactionOutcome:
         """Commits a transaction with the highest priority; `leases` maps a key to the lease that it is bound to."""
-        outcome, _revision = await self.client.compare_and_swap(change, RequestPriority.LEASE, leases=leases)
+        outcome, _revision = await self.client.compare_and_swap(transaction, RequestPriority.LEASE, leases=leases)
         return outcome
 
     async def _refresh_replica(self) -> None:
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -76,7 +76,7 @@
             if self.tables.machine_types:
                 await anyio.sleep(self.settings.list_lag_s / 10)
             else:
-                await self.replica.wait_change(self.settings.list_lag_s / 10)
+                await self.replica.wait_for_change(self.settings.list_lag_s / 10)
             if not self.replica.loaded:
                 continue
             try:
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -217,7 +217,9 @@
         },
     )
     machines.queue.admission = AdmissionGate(machines.tables, DecisionLog(), lambda: coordinator.switched_on)
-    machines.claims.on_remaining_capacities = lambda rooms, at: idle.observe(rooms, machines.tables.machine_types, at)
+    machines.claims.on_remaining_capacities = lambda capacities, now: idle.observe(
+        capacities, machines.tables.machine_types, now
+    )
     mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
--- a/sloeswitch/linearizable_reads.py
+++ b/sloeswitch/linearizable_reads.py
@@ -21,7 +21,7 @@
         self._last_answered = 0
         self._requested = anyio.Event()
         # Set when the next attempt has ended; None if no caller waits for it.
-        self._attempt_over: anyio.Event | None = None
+        self._attempt_ended: anyio.Event | None = None
 
     # -- callers
 
@@ -38,22 +38,22 @@
         """Requests a read without waiting for it."""
         self._requested.set()
 
-    async def wait_attempt(self) -> None:
+    async def wait_for_attempt(self) -> None:
         """Requests a read, and returns when the next attempt has succeeded or failed."""
-        if self._attempt_over is None:
-            self._attempt_over = anyio.Event()
-        attempt_over = self._attempt_over
+        if self._attempt_ended is None:
+            self._attempt_ended = anyio.Event()
+        attempt_ended = self._attempt_ended
         self._requested.set()
-        await attempt_over.wait()
+        await attempt_ended.wait()
 
     # -- the task that reads
 
-    async def wait_request(self) -> anyio.Event:
+    async def wait_for_request(self) -> anyio.Event:
         """Waits until a read is requested; the caller must set the returned event when its attempt has ended."""
         await self._requested.wait()
         self._requested = anyio.Event()
-        attempt_over, self._attempt_over = self._attempt_over, None
-        return attempt_over if attempt_over is not None else anyio.Event()
+        attempt_ended, self._attempt_ended = self._attempt_ended, None
+        return attempt_ended if attempt_ended is not None else anyio.Event()
 
     def record_sent(self) -> int:
         """Records that a read is being sent, and returns its number."""
--- a/sloeswitch/metrics.py
+++ b/sloeswitch/metrics.py
@@ -109,8 +109,8 @@
             "outcome",
             {outcome.name.lower(): count for outcome, count in client.transactions_by_outcome.items()},
         )
-        text = "How often the state service began not to answer."
-        yield CounterMetricFamily(PREFIX + "state_outages", text, value=client.outages)
+        help_text = "How often the state service began not to answer."
+        yield CounterMetricFamily(PREFIX + "state_outages", help_text, value=client.outages)
         yield _gauge("state_reachable", "Whether the state service answers this controller.", client.is_reachable)
 
     def _shard(self) -> Iterator[Metric]:
@@ -131,14 +131,14 @@
         )
 
     def _recovery(self) -> Iterator[Metric]:
-        found = self._machines.recovery.blockers()
+        blockers = self._machines.recovery.blockers()
         waits = {
-            "machines": found.machines,
-            "adoptions": found.adoptions,
-            "completions": found.completions,
+            "machines": blockers.machines,
+            "adoptions": blockers.adoptions,
+            "completions": blockers.completions,
         }
-        text = "What the recovery of the newest view waits for: machines, adopted tasks, found completions."
-        yield _gauges("recovery_waits", text, "reason", waits)
+        help_text = "What the recovery of the newest view waits for: machines, adopted tasks, found completions."
+        yield _gauges("recovery_waits", help_text, "reason", waits)
 
     def _cancelled_tasks(self) -> Iterator[Metric]:
         waits = self._machines.cancellations.waits(self._context.clock.now())
@@ -150,11 +150,11 @@
         for wait in waits[:MAX_LISTED_MACHINES]:
             family.add_metric([wait.machine, wait.job], wait.cancelled_s)
         yield family
-        text = "How many machines there are on which a cancelled task is or may be."
-        yield _gauge("cancelled_task_machines", text, len(waits))
+        help_text = "How many machines there are on which a cancelled task is or may be."
+        yield _gauge("cancelled_task_machines", help_text, len(waits))
 
     def _quotas(self) -> Iterator[Metric]:
-        context, ledger = self._context, self._machines.quota
+        context, quotas = self._context, self._machines.quota
         teams = context.settings.teams
         incarnation_id = context.leadership.incarnation_id
         foreign = self._foreign_usage()
@@ -167,12 +167,12 @@
         yield _team_amounts(
             "usage",
             "What tasks use under this controller's responsibility, handed-off ones included.",
-            {team: ledger.usage(team) for team in teams},
+            {team: quotas.usage(team) for team in teams},
         )
         yield _team_amounts(
             "handed_off",
             "What its tasks use on machines that another controller owns now.",
-            {team: ledger.handed_off_usage.get(team, ResourceUsage()) for team in teams},
+            {team: quotas.handed_off_usage.get(team, ResourceUsage()) for team in teams},
         )
         yield _team_amounts(
             "foreign",
@@ -191,16 +191,16 @@
         return usage
 
 
-def _gauge(name: str, text: str, value: float) -> Metric:
-    return GaugeMetricFamily(PREFIX + name, text, value=float(value))
+def _gauge(name: str, help_text: str, value: float) -> Metric:
+    return GaugeMetricFamily(PREFIX + name, help_text, value=float(value))
 
 
-def _gauges(name: str, text: str, label: str, values: Mapping[str, float]) -> Metric:
-    return _labelled(GaugeMetricFamily(PREFIX + name, text, labels=[label]), values)
+def _gauges(name: str, help_text: str, label: str, values: Mapping[str, float]) -> Metric:
+    return _labelled(GaugeMetricFamily(PREFIX + name, help_text, labels=[label]), values)
 
 
-def _counters(name: str, text: str, label: str, values: Mapping[str, int]) -> Metric:
-    return _labelled(CounterMetricFamily(PREFIX + name, text, labels=[label]), values)
+def _counters(name: str, help_text: str, label: str, values: Mapping[str, int]) -> Metric:
+    return _labelled(CounterMetricFamily(PREFIX + name, help_text, labels=[label]), values)
 
 
 def _labelled(family: GaugeMetricFamily | CounterMetricFamily, values: Mapping[str, float]) -> Metric:
@@ -209,9 +209,9 @@
     return family
 
 
-def _team_amounts(name: str, text: str, amounts: Mapping[str, ResourceAmount | ResourceUsage]) -> Metric:
+def _team_amounts(name: str, help_text: str, amounts: Mapping[str, ResourceAmount | ResourceUsage]) -> Metric:
     """A metric of cores and GPUs by team."""
-    family = GaugeMetricFamily(f"{PREFIX}team_{name}", f"{text} In cores and GPUs.", labels=["team", "resource"])
+    family = GaugeMetricFamily(f"{PREFIX}team_{name}", f"{help_text} In cores and GPUs.", labels=["team", "resource"])
     for team, amount in sorted(amounts.items()):
         family.add_metric([team, "cores"], amount.cores)
         family.add_metric([team, "gpus"], amount.gpus)
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -71,7 +71,7 @@
 
     # -- observers
 
-    async def wait_change(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Returns at the next change of the tables, or after the timeout."""
         with anyio.move_on_after(timeout_s):
             await self.changed.wait()
@@ -105,7 +105,7 @@
         try:
             with anyio.fail_after(timeout_s):
                 while not self._reads.is_answered(needed):
-                    await self._reads.wait_attempt()
+                    await self._reads.wait_for_attempt()
                     if not self._reads.is_answered(needed) and not self.client.is_reachable:
                         raise StaleReplicaError("the state service cannot be reached")
         except TimeoutError:
@@ -126,13 +126,13 @@
 
     async def _serve_reads(self) -> None:
         while True:
-            attempt_over = await self._reads.wait_request()
+            attempt_ended = await self._reads.wait_for_request()
             try:
                 await self._serve_read()
             except (HttpTransportError, StateReadError):
                 await anyio.sleep(self.watch_pause_s / 4)
             finally:
-                attempt_over.set()
+                attempt_ended.set()
             await anyio.sleep(self.read_pause_s)
 
     async def _serve_read(self) -> None:
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -226,7 +226,7 @@
         for member in self.members.values():
             member.read(self.service)
             member.join()
-        self.lease_span_s = self.members["c0"].leadership.lease_span_s
+        self.lease_validity_s = self.members["c0"].leadership.lease_validity_s
         self.reaches_service = dict.fromkeys(self.members, True)
         # When each cancellation was confirmed to a user.
         self.confirmed: dict[str, float] = {}
@@ -310,4 +310,4 @@
                 continue
             self.answering_without_full_read_count += member.replica.applied_revision < self.service.epoch
             for job, at in self.confirmed.items():
-                assert member.knows_of(job) or self.clock.time <= at + self.lease_span_s, (step, job)
+                assert member.knows_of(job) or self.clock.time <= at + self.lease_validity_s, (step, job)
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -195,13 +195,13 @@
 
 async def renew(asking: Asking) -> Any:
     asking.leadership.incarnation = 7
-    await asking.membership._renew()
+    await asking.membership._renew_or_join()
     return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
 
 
 async def join(asking: Asking) -> Any:
     asking.replica.loaded = True
-    await asking.membership._renew()
+    await asking.membership._renew_or_join()
     return [asking.leadership.incarnation, asking.leadership.lease_renewed_at]
 
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -154,7 +154,7 @@
         return replies[path]
 
     monkeypatch.setattr(world.client, "call", call)
-    anyio.run(world.membership._renew)
+    anyio.run(world.membership._renew_or_join)
     assert sent == ["/grants/1/renew", "/grants"]
     assert world.leadership.own_incarnation == ("c0", 9) and world.leadership.own_incarnation.id == "c0.9"
     assert not world.leadership.is_member and not world.leadership.is_leader
@@ -162,5 +162,5 @@
     replies["/grants/9/renew"] = Reply(500, b"")
     renewed_at = world.leadership.lease_renewed_at
     world.clock.time += 1.0
-    anyio.run(world.membership._renew)
+    anyio.run(world.membership._renew_or_join)
     assert world.leadership.incarnation == 9 and world.leadership.lease_renewed_at == renewed_at
