--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The rates of the state service: which requests go first, and what each priority must leave to others."""
+"""The rate budget of the state service: the priority of requests, and the reserve that each priority leaves."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_the_largest_round_of_claims_does_not_overdraw_the_bucket_for_a_submission(store: Store) -> None:
-    """Failure found on the bench: rounds of twelve changes from a bucket of six held submissions up."""
+    """Guards against rounds of twelve changes that overdraw a bucket of six and thereby delay submissions."""
     client = World(store).client
     client.controller_count = lambda: 3
     for priority in (RequestPriority.CLAIM, RequestPriority.PROGRESS):
@@ -26,29 +26,29 @@
 
 
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
-    """Failure found on the bench: after a round of claims the last of them waited for half a second."""
+    """Guards against a delay of half a second for the last job when a round of claims has drained the bucket."""
     client = World(store, NARROW).client
     client.controller_count = lambda: 3
     bucket = TokenBucket(client.write_tokens.rate, 0.0)
     while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
         pass
     assert [bucket.acquire(1, RequestPriority.USER, 0.02 * number) for number in range(3)] == [0.0] * 3
-    # Borrowing is bounded, and claims wait until it is returned.
+    # The overdraft is limited, and claims wait until the bucket has refilled.
     assert any(bucket.acquire(1, RequestPriority.USER, 0.06) > 0 for _ in range(20))
     assert bucket.acquire(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
 def test_linearizable_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
-    """Failure found on the bench: polls for hundreds of jobs starved the claims for seconds."""
+    """Guards against users polling hundreds of jobs, whose reads would delay claims for seconds."""
     world = World(store)
     for members in (1, 3):
         world.client.controller_count = lambda members=members: members  # type: ignore[misc]
-        world.client.available_changes(RequestPriority.CLAIM)  # sets the rates anew
+        world.client.available_changes(RequestPriority.CLAIM)  # Updates the rates.
         assert 1.0 / world.replica.read_pause_s <= world.client.request_tokens.rate / 2
 
 
 def test_adoptions_and_claims_take_turns(store: Store) -> None:
-    """Failure found on the bench: after a crash of all, free room waited until everything was adopted."""
+    """Guards against free capacity that stays unused until all tasks are adopted, after a crash of all controllers."""
     world = World(store)
     for number in range(1, 9):
         store.job(spec(f"wk-00000{number}"))
@@ -59,7 +59,7 @@
 
 
 def test_adoptions_of_one_team_share_its_change(store: Store) -> None:
-    """Failure found on the bench: each adoption was counted as three changes, so that a round held one."""
+    """Guards against counting each adoption as three changes, which would limit a round to one adoption."""
     world = World(store)
     for number in range(1, 4):
         store.job(spec(f"wk-00000{number}"))
@@ -72,7 +72,7 @@
 
 
 def surplus_given_up(world: World, allowances: dict[str, list[float]]) -> dict[str, float]:
-    """What a controller with 8 cores in use gives up of its allowance after a while, by team."""
+    """The cores, by team, to which a controller that uses 8 cores decreases its allocations after a surplus."""
     world.store.put(keys.team_key("red"), allowances)
     asked = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
@@ -81,7 +81,7 @@
 
 
 def test_a_limit_that_is_used_up_is_held_without_a_margin(store: Store) -> None:
-    """Failure found on the bench: each controller kept a fifth more than it used, and checks were late."""
+    """Guards against each controller keeping a fifth more than it uses, which delays the jobs of the others."""
     world = World(store)
     machine_up(world)
     store.job(spec())
@@ -91,7 +91,7 @@
 
 
 def test_while_much_of_a_limit_is_free_parts_are_kept(store: Store) -> None:
-    """Failure found on the bench: allowances shrank and grew every few seconds, each time for a write."""
+    """Guards against allocations that shrink and grow every few seconds, at the cost of a write each time."""
     world = World(store)
     machine_up(world)
     store.job(spec())
@@ -100,7 +100,7 @@
 
 
 def test_a_long_line_is_not_looked_through_when_nothing_is_free(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Failure found on the bench: with hundreds of jobs waiting most of the processor time went into this."""
+    """Guards against searching the whole queue, which takes most of the processor time with hundreds of jobs."""
     world = World(store)
     machine_up(world)
     for number in range(200):
@@ -119,11 +119,11 @@
 
 
 def test_a_round_without_changes_takes_nothing_from_the_write_rate(store: Store) -> None:
-    """Failure found by reasoning: what is due and needs no change took its part of the rate each time."""
+    """Guards against due jobs that need no change but take tokens from the write rate in every round."""
     world = World(store)
     store.job(spec())
     store.progress("wk-000001", c1_2=0b1111)
-    world.leadership.lease_renewed_at = float("-inf")  # claims nothing
+    world.leadership.lease_renewed_at = float("-inf")  # Without a lease nothing is claimed.
     before = world.client.write_tokens.tokens
     world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""A controller is put together from its parts, and each of their loops is started once."""
+"""A controller is built from its components, and each of their loops is started once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RecordingGroup:
-    """Keeps what is started instead of running it."""
+    """Records the started calls instead of running them."""
 
     def __init__(self) -> None:
         self.started: list[tuple[Any, ...]] = []
@@ -39,7 +39,7 @@
     loops = [call for call, *_ in group.started]
     assert built.machines.group is group and len(loops) == len(set(loops))
     for part in (built.membership, built.jobs, built.machines, built.scale_in, built.scale_out, built.server):
-        # Each part runs at least one loop; an actor's own is `run`.
+        # Each component has at least one loop; that of an actor is `run`.
         assert any(getattr(loop, "__self__", None) is part for loop in loops), part
     assert {built.membership.run, built.jobs.run, built.machines.run} <= set(loops)
 
@@ -55,5 +55,5 @@
 
 
 def test_sockets_are_left_for_what_the_controller_asks(built: controller.Controller) -> None:
-    """The state service, the cloud, siblings and direct commands need some when users and workers take all others."""
+    """Connections of users and workers cannot take those for the state service, cloud, siblings and direct commands."""
     assert built.server.max_connections == 350 < built.settings.fd_limit
--- a/tests/test_feature_rollout.py
+++ b/tests/test_feature_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts of a layout or a feature: complete once every configured controller has run with it."""
+"""Rollouts of a feature, which are complete once every configured controller has run with it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def test_a_feature_is_complete_once_every_configured_controller_ran_with_it(world: World) -> None:
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
-    assert rollout.status == FeatureStatus()  # an earlier layout would not know the row
+    assert rollout.status == FeatureStatus()  # A controller of an earlier layout could not read the row.
     world.store.upgraded()
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus(("c0",), complete=False) and not rollout.is_complete
@@ -30,7 +30,7 @@
     assert rollout.status == FeatureStatus(tuple(sorted(world.settings.members)), complete=True)
     revision = world.store.tables.mod_revision(keys.feature_key("cells"))
     anyio.run(rollout.record_member)
-    assert world.store.tables.mod_revision(keys.feature_key("cells")) == revision  # complete for good
+    assert world.store.tables.mod_revision(keys.feature_key("cells")) == revision  # not written again once complete
 
 
 def test_a_controller_that_is_no_leader_records_nothing(world: World) -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership of a controller that was cut off, stood still or restarted within its lease."""
+"""Leadership of a controller that was partitioned from the network, paused or restarted."""
 
 from __future__ import annotations
 
@@ -34,6 +34,7 @@
 
 
 def cut_off(world: World) -> Users:
+    """Cuts the controller off from the state service and its sibling until all its permissions have expired."""
     mesh = meshed(world)
     mesh.peers["c1"].asked_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
@@ -67,7 +68,7 @@
 def test_the_former_runs_late_write_does_not_take_the_member_row(world: World) -> None:
     world.membership.recovered_view = 4
     world.client.lose_answers = 3
-    assert not anyio.run(world.membership._write_member)  # on its way when the former run is killed
+    assert not anyio.run(world.membership._write_member)  # in flight when the earlier process is killed
     world.leadership.incarnation = 7
     world.membership.recovered_view = 0
     assert anyio.run(world.membership._write_member)
@@ -106,12 +107,12 @@
 
 
 def test_a_recovered_view_whose_write_was_lost_is_stored_again(world: World) -> None:
-    """A view that never counts as recovered would leave the claims of a departed controller standing for ever."""
+    """Otherwise the view would never count as recovered, and claims of departed controllers would never be released."""
     world.store.member("c0", 1, settled=0)
     world.membership.recovered_view = 3
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)
-    assert not world.membership._row_is_current(1)  # so that the next renewal writes it
+    assert not world.membership._row_is_current(1)  # The next renewal therefore writes it.
     assert anyio.run(world.membership._write_member)
     assert world.store.tables.members["c0"].recovered_view == 3
 
@@ -124,8 +125,8 @@
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
     scale_in.scale_in(name)
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert deletions(world, scale_in) == []  # its lease is over
-    # Awake again, it learns that the machine has another owner.
+    assert deletions(world, scale_in) == []  # Its lease has expired.
+    # After the pause the controller reads that the machine has another owner.
     world.store.view(4, *both)
     later(world, 0.0)
     assert deletions(world, scale_in) == [] and not scale_in.terminating
@@ -145,7 +146,7 @@
 
 
 def test_a_controller_whose_lease_expired_joins_with_a_new_one(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it held is not its own any more: the new incarnation is in no view until one is written with it."""
+    """The new incarnation owns nothing until a view that contains it is written."""
     sent: list[str] = []
     replies = {"/grants/1/renew": Reply(404, b"{}"), "/grants": Reply(200, b'{"permit": 9}')}
 
@@ -158,7 +159,7 @@
     assert sent == ["/grants/1/renew", "/grants"]
     assert world.leadership.own_incarnation == ("c0", 9) and world.leadership.own_incarnation.id == "c0.9"
     assert not world.leadership.is_member and not world.leadership.is_leader
-    # Any other answer leaves the lease as it is: it may have been renewed or not.
+    # After any other answer the lease may or may not have been renewed, so it is kept without extending it.
     replies["/grants/9/renew"] = Reply(500, b"")
     renewed_at = world.leadership.lease_renewed_at
     world.clock.time += 1.0
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -1,4 +1,4 @@
-"""A linearizable read serves only those who asked before it was sent."""
+"""A linearizable read serves only callers that requested it before it was sent."""
 
 from __future__ import annotations
 
@@ -21,8 +21,11 @@
 
 @pytest.mark.parametrize("answered", [False, True])
 def test_a_read_does_not_serve_who_asks_after_it_was_sent(store: Store, answered: bool) -> None:
-    """Whether it is still under way or answered by then. The clock stands still meanwhile, as one that goes in steps
-    does: what another node stored in between must be in the answer."""
+    """Guards against a read that misses a row stored by another node after the read was sent.
+
+    The earlier read is still in flight or already answered when the caller asks. The clock does not advance in between,
+    as with a coarse clock, so times cannot tell the two reads apart.
+    """
     settings = parse(SETTINGS)
     clock = Clock()
     answers: list[wire.ChangeFeed] = []
@@ -51,7 +54,7 @@
                 await anyio.sleep(0)
             if answered:
                 await replica.read_linearizable(1.0)
-            # Another node stores a cancellation and answers its user now.
+            # Another node now stores a cancellation and confirms it to its user.
             row = dict(store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
             answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=keys.job_key(JOB), value=row)]))
             await replica.read_linearizable(1.0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that a controller answers with, computed from its state at that moment."""
+"""The metrics of a controller, computed from its current state on each request."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def scrape(world: World) -> dict[str, float]:
-    """Each sample by its name and labels."""
+    """Requests the metrics and returns each sample by its name and labels."""
     answer = ask(world, "GET", "/metrics")
     assert answer.status == 200
     lines = answer.body.decode().splitlines()
--- a/tests/test_own_writes.py
+++ b/tests/test_own_writes.py
@@ -1,4 +1,4 @@
-"""Own writes that are held before they are read back."""
+"""Writes that were applied to the tables before they are read back from the change feed."""
 
 from __future__ import annotations
 
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -1,4 +1,4 @@
-"""The client of the state service: what its answers mean, and whether the service can be reached."""
+"""The client of the state service: results of transactions, and whether the service is reachable."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class ScriptedHttp(Client):
-    """Answers with the next status, or not at all."""
+    """Answers each request with the next status; None: no answer."""
 
     def __init__(self) -> None:
         super().__init__(Address("state", 1))
@@ -66,6 +66,6 @@
 
     assert call(None)
     clock.time += client.timeout_s
-    # 429 says nothing of whether the service works; 503 is a failure, and any other status an answer.
+    # 429 is neither a failure nor an answer; 503 is a failure, and any other status is an answer.
     assert not client.is_reachable and not call(429) and not call(503)
     assert call(404)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the state service: those announced, those that fall, and catalogs and groups larger than a value."""
+"""Limits of the state service: announced and unannounced reductions, and rows that exceed the value limit."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def test_a_scattered_job_goes_on_within_the_lesser_limits(store: Store) -> None:
-    """Every round keeps within two kilobytes and four changes (the scripted state service insists)."""
+    """No value exceeds 2 KiB and no transaction four changes, as the scripted state service checks."""
     store.upgraded()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(8)]
@@ -80,7 +80,7 @@
     store.put(keys.group_key("c1.5.1"), large_group(240))
     everything = set(store.tables.machines)
     unregister(world, "vm-000007")
-    # While an old controller is about, machines stay where they are: it would take them for deleted.
+    # Not split until all controllers are upgraded: an earlier version would take moved machines as deleted.
     assert set(store.tables.machines) == everything
     store.upgraded()
     written = watched(world)
@@ -89,7 +89,7 @@
 
     def crash_after(*transaction: Any) -> Any:
         outcome = apply(*transaction)
-        # Whoever reads all again, by key, finds every machine.
+        # A controller that reads all rows in key order after any transaction finds every machine.
         again = Store()
         for key, value in sorted({keys.group_key("c1.5.1"): large_group(240), **written}.items()):
             again.put(key, value)
@@ -111,7 +111,8 @@
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
     anyio.run(scale_out._store_catalog, kinds)
-    assert store.tables.machine_types.keys() == {"small"}  # an earlier layout would not find them
+    # Unchanged, because a controller of an earlier layout would not read separate rows.
+    assert store.tables.machine_types.keys() == {"small"}
     store.upgraded()
     anyio.run(scale_out._store_catalog, kinds)
     assert store.tables.machine_types == {kind.name: kind for kind in kinds}
@@ -121,7 +122,7 @@
 
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
 def test_limits_that_fall_below_what_was_announced_are_kept_to(store: Store, changes: int, size: int) -> None:
-    """A take-over, machines and a burst of jobs while the limits fall: nothing is refused for ever."""
+    """A takeover, registrations and submissions succeed after the limits fall; no transaction is rejected forever."""
     store.upgraded()
     world = World(store, NARROW)
     for number in range(1, 7):
@@ -173,7 +174,7 @@
 
 
 def test_a_few_changes_a_transaction_hold_teams_and_claims(store: Store) -> None:
-    """Failure found by reasoning: the allowances of five teams alone were more than four changes."""
+    """Guards against quota allocations that fill every transaction: those of five teams alone exceed four changes."""
     more = "".join(
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
--- a/tests/test_state_reads.py
+++ b/tests/test_state_reads.py
@@ -1,4 +1,4 @@
-"""Reads of the state service: pages of a snapshot, and the errors for answers that cannot be used."""
+"""Reads of the state service: the pages of a snapshot, and the errors for unusable answers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ScriptedClient(StateClient):
-    """Answers in order, and keeps the paths."""
+    """Returns the given answers in order and records the paths of the requests."""
 
     def __init__(self, *answers: Reply) -> None:
         super().__init__(parse(SETTINGS), lambda: 1, lambda: 0.0)
@@ -35,7 +35,7 @@
 
 
 def test_a_snapshot_has_the_revision_of_its_first_page() -> None:
-    """Changes made while later pages are read must follow from the change feed."""
+    """Changes made while later pages are read must be read again from the change feed."""
     client = ScriptedClient(
         Reply(200, b'{"rows":[{"k":"s1/a","v":1,"stamp":2}],"hasNext":true,"epoch":7}'),
         Reply(200, b'{"rows":[{"k":"s1/b","v":2,"stamp":8}],"hasNext":false,"epoch":9}'),
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,5 +1,9 @@
-"""Old and new versions side by side: what production wrote is read, what is written before the mark production
-reads, and the mark waits for every configured controller. Also the state service's limits, which fall."""
+"""Compatibility with the earlier version of the controller while both versions run.
+
+Rows of the earlier version are read, rows written before the layout is complete are readable by the earlier version,
+and the layout is complete only after every configured controller has run with it. Sets of tasks also have to fit the
+reduced value limit of the state service.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
     watched,
 )
 
-# Rows as production writes them.
+# Rows as the earlier version writes them.
 OLD_SPEC = {
     "id": "wk-000001",
     "roster": "train",
@@ -66,7 +70,7 @@
 
 
 class Production:
-    """Reads rows as production does, knowing its fields only, and fails on a form that it cannot read."""
+    """Reads rows as the earlier version does, which knows only its own fields; fails on a row that it cannot read."""
 
     def read(self, key: str, value: Any) -> Any:
         kind, _, name = key.removeprefix("s1/").partition("/")
@@ -87,7 +91,7 @@
             return kind, name, value["boot"], value["settled"]
         if kind == "q":
             return kind, name, {tag: (cores, gpus) for tag, (cores, gpus) in value.items()}
-        assert kind == "layout"  # skipped: no kind that production knows
+        assert kind == "layout"  # The earlier version ignores rows of unknown kinds.
         return None
 
     @staticmethod
@@ -121,7 +125,7 @@
 
 
 def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
-    """A day of one controller: machines, a job accepted, claimed, half done, done; another one cancelled."""
+    """One controller registers machines, accepts, claims and completes a job, and cancels two others."""
     world = World(store, NARROW)
     written = watched(world)
     heartbeat_and_register(world, 40)
@@ -156,9 +160,9 @@
     store.job(spec())
     answer = ask(world, "POST", "/submissions", submission("wk-000002", awaits=[JOB]))
     assert answer.status == 503 and dict(answer.headers)["Retry-After"]
-    assert submit(world, "wk-000002") == 201  # empty is as absent
-    assert submit(world, "wk-000002", JOB) == 200  # known already
-    assert submit(world, "wk-000003", kit="x" * 3000) == 503  # in parts only
+    assert submit(world, "wk-000002") == 201  # An empty list is accepted like an absent one.
+    assert submit(world, "wk-000002", JOB) == 200  # Already accepted.
+    assert submit(world, "wk-000003", kit="x" * 3000) == 503  # Would have to be stored in chunks.
     store.upgraded()
     assert submit(world, "wk-000003", kit="x" * 3000) == 201
     assert submit(world, "wk-000004", JOB) == 201
@@ -174,12 +178,12 @@
     assert not mark(world) and store.tables.layout_members == ("c0",)
     store.put(keys.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
     assert not mark(world)
-    # Its turn comes; its former run's row is still there when it is first seen.
+    # c1 has been upgraded and recorded, but the member row of its earlier incarnation still exists.
     store.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": False})
     assert not mark(world)
     store.member("c1", 6)
     assert mark(world)
-    # No later restart takes it back.
+    # Later restarts do not undo it.
     store.put(keys.member_key("c1"), None)
     store.member("c0", 9)
     assert store.tables.layout_complete
@@ -212,7 +216,7 @@
         for share in (0.02, 0.5, 0.98):
             mask = sum(1 << index for index in range(count) if shuffle.random() < share)
             assert taskset.unpack(taskset.pack_dense(mask)) == mask == taskset.unpack(taskset.pack(mask))
-    # The largest array of the sites, half done in any order and claimed by three.
+    # 600 tasks is the largest job expected; half are done in random order, and three controllers claim the rest.
     done = sum(1 << index for index in range(600) if shuffle.random() < 0.5)
     masks = [sum(1 << index for index in range(600) if not done >> index & 1 and index % 3 == n) for n in range(3)]
     progress = Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
