--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -25,7 +25,7 @@
         assert bucket.acquire(1, RequestPriority.USER, 0.0) == 0.0
 
 
-def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
+def test_the_jobs_of_a_pipeline_are_accepted_in_succession_without_waiting(store: Store) -> None:
     """Guards against a delay of half a second for the last job when a round of claims has drained the bucket."""
     client = World(store, NARROW).client
     client.controller_count = lambda: 3
@@ -38,7 +38,7 @@
     assert bucket.acquire(1, RequestPriority.CLAIM, 0.06) > 0.5
 
 
-def test_linearizable_reads_leave_half_of_the_requests_to_others(store: Store) -> None:
+def test_linearizable_reads_use_at_most_half_of_the_request_rate(store: Store) -> None:
     """Guards against users polling hundreds of jobs, whose reads would delay claims for seconds."""
     world = World(store)
     for members in (1, 3):
@@ -54,11 +54,11 @@
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
     world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
-    due = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
-    assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
+    due_jobs = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
+    assert due_jobs[0] == "wk-000007" and due_jobs[2] == "wk-000008" and set(adopted) <= set(due_jobs)
 
 
-def test_adoptions_of_one_team_share_its_change(store: Store) -> None:
+def test_adoptions_of_one_team_share_one_quota_change(store: Store) -> None:
     """Guards against counting each adoption as three changes, which would limit a round to one adoption."""
     world = World(store)
     for number in range(1, 4):
@@ -67,55 +67,55 @@
     world.client.controller_count = lambda: 3
     world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
     world.round()
-    moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
-    assert len(moved) >= 2
+    adopted_jobs = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
+    assert len(adopted_jobs) >= 2
 
 
-def surplus_given_up(world: World, allowances: dict[str, list[float]]) -> dict[str, float]:
+def decreased_allocations(world: World, allocations: dict[str, list[float]]) -> dict[str, float]:
     """The cores, by team, to which a controller that uses 8 cores decreases its allocations after a surplus."""
-    world.store.put(keys.team_key("red"), allowances)
-    asked = world.claim_requests()
+    world.store.put(keys.team_key("red"), allocations)
+    requests = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
-    asked += world.claim_requests()
-    return {team: cores for request in asked for team, (_, cores, _) in request.quota_decreases.items()}
+    requests += world.claim_requests()
+    return {team: cores for request in requests for team, (_, cores, _) in request.quota_decreases.items()}
 
 
-def test_a_limit_that_is_used_up_is_held_without_a_margin(store: Store) -> None:
+def test_an_allocation_has_no_margin_when_the_limit_is_fully_allocated(store: Store) -> None:
     """Guards against each controller keeping a fifth more than it uses, which delays the jobs of the others."""
     world = World(store)
     machine_up(world)
     store.job(spec())
     world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.machines.quota.usage("red").cores == 8.0
-    assert surplus_given_up(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
+    assert decreased_allocations(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
 
 
-def test_while_much_of_a_limit_is_free_parts_are_kept(store: Store) -> None:
+def test_allocations_are_kept_while_much_of_the_limit_is_free(store: Store) -> None:
     """Guards against allocations that shrink and grow every few seconds, at the cost of a write each time."""
     world = World(store)
     machine_up(world)
     store.job(spec())
     world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert surplus_given_up(world, {"c0.1": [12.0, 0.0]}) == {}
+    assert decreased_allocations(world, {"c0.1": [12.0, 0.0]}) == {}
 
 
-def test_a_long_line_is_not_looked_through_when_nothing_is_free(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_queue_is_not_searched_when_no_capacity_is_free(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against searching the whole queue, which takes most of the processor time with hundreds of jobs."""
     world = World(store)
     machine_up(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
     store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
-    looked: list[str] = []
-    open_tasks = store.tables.unclaimed_tasks
+    examined_jobs: list[str] = []
+    unclaimed_tasks = store.tables.unclaimed_tasks
 
-    def look(job: Job, settled: bool) -> int:
-        looked.append(job.spec.id)
-        return open_tasks(job, settled)
+    def record_job(job: Job, recovered: bool) -> int:
+        examined_jobs.append(job.spec.id)
+        return unclaimed_tasks(job, recovered)
 
-    monkeypatch.setattr(store.tables, "unclaimed_tasks", look)
+    monkeypatch.setattr(store.tables, "unclaimed_tasks", record_job)
     world.machines.queue.rebuild()
-    assert world.claim_requests()[0].task_counts and len(looked) < 20
+    assert world.claim_requests()[0].task_counts and len(examined_jobs) < 20
 
 
 def test_a_round_without_changes_takes_nothing_from_the_write_rate(store: Store) -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -27,7 +27,7 @@
     return controller.build_controller(parse(SETTINGS))
 
 
-def test_parts_know_each_other(built: controller.Controller) -> None:
+def test_components_are_connected_to_each_other(built: controller.Controller) -> None:
     assert built.machines.termination.autoscaler is built.scale_in and built.scale_in.machines is built.machines
     assert built.machines.leadership.mesh is built.mesh
     assert built.machines.replica is built.replica and built.machines.jobs is built.jobs
@@ -38,9 +38,9 @@
     built.start_loops(group)
     loops = [call for call, *_ in group.started]
     assert built.machines.group is group and len(loops) == len(set(loops))
-    for part in (built.membership, built.jobs, built.machines, built.scale_in, built.scale_out, built.server):
+    for component in (built.membership, built.jobs, built.machines, built.scale_in, built.scale_out, built.server):
         # Each component has at least one loop; that of an actor is `run`.
-        assert any(getattr(loop, "__self__", None) is part for loop in loops), part
+        assert any(getattr(loop, "__self__", None) is component for loop in loops), component
     assert {built.membership.run, built.jobs.run, built.machines.run} <= set(loops)
 
 
@@ -54,6 +54,6 @@
     ]
 
 
-def test_sockets_are_left_for_what_the_controller_asks(built: controller.Controller) -> None:
+def test_sockets_are_reserved_for_outgoing_connections(built: controller.Controller) -> None:
     """Connections of users and workers cannot take those for the state service, cloud, siblings and direct commands."""
     assert built.server.max_connections == 350 < built.settings.fd_limit
--- a/tests/test_feature_rollout.py
+++ b/tests/test_feature_rollout.py
@@ -17,7 +17,7 @@
     return World(store)
 
 
-def test_a_feature_is_complete_once_every_configured_controller_ran_with_it(world: World) -> None:
+def test_a_rollout_is_complete_once_every_configured_controller_has_run_with_the_feature(world: World) -> None:
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus()  # A controller of an earlier layout could not read the row.
@@ -33,7 +33,7 @@
     assert world.store.tables.mod_revision(keys.feature_key("cells")) == revision  # not written again once complete
 
 
-def test_a_controller_that_is_no_leader_records_nothing(world: World) -> None:
+def test_a_controller_that_is_not_leader_records_nothing(world: World) -> None:
     world.store.upgraded()
     world.clock.time += 2 * world.settings.controller_lease_s
     rollout = FeatureRollout("cells", world.context)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -33,7 +33,7 @@
     yield world
 
 
-def cut_off(world: World) -> Users:
+def partition(world: World) -> Users:
     """Cuts the controller off from the state service and its sibling until all its permissions have expired."""
     mesh = meshed(world)
     mesh.peers["c1"].asked_at = world.clock.time
@@ -42,21 +42,21 @@
     return Users(world.context, world.jobs, world.machines)
 
 
-def test_a_cut_off_controller_sends_workers_and_users_elsewhere_at_once(world: World) -> None:
-    users = cut_off(world)
+def test_a_partitioned_controller_answers_503_to_workers_and_users(world: World) -> None:
+    users = partition(world)
     assert heartbeat(world, report(9, 3)).status == 503
-    asked = [
+    requests = [
         Request("GET", "/healthz", b""),
         Request("POST", "/submissions", wire.encode(submission())),
         Request("GET", f"/submissions/{JOB}", b""),
     ]
-    for request in asked:
+    for request in requests:
         answer = anyio.run(users.handle, request)
         assert answer.status == 503 and dict(answer.headers)["Retry-After"], request.path
 
 
-def test_in_an_outage_that_siblings_share_a_controller_stays_healthy(world: World) -> None:
-    users = cut_off(world)
+def test_a_controller_is_healthy_in_a_state_outage_that_its_siblings_report_too(world: World) -> None:
+    users = partition(world)
     mesh = world.leadership.mesh
     assert mesh is not None
     mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
@@ -65,7 +65,7 @@
     assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 503
 
 
-def test_the_former_runs_late_write_does_not_take_the_member_row(world: World) -> None:
+def test_a_late_write_of_an_earlier_incarnation_does_not_replace_the_member_row(world: World) -> None:
     world.membership.recovered_view = 4
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)  # in flight when the earlier process is killed
@@ -77,7 +77,7 @@
     assert world.store.tables.members["c0"].incarnation == 7
 
 
-def test_a_member_row_lost_to_the_former_run_is_written_again(world: World) -> None:
+def test_a_member_row_overwritten_by_an_earlier_incarnation_is_written_again(world: World) -> None:
     world.leadership.incarnation = 7
     world.store.member("c0", 1, settled=3)
     assert not world.membership._row_is_current(7)
@@ -85,7 +85,7 @@
     assert world.membership._row_is_current(7)
 
 
-def test_a_new_run_takes_the_coordinators_key_and_the_view_from_its_former_one(world: World) -> None:
+def test_a_restarted_coordinator_replaces_the_key_and_the_view_of_its_earlier_incarnation(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.leadership.incarnation = 7
     assert anyio.run(world.membership._write_member)
@@ -95,7 +95,7 @@
     assert world.store.tables.view == View(4, (Incarnation("c0", 7),))
 
 
-def test_the_former_runs_claims_are_unclaimed_only_once_recovery_is_complete(world: World) -> None:
+def test_tasks_claimed_by_an_earlier_incarnation_are_unclaimed_only_after_recovery(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1111)
     job = world.store.tables.jobs[JOB]
@@ -117,17 +117,17 @@
     assert world.store.tables.members["c0"].recovered_view == 3
 
 
-def test_after_a_freeze_no_machine_is_deleted_on_what_was_known_before(world: World) -> None:
+def test_after_a_pause_no_machine_is_deleted_based_on_stale_data(world: World) -> None:
     cloud: Any = Cloud()
     scale_in = ScaleIn(world.context, cloud)
     scale_in.machines = world.machines
-    both = (("c0", 1), ("c1", 2))
-    name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
+    members = (("c0", 1), ("c1", 2))
+    name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", members) == "c1")
     scale_in.scale_in(name)
     world.clock.time += 2 * world.settings.controller_lease_s
     assert deletions(world, scale_in) == []  # Its lease has expired.
     # After the pause the controller reads that the machine has another owner.
-    world.store.view(4, *both)
+    world.store.view(4, *members)
     later(world, 0.0)
     assert deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
@@ -135,7 +135,7 @@
     assert deletions(world, scale_in) == [name]
 
 
-def test_after_a_freeze_nothing_is_answered_or_claimed_on_what_was_known_before(world: World) -> None:
+def test_after_a_pause_nothing_is_answered_or_claimed_based_on_stale_data(world: World) -> None:
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
     assert heartbeat(world, report(3, 3)).status == 503
@@ -147,16 +147,16 @@
 
 def test_a_controller_whose_lease_expired_joins_with_a_new_one(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     """The new incarnation owns nothing until a view that contains it is written."""
-    sent: list[str] = []
+    paths: list[str] = []
     replies = {"/grants/1/renew": Reply(404, b"{}"), "/grants": Reply(200, b'{"permit": 9}')}
 
-    async def call(method: str, path: str, body: bytes | None, urgency: RequestPriority) -> Reply:
-        sent.append(path)
+    async def call(method: str, path: str, body: bytes | None, priority: RequestPriority) -> Reply:
+        paths.append(path)
         return replies[path]
 
     monkeypatch.setattr(world.client, "call", call)
     anyio.run(world.membership._renew_or_join)
-    assert sent == ["/grants/1/renew", "/grants"]
+    assert paths == ["/grants/1/renew", "/grants"]
     assert world.leadership.own_incarnation == ("c0", 9) and world.leadership.own_incarnation.id == "c0.9"
     assert not world.leadership.is_member and not world.leadership.is_leader
     # After any other answer the lease may or may not have been renewed, so it is kept without extending it.
--- a/tests/test_linearizable_reads.py
+++ b/tests/test_linearizable_reads.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("answered", [False, True])
-def test_a_read_does_not_serve_who_asks_after_it_was_sent(store: Store, answered: bool) -> None:
+def test_a_read_does_not_serve_callers_that_ask_after_it_was_sent(store: Store, answered: bool) -> None:
     """Guards against a read that misses a row stored by another node after the read was sent.
 
     The earlier read is still in flight or already answered when the caller asks. The clock does not advance in between,
@@ -30,7 +30,7 @@
     clock = Clock()
     answers: list[wire.ChangeFeed] = []
 
-    class Slow(StateClient):
+    class SlowClient(StateClient):
         reads = 0
 
         async def call(self, method: str, path: str, body: Any, priority: Any, hold_s: float = 0.0) -> Reply:
@@ -40,13 +40,13 @@
             await anyio.sleep(0)
             return Reply(200, wire.encode(answer))
 
-    client = Slow(settings, lambda: 1, clock.now)
+    client = SlowClient(settings, lambda: 1, clock.now)
     replica = Replica(client, store.tables, clock.now)
     replica.loaded = True
     store.job(spec())
-    seen: list[str] = []
+    statuses: list[str] = []
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as group:
             group.start_soon(replica._serve_reads)
             group.start_soon(replica.read_linearizable, 1.0)
@@ -58,8 +58,8 @@
             row = dict(store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
             answers.append(wire.ChangeFeed(9, [wire.ChangeEvent(9, write=keys.job_key(JOB), value=row)]))
             await replica.read_linearizable(1.0)
-            seen.append(store.tables.jobs[JOB].status)
+            statuses.append(store.tables.jobs[JOB].status)
             group.cancel_scope.cancel()
 
-    anyio.run(play)
-    assert seen == [JobState.CANCELLED] and client.reads == 2 + answered
+    anyio.run(scenario)
+    assert statuses == [JobState.CANCELLED] and client.reads == 2 + answered
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -33,7 +33,7 @@
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in lines if not line.startswith("#"))}
 
 
-def test_metrics_say_who_leads_and_what_was_read(world: World) -> None:
+def test_metrics_report_leadership_and_the_applied_revision(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.replica.linearizable_at -= 1.5
     samples = scrape(world)
@@ -45,7 +45,7 @@
     assert scrape(world)["sloeswitch_leader"] == 0
 
 
-def test_metrics_say_what_a_team_may_use_and_uses(world: World) -> None:
+def test_metrics_report_the_quota_and_the_usage_of_a_team(world: World) -> None:
     running(world)
     world.machines.registry.handed_off_tasks[JOB] = 0b10
     world.machines.quota.update_handed_off_usage()
--- a/tests/test_state_client.py
+++ b/tests/test_state_client.py
@@ -51,7 +51,7 @@
         return Reply(status, b"")
 
 
-def test_the_service_is_unreachable_after_failures_for_the_timeout_and_until_an_answer() -> None:
+def test_the_service_is_unreachable_after_a_timeout_of_failures_until_it_answers() -> None:
     clock = Clock()
     client = StateClient(parse(SETTINGS), lambda: 1, clock.now)
     client.http = http = ScriptedHttp()
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -29,7 +29,7 @@
 )
 
 
-def test_the_lesser_of_the_limits_now_and_next_holds_from_the_start() -> None:
+def test_the_lower_of_the_current_and_the_announced_limit_applies_from_the_start() -> None:
     settings = parse(NARROW)
     assert (settings.value_kb, settings.txn_ops, settings.state_write_rps, settings.state_rps) == (2.0, 4, 15.0, 100.0)
     larger = NARROW.replace("txn_ops = 4", "txn_ops = 400").replace("write_rps = 15.0\n", "")
@@ -43,28 +43,28 @@
         parse(SETTINGS.replace("txn_ops = 12", "txn_ops = 12\nnext = 7"))
 
 
-def test_a_scattered_job_goes_on_within_the_lesser_limits(store: Store) -> None:
+def test_a_job_with_scattered_completions_progresses_within_the_lower_limits(store: Store) -> None:
     """No value exceeds 2 KiB and no transaction four changes, as the scripted state service checks."""
     store.upgraded()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(8)]
-    shuffle = random.Random(11)
+    generator = random.Random(11)
     for name in names:
         store.job(spec(name, visits=600, cores=0.01))
         store.progress(name, c0_1=taskset.full(600))
-    left = dict.fromkeys(names, taskset.full(600))
+    remaining = dict.fromkeys(names, taskset.full(600))
     for _ in range(60):
         for name in names:
-            ended = sum(1 << index for index in range(600) if shuffle.random() < 0.1) & left[name]
-            left[name] &= ~ended
+            ended = sum(1 << index for index in range(600) if generator.random() < 0.1) & remaining[name]
+            remaining[name] &= ~ended
             world.tell_jobs(TaskUpdates(done={name: ended}))
         world.clock.time += 20.0
         for _ in range(4):
             world.round()
-        assert all(store.tables.jobs[n].progress.done == taskset.full(600) & ~left[n] for n in store.tables.jobs)
-        if not any(left.values()):
+        assert all(store.tables.jobs[n].progress.done == taskset.full(600) & ~remaining[n] for n in store.tables.jobs)
+        if not any(remaining.values()):
             break
-    world.tell_jobs(TaskUpdates(done=left | dict.fromkeys(names, taskset.full(600))))
+    world.tell_jobs(TaskUpdates(done=remaining | dict.fromkeys(names, taskset.full(600))))
     world.clock.time += 20.0
     for _ in range(4):
         world.round()
@@ -75,35 +75,35 @@
     return {"m": {f"vm-{n:06d}": [f"10.1.{n // 250}.{n % 250}:9000", "small", "a", True] for n in range(count)}}
 
 
-def test_a_group_of_production_too_large_by_now_is_parted_when_it_changes_and_loses_no_machine(store: Store) -> None:
+def test_a_machine_group_over_the_value_limit_is_split_when_it_changes_and_loses_no_machine(store: Store) -> None:
     world = World(store, NARROW)
     store.put(keys.group_key("c1.5.1"), large_group(240))
-    everything = set(store.tables.machines)
+    machines = set(store.tables.machines)
     unregister(world, "vm-000007")
     # Not split until all controllers are upgraded: an earlier version would take moved machines as deleted.
-    assert set(store.tables.machines) == everything
+    assert set(store.tables.machines) == machines
     store.upgraded()
     written = watched(world)
     missing: list[str] = []
     apply = world.client.apply
 
-    def crash_after(*transaction: Any) -> Any:
+    def apply_and_read_again(*transaction: Any) -> Any:
         outcome = apply(*transaction)
         # A controller that reads all rows in key order after any transaction finds every machine.
-        again = Store()
+        restarted = Store()
         for key, value in sorted({keys.group_key("c1.5.1"): large_group(240), **written}.items()):
-            again.put(key, value)
-        missing.extend(everything - {"vm-000007"} - again.tables.machines.keys())
+            restarted.put(key, value)
+        missing.extend(machines - {"vm-000007"} - restarted.tables.machines.keys())
         return outcome
 
-    world.client.apply = crash_after  # type: ignore[method-assign, assignment]
+    world.client.apply = apply_and_read_again  # type: ignore[method-assign, assignment]
     unregister(world, "vm-000007")
     assert not missing
-    assert set(store.tables.machines) == everything - {"vm-000007"} and "vm-000007" in store.tables.deleted_machines
+    assert set(store.tables.machines) == machines - {"vm-000007"} and "vm-000007" in store.tables.deleted_machines
     assert len(store.tables.machine_groups) > 4
 
 
-def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
+def test_a_catalog_over_the_value_limit_is_stored_as_one_row_per_machine_type(store: Store) -> None:
     world = World(store, NARROW)
     cloud: Any = None
     scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
-def test_limits_that_fall_below_what_was_announced_are_kept_to(store: Store, changes: int, size: int) -> None:
+def test_limits_lower_than_announced_are_respected(store: Store, changes: int, size: int) -> None:
     """A takeover, registrations and submissions succeed after the limits fall; no transaction is rejected forever."""
     store.upgraded()
     world = World(store, NARROW)
@@ -143,7 +143,7 @@
     assert len(store.tables.finished_jobs) == 6
 
 
-def test_a_refusal_for_the_rate_is_told_from_one_for_size(store: Store) -> None:
+def test_a_rejection_for_the_rate_is_distinguished_from_one_for_the_size(store: Store) -> None:
     world = World(store, NARROW)
     client = StateClient(world.settings, lambda: 1, world.clock.now)
     answers = [wire.encode({"error": "too many"}), wire.encode({"error": "too large"})]
@@ -158,7 +158,7 @@
     client.call = call  # type: ignore[method-assign]
 
     async def commit() -> None:
-        await client.compare_and_swap(Transaction({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}), t_urgency())
+        await client.compare_and_swap(Transaction({}, {"s1/x": 1, "s1/y": 2, "s1/z": 3}), lease_priority())
 
     anyio.run(commit)
     assert client.write_tokens.tokens <= 0.0 and client.max_transaction_changes == 4
@@ -167,19 +167,19 @@
     assert client.max_transaction_changes == 2
 
 
-def t_urgency() -> Any:
+def lease_priority() -> Any:
     from sloeswitch.rate_budget import RequestPriority
 
     return RequestPriority.LEASE
 
 
-def test_a_few_changes_a_transaction_hold_teams_and_claims(store: Store) -> None:
+def test_claims_and_quota_allocations_of_many_teams_are_stored_in_small_transactions(store: Store) -> None:
     """Guards against quota allocations that fill every transaction: those of five teams alone exceed four changes."""
-    more = "".join(
+    more_teams = "".join(
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
     )
-    world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
+    world = World(store, NARROW.replace("[deployment.workers]", more_teams + "[deployment.workers]"))
     machine_up(world)
     for number in range(5):
         store.job(spec(f"wk-00000{number}", crew=f"t{number}", visits=1, cores=1.0))
--- a/tests/test_state_reads.py
+++ b/tests/test_state_reads.py
@@ -49,7 +49,7 @@
     ("status", "body", "error"),
     [(503, b"{}", UnexpectedStatusError), (200, b"{}", MalformedAnswerError), (410, b"{}", ChangesDiscardedError)],
 )
-def test_an_answer_that_cannot_be_used_is_an_error_that_says_why(
+def test_an_unusable_answer_raises_an_error_that_gives_the_reason(
     status: int, body: bytes, error: type[StateReadError]
 ) -> None:
     with pytest.raises(error) as caught:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -69,7 +69,7 @@
 }
 
 
-class Production:
+class EarlierVersion:
     """Reads rows as the earlier version does, which knows only its own fields; fails on a row that it cannot read."""
 
     def read(self, key: str, value: Any) -> Any:
@@ -82,8 +82,8 @@
             assert needed <= spec.keys() and not spec.get("awaits")
             return kind, name, value["s"], value["t"], {field: spec.get(field) for field in OLD_SPEC}
         if kind == "r":
-            claims = {tag: self.runs(runs) for tag, runs in value["c"].items()}
-            return kind, name, self.runs(value["d"]), claims, value.get("z"), value.get("a", 0)
+            claims = {tag: self.decode_runs(runs) for tag, runs in value["c"].items()}
+            return kind, name, self.decode_runs(value["d"]), claims, value.get("z"), value.get("a", 0)
         if kind == "g":
             return kind, name, {vm: (address, of, zone, spot) for vm, (address, of, zone, spot) in value["m"].items()}
         if kind == "m":
@@ -95,12 +95,12 @@
         return None
 
     @staticmethod
-    def runs(runs: list[int]) -> int:
+    def decode_runs(runs: list[int]) -> int:
         assert all(isinstance(number, int) for number in runs)
         return sum(((1 << length) - 1) << start for start, length in zip(runs[::2], runs[1::2], strict=True))
 
 
-def test_rows_of_production_are_read(store: Store) -> None:
+def test_rows_of_the_earlier_version_are_read(store: Store) -> None:
     for key, value in OLD_ROWS.items():
         store.put(key, value)
     tables = store.tables
@@ -119,12 +119,12 @@
     assert tables.quota_allocations["red"] == {"c1.5": (8.0, 0.0)} and not tables.layout_complete
 
 
-def test_frames_between_the_versions_are_those_of_production() -> None:
+def test_frames_to_the_earlier_version_have_its_form() -> None:
     assert mesh_frames.pack_view_request(7) == b"sloe\x01\x01\x00\x08" + b"\x00" * 7 + b"\x07"
     assert mesh_frames.pack_view(258, True) == b"sloe\x01\x02\x00\x09" + b"\x00" * 6 + b"\x01\x02\x01"
 
 
-def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
+def test_the_earlier_version_reads_rows_written_before_the_layout_is_complete(store: Store) -> None:
     """One controller registers machines, accepts, claims and completes a job, and cancels two others."""
     world = World(store, NARROW)
     written = watched(world)
@@ -143,7 +143,7 @@
     assert store.tables.jobs[JOB].progress.done == scattered
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.JobStatus.CANCELLED
     assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.JobStatus.CANCELLED
-    read = [Production().read(key, value) for key, value in written.items()]
+    read = [EarlierVersion().read(key, value) for key, value in written.items()]
     assert ("j", "wk-000002", JobState.CANCELLED) in [row[:3] for row in read if row]
     assert ("j", "wk-000003", JobState.CANCELLED, 4) in read
     progress = store.tables.jobs[JOB].progress
@@ -152,10 +152,10 @@
     world.tell_jobs(TaskUpdates(done={JOB: taskset.full(400)}))
     world.clock.time += 1.0
     world.round()
-    assert Production().read(keys.job_key(JOB), written[keys.job_key(JOB)]) == ("j", JOB, JobState.DONE, 400)
+    assert EarlierVersion().read(keys.job_key(JOB), written[keys.job_key(JOB)]) == ("j", JOB, JobState.DONE, 400)
 
 
-def test_nothing_new_is_accepted_or_written_before_the_mark(store: Store) -> None:
+def test_new_kinds_of_jobs_and_rows_are_rejected_before_the_layout_is_complete(store: Store) -> None:
     world = World(store, NARROW)
     store.job(spec())
     answer = ask(world, "POST", "/submissions", submission("wk-000002", awaits=[JOB]))
@@ -168,56 +168,56 @@
     assert submit(world, "wk-000004", JOB) == 201
 
 
-def mark(world: World) -> bool:
+def record_layout(world: World) -> bool:
     anyio.run(world.membership._record_layout)
     return world.store.tables.layout_complete
 
 
-def test_the_mark_waits_for_a_controller_that_is_down_and_for_one_that_comes_back_old(store: Store) -> None:
+def test_the_layout_waits_for_controllers_that_are_down_or_restart_with_the_earlier_version(store: Store) -> None:
     world = World(store)  # c0, and a sibling c1 that is down
-    assert not mark(world) and store.tables.layout_members == ("c0",)
+    assert not record_layout(world) and store.tables.layout_members == ("c0",)
     store.put(keys.member_key("c1"), {"boot": 5, "settled": 0, "layout": 2})
-    assert not mark(world)
+    assert not record_layout(world)
     # c1 has been upgraded and recorded, but the member row of its earlier incarnation still exists.
     store.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": False})
-    assert not mark(world)
+    assert not record_layout(world)
     store.member("c1", 6)
-    assert mark(world)
+    assert record_layout(world)
     # Later restarts do not undo it.
     store.put(keys.member_key("c1"), None)
     store.member("c0", 9)
     assert store.tables.layout_complete
 
 
-def test_the_mark_is_written_by_members_of_the_view_only(store: Store) -> None:
+def test_only_members_of_the_view_record_the_layout(store: Store) -> None:
     world = World(store)
     conditions = world.leadership.view_conditions()
     store.view(4, ("c1", 2))
     world.leadership.view_conditions = lambda: conditions  # type: ignore[method-assign]
-    assert not mark(world) and store.tables.layout_members == ()
+    assert not record_layout(world) and store.tables.layout_members == ()
 
 
-def test_a_late_write_of_an_old_controller_does_not_undo_what_was_decided_since(store: Store) -> None:
+def test_a_late_write_of_the_earlier_version_does_not_undo_a_later_cancellation(store: Store) -> None:
     world = World(store)
     store.put("s1/j/wk-000001", OLD_ROWS["s1/j/wk-000001"])
-    stamp = store.tables.jobs[JOB].mod_revision
+    job_revision = store.tables.jobs[JOB].mod_revision
     store.upgraded()
     assert submit(world, "wk-000002", JOB) == 201
-    old = {"s1/j/wk-000001": stamp, "s1/r/wk-000001": 0}
+    conditions = {"s1/j/wk-000001": job_revision, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
-    world.client.apply(old, claim, [])
+    world.client.apply(conditions, claim, [])
     assert JOB in store.tables.finished_jobs and store.tables.jobs["wk-000002"].is_cancelled
 
 
-def test_sets_of_tasks_survive_storing_as_text_and_scattered_ones_are_small() -> None:
-    shuffle = random.Random(7)
+def test_sets_of_tasks_survive_both_encodings_and_the_dense_one_is_small() -> None:
+    generator = random.Random(7)
     for count in (1, 40, 600, 4000):
         for share in (0.02, 0.5, 0.98):
-            mask = sum(1 << index for index in range(count) if shuffle.random() < share)
+            mask = sum(1 << index for index in range(count) if generator.random() < share)
             assert taskset.unpack(taskset.pack_dense(mask)) == mask == taskset.unpack(taskset.pack(mask))
     # 600 tasks is the largest job expected; half are done in random order, and three controllers claim the rest.
-    done = sum(1 << index for index in range(600) if shuffle.random() < 0.5)
+    done = sum(1 << index for index in range(600) if generator.random() < 0.5)
     masks = [sum(1 << index for index in range(600) if not done >> index & 1 and index % 3 == n) for n in range(3)]
     progress = Progress(done, {f"worker-{n}.{123456 + n}": mask for n, mask in enumerate(masks)})
     assert len(wire.encode(encode_progress(progress))) > 2048 > len(wire.encode(encode_progress(progress, dense=True)))
@@ -225,7 +225,7 @@
     assert taskset.pack_dense(taskset.full(100_000)) == [0, 100_000]
 
 
-def test_a_machine_in_two_groups_is_held_by_the_same_one_whatever_the_order_of_reading() -> None:
+def test_a_machine_in_two_groups_belongs_to_the_same_group_in_any_order_of_reading() -> None:
     row = {"vm-1": ["127.0.0.1:9000", "small", "a", True]}
     for order in (("a.1", "b.1"), ("b.1", "a.1")):
         store = Store()
