--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -79,7 +79,7 @@
 
         It must be a member of the view, and both its lease and its last linearizable read must still be valid.
         """
-        # A recent linearizable read limits for how long a newer view can have been missed.
+        # The linearizable read limits how long a newer view can remain unread here.
         return (
             self.is_member
             and self.now() < min(self.lease_renewed_at, self.replica.linearizable_at) + self.lease_validity_s
@@ -94,9 +94,9 @@
     def may_answer_workers(self) -> bool:
         """Whether this incarnation may answer heartbeats, which renews the leases of workers and keeps tasks running.
 
-        A leader may. A member may also do so if every sibling has confirmed within the validity of a lease that it
-        knows no newer view and has sent every cancellation that it has confirmed to users. This keeps workers alive
-        during an outage of the state service.
+        A leader may. A member that is not leader may do so too if every sibling has recently confirmed two facts: the
+        sibling knows no newer view, and it has sent this controller every cancellation that users may know of. This
+        keeps workers alive during an outage of the state service.
         """
         if self.is_leader:
             return True
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -170,7 +170,7 @@
 
 
 def start_cells(group: TaskGroup, settings: Settings, features: CellFeatures, machines: Machines, mesh: Mesh) -> None:
-    """Starts the loops that hand off jobs to other cells, and accepts jobs from them."""
+    """Starts the loops that hand off jobs to other cells, and registers the handlers that accept jobs from them."""
     # Imported here, so that a controller without the feature does not load its modules.
     from sloeswitch.cells.link import MeshLink, answer_frame
     from sloeswitch.cells.origin import CellOrigin, Link
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -28,7 +28,8 @@
 USED_FRACTION_OF_RATE = 0.9
 # Idle connections kept open. The change feed has a separate connection, because each of its requests takes seconds.
 MAX_IDLE_CONNECTIONS = 4
-# The minimum size of a transaction: two changes for a job that ends, and one for its team's quota allocation.
+# The least that `available_changes` returns, unless the limit of a transaction is lower: a job that ends takes two
+# changes, and the quota allocation of its team may need a third.
 MIN_AVAILABLE_CHANGES = 3
 # The lowest value of max_transaction_changes: one change for an adoption, and one for its team's quota allocation.
 MIN_TRANSACTION_CHANGES = 2
