--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -204,7 +204,7 @@
         if row is None or row.incarnation != own.lease_id:
             return
         if tables.coordinator is None or self._is_earlier_incarnation(tables.coordinator):
-            await self._stand_for_election()
+            await self._run_for_coordinator()
         elif tables.coordinator == own:
             await self._write_view()
 
@@ -216,7 +216,7 @@
         own = self.leadership.own_incarnation
         return incarnation.member == own.member and incarnation.lease_id != own.lease_id
 
-    async def _stand_for_election(self) -> None:
+    async def _run_for_coordinator(self) -> None:
         """Writes the coordinator key, bound to this incarnation's lease, if it has not changed since it was read."""
         own, key = self.leadership.own_incarnation, keys.COORDINATOR_KEY
         transaction = Transaction(
