--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -113,15 +113,15 @@
 
     A controller whose metrics are never requested thus does not load the library.
     """
-    # The renderer; empty until the first call.
-    loaded: list[Callable[[], bytes]] = []
+    # Holds the renderer after the first call.
+    renderers: list[Callable[[], bytes]] = []
 
     async def render() -> bytes:
-        if not loaded:
+        if not renderers:
             # Imported in a thread, because the import would delay heartbeats for too long.
             module = await anyio.to_thread.run_sync(importlib.import_module, "sloeswitch.metrics")
-            loaded[:] = [module.ControllerMetrics(context, machines).render]
-        return loaded[0]()
+            renderers[:] = [module.ControllerMetrics(context, machines).render]
+        return renderers[0]()
 
     return render
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -107,17 +107,17 @@
     world = World(store, NARROW)
     cloud: Any = None
     scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
-    kinds = [
+    machine_types = [
         wire.MachineType(f"type-{n}", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"] * 20) for n in range(9)
     ]
-    anyio.run(scale_out._store_catalog, kinds)
+    anyio.run(scale_out._store_catalog, machine_types)
     # Unchanged, because a controller of an earlier layout would not read separate rows.
     assert store.tables.machine_types.keys() == {"small"}
     store.upgraded()
-    anyio.run(scale_out._store_catalog, kinds)
-    assert store.tables.machine_types == {kind.name: kind for kind in kinds}
-    anyio.run(scale_out._store_catalog, kinds[:2])
-    assert store.tables.machine_types == {kind.name: kind for kind in kinds[:2]}
+    anyio.run(scale_out._store_catalog, machine_types)
+    assert store.tables.machine_types == {each.name: each for each in machine_types}
+    anyio.run(scale_out._store_catalog, machine_types[:2])
+    assert store.tables.machine_types == {each.name: each for each in machine_types[:2]}
 
 
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
