--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -184,9 +184,9 @@
         peer.name: MeshLink(features.name, peer, settings.controller_lease_s) for peer in features.peers
     }
     origin = CellOrigin(context, features, machines.queue.waiting_jobs, links)
-    group.start_soon(origin.select_forever)
+    group.start_soon(origin.select_moves_forever)
     for peer in features.peers:
-        group.start_soon(origin.talk_forever, peer.name)
+        group.start_soon(origin.poll_peer_forever, peer.name)
 
 
 def start_admission(
@@ -223,7 +223,7 @@
     mesh.handlers[FrameType.IDLE_CAPACITY_REQUEST] = answer
     group.start_soon(coordinator.coordinate_forever)
     for sibling in settings.siblings:
-        group.start_soon(coordinator.ask_forever, sibling.member)
+        group.start_soon(coordinator.request_idle_capacity_forever, sibling.member)
 
 
 def run(settings: Settings, features: Features) -> None:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -73,7 +73,7 @@
 
 def decreased_allocations(world: World, allocations: dict[str, list[float]]) -> dict[str, float]:
     """The cores, by team, to which a controller that uses 8 cores decreases its allocations after a surplus."""
-    world.store.put(keys.team_key("red"), allocations)
+    world.store.put(keys.quota_key("red"), allocations)
     requests = world.claim_requests()
     world.clock.time += 3 * world.settings.report_s
     requests += world.claim_requests()
@@ -105,7 +105,7 @@
     machine_up(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
-    store.put(keys.team_key("red"), {"c0.1": [20.0, 0.0]})
+    store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
     examined_jobs: list[str] = []
     unclaimed_tasks = store.tables.unclaimed_tasks
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -77,7 +77,7 @@
 
 def test_a_machine_group_over_the_value_limit_is_split_when_it_changes_and_loses_no_machine(store: Store) -> None:
     world = World(store, NARROW)
-    store.put(keys.group_key("c1.5.1"), large_group(240))
+    store.put(keys.machine_group_key("c1.5.1"), large_group(240))
     machines = set(store.tables.machines)
     unregister(world, "vm-000007")
     # Not split until all controllers are upgraded: an earlier version would take moved machines as deleted.
@@ -91,7 +91,7 @@
         outcome = apply(*transaction)
         # A controller that reads all rows in key order after any transaction finds every machine.
         restarted = Store()
-        for key, value in sorted({keys.group_key("c1.5.1"): large_group(240), **written}.items()):
+        for key, value in sorted({keys.machine_group_key("c1.5.1"): large_group(240), **written}.items()):
             restarted.put(key, value)
         missing.extend(machines - {"vm-000007"} - restarted.tables.machines.keys())
         return outcome
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""The stored tables: rebuild, order of changes, and who may claim what."""
+"""The replicated tables: rows read in any order, and which tasks and quota are free to claim."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     assert store.tables.jobs[JOB].progress.done == 0b11
 
 
-def test_a_finished_job_is_never_brought_back_by_an_older_read(store: Store) -> None:
+def test_an_older_read_does_not_restore_a_finished_job(store: Store) -> None:
     store.job(spec())
     store.put(keys.job_key(JOB), {"s": JobState.DONE, "n": 4})
-    store.job(spec())  # an overlapping read brings what was before
+    store.job(spec())  # An overlapping read returns an earlier version of the row.
     assert store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 4)
     assert JOB not in store.tables.jobs
 
@@ -38,7 +38,7 @@
     assert list(store.tables.jobs) == ["wk-000002"]
 
 
-def test_claims_of_a_departed_controller_stand_until_recovery_is_complete(store: Store) -> None:
+def test_claims_of_a_departed_controller_are_valid_until_recovery_is_complete(store: Store) -> None:
     store.job(spec())
     store.progress(JOB, c0_1=0b1, c1_2=0b10)
     store.view(2, ("c0", 1))
@@ -49,7 +49,7 @@
     store.member("c0", 1, settled=2)
     assert store.tables.recovery_complete()
     assert store.tables.unclaimed_tasks(job, True) == 0b1110
-    assert store.tables.void_claim_holders(job) == ["c1.2"]
+    assert store.tables.departed_claim_holders(job) == ["c1.2"]
 
 
 def test_recovery_by_an_earlier_incarnation_does_not_count(store: Store) -> None:
@@ -59,9 +59,12 @@
 
 
 def test_allocations_of_departed_controllers_are_free_once_recovery_is_complete(store: Store) -> None:
-    """Failure found on the bench: a team stood still after all controllers had crashed."""
+    """Guards against a team whose jobs never start again after a crash of all controllers.
+
+    The allocations of the crashed incarnations use up the team's quota and no controller requests more.
+    """
     red = parse(SETTINGS).teams["red"]
-    store.put(keys.team_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
+    store.put(keys.quota_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
     store.member("c0", 3, settled=1)
     assert store.tables.unallocated_quota(red)[0] == 0.0
