--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -35,7 +35,7 @@
     An incarnation is one process run of a member, identified by its lease. The answers of an earlier owner of a machine
     may keep a worker alive until the confirmations from siblings expire. A sibling that becomes the owner therefore
     waits one controller lease on top of the worker's lease before it assumes that the worker is gone
-    (`Settings.takeover_gone_s`).
+    (`Settings.takeover_expiry_s`).
     """
 
     def __init__(self, settings: Settings, tables: Tables, replica: Replica, now: Callable[[], float]) -> None:
@@ -51,7 +51,7 @@
         # Set after construction, because the mesh needs `peer_status`, which it sends to siblings.
         self.mesh: Mesh | None = None
         # How long a lease or a confirmation is valid here; shortened by the largest drift between two nodes' clocks.
-        self.lease_validity_s = settings.controller_lease_s * (1 - settings.clock_drift)
+        self.lease_validity_s = settings.controller_lease_s * (1 - settings.max_clock_drift)
 
     @property
     def own_incarnation(self) -> Incarnation:
@@ -106,7 +106,7 @@
         return all(
             peer.cancellations_complete
             and peer.view_number <= self.view.number
-            and self.now() < peer.asked_at + self.lease_validity_s
+            and self.now() < peer.requested_at + self.lease_validity_s
             for peer in peers
         )
 
@@ -124,7 +124,7 @@
         peers = self.mesh.peers.values() if self.mesh is not None else ()
         return not any(
             peer.view_number > self.view.number
-            or (peer.state_reachable and now < peer.asked_at + self.lease_validity_s)
+            or (peer.state_reachable and now < peer.requested_at + self.lease_validity_s)
             for peer in peers
         )
 
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -62,7 +62,7 @@
 
     def begin_tick(self, now: float) -> None:
         """Notes a break in the answers: by lack of permission, or because this process was suspended."""
-        if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
+        if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.missed_report_s:
             self.answering_since = now
         self.ticked_at = now
 
@@ -83,10 +83,10 @@
             log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
         # It neither reported nor was answered for so long.
         silent_s = now - max(
-            machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
+            machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_expiry_s
         )
-        late_s = self.settings.late_s
-        if (machine.reconciled and silent_s > late_s) or not machine.is_recovered:
+        missed_report_s = self.settings.missed_report_s
+        if (machine.reconciled and silent_s > missed_report_s) or not machine.is_recovered:
             self.commands.probe(machine, now)
         # No heartbeat came, though it may answer commands; and nothing that was sent is seen to have arrived.
         no_report_s = unreachable_s = 0.0
@@ -94,7 +94,7 @@
             no_report_s = now - max(machine.last_heartbeat_at, self.answering_since)
         if machine.reconciled:
             unreachable_s = now - max(machine.reachable_at, self.answering_since)
-        out_of_contact = max(silent_s, no_report_s) > late_s or not machine.reachable
+        out_of_contact = max(silent_s, no_report_s) > missed_report_s or not machine.reachable
         if out_of_contact and self.registry.remove_unsent(machine):
             self.wake()
         self._terminate_if_lost(machine, silent_s, max(no_report_s, unreachable_s), now)
@@ -174,7 +174,7 @@
         """
         reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
         lost = sum(
-            now - min(machine.last_report_at, machine.last_heartbeat_at or 0.0) > self.settings.late_s
+            now - min(machine.last_report_at, machine.last_heartbeat_at or 0.0) > self.settings.missed_report_s
             or not machine.reachable
             for machine in reconciled
         )
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -20,7 +20,7 @@
 from sloeswitch.actors.machine_messages import HeartbeatRequest
 from sloeswitch.actors.machines import Machines
 from sloeswitch.core.quota import unschedulable_reason
-from sloeswitch.http import Answer, Request, refuse
+from sloeswitch.http import Answer, Request, retry_later
 from sloeswitch.replica import StaleReplicaError
 from sloeswitch.wire import JobStatus
 
@@ -75,7 +75,7 @@
 
 def unavailable() -> Answer:
     """The request cannot be carried out now, by this controller."""
-    return refuse(RETRY_AFTER_S)
+    return retry_later(RETRY_AFTER_S)
 
 
 def job_answer(name: str, status: JobStatus, is_new: bool = False) -> Answer:
@@ -150,7 +150,7 @@
         if mesh is None or not mesh.peers:
             return True
         now_s, lease_s = self.client.now(), self.settings.controller_lease_s
-        connected = [peer for peer in mesh.peers.values() if now_s - peer.asked_at < lease_s]
+        connected = [peer for peer in mesh.peers.values() if now_s - peer.requested_at < lease_s]
         return bool(connected) and not any(peer.state_reachable for peer in connected)
 
     async def _health(self, _request: Request, _job: str) -> Answer:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -36,7 +36,7 @@
 def partition(world: World) -> Users:
     """Cuts the controller off from the state service and its sibling until all its permissions have expired."""
     mesh = meshed(world)
-    mesh.peers["c1"].asked_at = world.clock.time
+    mesh.peers["c1"].requested_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
     return Users(world.context, world.jobs, world.machines)
@@ -59,7 +59,7 @@
     users = partition(world)
     mesh = world.leadership.mesh
     assert mesh is not None
-    mesh.peers["c1"].asked_at, mesh.peers["c1"].state_reachable = world.clock.time, False
+    mesh.peers["c1"].requested_at, mesh.peers["c1"].state_reachable = world.clock.time, False
     assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 200
     mesh.peers["c1"].state_reachable = True
     assert anyio.run(users.handle, Request("GET", "/healthz", b"")).status == 503
