--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -216,7 +216,7 @@
 
     def compute() -> list[epochs.RowChange]:
         return epochs.compute_changes(
-            world.store.tables, world.settings, limits, [], later_ms, world.client.value_bytes
+            world.store.tables, world.settings, limits, [], later_ms, world.client.max_value_bytes
         )
 
     timed("an epoch", compute)
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -263,7 +263,7 @@
     """
     store.upgraded()
     world = World(store)
-    world.client.txn_ops = 3
+    world.client.max_transaction_changes = 3
     store.job(spec(JOB, visits=2, cores=1.0))
     store.progress(JOB, c1_9=0b01)
     store.put(keys.quota_key("red"), {"c0.1": [4.0, 0.0], "c1.9": [1.0, 0.0]})
