--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -1,6 +1,6 @@
-"""Heartbeats: reports of machines are reconciled with the registry and answered with commands.
+"""Handles heartbeats: reconciles each machine's report with the registry and answers it with commands.
 
-Owns which machines were already logged for their reports. Called by the machines actor only.
+Owns the machine types and machines whose faulty reports were already logged. Called by the machines actor only.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HeartbeatHandler:
-    """Answers heartbeats, and applies what machines answer to direct commands."""
+    """Answers heartbeats, and applies the replies of machines to direct commands."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.task_placement = task_placement
         self.commands = commands
         self.wake = wake
-        # Logged once each.
+        # Unknown machine types, and machines with malformed reports; each is logged once.
         self.unknown_types: set[str] = set()
         self.malformed_reporters: set[str] = set()
 
@@ -52,8 +52,8 @@
         """Reconciles a heartbeat with the registry, and answers it with the commands for its machine.
 
         Returns:
-            200 with commands; 400 for a malformed report; 421 with the owner of a machine that is not ours; 503 when
-            this controller may not answer it now, for the machine to try again.
+            200 with commands; 400 for a malformed report; 421 with the owner if another controller owns the machine;
+            503 if this controller may not answer now, so that the machine retries.
         """
         refusal = self._refusal(report)
         if refusal is not None:
@@ -64,8 +64,8 @@
         if machine is None:
             machine = self._add_machine(report, now)
         elif is_outdated(machine, report):
-            # Neither a sign of life nor worth an answer that could renew the machine's lease: the registry
-            # goes by newer reports. Were it the machine's last report after all, its next one is newer.
+            # A duplicate or delayed report does not show that the machine is alive, and an answer could renew its
+            # lease. A live machine sends a newer report next.
             return refuse(1)
         was_reconciled = machine.reconciled
         try:
@@ -75,8 +75,8 @@
             return Answer(400)
         commands: list[wire.WorkerCommand] = []
         if result.accepted:
-            # Reports can arrive while nothing reaches the machine: until it is seen to have received an
-            # answer it gets no start command, so that no task waits there for its lease to run out.
+            # Reports can arrive although no answer reaches the machine. It gets no start commands until it is known to
+            # have received an answer; otherwise a task would wait there until the machine's lease expires.
             machine.reachable = last_answer_received
             if last_answer_received or not was_reconciled:
                 machine.reachable_at = now
@@ -84,13 +84,17 @@
             self.task_placement.fill_machine(machine)
             commands = self.registry.commands(machine, self.tables, report.sequence)
         machine.answered_at = now
+        # Until the machine is recovered, a lease from an earlier owner's answer may last longer than this one.
         machine.lease_expires_at = max(
             machine.lease_expires_at if not machine.is_recovered else 0.0, now + self.settings.worker_gone_s
         )
         return Answer(200, wire.encode(wire.WorkerCommands(view_number, commands)))
 
     def _refusal(self, report: wire.WorkerReport) -> Answer | None:
-        """The answer to a machine that this controller may not serve now; None, with the view applied, for others."""
+        """Returns the refusal for a machine that this controller may not answer now; None if it may.
+
+        The current view has been applied when None is returned.
+        """
         leadership = self.leadership
         if not leadership.may_answer_workers:
             return refuse(1)
@@ -103,7 +107,10 @@
         return None
 
     def apply_command_reply(self, report: wire.WorkerReport) -> None:
-        """Reconciles a machine's answer to a direct command with the registry, unless the view has changed since."""
+        """Reconciles a machine's reply to a direct command with the registry.
+
+        The report is ignored while the registry does not yet follow the current view.
+        """
         self.commands.record_alive(report.machine)
         machine = self.registry.machines.get(report.machine)
         followed_view = self.ownership.followed_view
@@ -116,12 +123,12 @@
             self._log_malformed(report.machine, error)
             return
         if result.accepted:
-            # It carried out what was sent, and its reply came.
+            # The reply shows that the machine received the command.
             machine.reachable, machine.reachable_at = True, self.now()
             self._apply_reconciled(machine, result)
 
     def _add_machine(self, report: wire.WorkerReport, now: float) -> Machine:
-        """A machine that was never registered, so that nobody can have started anything on it."""
+        """Adds a machine that was never registered, so that no controller can have started a task on it."""
         machine = self.registry.add_machine(
             Machine(
                 report.machine,
@@ -142,7 +149,7 @@
         return machine
 
     def _apply_reconciled(self, machine: Machine, result: ReconcileResult) -> None:
-        """Passes on what a report revealed: completions, failures and adoptions."""
+        """Forwards the completions, failures and adoptions that a report showed, and logs its foreign attempts."""
         now = self.now()
         self.commands.record_reply(machine.name)
         for (job, index), name in result.done:
@@ -163,7 +170,7 @@
             self.wake()
 
     def _log_malformed(self, machine: str, error: wire.MalformedError) -> None:
-        """Once for each machine: a broken one says the same with every report."""
+        """Logs a malformed report, once per machine: a faulty worker repeats it with every report."""
         if machine not in self.malformed_reporters and len(self.malformed_reporters) < self.settings.fd_limit:
             self.malformed_reporters.add(machine)
             log.error("malformed report: machine=%s error=%s", machine, error)
--- a/sloeswitch/actors/machine_messages.py
+++ b/sloeswitch/actors/machine_messages.py
@@ -1,4 +1,4 @@
-"""Messages that the machines actor receives, and the interfaces it needs of the autoscaler and of admission."""
+"""The messages of the machines actor, and the interfaces through which it uses the autoscaler and admission."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     """A machine's heartbeat; the reply is the HTTP answer to it."""
 
     report: wire.WorkerReport = field(kw_only=True)
-    # Whether the machine is seen to have received our last answer to it, a short while ago.
+    # Whether this heartbeat shows that the machine received this controller's previous answer in time.
     last_answer_received: bool = False
 
 
 @dataclass
 class TickRequest(ActorRequest[None]):
-    """Run the periodic work: what no heartbeat brings up. The reply is None."""
+    """Requests a tick: the periodic work that no heartbeat triggers. The reply is None."""
 
 
 @dataclass
 class InstancesDeleted:
-    """The cloud confirmed that these machines, and all on them, are gone."""
+    """The cloud confirmed that these machines are deleted, with all tasks on them."""
 
     machines: list[str]
 
@@ -36,23 +36,24 @@
 
 
 class InstanceTerminator(Protocol):
-    """Has machines deleted at the cloud; InstancesDeleted follows."""
+    """Deletes machines at the cloud; the machines actor then receives InstancesDeleted."""
 
     def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
         """Requests the deletion of a machine.
 
         Args:
-            machine: Its name.
-            listed: It was found in the cloud's list, whoever owns it.
-            pressing: Delete it also while this controller may only answer machines, or nobody may.
+            machine: The machine's name.
+            listed: Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
+            pressing: Whether to delete it also without leadership: while this controller may only answer machines, or
+                while no controller may answer them.
 
         Returns:
-            Whether its deletion was not under way yet.
+            False if the deletion was already requested with at least this urgency.
         """
 
 
 class JobAdmission(Protocol):
-    """Marks jobs that may not enter the queue yet."""
+    """Marks the jobs that admission keeps out of the queue for now."""
 
     def apply(self) -> None:
-        """Brings `Job.deferred` up to date with the tables."""
+        """Updates `Job.deferred` from the tables."""
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -1,7 +1,7 @@
-"""Monitoring: machines that are silent, unreachable, faulty, or about to be preempted by the cloud.
+"""Monitors machines: finds those that are silent, unreachable, faulty, or about to be preempted by the cloud.
 
-Owns when machines are checked next, and since when heartbeats have been answered. Called by the machines actor at each
-tick.
+Owns the time of the next check, and the time since which heartbeats have been answered without interruption. Called by
+the machines actor at each tick.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 
 log = logging.getLogger("machines")
 
-# With this part of more than so many machines out of contact at once, our own network is the likely reason.
+# If more than this share of the machines is out of contact at once, this controller's own network is the likely cause.
+# Applies only to more than NETWORK_FAULT_MIN_MACHINES machines.
 NETWORK_FAULT_SHARE = 0.75
-# A silent machine is deleted only after this many direct commands found no answer.
+# A silent machine is deleted only after this many direct commands in a row got no answer.
 DELETE_AFTER_FAILED_COMMANDS = 2
 
 
 class MachineMonitor:
-    """Expires leases, probes machines that are out of contact, and has those deleted that do not recover."""
+    """Expires leases, probes machines that are out of contact, and has them deleted if they do not recover."""
 
     def __init__(
         self,
@@ -49,25 +50,26 @@
         self.cancellations = cancellations
         self.termination = termination
         self.wake = wake
-        # For so long a machine may be silent, or messages arrive in one direction only, before it is deleted.
+        # Limits before a machine is deleted: how long it may be silent, and how long messages may arrive in one
+        # direction only.
         self.max_silence_s = context.settings.max_silence_s
         self.max_one_way_s = 2 * context.settings.lease_s
         self.next_check_at = 0.0
         self.ticked_at = float("-inf")
-        # Since when heartbeats have been answered without a break: a machine that is out of contact for longer than
-        # that may be well.
+        # The time since which heartbeats have been answered without interruption. Time out of contact before that does
+        # not count against a machine, because the interruption can be the cause.
         self.answering_since = float("-inf")
-        # Whether a task of a job that was cancelled some time ago may still be anywhere.
+        # Whether any cancelled job is overdue, so that one of its tasks may still be on a machine.
         self.cancellation_overdue = False
 
     def begin_tick(self, now: float) -> None:
-        """Notes a break in the answers: by lack of permission, or because this process was suspended."""
+        """Detects interrupted answers: this controller may not answer machines, or its process was suspended."""
         if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
             self.answering_since = now
         self.ticked_at = now
 
     def check_if_due(self, now: float) -> bool:
-        """Checks all machines, four times in a report interval; whether it did so now."""
+        """Checks all machines, four times per report interval; returns whether it checked them now."""
         if now < self.next_check_at:
             return False
         self.next_check_at = now + self.settings.report_s / 4
@@ -77,18 +79,19 @@
         return True
 
     def check_machine(self, machine: Machine, now: float) -> None:
-        """Does what the state of one machine calls for."""
+        """Checks one machine: its lease, its contact with this controller, and its preemption notice."""
         if now >= machine.lease_expires_at and (machine.reconciled or not machine.accounted_for):
             lost = self.registry.expire_lease(machine)
             log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
-        # It neither reported nor was answered for so long.
+        # The time since the machine last reported, was last answered, or was taken over.
         silent_s = now - max(
             machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
         )
         late_s = self.settings.late_s
         if (machine.reconciled and silent_s > late_s) or not machine.is_recovered:
             self.commands.probe(machine, now)
-        # No heartbeat came, though it may answer commands; and nothing that was sent is seen to have arrived.
+        # The time without a heartbeat, although the machine may answer commands; and the time during which no message
+        # to it is known to have arrived.
         no_report_s = unreachable_s = 0.0
         if machine.last_heartbeat_at is not None:
             no_report_s = now - max(machine.last_heartbeat_at, self.answering_since)
@@ -104,20 +107,21 @@
                     self.commands.kill(machine, attempt, attempt.spec.save_s)
 
     def _terminate_if_lost(self, machine: Machine, silent_s: float, one_way_s: float, now: float) -> None:
-        """Has the machine deleted if that is called for.
+        """Requests the machine's deletion if it is lost or faulty, or if a cancelled task on it is overdue.
 
         Args:
             machine: The machine.
-            silent_s: For how long it has neither reported nor been answered.
-            one_way_s: For how long messages have arrived in one direction only, at most.
+            silent_s: The time since the machine last reported or was last answered.
+            one_way_s: The longer of the time without a heartbeat and the time without a message known to have reached
+                the machine.
             now: The clock's time in seconds.
         """
         silent = silent_s > self.max_silence_s
         wait = self._overdue_wait(machine, now)
         if wait is not None and self.leadership.may_answer_workers:
-            # Whether it hangs, is cut off or receives nothing: its deletion ends what is on it in time, also while
-            # the state service is down. Should it have got another owner after all, that one counts it as silent:
-            # work is lost, nothing is started twice.
+            # Deleting the machine ends its tasks in time, whether it hangs or is disconnected, also while the state
+            # service is down. If it has another owner by now, that owner sees it as silent: work is lost, but no task
+            # is started twice.
             self.termination.drain_and_scale_in(machine, TerminationReason.CANCELLED_TASKS, pressing=True)
             self.cancellations.log_overdue(wait)
         failed_commands = self.commands.failures.get(machine.name, 0)
@@ -130,8 +134,8 @@
         ):
             self.termination.drain_and_scale_in(machine, TerminationReason.SILENT)
         elif one_way_s > self.max_one_way_s and self.leadership.is_leader and not self._most_machines_lost(now):
-            # Its reports come and nothing reaches it, or it answers commands and cannot report: by now its lease is
-            # over and it has nothing on it, and it would be paid for in vain for as long as that lasts.
+            # The machine reports but receives nothing, or it answers commands but cannot report. Its lease has expired
+            # by now and no task runs on it, so that it would only cost money.
             self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHABLE)
         elif self.health.is_machine_quarantined(machine.name) and self.leadership.is_leader:
             machine.draining = True
@@ -139,10 +143,10 @@
                 self.termination.drain_and_scale_in(machine, TerminationReason.FAULTY)
 
     def _overdue_wait(self, machine: Machine, now: float) -> CancelledTaskWait | None:
-        """The cancelled task that is on the machine, or may be, and must be gone soon.
+        """Returns the overdue cancelled task that is or may be on the machine, if any.
 
-        Nothing is known of what is on a machine that was taken over and does not respond. Guards against one that hangs
-        with a cancelled task while its owner changes.
+        The tasks on a machine that was taken over and does not respond are unknown, so any overdue task may be there.
+        This covers a machine that hangs with a cancelled task while its owner changes.
         """
         if holds_cancelled_task(machine):
             overdue = self.cancellations.holds_overdue_task(machine, now)
@@ -154,9 +158,10 @@
         return self.cancellations.unreconciled_wait(machine)
 
     def _is_unresponsive(self, machine: Machine, now: float) -> bool:
-        """Whether the machine gave no sign of life for as long as it was ours, and had the time to.
+        """Whether the machine has been without contact for `max_silence_s` since this controller became its owner.
 
-        A change of the view does not begin this time anew. What waits for a socket has not been asked yet.
+        A view change does not reset this time. A machine whose first command is still waiting for a socket or for its
+        answer does not count as unresponsive.
         """
         since = max(
             machine.last_report_at,
@@ -170,7 +175,8 @@
     def _most_machines_lost(self, now: float) -> bool:
         """Whether most machines are silent or unreachable at once.
 
-        That points to our own network: then none is deleted for it, and the machines' leases end what is on them.
+        This controller's own network is then the likely cause. No machine is deleted for being silent or unreachable;
+        the tasks on them end when their leases expire.
         """
         reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
         lost = sum(
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -1,6 +1,6 @@
-"""Which machines this controller owns: follows the views, and takes machines over at a failover.
+"""Determines the machines that this controller owns: applies each view, and takes machines over after a failover.
 
-Owns the incarnation and the view that the registry goes by. Called by the machines actor and its modules only.
+Owns the incarnation and the view that the registry reflects. Called by the machines actor and its modules only.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class MachineOwnership:
-    """Brings the registry in line with the view: machines are added, released, or have to report again."""
+    """Updates the registry to the view: adds machines, releases them, or requires a new report from them."""
 
     def __init__(self, shard: ShardState) -> None:
         context = shard.context
@@ -27,14 +27,14 @@
         self.registry = shard.registry
         self.quota = shard.quota
         self.task_updates = shard.task_updates
-        # The incarnation and the view number that the registry goes by; 0: none yet.
+        # The incarnation and the view number that the registry reflects; 0 means none yet.
         self.incarnation = 0
         self.followed_view = 0
 
     def follow_view(self) -> None:
-        """Applies the current view if it is not followed yet, while this controller is a member of it.
+        """Applies the current view if this controller is a member of it and has not applied it yet.
 
-        A new incarnation of this controller begins with an empty registry, also before it is a member.
+        A new incarnation of this controller starts with an empty registry, even before it is a member.
         """
         if self.leadership.incarnation != self.incarnation:
             self._begin_incarnation()
@@ -58,7 +58,7 @@
             if self.leadership.owner_of(name) != member:
                 self.registry.release_machine(name)
             elif not consecutive:
-                # Another controller may have owned it under a view that was missed.
+                # Another controller may have owned the machine under a view that this one did not see.
                 self.registry.mark_unreconciled(machine, view.number, gone_at)
         for name, row in self.tables.machines.items():
             if self.leadership.owner_of(name) == member and name not in self.registry.machines:
@@ -75,10 +75,10 @@
         )
 
     def add_missing_machines(self, pending_removals: set[str]) -> None:
-        """Adds machines of ours that are in the tables and that the registry lacks, unless they are being removed.
+        """Adds this controller's machines that are in the tables but not in the registry, except pending removals.
 
-        Guards against a registration that is carried out late, after its machine was deleted and left out: nobody
-        would monitor it, and it would count as supply.
+        A delayed registration can be stored after its machine was deleted and removed from the registry. Without this,
+        no controller would monitor the machine, and it would count as supply.
         """
         gone_at = self.now() + self.settings.takeover_gone_s
         for name, row in self.tables.machines.items():
@@ -89,7 +89,7 @@
                 self._add_machine(name, row, self.followed_view, gone_at)
 
     def _add_machine(self, name: str, row: MachineRow, view_number: int, lease_expires_at: float) -> None:
-        """Adds a stored machine, of which nothing is known until it is reconciled or its lease is surely over."""
+        """Adds a stored machine whose tasks are unknown until it is reconciled or its lease has certainly expired."""
         self.registry.add_machine(
             Machine(
                 name,
