--- a/sloeswitch/actors/machine_termination.py
+++ b/sloeswitch/actors/machine_termination.py
@@ -1,6 +1,6 @@
-"""Termination of machines: their deletion is requested of the autoscaler, and confirmed by the cloud.
+"""Terminates machines: requests their deletion from the autoscaler, and removes them once the cloud confirms it.
 
-Called by the modules of the machines actor, and by the autoscaler for machines that are idle.
+Called by the modules of the machines actor, and by the autoscaler for idle machines.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
     """Why a machine is deleted, as logged."""
 
     IDLE = "idle"
-    # No answer to its probes either.
+    # It does not report, is not being answered, and does not answer direct commands.
     SILENT = "silent"
-    # For two leases no report came from it, or no answer reached it.
+    # For two lease periods, no heartbeat arrived from it or no message is known to have reached it.
     UNREACHABLE = "unreachable"
-    # Tasks failed on it again and again.
+    # It is quarantined because tasks failed on it repeatedly.
     FAULTY = "faulty"
-    # It may hold tasks that were cancelled some time ago; the second: and no owner has accounted for it.
+    # It holds or may hold cancelled tasks that are overdue.
     CANCELLED_TASKS = "cancelled-tasks"
+    # The same, and no owner has accounted for the machine.
     CANCELLED_TASKS_UNACCOUNTED = "cancelled-tasks-unaccounted"
 
 
 class MachineTermination:
-    """Has machines deleted, and drops all trace of them once they are gone."""
+    """Requests the deletion of machines, and removes their records once they are deleted."""
 
     def __init__(self, shard: ShardState, commands: CommandSender, registration: Registration) -> None:
         self.tables = shard.context.tables
@@ -41,31 +42,34 @@
         self.health = shard.health
         self.commands = commands
         self.registration = registration
-        # None while no cloud is attached: then nothing is deleted.
+        # None without a cloud; no machine is deleted then.
         self.autoscaler: InstanceTerminator | None = None
 
     def drain_and_scale_in(self, machine: Machine, reason: TerminationReason, pressing: bool = False) -> None:
-        """Gives a machine no more tasks and has it deleted, for the reason that is logged.
+        """Stops placing tasks on a machine and requests its deletion; logs the reason.
 
         Args:
-            machine: The machine, of this controller.
-            reason: Why.
-            pressing: Delete it also while this controller may only answer machines, or nobody may.
+            machine: A machine of this controller.
+            reason: The reason to log.
+            pressing: Whether to delete it also without leadership (see `InstanceTerminator.scale_in`).
         """
         machine.draining = True
         if self.autoscaler is not None and self.autoscaler.scale_in(machine.name, pressing=pressing):
             log.info("machine termination requested: machine=%s reason=%s", machine.name, reason)
 
     def scale_in_urgently(self, machine: str) -> bool:
-        """Has a machine deleted, whoever owns it and whether or not anybody may answer machines.
+        """Requests the deletion of a machine of any owner, even while no controller may answer machines.
 
         Returns:
-            Whether its deletion was not under way yet.
+            False if its urgent deletion was already requested, or if there is no cloud.
         """
         return self.autoscaler is not None and self.autoscaler.scale_in(machine, pressing=True)
 
     def apply_deleted(self, machines: list[str]) -> None:
-        """The cloud confirmed that these machines are gone: their tasks are placed again, their rows removed."""
+        """Removes machines whose deletion the cloud confirmed.
+
+        Their tasks can be placed again, and their rows in the tables are to be removed.
+        """
         for name in machines:
             machine = self.registry.machines.get(name)
             if machine is not None:
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -1,10 +1,11 @@
 """The machines actor: heartbeats, commands, placement and accounting of the machines that this controller owns.
 
-It is the claiming side of the dwork protocol: for free capacity it claims the oldest ready tasks of the jobs actor
-(ClaimRequest), and it sends completions back to it (TaskUpdates); tasks of lost machines are placed before new ones.
+For free capacity it claims the oldest ready tasks from the jobs actor (ClaimRequest), and it sends completions back
+(TaskUpdates), as a worker does in dwork (docs/design.md cites the paper). Tasks of lost machines are placed before new
+ones.
 
-This module receives the messages and calls the modules that do the work, in order; each of them owns its own state, and
-what they share is in shard_state.
+This module receives the messages and calls the modules that do the work, in order. Each module owns its own state; the
+state that they share is in shard_state.
 """
 
 from __future__ import annotations
@@ -48,10 +49,10 @@
 
 
 class Machines(Actor[MachinesMessage]):
-    """Takes heartbeats, ticks, replies of machines and confirmed deletions, one at a time.
+    """Handles heartbeats, ticks, replies of machines and confirmed deletions, one at a time.
 
-    Before `run`, `group` is set; `termination.autoscaler`, `queue.admission` and `claims.on_remaining_capacities` may
-    be. Users, the autoscaler, cells and admission read `queue`, `quota`, `registry` and `termination`.
+    `group` has to be set before `run`; `termination.autoscaler`, `queue.admission` and `claims.on_remaining_capacities`
+    are optional. Users, the autoscaler, cells and admission use `queue`, `quota`, `registry` and `termination`.
     """
 
     name = "machines"
@@ -83,7 +84,7 @@
             context, self.registry, self.commands, self.termination.scale_in_urgently
         )
         self.summary_at = 0.0
-        # The last view whose complete recovery was logged.
+        # The last view whose completed recovery was logged.
         self.recovery_logged_view = 0
         self.gang_preemption = GangPreemption(shard, self.commands.kill)
         self.task_placement = TaskPlacement(shard, self.gang_preemption)
@@ -98,7 +99,7 @@
     # -- messages
 
     async def handle(self, message: MachinesMessage) -> None:
-        """Handles one message; requests get their reply."""
+        """Handles one message, and replies to it if it is a request."""
         if isinstance(message, HeartbeatRequest):
             self.cancellations.last_machine_contact_at = self.now()
             message.reply(self.heartbeats.answer(message.report, message.last_answer_received))
@@ -116,7 +117,7 @@
             self.wake.set()
 
     async def tick_forever(self) -> None:
-        """Runs a tick when something changed, and at least every few tick intervals."""
+        """Runs a tick after each change that may need one, and at least once every few tick intervals."""
         self.replica.add_listener(self._wake)
         while True:
             with anyio.move_on_after(2.5 * self.tick_interval_s):
@@ -125,12 +126,13 @@
             started = self.now()
             with contextlib.suppress(InboxFullError):
                 await self.ask(TickRequest())
-            # Under load the heartbeats come first: a tick takes at most a quarter of the time, but leases and
-            # silent machines are checked at least about as often as heartbeats come.
+            # Heartbeats take priority under load: the pause is three times as long as the tick took, so that ticks use
+            # at most a quarter of the time. The pause is at most a report interval, so that leases and silent machines
+            # are checked about as often as heartbeats arrive.
             await anyio.sleep(max(self.tick_interval_s, min(3 * (self.now() - started), self.settings.report_s)))
 
     def _spawn(self, call: Callable[..., Coroutine[Any, Any, None]], *args: object) -> None:
-        """Starts a coroutine that runs concurrently with this actor; does nothing while `group` is not set."""
+        """Starts a coroutine that runs concurrently with this actor; does nothing unless `group` is set."""
         if self.group is not None:
             self.group.start_soon(call, *args)
 
@@ -140,7 +142,10 @@
     # -- the tick
 
     def _tick(self) -> None:
-        """The periodic work, in an order that later steps rely on: what is known, what is stopped, what is placed."""
+        """Does the periodic work.
+
+        Later steps depend on earlier ones: the state is updated first, then tasks are stopped, then tasks are placed.
+        """
         leadership = self.leadership
         now = self.now()
         self.monitor.begin_tick(now)
@@ -167,7 +172,10 @@
         self.task_updates.send()
 
     def _update_accounting(self) -> None:
-        """Forgets what the tables show by now: recovered tasks, failures of ended jobs, stored updates."""
+        """Brings the accounting up to date with the tables, and checks the teams' usage.
+
+        Drops handed-off tasks that their new owners account for, failures of finished jobs, and stored updates.
+        """
         if self.tables.recovery_complete():
             self._log_recovery()
             self.registry.settle_handed_off()
@@ -180,18 +188,18 @@
         self.task_updates.prune_stored()
 
     def _log_recovery(self) -> None:
-        """Once for each view: claims and allocations of departed controllers are void from here on."""
+        """Logs once per view that recovery is complete; it voids claims and allocations of departed controllers."""
         view_number = self.leadership.view.number
         if self.recovery_logged_view != view_number:
             self.recovery_logged_view = view_number
             log.info("recovery complete: view=%d revision=%d", view_number, self.replica.applied_revision)
 
     def _report_recovery(self) -> None:
-        """Once all machines under the view have reported or are accounted for, the membership actor stores that."""
+        """Reports the recovery of this shard to the membership actor once it is complete."""
         self.recovery.report(self.registration.pending_removals)
 
     def _register(self) -> None:
-        """Stores machines before anything is started on them, so that a later owner knows of them."""
+        """Stores new machines before any task is started on them, so that a later owner knows of them."""
         new = self.registration.machines_to_store(list(self.registry.machines.values()))
         if new.writes and self.group is not None:
             self.registration.pending_registrations |= new.names
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -1,7 +1,7 @@
-"""Registration: which machines are stored as ours.
+"""Registers this controller's machines in the state service, and unregisters deleted ones.
 
-A machine is stored before anything starts on it, so that a later owner knows of it, and taken out once the cloud has
-confirmed its deletion. The machines actor owns this and alone calls it, save for the loop `unregister_forever`.
+A machine is stored before any task starts on it, so that a later owner knows of it. It is removed once the cloud has
+confirmed its deletion. Only the machines actor calls this module, except for the background loop `unregister_forever`.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from sloeswitch.core.transaction import Transaction
 from sloeswitch.rate_budget import RequestPriority
 
-# The part of a transaction's bytes that its values may take together; the rest is for keys and conditions.
+# The share of a transaction's bytes that its values may use; the rest is for keys and conditions.
 VALUES_SHARE = 0.8
 
-# A machine as a group holds it, and the machines of one group by name.
+# The fields of a machine in a group, and the machines of one group by name.
 StoredMachine = list[str | bool]
 MachineGroup = dict[str, StoredMachine]
 # The stored form of a machine or of a group: the value of one key.
@@ -30,22 +30,23 @@
 
 
 def _encode_machine(machine: Machine) -> dict[str, str | bool]:
-    """A machine under a key of its own, as layout 1 reads it."""
+    """Encodes a machine that is stored under its own key, as layout 1 reads it."""
     return {"a": machine.address, "t": machine.type, "z": machine.zone, "s": machine.spot}
 
 
 @dataclass
 class NewMachines:
-    """As many new machines as one transaction takes: their names, and the values that hold them by key."""
+    """The new machines that one transaction stores: their names, and the values to write by key."""
 
     names: set[str] = field(default_factory=set)
     writes: dict[str, StoredValue] = field(default_factory=dict)
 
 
 class Registration:
-    """Stores new machines and takes deleted ones out, many at a time: the state service takes few changes.
+    """Stores new machines and removes deleted ones in batches, because the state service limits the rate of changes.
 
-    `pace_s`: seconds that new machines are gathered for. `on_change`: called when a write has ended, one way or other.
+    `pace_s`: the pause in seconds after a write, during which its machines still count as pending, so that the replica
+    can read them before the next attempt. `on_change`: called when a write has ended, whether or not it succeeded.
     """
 
     def __init__(self, context: ControllerContext, pace_s: float, on_change: Callable[[], None]) -> None:
@@ -57,25 +58,25 @@
         self.pace_s = pace_s
         self.on_change = on_change
         self.sleep: Callable[[float], Awaitable[None]] = anyio.sleep
-        # Machines whose registration is under way, and deleted ones that are still stored.
+        # Machines whose registration is in flight, and deleted machines that are still stored.
         self.pending_registrations: set[str] = set()
         self.pending_removals: set[str] = set()
         self.groups_created = 0
 
     def _new_group_key(self, split_from: str = "") -> str:
-        """A key never used before. What is split off another group sorts after it by key (`core/tables.py`)."""
+        """Returns a key that was never used. A group split off another one sorts after it by key (`core/tables.py`)."""
         self.groups_created += 1
         prefix = f"{split_from}." if split_from else keys.group_key("")
         return f"{prefix}{self.leadership.incarnation_id}.{self.groups_created}"
 
     def _max_values_bytes(self) -> int:
-        """What the values of one transaction may take together, in bytes."""
+        """The maximum total size of the values of one transaction, in bytes."""
         return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
 
     # -- new machines
 
     def machines_to_store(self, machines: list[Machine]) -> NewMachines:
-        """As many as one transaction takes of the reconciled machines that are neither stored nor about to be."""
+        """Selects reconciled machines that are neither stored nor being stored, as many as fit in one transaction."""
         unstored = [
             machine
             for machine in machines
@@ -85,7 +86,7 @@
         ]
         if all(row.layout >= keys.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             return self._grouped(unstored)
-        # A member of an earlier layout knows no groups.
+        # A member with an earlier layout cannot read groups.
         return self._one_by_one(unstored[: self.client.txn_ops])
 
     @staticmethod
@@ -106,8 +107,8 @@
     async def store(self, new: NewMachines, view_number: int) -> None:
         """Stores new machines on condition of the view under which they were reconciled.
 
-        They count as pending until the write has ended, whatever came of it; the next tick tries again what is not
-        stored then.
+        They count as pending until the write has ended, whether or not it succeeded. The next tick retries those that
+        are not stored by then.
         """
         change = Transaction(self.leadership.view_conditions(), dict(new.writes))
         try:
@@ -122,7 +123,7 @@
     # -- deleted machines
 
     async def unregister_forever(self) -> None:
-        """Takes deleted machines out of what is stored, many at a time, until cancelled."""
+        """Removes the rows of deleted machines in batches, until cancelled."""
         while True:
             await self.sleep(2 * self.settings.report_s)
             change = self._removals()
@@ -131,10 +132,10 @@
                 self.replica.request_read()
 
     def _removals(self) -> Transaction:
-        """As many groups without their deleted machines as fit a transaction.
+        """Returns a transaction that removes deleted machines from their groups, limited to the size of a transaction.
 
-        Guards against a wave of deletions in many full groups: all of them in one transaction would be over the
-        limit, refused again and again, and the machines counted as present for ever.
+        After deletions in many full groups, one transaction for all groups would exceed the limit. It would be refused
+        on each retry, and the machines would never be removed.
         """
         self.pending_removals &= self.tables.machines.keys()
         remaining_bytes = self._max_values_bytes()
@@ -142,10 +143,10 @@
         for key in sorted({self.tables.machines[name].key for name in self.pending_removals}):
             groups = self._remaining_groups(key)
             if len(groups) > 1 and not self.tables.layout_complete:
-                # An earlier layout would take machines that leave one group for another as deleted. Until no
-                # controller has that layout, a machine too many in the tables costs little.
+                # A controller with an earlier layout would treat machines that move between groups as deleted. Until
+                # no controller has that layout, the group is left as it is; the extra row does little harm.
                 continue
-            # A group that is dropped is one change; one that is split may take several.
+            # Deleting a group is one change; splitting one takes a change per resulting group.
             changes = max(1, len(groups))
             value_bytes = changes * self.client.value_bytes
             if not removals and changes > self.client.txn_ops:
@@ -157,7 +158,7 @@
         return removals
 
     def _remaining_groups(self, key: str) -> list[MachineGroup]:
-        """The machines under a key that were not deleted, in groups that each fit a value."""
+        """The machines under a key that were not deleted, in groups that each fit in one value."""
         names = sorted(
             name
             for name in self.tables.machine_groups.get(keys.group_name(key), ())
@@ -167,7 +168,10 @@
         return split_machine_groups(rows, self.client.value_bytes)
 
     def _replace_group(self, removals: Transaction, key: str, groups: list[MachineGroup]) -> None:
-        """Adds to the removals that a key holds the first group and new keys the others; none: it is dropped."""
+        """Adds the replacement of one group to a transaction: the first group under `key`, the others under new keys.
+
+        Without any groups, `key` is deleted.
+        """
         removals.conditions[key] = self.tables.mod_revision(key)
         if groups:
             removals.writes[key] = {"m": groups[0]}
@@ -176,10 +180,10 @@
             removals.deletes.append(key)
 
     def _split_group(self, key: str, groups: list[MachineGroup]) -> Transaction:
-        """Splits a group that is too large for one transaction.
+        """Returns the first step of splitting a group whose replacement has too many changes for one transaction.
 
-        At first all but its first part get groups of their own, which loses no machine; the group itself is rewritten
-        once that is stored.
+        It copies parts of the group, except the first, to new groups and leaves the group itself unchanged, so that no
+        machine is lost. The group is rewritten in a later transaction, once the copies are stored.
         """
         split_off = groups[1 : self.client.txn_ops]
         writes = {self._new_group_key(key): {"m": group} for group in split_off}
