--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -1,8 +1,8 @@
-"""Team quotas as one controller sees them: what teams use here, what they may use, and what it asks for.
+"""Team quotas on one controller: each team's usage, its allocation, and the changes of allocations to request.
 
 Each controller is allocated a part of a team's quota (core.quota). Owns the decreases of allocations that are being
-stored, and since when an allocation has been larger than needed. Called by the modules of the machines actor, and by
-the autoscaler for what could start.
+stored, and the times since which allocations have been larger than needed. Called by the modules of the machines actor,
+and by the autoscaler for the jobs whose tasks could start.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class QuotaLedger:
-    """Accounts for what is allocated, and for all tasks that may exist under this controller's responsibility."""
+    """Accounts for the allocations, and for the usage of all tasks that this controller is responsible for."""
 
     def __init__(self, context: ControllerContext, registry: MachineRegistry) -> None:
         self.settings = context.settings
@@ -32,22 +32,22 @@
         self.replica = context.replica
         self.leadership = context.leadership
         self.registry = registry
-        # By team: decreases that are being stored, and since when its allocation has been larger than needed.
+        # By team: the decrease that is being stored, and the time since which the allocation is larger than needed.
         self.pending_decreases: dict[str, QuotaDecrease] = {}
         self.surplus_since: dict[str, float] = {}
-        # By team: what tasks use that may be somewhere, and are on no machine that reported (see the registry).
+        # By team: the usage of handed-off tasks (see `MachineRegistry`).
         self.handed_off_usage: dict[str, quota.ResourceUsage] = {}
-        # Teams that were seen to use more than the stored allocation, each logged once until it is over.
+        # Teams whose usage exceeds the stored allocation; logged once each time that it begins to.
         self.overusing_teams: set[str] = set()
 
     def reset(self) -> None:
-        """Another incarnation of this controller begins: nothing is being stored."""
+        """Clears the state for a new incarnation of this controller, which has no decreases in flight."""
         self.pending_decreases.clear()
         self.surplus_since.clear()
         self.overusing_teams.clear()
 
     def update_handed_off_usage(self) -> None:
-        """Computes anew what tasks use whose machine is not known."""
+        """Recomputes the usage of the handed-off tasks."""
         self.handed_off_usage = {}
         for name, mask in self.registry.handed_off_tasks.items():
             job = self.tables.jobs.get(name)
@@ -55,24 +55,28 @@
                 self.handed_off_usage.setdefault(job.spec.team, quota.ResourceUsage()).add(job.spec, mask.bit_count())
 
     def usage(self, team: str) -> quota.ResourceUsage:
-        """What tasks of the team that may exist under this controller's responsibility use."""
+        """The usage of the team's tasks that are on this controller's machines or may be on machines it handed off."""
         placed = self.registry.team_usage.get(team, quota.ResourceUsage())
         handed_off = self.handed_off_usage.get(team, quota.ResourceUsage())
         return quota.ResourceUsage(placed.cores + handed_off.cores, placed.gpus + handed_off.gpus)
 
     def allocation(self, team: str) -> ResourceAmount:
-        """What the team may use here now: the stored allocation, or less while a smaller one is being stored."""
+        """The team's current allocation here: the stored one, or a smaller one while a decrease is being stored."""
         cores, gpus = self.tables.quota_allocation(team, self.leadership.incarnation_id)
         decrease = self.pending_decreases.get(team)
         if decrease is not None:
-            # A write without an answer may be carried out until another one makes its condition false.
+            # A decrease without an answer may still be applied, until another write to the row makes its condition
+            # false.
             if decrease.mod_revision == self.tables.mod_revision(keys.team_key(team)):
                 return ResourceAmount(min(cores, decrease.cores), min(gpus, decrease.gpus))
             del self.pending_decreases[team]
         return ResourceAmount(cores, gpus)
 
     def check_usage(self) -> None:
-        """Warns of teams that use more than the stored allocation; only meant while all adoptions are stored."""
+        """Logs a warning for teams that use more than the stored allocation.
+
+        Call it only while all adoptions are stored: before that, the stored allocation does not cover adopted tasks.
+        """
         incarnation_id = self.leadership.incarnation_id
         for team in self.settings.teams:
             usage, stored = self.usage(team), self.tables.quota_allocation(team, incarnation_id)
@@ -83,16 +87,16 @@
                 log_overuse(team, usage, stored, self.leadership.view.number, self.replica.applied_revision)
 
     def available(self, team: Team, usage: quota.ResourceUsage) -> ResourceAmount:
-        """The most that the team could use here now: the allocation and what is allocated to nobody.
+        """The most that the team could use here now: its stored allocation plus the unallocated part of its quota.
 
-        Never less than `usage`, what it uses already.
+        At least `usage`, the team's current usage here.
         """
         cores, gpus = self.tables.quota_allocation(team.name, self.leadership.incarnation_id)
         more_cores, more_gpus = self.tables.unallocated_quota(team)
         return ResourceAmount(max(cores + more_cores, usage.cores), max(gpus + more_gpus, usage.gpus))
 
     def startable(self, specs: Iterable[JobSpec]) -> list[JobSpec]:
-        """Those of the jobs of which one more task is within the team's quota here."""
+        """Filters the jobs of which one more task would be within the team's quota here."""
         usage = {team: self.usage(team) for team in self.settings.teams}
         available = {team.name: self.available(team, usage[team.name]) for team in self.settings.teams.values()}
         return [
@@ -102,7 +106,7 @@
         ]
 
     def shortfall(self, spec: JobSpec) -> quota.ResourceUsage:
-        """By how much one more task of the job would exceed the team's quota here."""
+        """The amount by which one more task of the job would exceed the team's quota here."""
         usage = self.usage(spec.team)
         cores, gpus = self.available(self.settings.teams[spec.team], usage)
         return quota.ResourceUsage(
@@ -116,12 +120,12 @@
         """Adds changes of allocations to a request.
 
         Args:
-            request: The request, which gets increases and decreases of allocations.
-            usable: What each team could put to use on this controller's machines.
-            controllers: How many controllers share the quotas.
+            request: The request to add increases and decreases of allocations to.
+            usable: The usage of each team that is possible on this controller's machines.
+            controllers: The number of controllers that share the quotas.
             now: The clock's time in seconds.
         """
-        # Some changes of a round are left for claims.
+        # Leaves some changes of a commit round for claims.
         max_teams = max(1, min(self.client.txn_ops // 2, self.client.available_changes(RequestPriority.CLAIM) - 1))
         for name, usage in usable.items():
             if len(request.quota_increases) + len(request.quota_decreases) >= max_teams:
@@ -137,10 +141,10 @@
             elif not allocation.has_surplus:
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
-                # Returned after a while: the next job of the team is likely to want it again.
+                # A surplus is returned only after a delay, because the team's next job is likely to need it.
                 decrease = QuotaDecrease(self.tables.mod_revision(keys.team_key(name)), *allocation.decreased)
                 request.quota_decreases[name] = self.pending_decreases[name] = decrease
                 del self.surplus_since[name]
-        # A decrease may be under way and its answer lost, and until something else is written this controller keeps
-        # to it. An increase back to what is stored would write nothing, and no task of the team would start.
+        # A decrease may have lost its answer; this controller stays within it until another write to the row. An
+        # increase back to the stored amount would otherwise write nothing, and no task of the team would start.
         request.forced_rewrites = {name for name in request.quota_increases if name in self.pending_decreases}
--- a/sloeswitch/actors/quota_log.py
+++ b/sloeswitch/actors/quota_log.py
@@ -1,4 +1,4 @@
-"""Log lines about teams' quotas: changes of allocations, and what no allocation covers."""
+"""Log lines about teams' quotas: changes of allocations, and usage that no allocation covers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def format_amount(amount: ResourceAmount | ResourceUsage) -> str:
-    """An amount as logged: cores, and GPUs if there are any."""
+    """Formats an amount for log lines: cores, and GPUs if there are any."""
     return f"{amount.cores:g}" if not amount.gpus else f"{amount.cores:g}+{amount.gpus:g}gpus"
 
 
@@ -27,11 +27,11 @@
 def log_row_changes(
     changes: Sequence[QuotaRowChange], outcome: TransactionOutcome, view_number: int, revision: int
 ) -> None:
-    """Logs what a transaction changed, or may change yet: one without an answer can be carried out late.
+    """Logs the changes of a transaction that was committed, or that had no answer and may still be applied.
 
     Args:
         changes: The changes that the transaction contains.
-        outcome: What the state service answered.
+        outcome: The outcome of the transaction.
         view_number: The view on which the transaction was conditional.
         revision: The revision at which it was stored, or at which it was planned if there was no answer.
     """
@@ -55,7 +55,7 @@
 
 
 def log_foreign(machine: str, foreign: Sequence[ForeignAttempt], view_number: int) -> None:
-    """Logs attempts that a machine reported and that are stopped: until they are gone no team's usage has them."""
+    """Logs reported attempts that are being killed; no team's usage includes them until they have ended."""
     cores: dict[str, float] = {}
     for attempt in foreign:
         team = attempt.team or "unknown"
@@ -71,7 +71,7 @@
 
 
 def log_overuse(team: str, usage: ResourceUsage, allocation: ResourceAmount, view_number: int, revision: int) -> None:
-    """Warns that tasks of a team here use more than this controller has stored as its allocation."""
+    """Logs a warning that a team's tasks on this controller use more than the controller's stored allocation."""
     log.warning(
         "usage above the allocation: team=%s usage=%s allocation=%s view=%d revision=%d",
         team,
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -1,7 +1,8 @@
-"""Scaling in: which machines are returned to the cloud, and their termination.
+"""Scaling in: selects idle machines, and deletes machines at the cloud.
 
-The owner of a machine returns it, when it is idle or when the machines actor finds a reason; the coordinator returns
-what only the cloud's list shows. Machines are drained first, where there is time for it.
+A machine is deleted by its owner, when it is idle or when the machines actor has another reason. The coordinator
+deletes failed instances and those that never registered, which it finds in the cloud's list. Machines are drained first
+if there is time.
 """
 
 from __future__ import annotations
@@ -26,27 +27,27 @@
 
 log = logging.getLogger("fleet")
 
-# Machines that are deleted with one request.
+# The maximum number of machines that one request deletes.
 MAX_DELETIONS_PER_REQUEST = 100
 
 
 def registered_supply(tables: Tables) -> Counter[InstanceKind]:
-    """The stored machines by kind, whoever owns them."""
+    """The number of stored machines of all owners, by kind."""
     return Counter(InstanceKind(row.type, row.zone, row.spot) for row in tables.machines.values())
 
 
 @dataclass
 class Termination:
-    """A machine that is to be deleted at the cloud."""
+    """How a machine is to be deleted at the cloud."""
 
-    # Found in the cloud's list: the coordinator deletes it, whoever owns it.
+    # Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
     listed: bool
-    # Cancelled tasks may be on it: deleted first, and also while nobody is leader.
+    # Whether cancelled tasks may be on it; it is then deleted first, and also without leadership.
     urgent: bool
 
 
 class ScaleIn:
-    """Owns the machines on their way back. The machines actor and `ScaleOut` have machines deleted by `scale_in`."""
+    """Owns the machines that are to be deleted; the machines actor and `ScaleOut` call `scale_in` for each."""
 
     def __init__(self, context: ControllerContext, cloud: CloudClient) -> None:
         self.settings = context.settings
@@ -54,21 +55,27 @@
         self.tables = context.tables
         self.leadership = context.leadership
         self.clock = context.clock
-        # Set once the machines actor is there; it receives what was deleted.
+        # Set once the machines actor exists; it receives the names of deleted machines.
         self.machines: Machines | None = None
         self.on_deleted: Callable[[list[str]], None] = lambda _names: None
         self.terminating: dict[str, Termination] = {}
-        # Seconds of the monotonic clock; this controller's machines that have nothing to do.
+        # When this controller's idle machines became idle, in seconds of the monotonic clock.
         self.idle_since: dict[str, float] = {}
         self.wake = anyio.Event()
 
     # -- termination
 
     def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
-        """Has a machine deleted; False when that is under way already, as urgently.
+        """Requests the deletion of a machine (see `InstanceTerminator.scale_in`).
 
-        `listed`: found in the cloud's list, so that the coordinator deletes it, whoever owns it. `pressing`: cancelled
-        tasks may be on it, so that it is deleted also while this controller may only answer machines, or nobody may.
+        Args:
+            machine: The machine's name.
+            listed: Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
+            pressing: Whether cancelled tasks may be on it, so that it is deleted also without leadership: while this
+                controller may only answer machines, or while no controller may answer them.
+
+        Returns:
+            False if the deletion was already requested with at least this urgency.
         """
         known = self.terminating.get(machine)
         if known is not None and pressing <= known.urgent:
@@ -78,7 +85,7 @@
         return True
 
     async def terminate_forever(self) -> None:
-        """Deletes machines at the cloud, as far as this controller may, until cancelled."""
+        """Deletes the requested machines at the cloud, while this controller has permission, until cancelled."""
         while True:
             if not self.terminating:
                 await self.wake.wait()
@@ -91,10 +98,10 @@
                 await anyio.sleep(self.settings.report_s / 4)
 
     def _drop_foreign(self) -> None:
-        """Drops machines that this controller, as leader, is not to delete any more.
+        """Drops machines that this controller, as leader, may no longer delete.
 
-        Guards against a controller that stood still, or lost the state service, since it decided: the machine may have
-        another owner by now, and work on it.
+        After a pause of this process or an outage of the state service, the machine may have another owner and that
+        owner's tasks.
         """
         if self.leadership.is_leader:
             for name in [name for name in self.terminating if not self._may_terminate(name)]:
@@ -109,7 +116,7 @@
         return termination.urgent and self.machines is not None and self.machines.cancellations.is_deletable(machine)
 
     def _next_batch(self) -> list[str]:
-        """What may be deleted now, the urgent first; the others only by a leader."""
+        """The machines that may be deleted now, urgent ones first; only a leader deletes the others."""
         urgent = [name for name, termination in self.terminating.items() if termination.urgent]
         others = [name for name, termination in self.terminating.items() if not termination.urgent]
         may_delete_urgent = self.leadership.may_answer_workers or self.leadership.is_leaderless
@@ -117,7 +124,7 @@
         return batch[:MAX_DELETIONS_PER_REQUEST]
 
     async def _delete(self, batch: list[str]) -> None:
-        """Deletes machines at the cloud; after a failure they are tried again a report's time later."""
+        """Deletes machines at the cloud; after a failure, waits one report interval before the retry."""
         try:
             await self.cloud.delete_instances(batch)
         except CloudError as error:
@@ -133,7 +140,7 @@
     # -- machines that are not needed
 
     async def scale_in_idle_forever(self) -> None:
-        """Looks after idle machines about once in a report's time, until cancelled."""
+        """Requests the deletion of idle machines about once per report interval, until cancelled."""
         while True:
             await anyio.sleep(self.settings.report_s)
             try:
@@ -142,7 +149,10 @@
                 log.exception("scale-in failed")
 
     def scale_in_idle(self) -> None:
-        """Returns this controller's machines that had nothing to do for about a boot time."""
+        """Requests the deletion of this controller's machines that have been idle for longer than their boot time.
+
+        Surplus machines are deleted after two idle report intervals, if that is sooner.
+        """
         if self.machines is None or not self.leadership.is_leader:
             return
         now = self.clock.now()
@@ -161,9 +171,10 @@
                 self.machines.termination.drain_and_scale_in(machine, TerminationReason.IDLE)
 
     def _mark_surplus(self, machines: Machines) -> None:
-        """Marks machines that are not needed, the dearest first, so that nothing new is placed on them.
+        """Marks this controller's machines that are not needed, so that no new tasks are placed on them.
 
-        Every controller decides by the same tables and chooses by name, so that together they choose the right number.
+        All controllers compute the same surplus, the most expensive kinds first, and choose the machines by name.
+        Together they therefore mark the right number.
         """
         demand = scaling.current_demand(self.tables, self.settings, self.clock.wall_clock_ms(), scaling.SCALE_IN_SPREAD)
         surplus = scaling.plan_scale_in(demand, registered_supply(self.tables), self.tables.machine_types)
@@ -178,7 +189,7 @@
             machine.surplus = machine.name in chosen
 
     def _startable_backlog(self, machines: Machines) -> list[JobSpec]:
-        """The jobs with unclaimed tasks that their teams' quotas let start here."""
+        """Jobs with unclaimed tasks whose teams have quota left to start one on this controller."""
         recovery_complete = self.tables.recovery_complete()
         return machines.quota.startable(
             [
@@ -190,6 +201,6 @@
 
 
 def _is_useful(machine: Machine, machine_type: MachineType, backlog: list[JobSpec]) -> bool:
-    """Whether any of the jobs could run there."""
+    """Whether a task of any of the jobs could run on the machine."""
     offer = InstanceOffer(InstanceKind(machine.type, machine.zone, machine.spot), machine_type)
     return any(offer.suits(spec) for spec in backlog)
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -1,7 +1,6 @@
-"""Scaling out: the cloud's catalog and instances, and the machines that the coordinator rents.
+"""Scaling out: reads the cloud's catalog and list of instances, and rents machines.
 
-Only the coordinator reads the catalog and the list of instances, and rents; another controller that becomes coordinator
-learns from both what its predecessor rented.
+Only the coordinator does this. A new coordinator learns from the list which instances its predecessor rented.
 """
 
 from __future__ import annotations
@@ -24,21 +23,21 @@
 
 log = logging.getLogger("fleet")
 
-# A list begins so many times as long after the one before as that one took, so that at most a third of the cloud's rate
-# goes into lists. Guards against a fleet of thousands, whose list takes longer than the pause between two of them:
-# nothing but lists was asked for, and one request for instances fell in between.
+# The time between the starts of two lists is at least this many times the duration of the first, so that lists use at
+# most a third of the cloud's request rate. Without this limit, a list of thousands of machines takes longer than the
+# fixed pause between lists, and only one request for instances is made between two lists.
 LIST_PAUSE_FACTOR = 3.0
-# The catalog is read again after so many of the lags with which the cloud's list follows.
+# The catalog is read again after this many times the lag of the cloud's list.
 CATALOG_AGE_LIST_LAGS = 6
-# Machines that are asked for with one request.
+# The maximum number of machines that one request rents.
 MAX_INSTANCES_PER_REQUEST = 50
-# A machine that takes so many times its type's boot time does not come up any more.
+# A machine that is not registered after this many times its type's boot time counts as failed.
 MAX_BOOT_TIMES = 3
 
 
 @dataclass
 class PendingInstance:
-    """A machine that was rented and is not registered yet."""
+    """A rented machine that is not registered yet."""
 
     kind: InstanceKind
     # Seconds of the monotonic clock.
@@ -46,7 +45,7 @@
 
 
 class ScaleOut:
-    """Owns what was rented and is not registered, and the kinds that the cloud refused a short while ago."""
+    """Owns the rented machines that are not registered yet, and the kinds that the cloud refused recently."""
 
     def __init__(self, context: ControllerContext, cloud: CloudClient, scale_in: ScaleIn) -> None:
         self.settings = context.settings
@@ -66,12 +65,12 @@
         self.refused_until: dict[InstanceKind, float] = {}
         self.catalog_at = float("-inf")
         self.listed_at = float("-inf")
-        # How long the last list took: thousands of machines are many pages, and the cloud's rate paces them.
+        # How long the last list took. With thousands of machines it has many pages, and the cloud's rate limits them.
         self.listing_s = 0.0
         self.requests_made = 0
 
     async def scale_out_forever(self) -> None:
-        """Reads the catalog and the list and rents what is needed, while this controller coordinates."""
+        """Reads the catalog and the list, and rents the machines needed, while this controller is the coordinator."""
         while True:
             if self.tables.machine_types:
                 await anyio.sleep(self.settings.list_lag_s / 10)
@@ -94,14 +93,14 @@
                 log.exception("scale-out failed")
 
     def _forget(self, machines: list[str]) -> None:
-        """Machines were deleted: they will not come up."""
+        """Drops pending machines that were deleted."""
         for name in machines:
             self.pending_instances.pop(name, None)
 
     # -- the catalog
 
     async def _read_catalog(self) -> None:
-        """Reads the machine types, and stores them if they differ from what is stored."""
+        """Reads the machine types, and stores them if they differ from the stored ones."""
         now = self.now()
         if now - self.catalog_at < CATALOG_AGE_LIST_LAGS * self.settings.list_lag_s and self.types:
             return
@@ -117,11 +116,11 @@
             log.info("machine types stored: types=%s", ",".join(self.types))
 
     async def _store_catalog(self, types: list[wire.MachineType]) -> None:
-        """Stores all types in one value if they fit; else each has its own, which an earlier layout does not read."""
+        """Stores all types in one value if they fit, else one value per type, which earlier layouts cannot read."""
         catalog = msgspec.to_builtins(wire.MachineTypeCatalog(types))
         fits = len(wire.encode(catalog)) <= self.client.value_bytes
         if not fits and not self.tables.layout_complete:
-            # Operators look for this line (docs/operations).
+            # Operators search for this message (docs/operations).
             log.error("the machine types fit no value yet: stored once all controllers are upgraded")
             return
         if fits:
@@ -133,7 +132,10 @@
         await self._commit_in_batches(Transaction({}, writes, deletes))
 
     async def _commit_in_batches(self, change: Transaction) -> None:
-        """Commits writes, then deletions, so that no type is missing in between, on condition of being coordinator."""
+        """Commits a change in several transactions, each on condition that this controller is still the coordinator.
+
+        Writes precede deletions, so that no type is missing in between.
+        """
         keys_left = [*change.writes, *change.deletes]
         while keys_left:
             batch = set(keys_left[: self.client.txn_ops])
@@ -153,7 +155,7 @@
     # -- the list of instances
 
     async def _list_instances(self) -> None:
-        """Compares the cloud's list with what is stored and pending, unless the last list was a short while ago."""
+        """Compares the cloud's list with the stored and the pending machines, unless the last list is recent."""
         now = self.now()
         if now - self.listed_at < max(self.settings.list_lag_s / 2, LIST_PAUSE_FACTOR * self.listing_s):
             return
@@ -165,12 +167,12 @@
         self._expire_pending({instance.id for instance in listed}, now)
 
     def _apply_listed(self, instance: wire.Instance, now: float) -> None:
-        """Returns an instance that failed; one that nobody knows of is pending: a former coordinator rented it."""
+        """Has a failed instance deleted; an unknown one becomes pending, because a former coordinator rented it."""
         name = instance.id
         if name in self.tables.deleted_machines or name in self.scale_in.terminating:
             return
         if instance.state == "failed":
-            # It stopped on its own; deleting it accounts for its tasks.
+            # The instance stopped by itself. Its confirmed deletion allows its tasks to be placed again.
             self.scale_in.scale_in(name, listed=True)
         elif name not in self.tables.machines and name not in self.pending_instances:
             log.info("unexpected instance: machine=%s", name)
@@ -178,7 +180,7 @@
             self.pending_instances[name] = PendingInstance(kind, now - instance.age_s)
 
     def _expire_pending(self, listed: set[str], now: float) -> None:
-        """Drops pending machines that are registered or gone, and returns those that do not come up."""
+        """Drops pending machines that are registered or deleted; has those deleted that did not register in time."""
         lag_s = 2.5 * self.settings.list_lag_s + self.listing_s
         for name, pending in list(self.pending_instances.items()):
             machine_type = self.types.get(pending.kind.type)
@@ -197,7 +199,10 @@
     # -- renting
 
     async def _scale_out(self) -> bool:
-        """Rents machines of one kind, if some are needed. Whether more may be; the cloud's rate paces the requests."""
+        """Rents machines of one kind if any are needed; returns whether to go on before the next list.
+
+        The cloud client limits the rate of the requests.
+        """
         now = self.now()
         plan = self._plan(now)
         if plan is None:
@@ -207,7 +212,7 @@
         return self.leadership.is_coordinator and now - self.listed_at < list_again_s
 
     def _plan(self, now: float) -> ScaleOutPlan | None:
-        """What to rent next, with what is registered or pending as supply."""
+        """Plans the next request; registered and pending machines count as supply."""
         for name in [name for name in self.pending_instances if name in self.tables.machines]:
             del self.pending_instances[name]
         supply = registered_supply(self.tables)
@@ -219,9 +224,9 @@
         return scaling.plan_scale_out(demand, supply, self.types, refused, MAX_INSTANCES_PER_REQUEST)
 
     async def _rent(self, plan: ScaleOutPlan, now: float) -> None:
-        """Asks the cloud for machines; a kind of which it has fewer is refused for a while."""
+        """Rents machines; if the cloud has fewer of the kind, it is not requested again for a while."""
         self.requests_made += 1
-        # The view number is stored and never given twice; within it the coordinator counts.
+        # The name is unique: view numbers are never reused, and the coordinator counts its requests.
         name = f"{self.leadership.view.number}-{self.leadership.incarnation_id}-{self.requests_made}"
         kind = plan.kind
         created = await self.cloud.create_instances(
--- a/sloeswitch/actors/shard_recovery.py
+++ b/sloeswitch/actors/shard_recovery.py
@@ -1,6 +1,7 @@
-"""Recovery of this controller's shard under a view: reported once all that is on its machines is known and stored.
+"""Reports the recovery of this controller's shard under a view, once all tasks on its machines are known and stored.
 
-Owns when it is logged what holds a recovery up. Called by the machines actor at each tick, while this controller leads.
+Owns the time of the next log line about a delayed recovery. Called by the machines actor at each tick, while this
+controller is leader.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 @dataclass(frozen=True)
 class RecoveryBlockers:
-    """What a recovery waits for.
+    """The numbers of items that a recovery is waiting for.
 
     Attributes:
         machines: Machines that are not recovered.
         adoptions: Adopted tasks whose adoption is not stored.
-        completions: Completions found with machines that are not settled (`MachineRegistry.unsettled_completions`).
+        completions: Unsettled completions found on machines (`MachineRegistry.unsettled_completions`).
     """
 
     machines: int
@@ -32,7 +33,7 @@
 
 
 class ShardRecovery:
-    """Reports the recovery of the shard to the membership actor, and tells what it waits for."""
+    """Reports the recovery of the shard to the membership actor, and logs what delays it."""
 
     def __init__(self, shard: ShardState, ownership: MachineOwnership, membership: Membership, jobs: Jobs) -> None:
         context = shard.context
@@ -43,23 +44,23 @@
         self.ownership = ownership
         self.membership = membership
         self.jobs = jobs
-        # How often a recovery that lasts is logged, in seconds, and when that is due next.
+        # The interval in seconds at which a delayed recovery is logged, and the time of the next log line.
         self.log_interval_s = context.settings.lease_s
         self.log_at = float("-inf")
 
     @property
     def is_over(self) -> bool:
-        """Whether the view that this controller follows was reported as recovered."""
+        """Whether recovery of the view that the registry reflects has already been reported."""
         return self.membership.recovered_view == self.ownership.followed_view
 
     def report(self, pending_removals: set[str]) -> None:
-        """Has the membership actor store the recovery once nothing holds it up.
+        """Reports the recovery to the membership actor, which stores it, once nothing delays it.
 
-        Guards against a machine whose row came after the view, as a reading of all rows by key may have it: what is on
-        it would count as nowhere.
+        First adds machines whose rows were read after the view, as can happen when all rows are read by key. Without
+        this, the tasks on such a machine would count as not running and could be started a second time.
 
         Args:
-            pending_removals: Machines that are deleted and whose rows are not removed yet.
+            pending_removals: Deleted machines whose rows are not removed yet.
         """
         if self.is_over:
             return
@@ -70,7 +71,7 @@
             self._log_blockers()
 
     def blockers(self) -> RecoveryBlockers:
-        """What holds up the recovery of the present view; nothing once it was reported."""
+        """Counts what delays the recovery of the present view; all counts are 0 once it was reported."""
         if self.is_over:
             return RecoveryBlockers(0, 0, 0)
         incarnation_id = self.leadership.incarnation_id
--- a/sloeswitch/actors/shard_state.py
+++ b/sloeswitch/actors/shard_state.py
@@ -1,4 +1,4 @@
-"""What the modules of the machines actor share about this controller's shard: its machines and the work for them."""
+"""The state of this controller's shard, its machines and their tasks, that the machines actor's modules share."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 @dataclass(frozen=True)
 class ShardState:
-    """The machines that this controller owns, and the state that placement and accounting of their tasks need.
+    """The machines that this controller owns, and the state for the placement and accounting of their tasks.
 
-    Made once by the machines actor, which is the only one whose modules change it.
+    Created once by the machines actor; only the modules of that actor modify it.
     """
 
     context: ControllerContext
-    # Machines, and the attempts on them.
+    # The machines and the attempts on them.
     registry: MachineRegistry
-    # Failures of machines and jobs.
+    # Failure counts of machines and jobs.
     health: Health
-    # Teams' quotas as this controller may use them.
+    # The share of the teams' quotas that this controller may use.
     quota: QuotaLedger
     # Jobs in the order in which they get free capacity.
     queue: RunnableQueue
-    # Results of attempts on their way to the jobs actor.
+    # Results of attempts that are to be sent to the jobs actor.
     task_updates: TaskUpdateOutbox
-    # Time between two ticks that are not held up by load.
+    # The pause between two ticks in seconds, except under load.
     tick_interval_s: float
 
     @staticmethod
     def create(context: ControllerContext, jobs: Jobs) -> ShardState:
-        """An empty shard."""
+        """Creates an empty shard."""
         settings = context.settings
         registry = MachineRegistry()
         return ShardState(
--- a/sloeswitch/actors/shard_summary.py
+++ b/sloeswitch/actors/shard_summary.py
@@ -1,4 +1,4 @@
-"""The summary of a shard that is logged once in a while, for operators."""
+"""The periodic log line that summarizes a shard for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def log_summary(shard: ShardState) -> None:
-    """Logs what an operator wants to know at a glance: machines, cores, tasks and jobs."""
+    """Logs the numbers of machines, cores, tasks and jobs of the shard."""
     tables, registry = shard.context.tables, shard.registry
     machines = [m for m in registry.machines.values() if m.reconciled and m.type in tables.machine_types]
     live = [job for job in tables.jobs.values() if job.status == JobState.LIVE]
--- a/sloeswitch/actors/surplus_drain.py
+++ b/sloeswitch/actors/surplus_drain.py
@@ -1,6 +1,6 @@
-"""Draining of surplus machines: their last tasks save and move, so that the machines can be deleted.
+"""Drains surplus machines: stops their last tasks, which save and move elsewhere, so that the machines can be deleted.
 
-Called by the machines actor after each check of the machines. Which machines are surplus is decided by the autoscaler.
+Called by the machines actor after each check of the machines. The autoscaler decides which machines are surplus.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 log = logging.getLogger("machines")
 
-# Surplus machines are drained once no more than this part of their cores is in use.
+# Surplus machines are drained once no more than this share of their cores is in use.
 DRAIN_UTILIZATION = 0.5
 
 
 class SurplusDrain:
-    """Moves the last tasks off machines that are not needed, where that loses next to nothing."""
+    """Moves the last tasks off surplus machines, if little work is lost by it."""
 
     def __init__(self, shard: ShardState, task_placement: TaskPlacement, commands: CommandSender) -> None:
         self.tables = shard.context.tables
@@ -28,9 +28,9 @@
         self.commands = commands
 
     def drain(self, now: float) -> None:
-        """Stops the tasks of surplus machines whose tasks all save, have run for a while, and fit elsewhere.
+        """Stops the tasks of surplus machines if all of them write checkpoints, are not new, and fit elsewhere.
 
-        One long task would else keep a whole machine for minutes.
+        Otherwise one long task would keep a whole machine for minutes.
         """
         candidates = [
             machine
