--- a/sloeswitch/actors/machine_messages.py
+++ b/sloeswitch/actors/machine_messages.py
@@ -38,13 +38,14 @@
 class InstanceTerminator(Protocol):
     """Deletes machines at the cloud; the machines actor then receives InstancesDeleted."""
 
-    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
+    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         """Requests the deletion of a machine.
 
         Args:
             machine: The machine's name.
-            listed: Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
-            pressing: Whether to delete it also without leadership: while this controller may only answer machines, or
+            by_coordinator: Whether the coordinator deletes it, regardless of its owner; for machines found in the
+                cloud's list.
+            urgent: Whether to delete it also without leadership: while this controller may only answer machines, or
                 while no controller may answer them.
 
         Returns:
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -53,19 +53,19 @@
         # Limits before a machine is deleted: how long it may be silent, and how long messages may arrive in one
         # direction only.
         self.max_silence_s = context.settings.max_silence_s
-        self.max_one_way_s = 2 * context.settings.lease_s
+        self.max_unreachable_s = 2 * context.settings.lease_s
         self.next_check_at = 0.0
         self.ticked_at = float("-inf")
         # The time since which heartbeats have been answered without interruption. Time out of contact before that does
         # not count against a machine, because the interruption can be the cause.
-        self.answering_since = float("-inf")
+        self.answered_without_gap_since = float("-inf")
         # Whether any cancelled job is overdue, so that one of its tasks may still be on a machine.
         self.cancellation_overdue = False
 
     def begin_tick(self, now: float) -> None:
         """Detects interrupted answers: this controller may not answer machines, or its process was suspended."""
         if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
-            self.answering_since = now
+            self.answered_without_gap_since = now
         self.ticked_at = now
 
     def check_if_due(self, now: float) -> bool:
@@ -92,28 +92,28 @@
             self.commands.probe(machine, now)
         # The time without a heartbeat, although the machine may answer commands; and the time during which no message
         # to it is known to have arrived.
-        no_report_s = unreachable_s = 0.0
+        no_heartbeat_s = undelivered_s = 0.0
         if machine.last_heartbeat_at is not None:
-            no_report_s = now - max(machine.last_heartbeat_at, self.answering_since)
+            no_heartbeat_s = now - max(machine.last_heartbeat_at, self.answered_without_gap_since)
         if machine.reconciled:
-            unreachable_s = now - max(machine.reachable_at, self.answering_since)
-        out_of_contact = max(silent_s, no_report_s) > late_s or not machine.reachable
+            undelivered_s = now - max(machine.reachable_at, self.answered_without_gap_since)
+        out_of_contact = max(silent_s, no_heartbeat_s) > late_s or not machine.reachable
         if out_of_contact and self.registry.remove_unsent(machine):
             self.wake()
-        self._terminate_if_lost(machine, silent_s, max(no_report_s, unreachable_s), now)
+        self._terminate_if_lost(machine, silent_s, max(no_heartbeat_s, undelivered_s), now)
         if machine.preemption_notice_s is not None:
             for attempt in list(machine.attempts.values()):
                 if attempt.spec.checkpoint_s > 0 and attempt.state == AttemptState.RUNNING:
                     self.commands.kill(machine, attempt, attempt.spec.save_s)
 
-    def _terminate_if_lost(self, machine: Machine, silent_s: float, one_way_s: float, now: float) -> None:
+    def _terminate_if_lost(self, machine: Machine, silent_s: float, unreachable_s: float, now: float) -> None:
         """Requests the machine's deletion if it is lost or faulty, or if a cancelled task on it is overdue.
 
         Args:
             machine: The machine.
-            silent_s: The time since the machine last reported or was last answered.
-            one_way_s: The longer of the time without a heartbeat and the time without a message known to have reached
-                the machine.
+            silent_s: The time since the machine last reported, was last answered, or was taken over.
+            unreachable_s: The time without a heartbeat, or the time without a message known to have reached the
+                machine; the longer of both.
             now: The clock's time in seconds.
         """
         silent = silent_s > self.max_silence_s
@@ -122,7 +122,7 @@
             # Deleting the machine ends its tasks in time, whether it hangs or is disconnected, also while the state
             # service is down. If it has another owner by now, that owner sees it as silent: work is lost, but no task
             # is started twice.
-            self.termination.drain_and_scale_in(machine, TerminationReason.CANCELLED_TASKS, pressing=True)
+            self.termination.drain_and_scale_in(machine, TerminationReason.CANCELLED_TASKS, urgent=True)
             self.cancellations.log_overdue(wait)
         failed_commands = self.commands.failures.get(machine.name, 0)
         if (
@@ -133,7 +133,7 @@
             and not self.cancellations.is_network_suspected(now)
         ):
             self.termination.drain_and_scale_in(machine, TerminationReason.SILENT)
-        elif one_way_s > self.max_one_way_s and self.leadership.is_leader and not self._most_machines_lost(now):
+        elif unreachable_s > self.max_unreachable_s and self.leadership.is_leader and not self._most_machines_lost(now):
             # The machine reports but receives nothing, or it answers commands but cannot report. Its lease has expired
             # by now and no task runs on it, so that it would only cost money.
             self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHABLE)
@@ -168,7 +168,7 @@
             machine.answered_at,
             machine.owned_since,
             self.commands.replied_at(machine.name),
-            self.answering_since,
+            self.answered_without_gap_since,
         )
         return now - since > self.max_silence_s and not self.commands.awaits_first_answer(machine, now)
 
--- a/sloeswitch/actors/machine_ownership.py
+++ b/sloeswitch/actors/machine_ownership.py
@@ -52,17 +52,17 @@
         view = self.leadership.view
         consecutive = view.number == self.followed_view + 1
         member = self.settings.member
-        gone_at = self.now() + self.settings.takeover_gone_s
+        lease_expires_at = self.now() + self.settings.takeover_gone_s
         for name in list(self.registry.machines):
             machine = self.registry.machines[name]
             if self.leadership.owner_of(name) != member:
                 self.registry.release_machine(name)
             elif not consecutive:
                 # Another controller may have owned the machine under a view that this one did not see.
-                self.registry.mark_unreconciled(machine, view.number, gone_at)
+                self.registry.mark_unreconciled(machine, view.number, lease_expires_at)
         for name, row in self.tables.machines.items():
             if self.leadership.owner_of(name) == member and name not in self.registry.machines:
-                self._add_machine(name, row, view.number, gone_at)
+                self._add_machine(name, row, view.number, lease_expires_at)
         self.followed_view = view.number
         self.quota.update_handed_off_usage()
         self.task_updates.begin_view(view.number)
@@ -80,13 +80,13 @@
         A delayed registration can be stored after its machine was deleted and removed from the registry. Without this,
         no controller would monitor the machine, and it would count as supply.
         """
-        gone_at = self.now() + self.settings.takeover_gone_s
+        lease_expires_at = self.now() + self.settings.takeover_gone_s
         for name, row in self.tables.machines.items():
             if name not in self.registry.machines and name not in pending_removals:
                 if self.leadership.owner_of(name) != self.settings.member:
                     continue
                 log.info("missing machine added: machine=%s", name)
-                self._add_machine(name, row, self.followed_view, gone_at)
+                self._add_machine(name, row, self.followed_view, lease_expires_at)
 
     def _add_machine(self, name: str, row: MachineRow, view_number: int, lease_expires_at: float) -> None:
         """Adds a stored machine whose tasks are unknown until it is reconciled or its lease has certainly expired."""
--- a/sloeswitch/actors/machine_termination.py
+++ b/sloeswitch/actors/machine_termination.py
@@ -45,16 +45,16 @@
         # None without a cloud; no machine is deleted then.
         self.autoscaler: InstanceTerminator | None = None
 
-    def drain_and_scale_in(self, machine: Machine, reason: TerminationReason, pressing: bool = False) -> None:
+    def drain_and_scale_in(self, machine: Machine, reason: TerminationReason, urgent: bool = False) -> None:
         """Stops placing tasks on a machine and requests its deletion; logs the reason.
 
         Args:
             machine: A machine of this controller.
             reason: The reason to log.
-            pressing: Whether to delete it also without leadership (see `InstanceTerminator.scale_in`).
+            urgent: Whether to delete it also without leadership (see `InstanceTerminator.scale_in`).
         """
         machine.draining = True
-        if self.autoscaler is not None and self.autoscaler.scale_in(machine.name, pressing=pressing):
+        if self.autoscaler is not None and self.autoscaler.scale_in(machine.name, urgent=urgent):
             log.info("machine termination requested: machine=%s reason=%s", machine.name, reason)
 
     def scale_in_urgently(self, machine: str) -> bool:
@@ -63,7 +63,7 @@
         Returns:
             False if its urgent deletion was already requested, or if there is no cloud.
         """
-        return self.autoscaler is not None and self.autoscaler.scale_in(machine, pressing=True)
+        return self.autoscaler is not None and self.autoscaler.scale_in(machine, urgent=True)
 
     def apply_deleted(self, machines: list[str]) -> None:
         """Removes machines whose deletion the cloud confirmed.
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -83,7 +83,7 @@
         self.cancellations = CancellationWatch(
             context, self.registry, self.commands, self.termination.scale_in_urgently
         )
-        self.summary_at = 0.0
+        self.next_summary_at = 0.0
         # The last view whose completed recovery was logged.
         self.recovery_logged_view = 0
         self.gang_preemption = GangPreemption(shard, self.commands.kill)
@@ -153,8 +153,8 @@
         self.ownership.follow_view()
         if not leadership.is_member:
             return
-        if now >= self.summary_at:
-            self.summary_at = now + 2 * self.settings.lease_s
+        if now >= self.next_summary_at:
+            self.next_summary_at = now + 2 * self.settings.lease_s
             log_summary(self.shard)
             self.ownership.add_missing_machines(self.registration.pending_removals)
         if self.monitor.check_if_due(now) and leadership.is_leader:
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -45,17 +45,18 @@
 class Registration:
     """Stores new machines and removes deleted ones in batches, because the state service limits the rate of changes.
 
-    `pace_s`: the pause in seconds after a write, during which its machines still count as pending, so that the replica
-    can read them before the next attempt. `on_change`: called when a write has ended, whether or not it succeeded.
+    `write_pause_s`: the pause in seconds after a write, during which its machines still count as pending, so that the
+    replica can read them before the next attempt. `on_change`: called when a write has ended, whether or not it
+    succeeded.
     """
 
-    def __init__(self, context: ControllerContext, pace_s: float, on_change: Callable[[], None]) -> None:
+    def __init__(self, context: ControllerContext, write_pause_s: float, on_change: Callable[[], None]) -> None:
         self.settings = context.settings
         self.client = context.client
         self.replica = context.replica
         self.tables = context.tables
         self.leadership = context.leadership
-        self.pace_s = pace_s
+        self.write_pause_s = write_pause_s
         self.on_change = on_change
         self.sleep: Callable[[float], Awaitable[None]] = anyio.sleep
         # Machines whose registration is in flight, and deleted machines that are still stored.
@@ -115,7 +116,7 @@
             if self.leadership.view.number == view_number:
                 await self.client.compare_and_swap(change, RequestPriority.CLAIM)
                 self.replica.request_read()
-                await anyio.sleep(self.pace_s)
+                await anyio.sleep(self.write_pause_s)
         finally:
             self.pending_registrations -= new.names
             self.on_change()
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -41,7 +41,7 @@
     """How a machine is to be deleted at the cloud."""
 
     # Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
-    listed: bool
+    by_coordinator: bool
     # Whether cancelled tasks may be on it; it is then deleted first, and also without leadership.
     urgent: bool
 
@@ -65,22 +65,23 @@
 
     # -- termination
 
-    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
+    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         """Requests the deletion of a machine (see `InstanceTerminator.scale_in`).
 
         Args:
             machine: The machine's name.
-            listed: Whether the coordinator deletes it, regardless of its owner; for machines found in the cloud's list.
-            pressing: Whether cancelled tasks may be on it, so that it is deleted also without leadership: while this
+            by_coordinator: Whether the coordinator deletes it, regardless of its owner; for machines found in the
+                cloud's list.
+            urgent: Whether cancelled tasks may be on it, so that it is deleted also without leadership: while this
                 controller may only answer machines, or while no controller may answer them.
 
         Returns:
             False if the deletion was already requested with at least this urgency.
         """
         known = self.terminating.get(machine)
-        if known is not None and pressing <= known.urgent:
+        if known is not None and urgent <= known.urgent:
             return False
-        self.terminating[machine] = Termination(listed, pressing)
+        self.terminating[machine] = Termination(by_coordinator, urgent)
         self.wake.set()
         return True
 
@@ -90,14 +91,14 @@
             if not self.terminating:
                 await self.wake.wait()
             self.wake = anyio.Event()
-            self._drop_foreign()
+            self._drop_unpermitted()
             batch = self._next_batch()
             if batch:
                 await self._delete(batch)
             elif not self.leadership.is_leader:
                 await anyio.sleep(self.settings.report_s / 4)
 
-    def _drop_foreign(self) -> None:
+    def _drop_unpermitted(self) -> None:
         """Drops machines that this controller, as leader, may no longer delete.
 
         After a pause of this process or an outage of the state service, the machine may have another owner and that
@@ -109,7 +110,7 @@
 
     def _may_terminate(self, machine: str) -> bool:
         termination = self.terminating[machine]
-        if termination.listed:
+        if termination.by_coordinator:
             return self.leadership.is_coordinator
         if self.leadership.owner_of(machine) == self.settings.member:
             return True
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -57,7 +57,7 @@
         self.clock = context.clock
         self.now = context.clock.now
         self.scale_in = scale_in
-        scale_in.on_deleted = self._forget
+        scale_in.on_deleted = self._drop_deleted
         # The catalog as last read from the cloud.
         self.types: dict[str, wire.MachineType] = {}
         self.pending_instances: dict[str, PendingInstance] = {}
@@ -66,7 +66,7 @@
         self.catalog_at = float("-inf")
         self.listed_at = float("-inf")
         # How long the last list took. With thousands of machines it has many pages, and the cloud's rate limits them.
-        self.listing_s = 0.0
+        self.list_duration_s = 0.0
         self.requests_made = 0
 
     async def scale_out_forever(self) -> None:
@@ -92,7 +92,7 @@
             except Exception:
                 log.exception("scale-out failed")
 
-    def _forget(self, machines: list[str]) -> None:
+    def _drop_deleted(self, machines: list[str]) -> None:
         """Drops pending machines that were deleted."""
         for name in machines:
             self.pending_instances.pop(name, None)
@@ -157,11 +157,11 @@
     async def _list_instances(self) -> None:
         """Compares the cloud's list with the stored and the pending machines, unless the last list is recent."""
         now = self.now()
-        if now - self.listed_at < max(self.settings.list_lag_s / 2, LIST_PAUSE_FACTOR * self.listing_s):
+        if now - self.listed_at < max(self.settings.list_lag_s / 2, LIST_PAUSE_FACTOR * self.list_duration_s):
             return
         self.listed_at = now
         listed = await self.cloud.list_instances()
-        self.listing_s = self.now() - now
+        self.list_duration_s = self.now() - now
         for instance in listed:
             self._apply_listed(instance, now)
         self._expire_pending({instance.id for instance in listed}, now)
@@ -173,7 +173,7 @@
             return
         if instance.state == "failed":
             # The instance stopped by itself. Its confirmed deletion allows its tasks to be placed again.
-            self.scale_in.scale_in(name, listed=True)
+            self.scale_in.scale_in(name, by_coordinator=True)
         elif name not in self.tables.machines and name not in self.pending_instances:
             log.info("unexpected instance: machine=%s", name)
             kind = InstanceKind(instance.type, instance.zone, instance.spot)
@@ -181,7 +181,7 @@
 
     def _expire_pending(self, listed: set[str], now: float) -> None:
         """Drops pending machines that are registered or deleted; has those deleted that did not register in time."""
-        lag_s = 2.5 * self.settings.list_lag_s + self.listing_s
+        lag_s = 2.5 * self.settings.list_lag_s + self.list_duration_s
         for name, pending in list(self.pending_instances.items()):
             machine_type = self.types.get(pending.kind.type)
             age_s = now - pending.requested_at
@@ -194,7 +194,7 @@
             elif machine_type is not None and age_s > MAX_BOOT_TIMES * machine_type.boot_s:
                 log.info("instance did not come up: machine=%s type=%s", name, machine_type.name)
                 self.refused_until[pending.kind] = now + self.settings.list_lag_s
-                self.scale_in.scale_in(name, listed=True)
+                self.scale_in.scale_in(name, by_coordinator=True)
 
     # -- renting
 
@@ -208,7 +208,7 @@
         if plan is None:
             return False
         await self._rent(plan, now)
-        list_again_s = max(self.settings.list_lag_s, LIST_PAUSE_FACTOR * self.listing_s)
+        list_again_s = max(self.settings.list_lag_s, LIST_PAUSE_FACTOR * self.list_duration_s)
         return self.leadership.is_coordinator and now - self.listed_at < list_again_s
 
     def _plan(self, now: float) -> ScaleOutPlan | None:
--- a/sloeswitch/actors/shard_recovery.py
+++ b/sloeswitch/actors/shard_recovery.py
@@ -46,10 +46,10 @@
         self.jobs = jobs
         # The interval in seconds at which a delayed recovery is logged, and the time of the next log line.
         self.log_interval_s = context.settings.lease_s
-        self.log_at = float("-inf")
+        self.next_log_at = float("-inf")
 
     @property
-    def is_over(self) -> bool:
+    def is_reported(self) -> bool:
         """Whether recovery of the view that the registry reflects has already been reported."""
         return self.membership.recovered_view == self.ownership.followed_view
 
@@ -62,17 +62,17 @@
         Args:
             pending_removals: Deleted machines whose rows are not removed yet.
         """
-        if self.is_over:
+        if self.is_reported:
             return
         self.ownership.add_missing_machines(pending_removals)
         if self.registry.is_recovered(self.tables, self.leadership.incarnation_id, self.jobs.oversized_jobs):
             self.membership.tell(ShardRecovered(self.ownership.followed_view))
-        elif self.now() >= self.log_at:
+        elif self.now() >= self.next_log_at:
             self._log_blockers()
 
     def blockers(self) -> RecoveryBlockers:
         """Counts what delays the recovery of the present view; all counts are 0 once it was reported."""
-        if self.is_over:
+        if self.is_reported:
             return RecoveryBlockers(0, 0, 0)
         incarnation_id = self.leadership.incarnation_id
         completions = self.registry.unsettled_completions(self.tables, incarnation_id, self.jobs.oversized_jobs)
@@ -83,7 +83,7 @@
         )
 
     def _log_blockers(self) -> None:
-        self.log_at = self.now() + self.log_interval_s
+        self.next_log_at = self.now() + self.log_interval_s
         found = self.blockers()
         log.info(
             "recovery waits: view=%d machines=%d adoptions=%d completions=%d",
--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -73,8 +73,8 @@
         self.node = node
         self.returning: set[str] = set()
 
-    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
-        self.node.world.recorder.record("return", self.node.settings.member, machine, listed, pressing)
+    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+        self.node.world.recorder.record("return", self.node.settings.member, machine, by_coordinator, urgent)
         if machine in self.returning:
             return False
         self.returning.add(machine)
@@ -85,7 +85,7 @@
             leadership = node.leadership
             ours = leadership.owner_of(machine) == node.settings.member
             if (ours and leadership.is_leader) or (
-                pressing and (leadership.may_answer_workers or leadership.is_leaderless)
+                urgent and (leadership.may_answer_workers or leadership.is_leaderless)
             ):
                 node.world.delete(machine)
                 node.inbox.append(InstancesDeleted([machine]))
--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -54,7 +54,7 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         # Pauses would be real ones.
-        self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
+        self.machines.claims.tick_interval_s = self.machines.registration.write_pause_s = self.jobs.batch_s = 0.0
         self.inbox: list[MachinesMessage] = []
         if world.troubled:
             self.machines.termination.autoscaler = ScriptedCloud(self)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -192,8 +192,8 @@
         self.store.view(4, ("c0", 1))
         deleted: list[str] = []
 
-        def scale_in(machine: str, listed: bool = False, pressing: bool = False) -> bool:
-            is_new = pressing and machine not in deleted
+        def scale_in(machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+            is_new = urgent and machine not in deleted
             if is_new:
                 deleted.append(machine)
             return is_new
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -262,7 +262,7 @@
                 machines.group = group
                 machines._register()
 
-    world.machines.registration.pace_s = 0.0
+    world.machines.registration.write_pause_s = 0.0
     anyio.run(register, world.machines)
 
 
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -56,11 +56,11 @@
         commands.record_failure(args[0])
         commands.record_ended(args[0])
 
-    def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
+    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         """Records machines deleted for a cancellation in `deleted`, and all others in `silent`."""
-        if not pressing:
+        if not urgent:
             self.silent.add(machine)
-        is_new = pressing and machine not in self.deleted
+        is_new = urgent and machine not in self.deleted
         if is_new:
             self.deleted.append(machine)
         return is_new
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -128,9 +128,9 @@
         assert call.__name__ == "_inspect"
         self.inspected_machines.append(args[0])
 
-    def scale_in(self, machine: str, pressing: bool) -> bool:
+    def scale_in(self, machine: str, urgent: bool) -> bool:
         self.deleted.append(machine)
-        return pressing
+        return urgent
 
     def run_inspection_round(self, silent: set[str]) -> None:
         """One round of inspections, answered by all machines except the silent ones."""
@@ -174,14 +174,14 @@
     world = outage.world
     autoscaler = ScaleIn(world.context, cloud)
     autoscaler.machines = world.machines
-    pressing, other = sorted(machines_owned_by(store, "c1"))[:2]
-    autoscaler.scale_in(pressing, pressing=True)
+    urgent, other = sorted(machines_owned_by(store, "c1"))[:2]
+    autoscaler.scale_in(urgent, urgent=True)
     autoscaler.scale_in(other)
     outage.set_sibling_status(5, True)
     assert deletions(world, autoscaler) == []
     outage.set_sibling_status(0, False)
     autoscaler.wake = anyio.Event()  # each run of an event loop needs its own event
-    assert deletions(world, autoscaler) == [pressing]
+    assert deletions(world, autoscaler) == [urgent]
 
 
 def test_controller_without_contact_to_any_machine_deletes_none(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -129,7 +129,7 @@
             world.machines.group = group
             world.machines._register()
 
-    world.machines.registration.pace_s = 0.0
+    world.machines.registration.write_pause_s = 0.0
     world.run(once)
 
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -58,7 +58,7 @@
 def test_an_unreachable_machine_is_terminated_after_two_leases(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     reasons: list[TerminationReason] = []
-    world.machines.termination.drain_and_scale_in = lambda machine, reason, pressing=False: reasons.append(reason)  # type: ignore[method-assign]
+    world.machines.termination.drain_and_scale_in = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
@@ -94,10 +94,10 @@
 def test_a_late_copy_renews_no_lease_and_gets_no_commands(world: World) -> None:
     running(world)
     machine = world.machines.registry.machines["vm-1"]
-    gone_at = machine.lease_expires_at
+    lease_expires_at = machine.lease_expires_at
     later(world, 5.0)
     assert heartbeat(world, report(3, 3)).status == 503
-    assert machine.lease_expires_at == gone_at and machine.last_report_at < world.clock.time
+    assert machine.lease_expires_at == lease_expires_at and machine.last_report_at < world.clock.time
     assert world.machines.registry.placed_tasks[JOB] == 0b1
 
 
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -68,7 +68,7 @@
     assert scale_out.pending_instances.keys() == {"vm-2"}  # vm-1 is registered
     assert scale_out.pending_instances["vm-2"].kind == SPOT
     assert scale_out.pending_instances["vm-2"].requested_at == world.clock.time - 3.0
-    assert scale_out.scale_in.terminating.keys() == {"vm-3"} and scale_out.scale_in.terminating["vm-3"].listed
+    assert scale_out.scale_in.terminating.keys() == {"vm-3"} and scale_out.scale_in.terminating["vm-3"].by_coordinator
 
 
 def test_a_pending_instance_that_does_not_come_up_is_returned_and_its_kind_refused(
@@ -107,8 +107,8 @@
 def test_a_machine_is_returned_once_and_urgently_before_others(world: World, cloud: Any) -> None:
     scale_in = ScaleIn(world.context, cloud)
     assert scale_in.scale_in("vm-5") and not scale_in.scale_in("vm-5")
-    assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", pressing=True)
-    assert not scale_in.scale_in("vm-6", pressing=True) and not scale_in.scale_in("vm-6")
+    assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", urgent=True)
+    assert not scale_in.scale_in("vm-6", urgent=True) and not scale_in.scale_in("vm-6")
     assert scale_in._next_batch() == ["vm-6", "vm-5"]
     world.clock.time += 2 * world.settings.controller_lease_s
     assert scale_in._next_batch() == []  # no leader, and siblings may be
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -121,8 +121,8 @@
     since = world.clock.time
     while world.clock.time - since < world.settings.cancel_s:
         machine(world).cancelled_since = None
-        gone_at = world.clock.time + world.settings.takeover_gone_s
-        world.machines.registry.mark_unreconciled(machine(world), 3, gone_at)
+        lease_expires_at = world.clock.time + world.settings.takeover_gone_s
+        world.machines.registry.mark_unreconciled(machine(world), 3, lease_expires_at)
         for _ in range(3):
             later(world, 1.0)
             check(world)
