--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -96,7 +96,7 @@
         return ResourceAmount(max(cores + more_cores, usage.cores), max(gpus + more_gpus, usage.gpus))
 
     def startable(self, specs: Iterable[JobSpec]) -> list[JobSpec]:
-        """Filters the jobs of which one more task would be within the team's quota here."""
+        """Returns the jobs that could start one more task within their teams' quotas here."""
         usage = {team: self.usage(team) for team in self.settings.teams}
         available = {team.name: self.available(team, usage[team.name]) for team in self.settings.teams.values()}
         return [
