--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: lost answers, late copies, and machines that are unreachable."""
+"""Heartbeats: lost answers, duplicated and delayed reports, and unreachable machines."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
     yield world
 
 
-def test_no_start_command_goes_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
+def test_machine_gets_no_start_command_until_it_is_known_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert verbs(heartbeat(world, report(3, 3), received=False)) == []
     assert verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
 
 
-def test_tasks_never_sent_are_placed_elsewhere_and_tasks_sent_count_as_present(world: World) -> None:
+def test_unreachable_machine_loses_unsent_tasks_and_keeps_sent_tasks(world: World) -> None:
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
@@ -44,9 +44,9 @@
     assert world.machines.registry.placed_tasks["wk-000002"] == 0b11
     heartbeat(world, report(5, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
-    assert "wk-000002" not in world.machines.registry.placed_tasks  # to be placed again
+    assert "wk-000002" not in world.machines.registry.placed_tasks  # will be placed again
     assert world.machines.registry.placed_tasks[JOB] == 0b1
-    # Its reports go on, so its lease may be alive: it counts until it is reported gone.
+    # The machine still reports, so its lease may be valid: the task counts as placed until a report no longer lists it.
     later(world, 2.0)
     heartbeat(world, report(9, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
@@ -55,7 +55,7 @@
     assert JOB not in world.machines.registry.placed_tasks
 
 
-def test_an_unreachable_machine_is_terminated_after_two_leases(world: World) -> None:
+def test_unreachable_machine_is_terminated_after_two_lease_periods(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     reasons: list[TerminationReason] = []
     world.machines.termination.drain_and_scale_in = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
@@ -69,7 +69,7 @@
     assert reasons and set(reasons) == {TerminationReason.UNREACHABLE}
 
 
-def test_only_a_prompt_report_on_the_same_connection_shows_that_an_answer_came(world: World) -> None:
+def test_only_a_prompt_report_on_the_same_connection_confirms_the_previous_answer(world: World) -> None:
     users = Users(world.context, world.jobs, world.machines)
     seen: list[bool] = []
 
@@ -79,19 +79,19 @@
 
     world.machines.ask = ask  # type: ignore[assignment]
 
-    async def talk(serial: int, connection: dict[str, float]) -> None:
+    async def send_heartbeat(serial: int, connection: dict[str, float]) -> None:
         await users.handle(Request("POST", "/agent/beat", wire.encode(report(serial, 3)), connection))
 
     connection: dict[str, float] = {}
-    anyio.run(talk, 3, connection)
-    anyio.run(talk, 4, connection)
-    anyio.run(talk, 5, {})
-    world.clock.time += 30.0  # held up on the way
-    anyio.run(talk, 6, connection)
+    anyio.run(send_heartbeat, 3, connection)
+    anyio.run(send_heartbeat, 4, connection)
+    anyio.run(send_heartbeat, 5, {})
+    world.clock.time += 30.0  # the next report is delayed in the network
+    anyio.run(send_heartbeat, 6, connection)
     assert seen == [False, True, False, False]
 
 
-def test_a_late_copy_renews_no_lease_and_gets_no_commands(world: World) -> None:
+def test_duplicate_report_does_not_renew_the_lease_and_gets_no_commands(world: World) -> None:
     running(world)
     machine = world.machines.registry.machines["vm-1"]
     lease_expires_at = machine.lease_expires_at
@@ -101,20 +101,20 @@
     assert world.machines.registry.placed_tasks[JOB] == 0b1
 
 
-def test_a_report_held_up_beyond_its_lease_revives_nothing(world: World) -> None:
+def test_report_delayed_past_the_end_of_its_lease_restores_no_tasks(world: World) -> None:
     task = running(world)
     machine = world.machines.registry.machines["vm-1"]
     later(world, machine.lease_expires_at + 0.1 - world.clock.time)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert JOB not in world.machines.registry.placed_tasks
-    # A sequence number never seen, of the agent epoch that is over: the task may run elsewhere by now.
+    # The sequence number is new, but the agent epoch has expired: the task may run elsewhere by now.
     assert heartbeat(world, report(99, 3, (*task, "running"))).status == 503
     assert JOB not in world.machines.registry.placed_tasks and not machine.reconciled
     assert heartbeat(world, report(100, 3, session=2), received=False).status == 200
     assert machine.reconciled and not machine.reachable
 
 
-def test_a_copy_from_an_earlier_agent_epoch_is_ignored(world: World) -> None:
+def test_report_of_an_earlier_agent_epoch_is_ignored(world: World) -> None:
     task = running(world)
     heartbeat(world, report(1, 3, session=2))
     assert JOB not in world.machines.registry.placed_tasks
@@ -122,7 +122,7 @@
     assert JOB not in world.machines.registry.placed_tasks
 
 
-def test_a_task_reported_after_its_machine_was_accounted_for_is_stopped_not_adopted(world: World) -> None:
+def test_task_reported_after_its_machine_was_accounted_for_is_killed_and_not_adopted(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c1_9=0b1)
     answer = heartbeat(world, report(3, 3, (f"{JOB}/0", 5, "running")))
@@ -130,7 +130,7 @@
     assert not world.machines.registry.adopting
 
 
-def test_a_copy_is_no_evidence_that_a_start_was_not_carried_out(world: World) -> None:
+def test_duplicate_report_does_not_show_that_a_start_command_was_lost(world: World) -> None:
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert verbs(heartbeat(world, report(3, 3))) == ["start"]
@@ -140,10 +140,10 @@
     assert attempt.sent_sequence == 3
 
 
-def test_a_copy_from_a_deleted_machine_is_refused_also_after_a_restart(world: World) -> None:
+def test_delayed_report_of_a_deleted_machine_is_refused_and_unreconciled_after_a_restart(world: World) -> None:
     world.store.put(keys.machine_key("vm-1"), None)
     assert heartbeat(world, report(9, 3)).status == 503
-    # A restarted controller does not remember it; the copy bears an earlier token and counts for nothing.
+    # A restarted controller does not know of the deletion. The report has an earlier token and is not applied.
     world.store.tables.deleted_machines.clear()
     world.machines.registry.reset()
     world.store.view(4, ("c0", 1))
@@ -153,7 +153,7 @@
     assert not machine.reconciled and not world.machines.registry.is_schedulable(machine)
 
 
-def test_a_report_with_one_bad_entry_among_hundreds_is_refused_and_named_once(
+def test_report_with_one_malformed_task_is_refused_and_logged_once(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     tasks = [(f"{JOB}/{index}", 1, "running") for index in range(300)]
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -1,4 +1,4 @@
-"""Log lines about quotas: they say how allocations change, and what no allocation covers."""
+"""Log lines about quotas: changes of allocations, and usage that no allocation covers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return [line for line in caplog.messages if line.startswith(event)]
 
 
-def test_a_change_of_allocations_is_logged_with_its_reasons(world: World, caplog: pytest.LogCaptureFixture) -> None:
+def test_change_of_allocations_is_logged_with_its_reasons(world: World, caplog: pytest.LogCaptureFixture) -> None:
     world.store.upgraded()
     world.store.member("c0", 1, settled=2)
     world.store.job(spec())
@@ -43,7 +43,7 @@
     assert "before=c0.1:9,c1.9:4 after=c0.1:12 reasons=increase,departed" in caplog.messages[-1]
 
 
-def test_an_unanswered_change_of_allocations_is_logged(world: World, caplog: pytest.LogCaptureFixture) -> None:
+def test_unanswered_change_of_allocations_is_logged(world: World, caplog: pytest.LogCaptureFixture) -> None:
     world.client.lose_answers = 1
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
@@ -52,7 +52,7 @@
     ]
 
 
-def test_the_complete_recovery_of_a_view_is_logged_once(world: World, caplog: pytest.LogCaptureFixture) -> None:
+def test_completed_recovery_of_a_view_is_logged_once(world: World, caplog: pytest.LogCaptureFixture) -> None:
     for _ in range(3):
         world.machines._update_accounting()
     assert logged(caplog, "recovery complete") == [f"recovery complete: view=3 revision={world.store.epoch}"]
@@ -69,7 +69,7 @@
     ]
 
 
-def test_use_above_the_stored_allocation_is_warned_of_once_each_time(
+def test_usage_above_the_stored_allocation_is_logged_once_each_time_it_begins(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     running(world)
@@ -81,7 +81,9 @@
     assert len(warnings) == 2 and "team=red usage=2 allocation=1 view=3 revision=" in warnings[0]
 
 
-def test_use_by_adoptions_that_are_not_stored_is_not_warned_of(world: World, caplog: pytest.LogCaptureFixture) -> None:
+def test_usage_above_the_allocation_is_not_logged_while_adoptions_are_not_stored(
+    world: World, caplog: pytest.LogCaptureFixture
+) -> None:
     running(world)
     world.store.put(keys.team_key("red"), {"c0.1": [1.0, 0.0]})
     world.machines.registry.adopting[JOB] = 0b10
@@ -89,7 +91,9 @@
     assert not logged(caplog, "usage above the allocation")
 
 
-def test_the_right_to_start_is_logged_at_debug(world: World, caplog: pytest.LogCaptureFixture) -> None:
+def test_placed_tasks_are_logged_with_usage_and_allocation_at_debug_level(
+    world: World, caplog: pytest.LogCaptureFixture
+) -> None:
     caplog.set_level(logging.DEBUG)
     running(world)
     assert [line.partition(" team=")[2] for line in logged(caplog, "tasks placed")] == [
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""Machines are stored and taken out many at a time."""
+"""Machines are stored and removed in batches."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     yield world
 
 
-def test_a_wave_of_machines_is_one_change(world: World) -> None:
-    fresh = [report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
-    for heard in fresh:
-        heartbeat(world, heard, received=False)
-        heard.sequence, heard.fencing_token = 2, 3
-        heartbeat(world, heard)
+def test_many_new_machines_are_stored_in_one_change(world: World) -> None:
+    new_reports = [report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
+    for new_report in new_reports:
+        heartbeat(world, new_report, received=False)
+        new_report.sequence, new_report.fencing_token = 2, 3
+        heartbeat(world, new_report)
     before = world.store.epoch
 
     async def register() -> None:
@@ -40,7 +40,7 @@
     assert {f"vm-{number}" for number in range(100, 140)} <= world.store.tables.machines.keys()
 
 
-def test_deleted_machines_leave_their_group_and_the_last_one_ends_it(world: World) -> None:
+def test_deleted_machines_are_removed_from_their_group_and_an_empty_group_is_deleted(world: World) -> None:
     rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in (7, 8, 9)}
     world.store.put(keys.group_key("c0.1.1"), {"m": rows})
     assert {"vm-7", "vm-8", "vm-9"} <= world.store.tables.machines.keys()
@@ -61,19 +61,19 @@
     assert "vm-9" in world.store.tables.machines and {"vm-7", "vm-8"} <= world.store.tables.deleted_machines
     anyio.run(unregister, "vm-9")
     assert world.store.tables.mod_revision(keys.group_key("c0.1.1")) == 0
-    # One machine of each of many full groups: more than one transaction takes.
+    # One machine in each of many full groups is deleted: the replaced groups do not fit in one transaction.
     for group in range(12):
         rows = {
             f"vm-{group}-{number:012d}": ["10.111.222.133:9000", "guayaba-grande", "san-jose-oeste", True]
             for number in range(81)
         }
         world.store.put(keys.group_key(f"c0.1.{group + 2}"), {"m": rows})
-    lost = {f"vm-{group}-000000000000" for group in range(12)}
-    anyio.run(unregister, *lost)
-    assert lost <= world.store.tables.deleted_machines and len(world.store.tables.machines) == 12 * 80 + 1
+    deleted = {f"vm-{group}-000000000000" for group in range(12)}
+    anyio.run(unregister, *deleted)
+    assert deleted <= world.store.tables.deleted_machines and len(world.store.tables.machines) == 12 * 80 + 1
 
 
-def test_machines_are_stored_one_by_one_while_a_controller_knows_no_groups(world: World) -> None:
+def test_machines_get_their_own_rows_while_a_controller_with_an_earlier_layout_is_a_member(world: World) -> None:
     world.store.put(keys.member_key("c1"), {"boot": 5, "settled": 0})
     heartbeat(world, report(1, 0, name="vm-9"), received=False)
     heartbeat(world, report(2, 3, name="vm-9"))
@@ -87,8 +87,8 @@
     assert world.store.tables.machines["vm-9"].key == keys.machine_key("vm-9")
 
 
-def test_a_group_too_large_for_one_transaction_is_split_first(store: Store) -> None:
-    """Failure this guards against: the same removal would be refused for ever, and the machine counted as there."""
+def test_group_whose_replacement_exceeds_a_transaction_is_split_first(store: Store) -> None:
+    """Guards against a removal that is refused on every retry, so that the deleted machine is never removed."""
     world = World(store)
     store.upgraded()
     rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
@@ -110,7 +110,7 @@
     assert store.tables.machines.keys() == rows.keys() - {"vm-000"}
 
 
-def test_new_machines_count_as_pending_until_their_write_has_ended(world: World) -> None:
+def test_new_machines_are_pending_until_their_write_has_ended(world: World) -> None:
     heartbeat(world, report(1, 0, name="vm-9"), received=False)
     heartbeat(world, report(2, 3, name="vm-9"))
     registration = world.machines.registration
@@ -118,5 +118,5 @@
     assert new.names == {"vm-9"}
     registration.pending_registrations |= new.names
     assert not registration.machines_to_store(list(world.machines.registry.machines.values())).writes
-    anyio.run(registration.store, new, 2)  # heard under an earlier view: not written
+    anyio.run(registration.store, new, 2)  # reconciled under an earlier view: not written
     assert "vm-9" not in world.store.tables.machines and not registration.pending_registrations
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""One controller alone with four thousand machines: bounds on messages, on what is stored, and on calls."""
+"""A single controller with four thousand machines: bounds on commands, stored data and cloud calls."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     yield world
 
 
-def test_a_takeover_stores_all_adoptions_in_few_changes_and_completes_recovery(fleet: FleetWorld) -> None:
+def test_takeover_stores_all_adoptions_in_one_round_and_completes_recovery(fleet: FleetWorld) -> None:
     rounds = fleet.store_all()
     assert rounds == 1 and all(size < wire.MAX_BODY_BYTES for _, size in fleet.transactions)
     fleet.tick()
@@ -42,7 +42,7 @@
     assert fleet.store.tables.quota_allocations["red"]["c0.1"] == (2.0 * MACHINES, 0.0)
 
 
-def test_a_wave_of_cancellations_makes_one_command_for_each_machine(fleet: FleetWorld) -> None:
+def test_many_cancellations_send_one_command_to_each_machine(fleet: FleetWorld) -> None:
     fleet.store_all()
     fleet.cancel_all()
     fleet.tick()
@@ -51,7 +51,7 @@
     assert fleet.report_all(4) == {200}
 
 
-def test_all_machines_are_taken_out_of_what_is_stored_in_few_transactions(fleet: FleetWorld) -> None:
+def test_all_machines_are_unregistered_in_few_transactions(fleet: FleetWorld) -> None:
     groups = len(fleet.store.tables.machine_groups)
     transactions = fleet.delete_all()
     assert transactions <= -(-groups // 4) + 1
@@ -66,7 +66,7 @@
 
 
 def test_planning_claims_is_bounded_and_returns_no_allocation_in_use(fleet: FleetWorld) -> None:
-    """Four thousand machines with free capacity, and five hundred jobs that want it."""
+    """Covers four thousand machines with free capacity and five hundred jobs that could use it."""
     fleet.store_all()
     fleet.store.put(keys.team_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
     for number in range(500):
@@ -79,14 +79,14 @@
     assert len(claims.task_counts) == planner.limits.max_jobs
     assert planner.capacities_scanned <= planner.limits.max_capacities_scanned + planner.limits.max_jobs * MACHINES
     request = ClaimRequest()
-    # What jobs later in the queue could use is not counted, yet it is no surplus as far as there is capacity for it.
+    # Usage by jobs later in the queue is not counted. Even so, quota is no surplus if there is capacity to use it.
     for later_s in (0.0, 3 * fleet.settings.report_s):
         machines.quota.request_allocations(request, claims.usable_quota, 1, fleet.clock.time + later_s)
     _, cores, _ = request.quota_decreases["red"]
     assert 0.95 * 8.0 * MACHINES < cores < 1.05 * 8.0 * MACHINES
 
 
-def test_jobs_that_fit_nowhere_cost_one_packing_for_each_shape(
+def test_jobs_that_fit_on_no_machine_are_packed_once_for_each_shape(
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet.store_all()
@@ -107,12 +107,12 @@
     monkeypatch.setattr(placement, "pack_tasks", counted)
     planner = claim_planner(fleet)
     planner.plan(machines.queue.jobs, 1, 0)
-    # The one that fits is in the queue twice, having waited for long.
+    # The job that fits is in the queue twice because it has waited for a long time.
     assert packings == 3 and planner.planned_tasks["wk-800000"]
 
 
 class PacedCloud:
-    """A cloud of many machines; each call takes the time that its rate allows."""
+    """A cloud with many machines; each call takes as long as the cloud's rate requires."""
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self.clock = clock
@@ -134,10 +134,13 @@
         return Reply(200, wire.encode(wire.InstancePage(hosts, first + PAGE < MACHINES)))
 
 
-def test_lists_of_many_pages_leave_most_of_the_rate_to_instance_requests(
+def test_lists_with_many_pages_leave_most_of_the_rate_to_instance_requests(
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A full list takes as long as eight calls; a day's first thousands must not be rented one request a list."""
+    """Guards against one instance request per list, since a full list takes as long as eight calls.
+
+    Renting the first thousands of machines of a day would then take too long.
+    """
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
@@ -163,7 +166,7 @@
 
 
 def test_owners_of_all_machines_stay_cached(fleet: FleetWorld) -> None:
-    """A second pass over all of them computes nothing anew."""
+    """A second pass over all machines computes no owner again."""
     members = (("c0", 1), ("c1", 2))
     names = [machine_name(number) for number in range(3 * MACHINES)]
     for name in names:
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -1,4 +1,4 @@
-"""Scaling: what the cloud's list tells, what is pending, and what is returned first."""
+"""Scaling: the cloud's list of instances, pending instances, and the order of deletions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ListingCloud:
-    """A cloud with a list of instances, which creates what is asked for as far as it has it."""
+    """A cloud with a scripted list of instances, which creates at most `available` instances."""
 
     def __init__(self) -> None:
         self.instances: list[wire.Instance] = []
@@ -60,7 +60,7 @@
     return scale_out
 
 
-def test_an_instance_of_a_former_coordinator_is_pending_and_a_failed_one_is_returned(
+def test_unknown_instance_becomes_pending_and_a_failed_one_is_deleted(
     world: World, cloud: ListingCloud, scale_out: ScaleOut
 ) -> None:
     cloud.instances = [instance("vm-1"), instance("vm-2", age_s=3.0), instance("vm-3", "failed")]
@@ -71,19 +71,19 @@
     assert scale_out.scale_in.terminating.keys() == {"vm-3"} and scale_out.scale_in.terminating["vm-3"].by_coordinator
 
 
-def test_a_pending_instance_that_does_not_come_up_is_returned_and_its_kind_refused(
+def test_pending_instance_that_does_not_register_in_time_is_deleted_and_its_kind_is_not_rented_for_a_while(
     world: World, cloud: ListingCloud, scale_out: ScaleOut
 ) -> None:
     cloud.instances = [instance("vm-2", age_s=3 * MACHINE_TYPE.boot_s + 1)]
     anyio.run(scale_out._list_instances)
     assert scale_out.scale_in.terminating.keys() == {"vm-2"}
     assert scale_out.refused_until == {SPOT: world.clock.time + world.settings.list_lag_s}
-    # Once it is deleted it counts as supply no more.
+    # Once deleted, it no longer counts as supply.
     scale_out.scale_in.on_deleted(["vm-2"])
     assert not scale_out.pending_instances
 
 
-def test_a_kind_that_the_cloud_does_not_have_is_refused_for_a_while(
+def test_kind_that_the_cloud_has_not_enough_of_is_not_rented_for_a_while(
     world: World, cloud: ListingCloud, scale_out: ScaleOut
 ) -> None:
     world.store.job(spec(visits=40, dueS=None))
@@ -104,11 +104,11 @@
     )
 
 
-def test_a_machine_is_returned_once_and_urgently_before_others(world: World, cloud: Any) -> None:
+def test_deletion_is_requested_once_for_each_urgency_and_urgent_machines_come_first(world: World, cloud: Any) -> None:
     scale_in = ScaleIn(world.context, cloud)
     assert scale_in.scale_in("vm-5") and not scale_in.scale_in("vm-5")
     assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", urgent=True)
     assert not scale_in.scale_in("vm-6", urgent=True) and not scale_in.scale_in("vm-6")
     assert scale_in._next_batch() == ["vm-6", "vm-5"]
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert scale_in._next_batch() == []  # no leader, and siblings may be
+    assert scale_in._next_batch() == []  # this controller is not leader, and another one may be
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -1,4 +1,4 @@
-"""When a controller reports that it has recovered its shard: not before it knows all the machines that it owns."""
+"""A controller reports the recovery of its shard only once it knows all machines that it owns."""
 
 from __future__ import annotations
 
@@ -17,31 +17,33 @@
 MACHINE = ["127.0.0.1:9000", "small", "a", True]
 
 
-def reported(world: World) -> list[int]:
-    """The views that are reported as recovered at this moment."""
+def reported_views(world: World) -> list[int]:
+    """The views whose recovery is reported now."""
     world.membership._inbox.clear()
     world.machines._report_recovery()
     return [message.view_number for message in world.membership._inbox if isinstance(message, ShardRecovered)]
 
 
-def test_a_machine_whose_group_was_read_after_the_view_holds_up_the_recovery(store: Store) -> None:
-    """Guards against a reading of all rows by key that has the view and not a group stored just before it.
+def test_machine_whose_group_is_read_after_the_view_delays_the_recovery(store: Store) -> None:
+    """Guards against a second start of tasks on a machine whose row is missing when the view is read.
 
-    The tasks on such a machine would count as nowhere, and be started a second time.
+    When all rows are read by key, the result can contain the view but not a group that was stored just before it.
     """
     world = World(store)
     store.member("c0", 1, settled=2)
     world.machines.ownership.follow_view()
     store.put(keys.group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
     later(world, 0.1)
-    assert reported(world) == []
+    assert reported_views(world) == []
     world.heartbeat(report(1, 0))
     world.heartbeat(report(2, 3))
-    assert reported(world) == [3]
+    assert reported_views(world) == [3]
 
 
-def test_nobody_leads_by_a_snapshot_before_a_fresh_read(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the same while the change feed has not brought the group: the lease is good for a while."""
+def test_controller_is_not_leader_after_a_snapshot_until_a_linearizable_read(
+    store: Store, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Guards against the same fault while the change feed has not delivered the group and the lease is still valid."""
     world = World(store)
     assert world.leadership.is_leader
 
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -36,13 +36,13 @@
 
 
 def cancelled(world: World, at: float | None = None) -> None:
-    """The job is stored as cancelled, at that time."""
+    """Stores the job as cancelled, with the time of the cancellation if one is given."""
     value = dict(world.store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
     world.store.put(keys.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
 
 
 def check(world: World) -> None:
-    """A tick's checks for cancelled tasks and silent machines; direct commands do not arrive."""
+    """Does the checks of a tick for cancelled tasks and silent machines; no direct command is sent."""
     vm = machine(world)
     reconciled, vm.reconciled = vm.reconciled, False
     world.machines.cancelled_tasks.stop_all()
@@ -56,20 +56,20 @@
 
 def deleted(world: World) -> list[str]:
     assert isinstance(world.machines.termination.autoscaler, ScaleIn)
-    world.machines.termination.autoscaler.wake = anyio.Event()  # of this event loop
+    world.machines.termination.autoscaler.wake = anyio.Event()  # each run of an event loop needs its own event
     return deletions(world, world.machines.termination.autoscaler)
 
 
 @pytest.mark.parametrize("outage", [False, True])
-def test_a_machine_that_hangs_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
-    """Also while the state service is down, and although its lease is over in the registry."""
+def test_hung_machine_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
+    """Covers an outage of the state service, and a machine whose lease has expired in the registry."""
     running(world)
     cancelled(world)
     log = CancellationLog(10, 9)
-    soon = OVERDUE_SHARE * world.settings.cancel_s
+    overdue_s = OVERDUE_SHARE * world.settings.cancel_s
     since = world.clock.time
     check(world)
-    while world.clock.time - since < soon - 1:
+    while world.clock.time - since < overdue_s - 1:
         if outage:
             world.clock.time += 1.0
             told(log, world)
@@ -77,7 +77,7 @@
             later(world, 1.0)
         check(world)
     assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
-    assert JOB not in world.machines.registry.placed_tasks  # its lease is over in the registry
+    assert JOB not in world.machines.registry.placed_tasks  # its lease has expired in the registry
     assert deleted(world) == []
     world.clock.time += 2.0
     if outage:
@@ -89,7 +89,7 @@
     assert world.clock.time - since < 0.6 * world.settings.cancel_s
 
 
-def test_a_machine_that_ended_the_cancelled_task_is_kept(world: World) -> None:
+def test_machine_that_ended_the_cancelled_task_is_not_deleted(world: World) -> None:
     task = running(world)
     cancelled(world)
     check(world)
@@ -105,7 +105,7 @@
     assert deleted(world) == []
 
 
-def test_a_new_owner_goes_by_the_time_when_the_cancellation_was_stored(world: World) -> None:
+def test_new_owner_measures_the_wait_from_the_stored_time_of_the_cancellation(world: World) -> None:
     running(world)
     cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
     check(world)
@@ -114,8 +114,10 @@
     assert deleted(world) == ["vm-1"]
 
 
-def test_a_cancelled_task_is_gone_in_time_though_its_hung_machine_changes_owners_again_and_again(world: World) -> None:
-    """Each new owner waits anew for the machine's silence before it has it deleted."""
+def test_hung_machine_with_a_cancelled_task_is_deleted_in_time_although_its_owner_changes_repeatedly(
+    world: World,
+) -> None:
+    """Guards against a deletion that is delayed at each change, because each new owner first waits for silence."""
     running(world)
     cancelled(world, at=world.clock.time)
     since = world.clock.time
@@ -130,11 +132,13 @@
 
 
 @pytest.mark.parametrize("overdue", [True, False])
-def test_a_silent_machine_that_was_taken_over_is_deleted_once_a_cancellation_is_overdue(
+def test_silent_machine_that_was_taken_over_is_deleted_once_a_cancellation_is_overdue(
     world: World, overdue: bool
 ) -> None:
-    """Nothing is known of what is on it. Failure found by the random world: it hung with a cancelled task, got another
-    owner, and the state service was down: nobody deleted it."""
+    """Guards against a hung machine with a cancelled task that no controller deletes.
+
+    It gets another owner, which does not know the tasks on it, and the state service is down.
+    """
     running(world)
     machine(world).cancelled_since = None
     world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
@@ -148,15 +152,15 @@
     assert deleted(world) == (["vm-1"] if overdue else [])
 
 
-def test_the_time_of_a_cancellation_is_stored_with_it(world: World) -> None:
+def test_cancellation_is_stored_with_its_time(world: World) -> None:
     world.store.job(spec())
     world.store.progress(JOB, c0_1=0b1)
     assert anyio.run(world.jobs.cancel, JOB) == "withdrawn"
     assert world.store.tables.jobs[JOB].cancelled_ms > 0
 
 
-def test_a_controller_that_may_not_answer_deletes_nothing(world: World) -> None:
-    """It was suspended: the machine may have got another owner, and tasks from it."""
+def test_controller_that_may_not_answer_machines_deletes_none(world: World) -> None:
+    """Guards against a suspended controller: the machine may have another owner by now, and that owner's tasks."""
     running(world)
     cancelled(world)
     check(world)
@@ -164,31 +168,31 @@
     check(world)
     assert deleted(world) == []
     later(world, 0.0)
-    assert deleted(world) == []  # nor for what it decided then
+    assert deleted(world) == []  # no deletion was requested before the lease was renewed
 
 
-def test_a_machine_that_only_answers_commands_gets_no_tasks_and_is_terminated(world: World) -> None:
+def test_machine_that_answers_commands_but_sends_no_heartbeats_gets_no_tasks_and_is_terminated(world: World) -> None:
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert JOB in world.machines.registry.placed_tasks
     serial = 10
-    begun = world.clock.time
+    started_at = world.clock.time
     while not deleted(world):
         later(world, 1.0)
         serial += 1
-        # Its lease runs out again and again, since direct commands do not renew it.
-        session = 1 + int((world.clock.time - begun) // (world.settings.lease_s + 1))
+        # Its lease expires repeatedly, since direct commands do not renew it.
+        session = 1 + int((world.clock.time - started_at) // (world.settings.lease_s + 1))
         world.machines.heartbeats.apply_command_reply(report(serial, 3, session=session))
         world.machines._tick()
-        # It looks well by its answers; what was placed before is free for others.
-        assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - begun < 3.0)
-        assert world.clock.time - begun < 3 * world.settings.lease_s
-    assert world.clock.time - begun > 2 * world.settings.lease_s
+        # Its replies look healthy, but tasks that were placed on it and not sent can be placed elsewhere.
+        assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - started_at < 3.0)
+        assert world.clock.time - started_at < 3 * world.settings.lease_s
+    assert world.clock.time - started_at > 2 * world.settings.lease_s
 
 
-def test_after_an_outage_no_machine_is_terminated_for_heartbeats_that_could_not_be_answered(world: World) -> None:
+def test_no_machine_is_terminated_after_an_outage_for_heartbeats_that_could_not_be_answered(world: World) -> None:
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     for _ in range(5 * int(world.settings.lease_s)):
@@ -202,7 +206,7 @@
     assert deleted(world) == []
 
 
-def test_a_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
+def test_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
     world.store.put(keys.group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
     later(world, 100.0)
     world.machines._tick()
