--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -102,6 +102,7 @@
         if owner != self.settings.member:
             return Answer(421, wire.redirect_reply(owner))
         self.ownership.follow_view()
+        # A larger token is from a newer view than the one that this controller has read.
         if report.fencing_token > leadership.view.number or report.machine in self.tables.deleted_machines:
             return refuse(1)
         return None
