--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -67,7 +67,7 @@
         if decrease is not None:
             # A decrease without an answer may still be applied, until another write to the row makes its condition
             # false.
-            if decrease.mod_revision == self.tables.mod_revision(keys.team_key(team)):
+            if decrease.mod_revision == self.tables.mod_revision(keys.quota_key(team)):
                 return ResourceAmount(min(cores, decrease.cores), min(gpus, decrease.gpus))
             del self.pending_decreases[team]
         return ResourceAmount(cores, gpus)
@@ -142,7 +142,7 @@
                 self.surplus_since.pop(name, None)
             elif now - self.surplus_since.setdefault(name, now) > 2 * self.settings.report_s:
                 # A surplus is returned only after a delay, because the team's next job is likely to need it.
-                decrease = QuotaDecrease(self.tables.mod_revision(keys.team_key(name)), *allocation.decreased)
+                decrease = QuotaDecrease(self.tables.mod_revision(keys.quota_key(name)), *allocation.decreased)
                 request.quota_decreases[name] = self.pending_decreases[name] = decrease
                 del self.surplus_since[name]
         # A decrease may have lost its answer; this controller stays within it until another write to the row. An
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -124,11 +124,11 @@
         demand = guarantees.add_demand(job, priority)
         if job.deferred:
             continue
-        if job.guaranteed is None or job.delegated is not None:
+        if job.guaranteed is None or job.incoming_handoff is not None:
             job.guaranteed = guarantees.covers(job, demand)
         starvation = ORDINARY
         # A job delegated by another cell is never starved here: its origin takes it back in time.
-        if job.delegated is None:
+        if job.incoming_handoff is None:
             starvation = starvation_rank(has_started(job), (wall_clock_ms - job.ready_ms) / 1000, settings.lease_s)
         job.starved = starvation is NOT_STARTED
         if job.starved:
@@ -167,7 +167,7 @@
         """
         spec = job.spec
         counted_demand = self._all_demand[spec.team]
-        if job.delegated is None:
+        if job.incoming_handoff is None:
             counted_demand.add(spec, spec.tasks)
             if priority < STANDARD:
                 counted_demand = self._urgent_demand[spec.team]
@@ -177,7 +177,7 @@
     def covers(self, job: Job, demand: ResourceUsage) -> bool:
         """Whether the guarantee of the job's team covers the demand that `add_demand` returned for the job."""
         team = self.teams.get(job.spec.team)
-        return job.delegated is None and team is not None and within_guarantee(team, demand.cores, demand.gpus)
+        return job.incoming_handoff is None and team is not None and within_guarantee(team, demand.cores, demand.gpus)
 
 
 def _queue_key(job: Job, starvation: StarvationRank, priority: int, settings: Settings, wall_clock_ms: int) -> QueueKey:
