--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -64,7 +64,7 @@
 
     def begin_tick(self, now: float) -> None:
         """Detects interrupted answers: this controller may not answer machines, or its process was suspended."""
-        if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.late_s:
+        if not self.leadership.may_answer_workers or now - self.ticked_at > self.settings.missed_report_s:
             self.answered_without_gap_since = now
         self.ticked_at = now
 
@@ -85,10 +85,10 @@
             log.info("machine lease expired: machine=%s tasks=%d", machine.name, len(lost))
         # The time since the machine last reported, was last answered, or was taken over.
         silent_s = now - max(
-            machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_gone_s
+            machine.last_report_at, machine.answered_at, machine.lease_expires_at - self.settings.takeover_expiry_s
         )
-        late_s = self.settings.late_s
-        if (machine.reconciled and silent_s > late_s) or not machine.is_recovered:
+        missed_report_s = self.settings.missed_report_s
+        if (machine.reconciled and silent_s > missed_report_s) or not machine.is_recovered:
             self.commands.probe(machine, now)
         # The time without a heartbeat, although the machine may answer commands; and the time during which no message
         # to it is known to have arrived.
@@ -97,7 +97,7 @@
             no_heartbeat_s = now - max(machine.last_heartbeat_at, self.answered_without_gap_since)
         if machine.reconciled:
             undelivered_s = now - max(machine.reachable_at, self.answered_without_gap_since)
-        out_of_contact = max(silent_s, no_heartbeat_s) > late_s or not machine.reachable
+        out_of_contact = max(silent_s, no_heartbeat_s) > missed_report_s or not machine.reachable
         if out_of_contact and self.registry.remove_unsent(machine):
             self.wake()
         self._terminate_if_lost(machine, silent_s, max(no_heartbeat_s, undelivered_s), now)
@@ -180,7 +180,7 @@
         """
         reconciled = [machine for machine in self.registry.machines.values() if machine.reconciled]
         lost = sum(
-            now - min(machine.last_report_at, machine.last_heartbeat_at or 0.0) > self.settings.late_s
+            now - min(machine.last_report_at, machine.last_heartbeat_at or 0.0) > self.settings.missed_report_s
             or not machine.reachable
             for machine in reconciled
         )
--- a/sloeswitch/toml_reader.py
+++ b/sloeswitch/toml_reader.py
@@ -1,4 +1,4 @@
-"""Checked reading of the TOML files that a controller is given: the settings and the features."""
+"""Reads and checks the TOML files of a controller: the settings and the features."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class SettingsError(Exception):
-    """A file of settings or features is refused; `faults` has one line for each fault found in it."""
+    """A file of settings or features is invalid; `faults` has one line for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -19,71 +19,71 @@
 
 @dataclass(frozen=True)
 class Address:
-    """Where a peer listens (IPv4)."""
+    """An IPv4 address and a port."""
 
     host: str
     port: int
 
 
 class TableReader:
-    """Takes checked fields out of one TOML table and adds a line to `faults` for each that is wrong.
+    """Reads checked fields from one TOML table, and adds a line to `faults` for each invalid or missing field.
 
-    A field that is wrong is replaced by a value of the right type, so that reading goes on and all faults of a file are
-    named at once. The readers of a file's tables share one list of faults.
+    An invalid field is replaced by a value of the right type, so that reading continues and all faults of a file are
+    reported at once. The readers of all tables of a file share one list of faults.
     """
 
-    def __init__(self, values: Mapping[str, Any], faults: list[str], path: str = "") -> None:
+    def __init__(self, values: Mapping[str, Any], faults: list[str], prefix: str = "") -> None:
         self.values = values
         self.faults = faults
-        # What stands before a field's name in faults: empty, or the table's name with a dot.
-        self.path = path
+        # The prefix of a field's name in faults: empty for the top table, or the table's path with a dot at its end.
+        self.prefix = prefix
 
     def __contains__(self, key: str) -> bool:
         return key in self.values
 
     def add_fault(self, key: str, fault: str) -> None:
-        """Says what is wrong with a field of this table."""
-        self.faults.append(f"{self.path}{key}: {fault}")
+        """Adds a fault of a field of this table."""
+        self.faults.append(f"{self.prefix}{key}: {fault}")
 
-    def refuse_unknown(self, known: set[str]) -> None:
-        """Adds a fault for each field that is not known."""
+    def report_unknown(self, known: set[str]) -> None:
+        """Adds a fault for each field of this table that is not in `known`."""
         for key in self.values:
             if key not in known:
                 self.add_fault(key, "unknown field")
 
     def text(self, key: str) -> str:
-        """A text that is not empty."""
+        """Returns a string that must not be empty."""
         value = self.values.get(key)
         if isinstance(value, str) and value:
             return value
         self.add_fault(key, f"must be a non-empty string, is {value!r}")
         return ""
 
-    def number(self, key: str, *, least: float = 0.0) -> float:
-        """A finite number of at least `least`."""
+    def number(self, key: str, *, minimum: float = 0.0) -> float:
+        """Returns a finite number that must be at least `minimum`."""
         value = self.values.get(key)
-        if isinstance(value, (int, float)) and not isinstance(value, bool) and least <= value < math.inf:
+        if isinstance(value, (int, float)) and not isinstance(value, bool) and minimum <= value < math.inf:
             return float(value)
-        self.add_fault(key, f"must be a number of at least {least:g}, is {value!r}")
-        return max(least, 1.0)
+        self.add_fault(key, f"must be a number of at least {minimum:g}, is {value!r}")
+        return max(minimum, 1.0)
 
-    def integer(self, key: str, *, least: int = 1) -> int:
-        """A whole number of at least `least`."""
+    def integer(self, key: str, *, minimum: int = 1) -> int:
+        """Returns an integer that must be at least `minimum`."""
         value = self.values.get(key)
-        if isinstance(value, int) and not isinstance(value, bool) and value >= least:
+        if isinstance(value, int) and not isinstance(value, bool) and value >= minimum:
             return value
-        self.add_fault(key, f"must be a whole number of at least {least}, is {value!r}")
-        return least
+        self.add_fault(key, f"must be a whole number of at least {minimum}, is {value!r}")
+        return minimum
 
-    def switch(self, key: str) -> bool:
-        """True or false; true if left out."""
+    def boolean(self, key: str) -> bool:
+        """Returns a boolean; true if the field is missing."""
         value = self.values.get(key, True)
         if not isinstance(value, bool):
             self.add_fault(key, f"must be true or false, is {value!r}")
         return value is True
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts; empty if left out."""
+        """Returns a list of strings; empty if the field is missing."""
         value = self.values.get(key, [])
         if isinstance(value, list) and all(isinstance(item, str) for item in value):
             return tuple(value)
@@ -91,11 +91,11 @@
         return ()
 
     def address(self, key: str) -> Address:
-        """An address as HOST:PORT."""
+        """Returns an address, written as HOST:PORT."""
         return self._address(key, self.values.get(key))
 
     def addresses(self, key: str) -> tuple[Address, ...]:
-        """A list of addresses that is not empty."""
+        """Returns a list of addresses that must not be empty."""
         value = self.values.get(key)
         if not isinstance(value, list) or not value:
             self.add_fault(key, "must be a list of HOST:PORT")
@@ -111,30 +111,34 @@
         return Address("", 0)
 
     def table(self, key: str) -> TableReader:
-        """A table within this one. Within a table that is missing itself, it is not named as missing again."""
+        """Returns a reader of a nested table, and adds a fault if that table is missing.
+
+        A nested table without any fields adds no faults for tables missing in it, so that only the outermost one of
+        several missing tables is reported.
+        """
         value = self.values.get(key)
-        path = f"{self.path}{key}."
+        prefix = f"{self.prefix}{key}."
         if isinstance(value, dict):
-            return TableReader(value, self.faults, path)
-        if self.values or not self.path:
+            return TableReader(value, self.faults, prefix)
+        if self.values or not self.prefix:
             self.add_fault(key, "table is missing")
-        return TableReader({}, self.faults, path)
+        return TableReader({}, self.faults, prefix)
 
     def optional_table(self, key: str) -> TableReader:
-        """The same for a table that may be left out."""
-        return self.table(key) if key in self.values else TableReader({}, self.faults, f"{self.path}{key}.")
+        """Returns a reader of a nested table that may be missing."""
+        return self.table(key) if key in self.values else TableReader({}, self.faults, f"{self.prefix}{key}.")
 
     def tables(self, key: str) -> list[TableReader]:
-        """A list of tables; empty if left out."""
+        """Returns readers of a list of tables; empty if the field is missing."""
         value = self.values.get(key, [])
         if isinstance(value, list) and all(isinstance(item, dict) for item in value):
-            return [TableReader(item, self.faults, f"{self.path}{key}[{index}].") for index, item in enumerate(value)]
+            return [TableReader(item, self.faults, f"{self.prefix}{key}[{index}].") for index, item in enumerate(value)]
         self.add_fault(key, "must be a list of tables")
         return []
 
 
 def read_toml(text: str) -> TableReader:
-    """The top table of a TOML text; raises SettingsError if it is not TOML."""
+    """Returns a reader of the top table of a TOML text; raises SettingsError if the text is not TOML."""
     try:
         return TableReader(tomllib.loads(text), [])
     except tomllib.TOMLDecodeError as error:
@@ -142,7 +146,7 @@
 
 
 def read_file(path: str) -> str:
-    """The text of a file; raises SettingsError if it cannot be read."""
+    """Returns the text of a file; raises SettingsError if the file cannot be read as UTF-8."""
     try:
         with open(path, "rb") as file:
             return file.read().decode()
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -123,7 +123,7 @@
     since = world.clock.time
     while world.clock.time - since < world.settings.cancel_s:
         machine(world).cancelled_since = None
-        lease_expires_at = world.clock.time + world.settings.takeover_gone_s
+        lease_expires_at = world.clock.time + world.settings.takeover_expiry_s
         world.machines.registry.mark_unreconciled(machine(world), 3, lease_expires_at)
         for _ in range(3):
             later(world, 1.0)
@@ -141,7 +141,7 @@
     """
     running(world)
     machine(world).cancelled_since = None
-    world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
+    world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_expiry_s)
     cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
     log = CancellationLog(10, 9)
     for _ in range(5):
