--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -126,7 +126,9 @@
             now: The clock's time in seconds.
         """
         # Leaves some changes of a commit round for claims.
-        max_teams = max(1, min(self.client.txn_ops // 2, self.client.available_changes(RequestPriority.CLAIM) - 1))
+        max_teams = max(
+            1, min(self.client.max_transaction_changes // 2, self.client.available_changes(RequestPriority.CLAIM) - 1)
+        )
         for name, usage in usable.items():
             if len(request.quota_increases) + len(request.quota_decreases) >= max_teams:
                 break
--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -72,7 +72,7 @@
 
     def _max_values_bytes(self) -> int:
         """The maximum total size of the values of one transaction, in bytes."""
-        return max(self.client.value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
+        return max(self.client.max_value_bytes, int(VALUES_SHARE * wire.MAX_BODY_BYTES))
 
     # -- new machines
 
@@ -88,7 +88,7 @@
         if all(row.layout >= keys.MACHINE_GROUPS_LAYOUT for row in self.tables.members.values()):
             return self._grouped(unstored)
         # A member with an earlier layout cannot read groups.
-        return self._one_by_one(unstored[: self.client.txn_ops])
+        return self._one_by_one(unstored[: self.client.max_transaction_changes])
 
     @staticmethod
     def _one_by_one(machines: list[Machine]) -> NewMachines:
@@ -99,8 +99,10 @@
 
     def _grouped(self, machines: list[Machine]) -> NewMachines:
         rows = {machine.name: [machine.address, machine.type, machine.zone, machine.spot] for machine in machines}
-        max_groups = min(self.client.txn_ops, max(1, self._max_values_bytes() // self.client.value_bytes))
-        groups = split_machine_groups(rows, self.client.value_bytes)[:max_groups]
+        max_groups = min(
+            self.client.max_transaction_changes, max(1, self._max_values_bytes() // self.client.max_value_bytes)
+        )
+        groups = split_machine_groups(rows, self.client.max_value_bytes)[:max_groups]
         return NewMachines(
             {name for group in groups for name in group}, {self._new_group_key(): {"m": group} for group in groups}
         )
@@ -149,10 +151,12 @@
                 continue
             # Deleting a group is one change; splitting one takes a change per resulting group.
             changes = max(1, len(groups))
-            value_bytes = changes * self.client.value_bytes
-            if not removals and changes > self.client.txn_ops:
+            value_bytes = changes * self.client.max_value_bytes
+            if not removals and changes > self.client.max_transaction_changes:
                 return self._split_group(key, groups)
-            if removals and (len(removals) + changes > self.client.txn_ops or remaining_bytes < value_bytes):
+            if removals and (
+                len(removals) + changes > self.client.max_transaction_changes or remaining_bytes < value_bytes
+            ):
                 break
             remaining_bytes -= value_bytes
             self._replace_group(removals, key, groups)
@@ -166,7 +170,7 @@
             if name not in self.pending_removals and self.tables.machines[name].key == key
         )
         rows = {name: encode_machine(self.tables.machines[name]) for name in names}
-        return split_machine_groups(rows, self.client.value_bytes)
+        return split_machine_groups(rows, self.client.max_value_bytes)
 
     def _replace_group(self, removals: Transaction, key: str, groups: list[MachineGroup]) -> None:
         """Adds the replacement of one group to a transaction: the first group under `key`, the others under new keys.
@@ -186,6 +190,6 @@
         It copies parts of the group, except the first, to new groups and leaves the group itself unchanged, so that no
         machine is lost. The group is rewritten in a later transaction, once the copies are stored.
         """
-        split_off = groups[1 : self.client.txn_ops]
+        split_off = groups[1 : self.client.max_transaction_changes]
         writes = {self._new_group_key(key): {"m": group} for group in split_off}
         return Transaction({key: self.tables.mod_revision(key)}, writes)
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -126,9 +126,11 @@
             self.limits,
             self._valid_idle_capacity(),
             self.clock.wall_clock_ms(),
-            self.client.value_bytes,
+            self.client.max_value_bytes,
+        )
+        chosen = select_changes(
+            changes, self.written_at, self.limits.max_row_writes, self.client.max_transaction_changes
         )
-        chosen = select_changes(changes, self.written_at, self.limits.max_row_writes, self.client.txn_ops)
         if not chosen:
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -139,12 +139,12 @@
 def test_completion_whose_row_is_too_large_does_not_block_the_recovery(store: Store) -> None:
     """Guards against a view that is never recovered, while some controllers cannot read adoption rows yet."""
     world = Takeover(store, grouped=False)
-    world.client.value_bytes = 20
+    world.client.max_value_bytes = 20
     world.report_tasks(ENDED)
     assert world.recovered_views() == []
     world.commit()
     assert world.recovered_views() == [3]
-    world.client.value_bytes = 2048
+    world.client.max_value_bytes = 2048
     world.commit()
     assert store.tables.jobs[JOB].progress.done == 0b001 and not world.jobs.oversized_jobs
 
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -199,13 +199,13 @@
 
 async def renew(client_side: RequestingController) -> Any:
     client_side.leadership.incarnation = 7
-    await client_side.membership._renew()
+    await client_side.membership._renew_or_join()
     return [client_side.leadership.incarnation, client_side.leadership.lease_renewed_at]
 
 
 async def join(client_side: RequestingController) -> Any:
     client_side.replica.loaded = True
-    await client_side.membership._renew()
+    await client_side.membership._renew_or_join()
     return [client_side.leadership.incarnation, client_side.leadership.lease_renewed_at]
 
 
