--- a/tests/test_actor_inbox.py
+++ b/tests/test_actor_inbox.py
@@ -1,4 +1,4 @@
-"""The inbox of an actor: bounded, and handled in turns."""
+"""The inbox of an actor: its limit, and how many messages are handled before other tasks run."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from sloeswitch.actors.base import MAX_MESSAGES_PER_TURN, Actor, ActorRequest, InboxFullError, UnansweredError
 
 
-def test_an_actor_lets_others_have_their_turn_and_says_when_it_is_full() -> None:
+def test_an_actor_yields_to_other_tasks_and_rejects_messages_when_its_inbox_is_full() -> None:
     handled: list[int] = []
     turns = 0
 
@@ -36,7 +36,7 @@
 
 
 class Halving(Actor[ActorRequest[int]]):
-    """Answers the first request with a half, and fails at the others."""
+    """Answers the first request with 2 and fails at all others."""
 
     def __init__(self) -> None:
         super().__init__(inbox_limit=2)
@@ -46,7 +46,7 @@
         message.reply(self.numbers.pop() // 2)
 
 
-def test_a_request_is_answered_also_when_the_actor_fails_at_it() -> None:
+def test_a_request_returns_none_if_the_actor_fails_while_handling_it() -> None:
     answers: list[int | None] = []
     request = ActorRequest[int]()
     with pytest.raises(UnansweredError):
@@ -62,5 +62,5 @@
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    request.reply(3)  # it has its answer
+    request.reply(3)  # ignored: the request already has an answer
     assert answers == [2, None] and request.answer == 2
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -1,4 +1,4 @@
-"""Which operation a path and a method lead to."""
+"""The operations that paths and methods are routed to."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def ask(store: Store, method: str, path: str) -> Answer:
-    """What a controller with one job answers."""
+    """Returns the answer of a controller with one job."""
     world = World(store)
     store.job(spec())
     users = Users(world.context, world.jobs, world.machines)
@@ -70,7 +70,7 @@
         (f"/submissions/{JOB}/cancel", "POST"),
     ],
 )
-def test_another_method_is_told_the_allowed_one(store: Store, path: str, allowed: str) -> None:
+def test_an_unsupported_method_is_answered_with_the_allowed_one(store: Store, path: str, allowed: str) -> None:
     for method in {"GET", "POST", "PUT"} - {allowed}:
         answer = ask(store, method, path)
         assert (answer.status, answer.headers) == (405, [("Allow", allowed)])
