--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -18,10 +18,10 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# A lower bound on how many machines one processor core scans per second when the planner places tasks. A pass that has
-# claims for as many jobs as one transaction takes stops when, at that rate, its scans have taken this share of the
-# report interval.
+# A lower bound on how many machines one processor core scans per second when the planner places tasks.
 MACHINES_SCANNED_PER_CORE_S = 200_000
+# Once a pass has claims for as many jobs as fit in one transaction, it ends when its scans have taken this share of the
+# report interval, at the above rate.
 MAX_SCAN_TIME_SHARE = 0.25
 # For this many ticks a new job without claimed tasks is left to the controller that its image has affinity to.
 IMAGE_AFFINITY_TICKS = 2
@@ -100,7 +100,7 @@
 
         Args:
             settings: The settings.
-            txn_ops: The number of operations that a transaction takes now.
+            txn_ops: The maximum number of changes in a transaction at present.
             tick_interval_s: The time between two ticks, in seconds.
         """
         return PlanLimits(
@@ -122,7 +122,7 @@
         zones: By job, the zone to store as the zone that its tasks are bound to.
         zone_bound_tasks: By job whose tasks are bound to zones, the set of tasks to claim.
         usable_quota: By team, the usage that is possible on these machines: running, claimed and unclaimed tasks.
-        remaining_capacities: The capacity left after all jobs of the queue were considered; None if some were not.
+        remaining_capacities: The capacity that the whole queue leaves unused; None if the pass ended at its limits.
     """
 
     task_counts: dict[str, int] = field(default_factory=dict)
@@ -211,7 +211,8 @@
     def _consider(self, job: Job) -> None:
         """Places as many tasks of a job as possible and adds the claims for them."""
         spec = job.spec
-        # Set if the job is listed in the queue twice and this is its second turn.
+        # In the second turn of a job that is listed in the queue twice: the tasks that its first turn placed. None if
+        # the first turn ended before placement.
         planned_before = self.planned_tasks.get(spec.id)
         idle = 0 if planned_before else self.snapshot.idle_claims(job)
         unclaimed = self.tables.unclaimed_tasks(job, self.recovery_complete) & ~(planned_before or 0)
@@ -269,7 +270,7 @@
             self.planned_tasks.setdefault(spec.id, 0)
             return 0
         self.capacities_scanned += len(capacities)
-        # The zone of a zone-bound task depends on its index, so that the first ones may not fit where others do.
+        # The zone of a zone-bound task depends on its index, so the lowest-numbered tasks may not fit where others do.
         tasks = unclaimed if spec.zone_bound else taskset.lowest(unclaimed, max(0, count - idle.bit_count()))
         zone = self.claims.zones.get(spec.id)
         placements = placement.pack_tasks(job, tasks | taskset.lowest(idle, count), capacities, zone, count)
--- a/sloeswitch/core/commit_planner.py
+++ b/sloeswitch/core/commit_planner.py
@@ -47,8 +47,8 @@
     transaction_changes: int
     # The size limit of one value.
     value_bytes: int
-    # No further job is added once the values together are larger than this, because it might exceed the size limit of
-    # the request.
+    # No further job is added once the values together are larger than this, because the request might exceed its size
+    # limit.
     total_bytes: int
 
 
--- a/sloeswitch/core/dependency_graph.py
+++ b/sloeswitch/core/dependency_graph.py
@@ -58,8 +58,8 @@
     def _update_ready_time(job: Job, finished: FinishedJob) -> None:
         """Sets the ready time of a job to the completion of its last prerequisite so far.
 
-        Rows written by versions that stored no completion time are older than any job that depends on them, so that
-        such a job keeps its submission time.
+        A prerequisite whose row has no completion time was stored by an earlier version. It was done before the job was
+        submitted, so the job keeps its submission time.
         """
         job.ready_ms = max(job.ready_ms, finished.finished_ms)
         job.ready_revision = max(job.ready_revision, finished.mod_revision)
--- a/sloeswitch/core/health.py
+++ b/sloeswitch/core/health.py
@@ -39,7 +39,7 @@
 
     Attributes:
         jobs: The jobs that have failed, by id.
-        consecutive_failures: By machine, the number of failures since its last success.
+        consecutive_failures: By machine, the number of failures since its last success that count against it.
     """
 
     def __init__(self, min_backoff_s: float, max_backoff_s: float) -> None:
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -62,7 +62,7 @@
     def __init__(self, tables: Tables, settings: Settings) -> None:
         self.jobs = tables.jobs
         self.settings = settings
-        # The lowest rate at which a machine of any type fetches an image, in GB/s; 0 if not known.
+        # The image fetch rate of the slowest machine type, in GB/s; 0 if not known.
         self.fetch_gb_s = min(
             (kind.fetch_gb_s for kind in tables.machine_types.values() if kind.fetch_gb_s > 0), default=0.0
         )
--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -10,8 +10,9 @@
 1. Starved jobs go first. A job that has started no task for too long is in the queue twice: at the front for a part of
    its tasks (`Job.starved`) and at its ordinary position for the rest.
 2. Urgent jobs within their team's guarantee go before other jobs.
-3. Jobs that are not done after twice the time after which a job is starved come next, ordered by age alone.
-4. Jobs that can still meet a target go before jobs that cannot (`QueueKey.past_all_targets`).
+3. Jobs that are not done after twice the time until starvation (STARVATION_LEASES) come next, ordered by age alone.
+4. Jobs that can no longer meet any of their targets go last, the longest tasks first, unless they are urgent
+   (`QueueKey.past_all_targets`).
 5. Jobs that were within their team's guarantee when they became runnable go before other jobs (`GuaranteeLedger`).
 6. Priority, then the number of targets that the job has missed.
 7. The latest time at which the job can start and still meet its next target, or the time at which it became runnable
@@ -33,8 +34,8 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings
 
-# Prevents starvation by priority, guarantees or missed targets. A part of a job that has started no task after this
-# many worker leases goes before all other jobs until a task has started. A job that is not done after twice this many
+# Prevents starvation by priority, guarantees or missed targets. If a job has started no task after this many worker
+# leases, a part of it goes before all other jobs until a task has started. A job that is not done after twice this many
 # leases is ordered by age alone. Eight leases are at most two minutes, so every job starts well within four minutes.
 STARVATION_LEASES = 8.0
 # The share of a starved job's tasks that goes to the front of the queue.
@@ -60,7 +61,8 @@
     """The sort key of a job in the queue; the lowest key goes first."""
 
     starvation: int
-    # Whether the job can no longer meet any of its targets.
+    # Whether the job can no longer meet any of its targets. False for urgent jobs, jobs without targets, and jobs that
+    # are starved or ordered by age alone.
     past_all_targets: bool
     outside_guarantee: bool
     # The effective priority of the job (see `effective_priority`), STARVED_PART_PRIORITY for the part of a starved job
@@ -186,9 +188,9 @@
     is_urgent = priority < STANDARD
     start_or_ready_s = job.ready_ms / 1000 if start_by_s is None else job.submitted_ms / 1000 + start_by_s
     if job.guaranteed and is_urgent:
-        # Has the rank of starved jobs to go before jobs that are ordered by age alone: under overload these are most of
-        # the queue, and small urgent stages of pipelines would wait behind them. The guarantees limit how much work
-        # goes first this way.
+        # The job gets the same starvation rank as starved jobs, so that it goes before jobs that are ordered by age
+        # alone. Under overload these are most of the queue, and small urgent stages of pipelines would wait behind
+        # them. The guarantees limit how much work goes first this way.
         return QueueKey(NOT_STARTED, False, False, priority, missed, start_or_ready_s)
     if starvation is NOT_DONE:
         return QueueKey(starvation, False, False, 0, 0, float(job.ready_revision))
--- a/sloeswitch/core/keys.py
+++ b/sloeswitch/core/keys.py
@@ -3,11 +3,11 @@
 All keys have one versioned prefix; an incompatible layout would use another prefix. In the list below, words in
 capitals are placeholders and words in quotation marks are stored field names:
 
-    m/MEMBER    {"boot", "settled", "layout"}    a live controller (bound to its lease): its incarnation, the number of
-                                                 the latest view whose recovery it has completed, and the version of
+    m/MEMBER    {"boot", "settled", "layout"}    a live controller (bound to its lease): the id of its lease, the number
+                                                 of the latest view whose recovery it has completed, and the version of
                                                  the layout that it writes
-    coord       {"member", "boot"}               the coordinator (bound to its lease): member and incarnation
-    view        {"n", "members"}                 the view: its number, and [[member, incarnation], ...]
+    coord       {"member", "boot"}               the coordinator (bound to its lease): member and lease id
+    view        {"n", "members"}                 the view: its number, and [[member, lease id], ...]
     catalog     {...}                            all machine types of the cloud's latest list
     c/TYPE      {...}                            one machine type; used if the catalog exceeds the size limit of a value
     j/JOB       {"s", "n", "t", "spec", ...}     a job. "s": its state ("live", "done" or "withdrawn"). "n": its number
@@ -160,7 +160,7 @@
 
 @lru_cache(maxsize=64)
 def incarnation_id_of(member: str, incarnation: int) -> str:
-    """Returns the id of one run of one controller.
+    """Returns the incarnation id: the id of one run of one controller, which has a lease of its own.
 
     Claims are stored under this id, so that a restarted controller does not own the claims of its previous run.
     """
--- a/sloeswitch/core/machine.py
+++ b/sloeswitch/core/machine.py
@@ -117,7 +117,8 @@
     # The number of the view since which this controller has owned the machine. A report with a lower fencing token is
     # ignored, because an earlier owner issued that token.
     owned_since_token: int = 0
-    # When this process last became the owner. An owner under a view that it has missed does not change this time.
+    # When this process last became the owner. Stays the same if another controller may have owned the machine in the
+    # meantime, under a view that this process has missed.
     owned_since: float = float("-inf")
     # Whether this incarnation owned the machine earlier, and another controller may have owned it in between.
     formerly_owned: bool = False
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -7,7 +7,7 @@
 
 Usage totals are updated whenever an attempt is added or removed, so that a report of an unchanged machine costs only
 look-ups. The machines actor owns the controller's registry. Only this actor and its helpers change it; the autoscaler
-only reads it.
+reads it and sets only `Machine.surplus`.
 """
 
 from __future__ import annotations
@@ -189,7 +189,8 @@
     def pending_adoptions(self) -> dict[str, int]:
         """Adoptions not known to be stored, of tasks that this controller's machines still hold or list as done.
 
-        Discards the adoptions of all other tasks.
+        An adopted task that has completed since moves to `found_completions`. Discards the adoptions of all other
+        tasks.
         """
         listed = self._listed_completions()
         found = _merge_tasks(self.adopting, self.found_completions)
@@ -222,7 +223,7 @@
                 del self.handed_off_tasks[name]
 
     def settle_handed_off(self) -> None:
-        """Clears the handed-off tasks once all members have recovered, so that the new owners account for them."""
+        """Clears the handed-off tasks; called once all members have recovered and the new owners account for them."""
         self.handed_off_tasks.clear()
         self.released_machines.clear()
 
@@ -299,7 +300,13 @@
         return self.placed_tasks.get(job, 0) | self.handed_off_tasks.get(job, 0)
 
     def unplaced_tasks(self, job: str, claimed: int, done: int) -> int:
-        """The set of tasks that this controller claims and that are not on any machine."""
+        """The set of claimed tasks that may be placed: all but those that are done or busy (see `busy_tasks`).
+
+        Args:
+            job: The job's id.
+            claimed: The set of the job's tasks that this controller claims.
+            done: The set of its tasks that must not be placed: completed tasks, and tasks being released.
+        """
         return claimed & ~done & ~self.busy_tasks(job)
 
     # -- commands
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -149,8 +149,8 @@
     """The machines with capacity for a task of the job, the best first.
 
     Sort criteria, the most significant first: types that are not scarce, since some job fits only the scarce ones;
-    machines that have the job's image, which saves fetching it; spot machines; the fewest free cores. By the last two,
-    expensive and empty machines can be returned to the cloud.
+    machines that have the job's image, which saves fetching it; spot machines; the fewest free cores. The last two keep
+    expensive and empty machines free of tasks, so that they can be returned to the cloud.
     """
     # Equivalent to max_tasks() > 0, but without a call for each of the thousands of machines scanned for each job.
     least_cores, least_gpus, least_memory_gb = (
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -64,7 +64,7 @@
         return QueueOrder(positions, preemptible_counts)
 
     def is_behind(self, job: str, other: str) -> bool:
-        """Whether `other` is behind `job` in the queue."""
+        """Whether `job` goes before `other` in the queue."""
         last = len(self.positions)
         return self.positions.get(other, last) > self.positions.get(job, last)
 
--- a/sloeswitch/core/quota_changes.py
+++ b/sloeswitch/core/quota_changes.py
@@ -115,7 +115,7 @@
         self._set(team.name, changed, QuotaChangeReason.INCREASE)
 
     def decrease(self, team: str, decrease: QuotaDecrease) -> None:
-        """Returns a part of this controller's allocation, unless the team's row has changed since it was computed."""
+        """Lowers this controller's allocation, unless the team's row changed after the decrease was computed."""
         if decrease.mod_revision != self._tables.mod_revision(keys.quota_key(team)):
             return
         stored = self._tables.quota_allocation(team, self._incarnation_id)
--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -54,7 +54,7 @@
         return owner(machine, self.members)
 
     def incarnation_of(self, member: str) -> int | None:
-        """Returns the incarnation of a member in this view, or None if it is not in the view."""
+        """Returns the lease id of a member in this view, or None if it is not in the view."""
         return next((incarnation for name, incarnation in self.members if name == member), None)
 
 
@@ -121,7 +121,8 @@
     """Deadlines of a job derived from the deadlines of the jobs that depend on it.
 
     `first_ms` is the earliest of their first deadlines and `last_ms` the earliest of their last deadlines. From each
-    deadline the estimated time of the dependent job is subtracted. Both are in milliseconds since 1970.
+    deadline, the estimated duration of the path to the dependent job, including that job, is subtracted. Both are in
+    milliseconds since the Unix epoch.
     """
 
     first_ms: float
@@ -137,7 +138,8 @@
     status: JobState | str
     # The number of its tasks.
     tasks: int
-    # Milliseconds since 1970, by the clock of the controller that stored it; 0 if an earlier layout stored no time.
+    # Milliseconds since the Unix epoch, by the clock of the controller that stored it; 0 if an earlier layout stored no
+    # time.
     finished_ms: int = 0
     mod_revision: int = 0
     # Handoffs to other cells that must still be stopped.
@@ -160,7 +162,7 @@
 class Job:
     """A job that is not finished: live, or cancelled while some of its tasks may still run.
 
-    Fields ending in `_ms` are milliseconds since 1970, by the clock of the controller that stored them.
+    Fields ending in `_ms` are milliseconds since the Unix epoch, by the clock of the controller that stored them.
     """
 
     # Fields decoded from its rows.
@@ -210,9 +212,9 @@
     # Whether a part of its tasks goes first because none of its tasks has started for a long time.
     starved: bool = False
     # Whether it fitted within its team's guarantee, together with the team's earlier jobs, when it was first queued;
-    # None until then.
+    # None until then, and after its inherited priority or deadlines have changed.
     guaranteed: bool | None = None
-    # The sort key of its place in the queue, without the job's age.
+    # The sort key of its place in the queue, without the tie breaker (`QueueKey.rank`).
     queue_rank: tuple[float, ...] = ()
 
     # The cached value of has_unclaimed_tasks, and the progress that it was computed from.
@@ -272,6 +274,7 @@
 class MemberRow:
     """A live controller; its row is deleted when its lease ends."""
 
+    # The id of its lease, which identifies its incarnation.
     incarnation: int
     # The number of the latest view for which it has completed the recovery of its machines.
     recovered_view: int
--- a/sloeswitch/core/rendezvous.py
+++ b/sloeswitch/core/rendezvous.py
@@ -21,7 +21,7 @@
 
     Args:
         name: The machine or the image.
-        members: The members of the view, each with its incarnation. The incarnation is not hashed, so that a restarted
+        members: The members of the view, each with its lease id. The lease id is not hashed, so that a restarted
             controller keeps its machines.
     """
     highest: tuple[bytes, str] | None = None
--- a/sloeswitch/core/row_application.py
+++ b/sloeswitch/core/row_application.py
@@ -225,8 +225,8 @@
 
     A machine may be in several groups: a group that exceeds the size limit of a value is split, and a write that is
     retried after a lost response creates another group. Such a machine belongs to the last of its groups by name, in
-    whatever order the groups are read. All controllers therefore agree on the group, even if they remove the machine
-    from its other groups.
+    whatever order the groups are read. All controllers therefore agree on that group, and a machine that is removed
+    from only some of its groups remains stored.
     """
     rows: Mapping[str, StoredMachine] = {} if value is None else row_codec.decode_machine_group(value)
     removed_machines = state.machine_groups.pop(group, set()) - rows.keys()
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -48,7 +48,7 @@
     Args:
         status: Its state; a state that this version does not know is written back unchanged.
         spec: Its spec, as the user submitted it.
-        submitted_ms: When it was submitted, in milliseconds since 1970.
+        submitted_ms: When it was submitted, in milliseconds since the Unix epoch.
         chunks: The chunks that hold its spec; None to store the spec in the row.
     """
     value: StoredRow = {"s": status, "n": spec.tasks, "t": submitted_ms}
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class JobRow:
-    """A job's row, of which only the fields that every use needs are decoded."""
+    """A job's row, with the fields decoded that every caller needs."""
 
     value: StoredRow
     mod_revision: int
@@ -163,7 +163,7 @@
 
     Args:
         row: The handoffs.
-        returned_ms: When another cell last returned the job, in milliseconds since 1970; 0 if none did.
+        returned_ms: When another cell last returned the job, in milliseconds since the Unix epoch; 0 if none did.
     """
     value: StoredRow = {"p": row.policy.value}
     if row.moved_to is not None:
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -106,7 +106,7 @@
         return team in self._amounts
 
     def tasks_within(self, spec: JobSpec) -> int:
-        """How many tasks of the job the rest of its team's limit covers; an unknown team has no limit to use."""
+        """How many tasks of the job the rest of its team's limit covers; the limit of an unknown team is zero."""
         return tasks_within_quota(spec, self._amounts.get(spec.team, ResourceAmount()), ResourceUsage())
 
     def take(self, spec: JobSpec, tasks: int) -> None:
@@ -278,8 +278,8 @@
     """
     offers = instance_offers(types)
     unmet = pack_demand(demand, supply, offers).unmet
-    # A job that no supplied machine suits gets one even if it would fill only a small part of it. Otherwise a small job
-    # would never start, for example one that may not use spot machines after the last other machine was returned.
+    # A job that can run on no supplied machine gets one even if it would fill only a small part of it. Otherwise a
+    # small job would never start: for example a job that may not use spot machines, when only spot machines are left.
     without_machine = [
         wanted for wanted in unmet if not any(supply.get(offer.kind, 0) > 0 and wanted.suits(offer) for offer in offers)
     ]
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -1,5 +1,6 @@
-"""Targets of jobs: the times by which a job should be done, from the objectives of its class and its deadline.
+"""Targets of jobs: the times by which a job should be done.
 
+They follow from the objectives of its class, from its deadline and from the deadlines of the jobs that depend on it.
 All targets are in seconds since the submission of the job.
 """
 
@@ -28,7 +29,7 @@
     """The targets of a job in seconds since its submission, the earliest first; cached in the job.
 
     Deadlines count from the submission. Targets for the wait and for the completion count from the time at which the
-    last prerequisite of the job was done.
+    last prerequisite of the job was done. The deadline of a job whose class has no objectives is a target itself.
     """
     if job.slo_targets_s is not None:
         return job.slo_targets_s
--- a/sloeswitch/core/taskset.py
+++ b/sloeswitch/core/taskset.py
@@ -16,7 +16,7 @@
 
 # The approximate number of characters of one run stored as two numbers.
 RUN_CHARS = 7
-# The number of tasks that as many base64 characters hold, at 6 bits each.
+# The number of tasks that RUN_CHARS base64 characters hold, at 6 bits each.
 TASKS_PER_RUN_CHARS = RUN_CHARS * 6
 
 
