--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -71,7 +71,7 @@
     @property
     def is_member(self) -> bool:
         """Whether the newest known view contains this incarnation, not only an earlier one of the same member."""
-        return self.incarnation != 0 and self.view.incarnation_of(self.settings.member) == self.incarnation
+        return self.incarnation != 0 and self.view.lease_id_of(self.settings.member) == self.incarnation
 
     @property
     def is_leader(self) -> bool:
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -151,7 +151,7 @@
             if self._row_is_current(lease_id):
                 return True
             row = self._current_row(lease_id)
-            value = {"boot": row.incarnation, "settled": row.recovered_view, "layout": row.layout}
+            value = {"boot": row.lease_id, "settled": row.recovered_view, "layout": row.layout}
             transaction = Transaction({key: self.replica.tables.mod_revision(key)}, {key: value})
             outcome = await self._commit(transaction, {key: lease_id})
             if outcome in (TransactionOutcome.COMMITTED, TransactionOutcome.NO_LEASE):
@@ -201,7 +201,7 @@
         """Does one step: runs for coordinator, or writes a view that matches the member rows."""
         tables, own = self.replica.tables, self.leadership.own_incarnation
         row = tables.members.get(own.member)
-        if row is None or row.incarnation != own.lease_id:
+        if row is None or row.lease_id != own.lease_id:
             return
         if tables.coordinator is None or self._is_earlier_incarnation(tables.coordinator):
             await self._run_for_coordinator()
@@ -230,7 +230,7 @@
     async def _write_view(self) -> None:
         """Writes the next view if the members have changed, on condition of still being the coordinator."""
         tables = self.replica.tables
-        members = tuple(sorted(Incarnation(member, row.incarnation) for member, row in tables.members.items()))
+        members = tuple(sorted(Incarnation(member, row.lease_id) for member, row in tables.members.items()))
         if members == tables.view.members:
             return
         number = tables.view.number + 1
--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -168,9 +168,7 @@
         if not incarnation_ids <= tables.view.incarnation_ids:
             return set(tables.machines)
         members = {
-            name
-            for name, incarnation in tables.view.members
-            if keys.incarnation_id_of(name, incarnation) in incarnation_ids
+            name for name, lease_id in tables.view.members if keys.incarnation_id_of(name, lease_id) in incarnation_ids
         }
         return {name for name in tables.machines if tables.view.owner(name) in members}
 
--- a/sloeswitch/core/keys.py
+++ b/sloeswitch/core/keys.py
@@ -159,9 +159,9 @@
 
 
 @lru_cache(maxsize=64)
-def incarnation_id_of(member: str, incarnation: int) -> str:
+def incarnation_id_of(member: str, lease_id: int) -> str:
     """Returns the incarnation id: the id of one run of one controller, which has a lease of its own.
 
     Claims are stored under this id, so that a restarted controller does not own the claims of its previous run.
     """
-    return f"{member}.{incarnation}"
+    return f"{member}.{lease_id}"
--- a/sloeswitch/core/records.py
+++ b/sloeswitch/core/records.py
@@ -47,15 +47,15 @@
     @cached_property
     def incarnation_ids(self) -> frozenset[str]:
         """The incarnation ids of the members; claims and quota allocations are stored under these ids."""
-        return frozenset(incarnation_id_of(member, incarnation) for member, incarnation in self.members)
+        return frozenset(incarnation_id_of(member, lease_id) for member, lease_id in self.members)
 
     def owner(self, machine: str) -> str | None:
         """Returns the member that owns a machine under this view, or None if the view is empty."""
         return owner(machine, self.members)
 
-    def incarnation_of(self, member: str) -> int | None:
+    def lease_id_of(self, member: str) -> int | None:
         """Returns the lease id of a member in this view, or None if it is not in the view."""
-        return next((incarnation for name, incarnation in self.members if name == member), None)
+        return next((lease_id for name, lease_id in self.members if name == member), None)
 
 
 NO_VIEW = View(0, ())
@@ -275,7 +275,7 @@
     """A live controller; its row is deleted when its lease ends."""
 
     # The id of its lease, which identifies its incarnation.
-    incarnation: int
+    lease_id: int
     # The number of the latest view for which it has completed the recovery of its machines.
     recovered_view: int
     # The version of the stored layout that it writes.
--- a/sloeswitch/core/rendezvous.py
+++ b/sloeswitch/core/rendezvous.py
@@ -25,7 +25,7 @@
             controller keeps its machines.
     """
     highest: tuple[bytes, str] | None = None
-    for member, _incarnation in members:
+    for member, _lease_id in members:
         weight = (blake2b(f"{name}|{member}".encode(), digest_size=8).digest(), member)
         if highest is None or weight > highest:
             highest = weight
--- a/sloeswitch/core/row_codec.py
+++ b/sloeswitch/core/row_codec.py
@@ -297,7 +297,7 @@
 
 def decode_view(value: StoredRow) -> View:
     """Decodes the view."""
-    return View(value["n"], tuple(Incarnation(member, incarnation) for member, incarnation in value["members"]))
+    return View(value["n"], tuple(Incarnation(member, lease_id) for member, lease_id in value["members"]))
 
 
 def decode_coordinator(value: StoredRow) -> Incarnation:
--- a/sloeswitch/core/tables.py
+++ b/sloeswitch/core/tables.py
@@ -103,9 +103,9 @@
         """Returns the members of the view whose completed recovery under this view is not stored."""
         return {
             member
-            for member, incarnation in self.view.members
+            for member, lease_id in self.view.members
             if (row := self.members.get(member)) is None
-            or row.incarnation != incarnation
+            or row.lease_id != lease_id
             or row.recovered_view != self.view.number
         }
 
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -108,9 +108,9 @@
             if self.clock.time > at + span:
                 del self.leases[name, boot]
                 row = self.store.tables.members.get(name)
-                if row is not None and row.incarnation == boot:
+                if row is not None and row.lease_id == boot:
                     self.store.put(keys.member_key(name), None)
-        members = tuple(sorted((name, row.incarnation) for name, row in self.store.tables.members.items()))
+        members = tuple(sorted((name, row.lease_id) for name, row in self.store.tables.members.items()))
         if members and members != self.store.tables.view.members:
             self.store.view(self.store.tables.view.number + 1, *members)
 
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -83,7 +83,7 @@
 def dump(tables: Tables) -> str:
     """All that was read, as JSON that does not depend on Python names; what is empty is left out."""
     found = {
-        "members": {name: [row.incarnation, row.recovered_view, row.layout] for name, row in tables.members.items()},
+        "members": {name: [row.lease_id, row.recovered_view, row.layout] for name, row in tables.members.items()},
         "coordinator": tables.coordinator,
         "view": [tables.view.number, tables.view.members] if tables.view.number else None,
         "types": {name: dump_type(kind) for name, kind in tables.machine_types.items()},
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -74,7 +74,7 @@
     assert anyio.run(world.membership._write_member)
     for write in world.client.late:
         assert world.client.apply(*write)[0] is TransactionOutcome.CONFLICT
-    assert world.store.tables.members["c0"].incarnation == 7
+    assert world.store.tables.members["c0"].lease_id == 7
 
 
 def test_a_member_row_overwritten_by_an_earlier_incarnation_is_written_again(world: World) -> None:
