--- a/sloeswitch/actors/claim_requester.py
+++ b/sloeswitch/actors/claim_requester.py
@@ -57,7 +57,7 @@
         now = self.now()
         members = [member for member, _ in self.leadership.view.members]
         self.queue.record_queued(now)
-        limits = PlanLimits.of(self.settings, self.client.max_transaction_changes, self.tick_interval_s)
+        limits = PlanLimits.from_settings(self.settings, self.client.max_transaction_changes, self.tick_interval_s)
         planner = ClaimPlanner(self.capacity_snapshot(now), limits, self.tables)
         claims = planner.plan(self.queue.jobs, len(members), members.index(self.settings.member))
         if self.on_remaining_capacities is not None and claims.remaining_capacities is not None:
@@ -80,7 +80,7 @@
             available_quota={team.name: self.quota.available(team, usage[team.name]) for team in teams.values()},
             quota_allocations={team: self.quota.allocation(team) for team in teams},
             idle_claims=self.task_updates.unplaced_tasks,
-            cores_ahead=self._expected_free_cores(),
+            expected_free_cores=self._expected_free_cores(),
             min_task_cores=self.queue.min_task_cores,
             reservations=self.gang_preemption.reservations,
             reserved_usage=self.gang_preemption.reserved_usage(),
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -204,4 +204,4 @@
 def _is_useful(machine: Machine, machine_type: MachineType, backlog: list[JobSpec]) -> bool:
     """Whether a task of any of the jobs could run on the machine."""
     offer = InstanceOffer(InstanceKind(machine.type, machine.zone, machine.spot), machine_type)
-    return any(offer.suits(spec) for spec in backlog)
+    return any(offer.can_run(spec) for spec in backlog)
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -53,7 +53,7 @@
         overcommit: float,
     ) -> None:
         self.offers: list[InstanceOffer] = scaling.instance_offers(tables.machine_types)
-        self.quota = scaling.RemainingQuota.of(settings)
+        self.quota = scaling.RemainingQuota.from_settings(settings)
         supply: dict[InstanceKind, float] = {}
         for row in tables.machines.values():
             kind = InstanceKind(row.type, row.zone, row.spot)
@@ -94,7 +94,7 @@
         for offer in self.offers:
             if tasks >= limit:
                 break
-            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+            if self.free[offer.kind] > MIN_MACHINES and offer.can_run(spec):
                 tasks += self._whole_tasks_in(spec, offer)
         return min(limit, int(tasks + MIN_MACHINES))
 
@@ -109,7 +109,7 @@
         for offer in self.offers:
             if tasks <= 0:
                 return
-            if self.free[offer.kind] > MIN_MACHINES and offer.suits(spec):
+            if self.free[offer.kind] > MIN_MACHINES and offer.can_run(spec):
                 machines_per_task = scaling.machines_needed(spec, 1, offer.type)
                 count = min(tasks, int(self._whole_tasks_in(spec, offer) + MIN_MACHINES))
                 self.free[offer.kind] -= count * machines_per_task
--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -55,7 +55,7 @@
         quota_allocations: By team, the current allocation of this controller.
         idle_claims: Returns the set of a job's tasks that this controller has claimed but not placed. It is a function
             so that it is computed only for the jobs that the pass reaches.
-        cores_ahead: The number of cores that are expected to become free in the time that a claim takes.
+        expected_free_cores: The number of cores that are expected to become free in the time that a claim takes.
         min_task_cores: The smallest number of cores that a task of any job needs.
         reservations: The reservations, by machine.
         reserved_usage: By job with a reservation, the part of its team's limit that is reserved for it.
@@ -70,7 +70,7 @@
     available_quota: Mapping[str, quota.ResourceAmount]
     quota_allocations: Mapping[str, quota.ResourceAmount]
     idle_claims: Callable[[Job], int]
-    cores_ahead: float
+    expected_free_cores: float
     min_task_cores: float
     reservations: Mapping[str, placement.Reservation]
     reserved_usage: Mapping[str, quota.ReservedQuota]
@@ -95,16 +95,16 @@
     affinity_s: float
 
     @staticmethod
-    def of(settings: Settings, txn_ops: int, tick_interval_s: float) -> PlanLimits:
+    def from_settings(settings: Settings, max_transaction_changes: int, tick_interval_s: float) -> PlanLimits:
         """Computes the limits.
 
         Args:
             settings: The settings.
-            txn_ops: The maximum number of changes in a transaction at present.
+            max_transaction_changes: The maximum number of changes in a transaction at present.
             tick_interval_s: The time between two ticks, in seconds.
         """
         return PlanLimits(
-            max_jobs=max(1, txn_ops // 2),
+            max_jobs=max(1, max_transaction_changes // 2),
             max_capacities_scanned=MAX_SCAN_TIME_SHARE
             * MACHINES_SCANNED_PER_CORE_S
             * settings.controller_cores
@@ -149,7 +149,7 @@
         self.tables = tables
         self.recovery_complete = tables.recovery_complete()
         self.capacities = snapshot.capacities
-        self.remaining_cores_ahead = snapshot.cores_ahead
+        self.remaining_expected_cores = snapshot.expected_free_cores
         self.capacities_scanned = 0
         # Shapes that fitted no machine. They need not be tried again, since capacity only shrinks during the pass.
         self.unplaceable_shapes: set[PlacementShape] = set()
@@ -170,7 +170,7 @@
             position: The index of this controller among them; it keeps controllers from all claiming the same job.
         """
         for job in claim_order.order_by_affinity(queue, controller_count, position, self.snapshot.has_image_affinity):
-            if not self.capacities and self.remaining_cores_ahead < self.snapshot.min_task_cores:
+            if not self.capacities and self.remaining_expected_cores < self.snapshot.min_task_cores:
                 self.claims.remaining_capacities = []
                 break  # no later job can get capacity; with a backlog the queue is long and is scanned often
             if (
@@ -290,9 +290,9 @@
         ahead = 0
         if not (spec.gang or spec.zone_bound):
             ahead = min(
-                count - placed_count, int(self.remaining_cores_ahead // max(spec.cores, quota.ROUNDING_TOLERANCE))
+                count - placed_count, int(self.remaining_expected_cores // max(spec.cores, quota.ROUNDING_TOLERANCE))
             )
-            self.remaining_cores_ahead -= ahead * spec.cores
+            self.remaining_expected_cores -= ahead * spec.cores
         wanted = min(unclaimed.bit_count(), max(0, placed_count + ahead - idle_count))
         is_worth_a_write = placed_count > idle_count or 2 * idle_count < ahead
         claims = self.claims
--- a/sloeswitch/core/job_priority.py
+++ b/sloeswitch/core/job_priority.py
@@ -37,12 +37,12 @@
     return own if job.inherited_rank is None else min(own, job.inherited_rank)
 
 
-class InheritedTarget(NamedTuple):
+class InheritedValues(NamedTuple):
     """The priority and the deadlines that a job inherits from the jobs that depend on it."""
 
     rank: int | None
     # When the job must be done for the first and for the last of their deadlines, in milliseconds since the Unix epoch.
-    due_ms: tuple[float, float] | None
+    deadlines_ms: tuple[float, float] | None
 
 
 def propagate_priorities(tables: Tables, settings: Settings) -> None:
@@ -64,7 +64,7 @@
         self.settings = settings
         # The image fetch rate of the slowest machine type, in GB/s; 0 if not known.
         self.fetch_gb_s = min(
-            (kind.fetch_gb_s for kind in tables.machine_types.values() if kind.fetch_gb_s > 0), default=0.0
+            (each.fetch_gb_s for each in tables.machine_types.values() if each.fetch_gb_s > 0), default=0.0
         )
         # By job: its successors that are neither cancelled nor visited yet.
         self.unvisited_successors = {
@@ -89,26 +89,26 @@
                 job.slo_targets_s = None
                 job.guaranteed = None
 
-    def _clear_inherited(self) -> dict[str, InheritedTarget]:
+    def _clear_inherited(self) -> dict[str, InheritedValues]:
         """Clears the inherited values of all jobs.
 
         Returns:
             The values that the jobs had, by job: all jobs that had any, and all that have successors.
         """
-        before: dict[str, InheritedTarget] = {}
+        before: dict[str, InheritedValues] = {}
         for name, job in self.jobs.items():
             if (
                 job.inherited_rank is not None
                 or job.inherited_deadlines is not None
                 or name in self.unvisited_successors
             ):
-                before[name] = InheritedTarget(job.inherited_rank, job.inherited_deadlines)
+                before[name] = InheritedValues(job.inherited_rank, job.inherited_deadlines)
                 job.inherited_rank = job.inherited_deadlines = None
         return before
 
     def _visit(self, job: Job) -> list[str]:
         """Propagates a job's priority and deadlines to its prerequisites; returns those that can be visited next."""
-        inherited = InheritedTarget(effective_priority(job), self._start_by_ms(job))
+        inherited = InheritedValues(effective_priority(job), self._start_by_ms(job))
         ready: list[str] = []
         for name in job.spec.prerequisites:
             successors = self.unvisited_successors.get(name)
@@ -127,27 +127,27 @@
         One step of the path takes the job's estimate, the time to fetch its image and one report interval.
         """
         spec = job.spec
-        due_s = deadlines(spec, self.settings.objectives)
-        if spec.deadline_s is not None and not due_s:
-            due_s.add(spec.deadline_s)
-        due_ms = [job.submitted_ms + 1000 * each_s for each_s in due_s]
+        deadlines_s = deadlines(spec, self.settings.objectives)
+        if spec.deadline_s is not None and not deadlines_s:
+            deadlines_s.add(spec.deadline_s)
+        deadlines_ms = [job.submitted_ms + 1000 * each_s for each_s in deadlines_s]
         if job.inherited_deadlines is not None:
-            due_ms += job.inherited_deadlines
-        if not due_ms:
+            deadlines_ms += job.inherited_deadlines
+        if not deadlines_ms:
             return None
         fetch_s = spec.image_gb / self.fetch_gb_s if self.fetch_gb_s else 0.0
         step_ms = 1000 * (spec.estimate_s + self.settings.report_s + fetch_s)
-        return min(due_ms) - step_ms, max(due_ms) - step_ms
+        return min(deadlines_ms) - step_ms, max(deadlines_ms) - step_ms
 
 
-def _inherit(job: Job, inherited: InheritedTarget) -> None:
+def _inherit(job: Job, inherited: InheritedValues) -> None:
     """Merges into a job what it inherits from one successor.
 
     Keeps the highest priority, the earliest of the first deadlines and the earliest of the last deadlines.
     """
     if inherited.rank is not None:
         job.inherited_rank = inherited.rank if job.inherited_rank is None else min(inherited.rank, job.inherited_rank)
-    if inherited.due_ms is not None:
-        first, last = inherited.due_ms
+    if inherited.deadlines_ms is not None:
+        first, last = inherited.deadlines_ms
         known = job.inherited_deadlines or (first, last)
         job.inherited_deadlines = InheritedDeadlines(min(first, known[0]), min(last, known[1]))
--- a/sloeswitch/core/machine_registry.py
+++ b/sloeswitch/core/machine_registry.py
@@ -299,15 +299,15 @@
         """The set of the job's tasks that are on this controller's machines, or may be on machines it handed off."""
         return self.placed_tasks.get(job, 0) | self.handed_off_tasks.get(job, 0)
 
-    def unplaced_tasks(self, job: str, claimed: int, done: int) -> int:
-        """The set of claimed tasks that may be placed: all but those that are done or busy (see `busy_tasks`).
+    def unplaced_tasks(self, job: str, claimed: int, excluded: int) -> int:
+        """The set of claimed tasks that may be placed: all but those that are excluded or busy (see `busy_tasks`).
 
         Args:
             job: The job's id.
             claimed: The set of the job's tasks that this controller claims.
-            done: The set of its tasks that must not be placed: completed tasks, and tasks being released.
+            excluded: The set of its tasks that must not be placed: completed tasks, and tasks being released.
         """
-        return claimed & ~done & ~self.busy_tasks(job)
+        return claimed & ~excluded & ~self.busy_tasks(job)
 
     # -- commands
 
--- a/sloeswitch/core/placement.py
+++ b/sloeswitch/core/placement.py
@@ -153,15 +153,15 @@
     expensive and empty machines free of tasks, so that they can be returned to the cloud.
     """
     # Equivalent to max_tasks() > 0, but without a call for each of the thousands of machines scanned for each job.
-    least_cores, least_gpus, least_memory_gb = (
+    min_cores, min_gpus, min_memory_gb = (
         amount - ROUNDING_TOLERANCE if amount > 0 else -math.inf for amount in (spec.cores, spec.gpus, spec.memory)
     )
     candidates = [
         capacity
         for capacity in capacities
-        if capacity.cores >= least_cores
-        and capacity.memory_gb >= least_memory_gb
-        and capacity.gpus >= least_gpus
+        if capacity.cores >= min_cores
+        and capacity.memory_gb >= min_memory_gb
+        and capacity.gpus >= min_gpus
         and satisfies_constraints(spec, capacity)
     ]
     candidates.sort(key=lambda each: (each.scarce, spec.image not in each.images, not each.spot, each.cores))
--- a/sloeswitch/core/preemption.py
+++ b/sloeswitch/core/preemption.py
@@ -63,7 +63,7 @@
                 preemptible_counts[name] = int(PREEMPTIBLE_SHARE * placed_tasks.get(name, 0).bit_count())
         return QueueOrder(positions, preemptible_counts)
 
-    def is_behind(self, job: str, other: str) -> bool:
+    def precedes(self, job: str, other: str) -> bool:
         """Whether `job` goes before `other` in the queue."""
         last = len(self.positions)
         return self.positions.get(other, last) > self.positions.get(job, last)
@@ -81,7 +81,7 @@
             continue
         if PRIORITY_RANKS[attempt.spec.priority] <= effective_priority(job):
             continue
-        if not order.is_behind(job.spec.id, attempt.job):
+        if not order.precedes(job.spec.id, attempt.job):
             if preempted[attempt.job] >= order.preemptible_counts.get(attempt.job, 0):
                 continue
             preempted[attempt.job] += 1
--- a/sloeswitch/core/scaling.py
+++ b/sloeswitch/core/scaling.py
@@ -60,7 +60,7 @@
         """The price by which offers are compared."""
         return self.price / max(self.type.cores, MIN_CORES)
 
-    def suits(self, spec: JobSpec, bound_zone: str | None = None) -> bool:
+    def can_run(self, spec: JobSpec, bound_zone: str | None = None) -> bool:
         """Whether a task of the job may run on such a machine.
 
         Args:
@@ -85,9 +85,9 @@
     # other zones, which the job can't use, have free capacity.
     bound_zone: str | None = None
 
-    def suits(self, offer: InstanceOffer) -> bool:
+    def can_run_on(self, offer: InstanceOffer) -> bool:
         """Whether the tasks may run on machines of the offered kind."""
-        return offer.suits(self.spec, self.bound_zone)
+        return offer.can_run(self.spec, self.bound_zone)
 
 
 class RemainingQuota:
@@ -97,7 +97,7 @@
         self._amounts = dict(amounts)
 
     @classmethod
-    def of(cls, settings: Settings) -> RemainingQuota:
+    def from_settings(cls, settings: Settings) -> RemainingQuota:
         """Starts with the whole limit of each team."""
         return cls({name: ResourceAmount(team.cpus_max, team.gpus_max) for name, team in settings.teams.items()})
 
@@ -186,27 +186,27 @@
     """The demand of jobs that are runnable, or soon will be, within the teams' limits, the oldest first."""
     jobs = (job for job in tables.jobs.values() if job.is_runnable or is_runnable_soon(job, tables))
     return demand_within_quota(
-        jobs, RemainingQuota.of(settings), lambda job: parallel_tasks(job, settings, wall_clock_ms, spread)
+        jobs, RemainingQuota.from_settings(settings), lambda job: parallel_tasks(job, settings, wall_clock_ms, spread)
     )
 
 
 # -- supply and offers
 
 
-def machines_needed(spec: JobSpec, tasks: int, kind: MachineType) -> float:
+def machines_needed(spec: JobSpec, tasks: int, machine_type: MachineType) -> float:
     """How many machines of the type the tasks would fill; may be fractional."""
-    shares = [spec.cores / kind.cores if kind.cores else 0.0]
-    shares.append(spec.memory / kind.memory if kind.memory else 0.0)
-    shares.append(spec.gpus / kind.gpus if kind.gpus else 0.0)
+    shares = [spec.cores / machine_type.cores if machine_type.cores else 0.0]
+    shares.append(spec.memory / machine_type.memory if machine_type.memory else 0.0)
+    shares.append(spec.gpus / machine_type.gpus if machine_type.gpus else 0.0)
     return tasks * max(shares)
 
 
 def instance_offers(types: dict[str, MachineType]) -> list[InstanceOffer]:
     """All kinds of machine in a catalog, the lowest price per core first."""
     found = [
-        InstanceOffer(InstanceKind(kind.name, zone, spot), kind)
-        for kind in types.values()
-        for zone in kind.zones
+        InstanceOffer(InstanceKind(machine_type.name, zone, spot), machine_type)
+        for machine_type in types.values()
+        for zone in machine_type.zones
         for spot in (True, False)
     ]
     found.sort(key=lambda offer: offer.price_per_core)
@@ -233,7 +233,7 @@
         for offer in offers:
             if tasks <= 0:
                 break
-            if unused[offer.kind] > 0 and wanted.suits(offer):
+            if unused[offer.kind] > 0 and wanted.can_run_on(offer):
                 share = machines_needed(wanted.spec, 1, offer.type)
                 packed = min(tasks, unused[offer.kind] / share) if share > 0 else tasks
                 unused[offer.kind] -= packed * share
@@ -281,16 +281,18 @@
     # A job that can run on no supplied machine gets one even if it would fill only a small part of it. Otherwise a
     # small job would never start: for example a job that may not use spot machines, when only spot machines are left.
     without_machine = [
-        wanted for wanted in unmet if not any(supply.get(offer.kind, 0) > 0 and wanted.suits(offer) for offer in offers)
+        wanted
+        for wanted in unmet
+        if not any(supply.get(offer.kind, 0) > 0 and wanted.can_run_on(offer) for offer in offers)
     ]
     worthwhile: list[tuple[InstanceOffer, float]] = []
     for offer in offers:
         if offer.kind in refused:
             continue
         machines = sum(
-            machines_needed(wanted.spec, 1, offer.type) * wanted.tasks for wanted in unmet if wanted.suits(offer)
+            machines_needed(wanted.spec, 1, offer.type) * wanted.tasks for wanted in unmet if wanted.can_run_on(offer)
         )
-        if machines >= MIN_FILL_TO_SCALE_OUT or any(wanted.suits(offer) for wanted in without_machine):
+        if machines >= MIN_FILL_TO_SCALE_OUT or any(wanted.can_run_on(offer) for wanted in without_machine):
             worthwhile.append((offer, machines))
     if not worthwhile:
         return None
--- a/sloeswitch/core/slo_targets.py
+++ b/sloeswitch/core/slo_targets.py
@@ -17,12 +17,12 @@
     """The deadlines of a job in seconds since its submission, one for each deadline objective of its class."""
     if spec.deadline_s is None:
         return set()
-    times = {
+    factors = {
         objective.deadline_factor
         for objective in objectives
         if objective.kind == ObjectiveKind.DEADLINE and objective.job_class == spec.job_class
     }
-    return {each * spec.deadline_s for each in times}
+    return {factor * spec.deadline_s for factor in factors}
 
 
 def slo_targets(job: Job, objectives: tuple[Objective, ...]) -> list[float]:
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -78,8 +78,8 @@
     order = preemption.QueueOrder.of([old, new], {RUNNING_JOB: 0b11111})
     assert (
         order.preemptible_counts == {RUNNING_JOB: 2}
-        and order.is_behind(RUNNING_JOB, PREEMPTOR)
-        and not order.is_behind(PREEMPTOR, RUNNING_JOB)
+        and order.precedes(RUNNING_JOB, PREEMPTOR)
+        and not order.precedes(PREEMPTOR, RUNNING_JOB)
     )
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -61,7 +61,9 @@
 
 def claim_planner(fleet: FleetWorld) -> ClaimPlanner:
     machines = fleet.machines
-    limits = PlanLimits.of(fleet.settings, fleet.client.max_transaction_changes, machines.claims.tick_interval_s)
+    limits = PlanLimits.from_settings(
+        fleet.settings, fleet.client.max_transaction_changes, machines.claims.tick_interval_s
+    )
     return ClaimPlanner(machines.claims.capacity_snapshot(fleet.clock.time), limits, fleet.store.tables)
 
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -66,7 +66,7 @@
     for number in (1, 2):
         store.job(spec(f"wk-00000{number}", visits=100, cores=1.0))
     store.job(spec("wk-000003", crew="nobody"))
-    quota = scaling.RemainingQuota.of(settings)
+    quota = scaling.RemainingQuota.from_settings(settings)
     jobs = list(store.tables.jobs.values())
     quota.take(jobs[0].spec, int(limit) - 5)
     demand = scaling.demand_within_quota(jobs, quota, lambda job: 3)
