--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -50,7 +50,8 @@
 
     Attributes:
         capacities: The free capacity of the controller's schedulable machines.
-        team_usage: By team, what its tasks on these machines use.
+        team_usage: By team, the usage of its tasks that are on these machines or may be on machines that this
+            controller handed off.
         available_quota: By team, the largest allocation that this controller could get.
         quota_allocations: By team, the current allocation of this controller.
         idle_claims: Returns the set of a job's tasks that this controller has claimed but not placed. It is a function
