--- a/sloeswitch/core/job_queue.py
+++ b/sloeswitch/core/job_queue.py
@@ -114,7 +114,7 @@
 ) -> list[Job]:
     """Returns the runnable jobs in the order in which they get free capacity; a starved job is listed twice.
 
-    Sets the fields `guaranteed` (if it is None, or for a job from another cell), `starved` and `queue_rank` of the jobs.
+    Sets the fields `guaranteed` (unless set, or for a job from another cell), `starved` and `queue_rank` of the jobs.
     """
     if tables.graph.priorities_stale:
         propagate_priorities(tables, settings)
