--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -27,7 +27,7 @@
 
 
 class CloudError(Exception):
-    """The cloud gave no usable answer; the request may or may not be executed."""
+    """The cloud gave no usable answer; the request may or may not have been executed."""
 
 
 class CloudStatusError(CloudError):
@@ -45,7 +45,7 @@
 class CloudClient:
     """Calls the cloud within this controller's share of the cloud's rate limit.
 
-    The coordinator has the largest share, because only it lists and rents machines. The other controllers only return
+    The coordinator has the largest share, because only it lists and rents machines. The other controllers only delete
     machines, many per call.
 
     Attributes:
@@ -76,7 +76,7 @@
         """Rents machines.
 
         Returns:
-            The names of the machines, possibly fewer than requested; None if the cloud has no such capacity.
+            The ids of the machines, possibly fewer than requested; None if the cloud has no capacity for any of them.
 
         Raises:
             CloudError: There is no usable answer; machines may have been rented.
@@ -122,8 +122,8 @@
     async def _wait_for_rate(self) -> None:
         """Takes a token for one call, and waits until the bucket is no longer overdrawn.
 
-        Calls use the priority that may overdraw the bucket, so that each call waits longer than the one before it and
-        calls go out in order.
+        Calls use the priority LEASE because it may overdraw the bucket: each waiting call then waits longer than the
+        one before it, so that calls are sent in order.
         """
         fraction = self._coordinator_fraction if self.is_coordinator() else self._follower_fraction
         self.call_tokens.rate = self._rate * fraction
--- a/sloeswitch/controller.py
+++ b/sloeswitch/controller.py
@@ -45,8 +45,8 @@
 CANCELLATION_LOG_WORKER_LEASES = 16
 # An idle connection is closed after this many worker leases.
 IDLE_CONNECTION_WORKER_LEASES = 6
-# The fraction of all sockets that users and workers may use; the others are for the state service, the cloud, siblings
-# and commands sent directly to workers.
+# The fraction of the limit on open files that connections of users and workers may use; the rest is for connections to
+# the state service, the cloud, siblings and workers that receive direct commands.
 SERVER_SOCKETS_SHARE = 0.7
 
 
--- a/sloeswitch/http.py
+++ b/sloeswitch/http.py
@@ -193,8 +193,9 @@
 class Server:
     """Serves one address.
 
-    When the maximum number of connections is open, a new connection replaces the one that has been idle longest. One
-    loop checks the time limits of all connections, because a timer per request took a tenth of the cost of a heartbeat.
+    When the maximum number of connections is open, a new connection replaces the one that has been idle longest; if
+    none is idle, the new one is closed. One loop checks the time limits of all connections, because a timer per request
+    would add a tenth to the cost of a heartbeat.
 
     Attributes:
         handler: Returns the answer to a request.
@@ -289,7 +290,7 @@
             connection.closes_at = math.inf
             answer = await self.handler(request)
         connection.closes_at = self.now() + self.request_timeout_s
-        # h11 raises an error for a body in an answer to HEAD, which would end the whole controller if uncaught.
+        # h11 raises an error for a body in an answer to HEAD, and the client would get no answer.
         await connection.stream.send(encode_answer(parser, answer, without_body=request.method == "HEAD"))
         if answer.close or parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             return False
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -82,7 +82,7 @@
 
 @dataclass
 class Peer:
-    """The last status received from a sibling.
+    """What this controller knows of a sibling: the last status received from it, and how to poll it.
 
     Attributes:
         requested_at: When the request for this status was sent, in seconds of the monotonic clock.
--- a/sloeswitch/mesh_frames.py
+++ b/sloeswitch/mesh_frames.py
@@ -73,12 +73,12 @@
 STATUS_REQUEST = struct.Struct("!QQQQ")
 # View number, flags, log identifier, log position, number of cancellations that follow.
 STATUS = struct.Struct("!QBQQH")
-# The revision, and the length of the job name, which follows.
+# The revision, and the length of the job id that follows.
 CANCELLATION = struct.Struct("!QB")
 
 MAX_BODY_BYTES = 0xFFFF
 MAX_NAME_BYTES = 255
-# The most cancellations in one frame: a frame with this many job names of maximum length still fits the body limit.
+# The most cancellations in one frame: a frame with this many job ids of maximum length still fits the body limit.
 MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + MAX_NAME_BYTES)
 # Higher than the number of any view, so that a controller of an earlier version stops answering workers.
 UNCONFIRMING_VIEW_NUMBER = (1 << 64) - 1
@@ -152,7 +152,7 @@
         """Decodes the body of a status.
 
         Raises:
-            FrameError: The body is truncated, has extra bytes at its end, or a job name is not UTF-8.
+            FrameError: The body is truncated, has extra bytes at its end, or a job id is not UTF-8.
         """
         try:
             view_number, flags, log_id, position, count = STATUS.unpack_from(body)
@@ -177,7 +177,7 @@
         revision, length = CANCELLATION.unpack_from(body, offset)
         offset += CANCELLATION.size
         if offset + length > len(body):
-            raise FrameError("status ends within the name of a cancelled job")
+            raise FrameError("status ends within the id of a cancelled job")
         cancellations.append(Cancellation(body[offset : offset + length].decode(), revision))
         offset += length
     return cancellations, offset
--- a/sloeswitch/own_writes.py
+++ b/sloeswitch/own_writes.py
@@ -35,8 +35,8 @@
     def confirm(self, events: Iterable[wire.ChangeEvent], applied_revision: int) -> OwnWrite | None:
         """Removes the writes that were read back.
 
-        Detects a transaction's answer whose revision is not the modification revision of the stored rows. Conditions
-        on that revision would never hold.
+        This detects that the revision in the answer to a transaction differs from the modification revision of the
+        rows that it wrote. Later transactions with a condition on the revision in the answer would always conflict.
 
         Args:
             events: The changes that were read.
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -23,9 +23,9 @@
 
 log = logging.getLogger("state")
 
-# Of the requests that a controller's share of the rate limit allows, about one in this many reads the change feed.
+# About one in this many of the requests within a controller's share of the rate limit reads the change feed.
 REQUESTS_PER_WATCH = 4.0
-# Of the same requests, at most one in this many is a linearizable read.
+# At most one in this many of the same requests is a linearizable read.
 REQUESTS_PER_LINEARIZABLE_READ = 2.0
 
 
@@ -40,7 +40,7 @@
     tables to the current state.
 
     Attributes:
-        tables: The local copy of the rows in the state service. Only the replica changes them.
+        tables: The local copy of the rows in the state service. Only the replica applies rows to them.
         applied_revision: The revision up to which all changes are applied to the tables.
         loaded: Whether the tables hold a snapshot to which changes can be applied.
         fully_read: Whether a snapshot has been loaded since this process started; it stays true.
--- a/sloeswitch/settings.py
+++ b/sloeswitch/settings.py
@@ -148,7 +148,7 @@
 
     @property
     def max_silence_s(self) -> float:
-        """How long a machine may neither report nor be answered before it counts as unresponsive."""
+        """The time without a report from a machine or an answer to it after which it counts as unresponsive."""
         return max(MAX_SILENCE_REPORT_INTERVALS * self.report_s, MAX_SILENCE_LEASE_SHARE * self.lease_s)
 
     @property
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -1,8 +1,8 @@
 """The client of the state service, a consensus-backed key-value store.
 
 The rate limits of the service are divided among the controllers; each client keeps its requests within its own share.
-Actors write through `StateClient.compare_and_swap`, `membership` renews its lease through `StateClient.call`, and only
-`replica` reads.
+Actors and optional features write through `StateClient.compare_and_swap`, `membership` obtains and renews the lease
+through `StateClient.call`, and only `replica` reads.
 """
 
 from __future__ import annotations
@@ -121,8 +121,8 @@
     def available_changes(self, priority: RequestPriority) -> int:
         """The maximum number of changes in one transaction of this priority.
 
-        A larger transaction than the bucket can serve above its reserve for higher priorities would overdraw it, and
-        users' submissions would have to wait.
+        A larger transaction would take tokens that are reserved for higher priorities, and users' submissions would
+        have to wait.
         """
         self._update_rates()
         unreserved_changes = int(self.write_tokens.rate * (1 - RESERVED_FRACTION[priority]))
@@ -177,7 +177,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether the state service answers, or its requests have failed for less than `timeout_s`."""
+        """Whether the state service answers, or requests to it have failed for less than `timeout_s`."""
         return self.failing_since is None or self.now() - self.failing_since < self.timeout_s
 
     def _record_status(self, status: int) -> None:
--- a/sloeswitch/wire/cloud.py
+++ b/sloeswitch/wire/cloud.py
@@ -26,7 +26,8 @@
     cores: float
     gpus: float
     memory: float
-    # The size of the image cache, and the rate at which images are fetched, in GB per second, give or take a third.
+    # The size of the image cache, and the rate at which images are fetched, in GB per second; the actual rate differs
+    # from it by up to a third.
     cache_gb: float
     fetch_gb_s: float
     # Prices per hour, billed by the second; the spot price varies by up to a third.
@@ -58,7 +59,7 @@
 
 
 class InstancesCreated(Struct, rename={"instances": "hosts"}):
-    """The names of the created instances; fewer than requested if the cloud had no capacity for more."""
+    """The ids of the created instances; fewer than requested if the cloud had no capacity for more."""
 
     instances: list[str]
 
@@ -66,7 +67,7 @@
 class Instance(
     Struct, rename={"type": "build", "zone": "district", "spot": "loaners", "state": "status", "age_s": "heldS"}
 ):
-    """An instance in the cloud's list: `starting`, `running` or `failed`. Its age counts from the request."""
+    """An instance in the cloud's list, in state `starting`, `running` or `failed`; its age counts from the request."""
 
     id: str
     address: str
@@ -78,7 +79,7 @@
 
 
 class InstancePage(Struct, rename={"instances": "hosts", "more": "hasNext"}):
-    """A page of the list of instances, sorted by name (GET /machines). The list lags behind the actual instances."""
+    """A page of the list of instances, sorted by id (GET /machines). The list lags behind the actual instances."""
 
     instances: list[Instance]
     more: bool
