--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -22,7 +22,7 @@
 from sloeswitch.core.incarnation import Incarnation
 from sloeswitch.core.records import View
 from sloeswitch.core.tables import Tables
-from sloeswitch.mesh import Mesh, PeerStatus
+from sloeswitch.mesh import ControllerStatus, Mesh
 from sloeswitch.replica import Replica
 from sloeswitch.settings import Settings
 
@@ -128,10 +128,10 @@
             for peer in peers
         )
 
-    def peer_status(self) -> PeerStatus:
+    def peer_status(self) -> ControllerStatus:
         """The status that this controller sends to its siblings over the mesh."""
         replica = self.replica
-        return PeerStatus(
+        return ControllerStatus(
             self.view.number,
             replica.client.is_reachable,
             replica.applied_revision,
--- a/sloeswitch/mesh.py
+++ b/sloeswitch/mesh.py
@@ -47,13 +47,13 @@
 
 
 @dataclass(frozen=True)
-class PeerStatus:
+class ControllerStatus:
     """The status that a controller reports to its siblings.
 
     Attributes:
         view_number: The highest view number that the controller knows; 0 if it knows none yet.
         state_reachable: Whether the controller reaches the state service.
-        read_revision: The revision up to which the controller has read all changes; 0 before the first read.
+        applied_revision: The revision up to which the controller has read all changes; 0 before the first read.
         fully_read: Whether the controller has read all tables since it started. Before that it may not know of
             cancellations that its previous process confirmed to users.
         layout_complete: Whether every configured controller has run a version that supports status frames, as the
@@ -62,7 +62,7 @@
 
     view_number: int
     state_reachable: bool
-    read_revision: int
+    applied_revision: int
     fully_read: bool
     layout_complete: bool
 
@@ -76,7 +76,7 @@
         apply_cancellations: Applies cancellations that a sibling sent; called before the sibling's status is recorded.
     """
 
-    status: Callable[[], PeerStatus]
+    status: Callable[[], ControllerStatus]
     apply_cancellations: Callable[[list[Cancellation]], None]
 
 
@@ -220,7 +220,7 @@
         """Polls with a status request; returns whether the next request should follow at once."""
         requested_at = self.now()
         status = self.callbacks.status()
-        request = StatusRequest(status.view_number, status.read_revision, peer.log_id, peer.log_position)
+        request = StatusRequest(status.view_number, status.applied_revision, peer.log_id, peer.log_position)
         await stream.send(request.pack())
         answer = StatusFrame.unpack(await reader.read_body(await reader.read_header(), FrameType.STATUS))
         self.apply_status(peer, requested_at, answer)
--- a/sloeswitch/mesh_frames.py
+++ b/sloeswitch/mesh_frames.py
@@ -77,9 +77,9 @@
 CANCELLATION = struct.Struct("!QB")
 
 MAX_BODY_BYTES = 0xFFFF
-MAX_NAME_BYTES = 255
+MAX_JOB_ID_BYTES = 255
 # The most cancellations in one frame: a frame with this many job ids of maximum length still fits the body limit.
-MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + MAX_NAME_BYTES)
+MAX_CANCELLATIONS = (MAX_BODY_BYTES - STATUS.size) // (CANCELLATION.size + MAX_JOB_ID_BYTES)
 # Higher than the number of any view, so that a controller of an earlier version stops answering workers.
 UNCONFIRMING_VIEW_NUMBER = (1 << 64) - 1
 
--- a/sloeswitch/wire/state_service.py
+++ b/sloeswitch/wire/state_service.py
@@ -53,21 +53,23 @@
     lease_id: int
 
 
-def commit_body(conditions: dict[str, int], writes: dict[str, Any], drops: list[str], lease: dict[str, int]) -> bytes:
+def commit_body(
+    conditions: dict[str, int], writes: dict[str, Any], deletes: list[str], leases: dict[str, int]
+) -> bytes:
     """Encodes the body of a transaction (POST /multi).
 
     Args:
         conditions: The modification revision that each of these keys must have, 0 for an absent key. Otherwise the
             transaction is not executed.
         writes: The values to write, by key.
-        drops: The keys to delete.
-        lease: The lease to which a written key is attached, by key.
+        deletes: The keys to delete.
+        leases: The lease to which a written key is attached, by key.
     """
     then: list[dict[str, Any]] = []
     for key, value in writes.items():
         item = {"write": key, "v": value}
-        if key in lease:
-            item["permit"] = lease[key]
+        if key in leases:
+            item["permit"] = leases[key]
         then.append(item)
-    then.extend({"drop": key} for key in drops)
+    then.extend({"drop": key} for key in deletes)
     return encode({"if": [{"k": key, "stamp": stamp} for key, stamp in conditions.items()], "then": then})
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -24,7 +24,7 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.http import Answer, Request
-from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh import ControllerStatus, Mesh, MeshCallbacks
 from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, report, spec, submission
@@ -181,7 +181,7 @@
         (),
         1.0,
         world.clock.now,
-        MeshCallbacks(lambda: PeerStatus(view, False, 0, whole, True), lambda entries: None),
+        MeshCallbacks(lambda: ControllerStatus(view, False, 0, whole, True), lambda entries: None),
         log,
     )
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -15,7 +15,7 @@
 from sloeswitch.core.placement import FreeCapacity
 from sloeswitch.core.scaling import InstanceKind
 from sloeswitch.frame_link import FrameLink, NoAnswerError
-from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh import ControllerStatus, Mesh, MeshCallbacks
 from sloeswitch.mesh_frames import FrameError, FrameType
 from sloeswitch.settings import Address
 from tests.conftest import MACHINE_TYPE, Store
@@ -69,7 +69,7 @@
             (),
             1.0,
             lambda: 0.0,
-            MeshCallbacks(lambda: PeerStatus(1, True, 1, True, True), lambda _: None),
+            MeshCallbacks(lambda: ControllerStatus(1, True, 1, True, True), lambda _: None),
             CancellationLog(1, 1),
         )
         async with anyio.create_task_group() as group:
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -15,7 +15,7 @@
 from sloeswitch.core.cancellation_log import CancellationLog
 from sloeswitch.features import PeerCell
 from sloeswitch.frame_link import NoAnswerError
-from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
+from sloeswitch.mesh import ControllerStatus, Mesh, MeshCallbacks
 from sloeswitch.mesh_frames import FrameError, FrameType
 from sloeswitch.settings import Address
 from tests.conftest import spec
@@ -40,7 +40,7 @@
             (),
             1.0,
             world.clock.now,
-            MeshCallbacks(lambda: PeerStatus(1, True, 1, True, True), lambda _: None),
+            MeshCallbacks(lambda: ControllerStatus(1, True, 1, True, True), lambda _: None),
             CancellationLog(1, 1),
         )
         async with anyio.create_task_group() as group:
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -60,7 +60,7 @@
     900.0,
 )
 HANDOFF = HandoffId("north", "wk-000412", 0x0102030405060708)
-STATUS = mesh.PeerStatus(3, True, 9, True, True)
+STATUS = mesh.ControllerStatus(3, True, 9, True, True)
 CALLBACKS = mesh.MeshCallbacks(lambda: STATUS, lambda _found: None)
 CANCELLED = [Cancellation("wk-000001", 5), Cancellation("wk-000022", 0x0A0B0C)]
 SUMMARY = Summary(
