--- a/sloeswitch/actors/registration.py
+++ b/sloeswitch/actors/registration.py
@@ -45,9 +45,9 @@
 class Registration:
     """Stores new machines and removes deleted ones in batches, because the state service limits the rate of changes.
 
-    `write_pause_s`: the pause in seconds after a write, during which its machines still count as pending, so that the
-    replica can read them before the next attempt. `on_change`: called when a write has ended, whether or not it
-    succeeded.
+    `write_pause_s`: how long, in seconds, the machines of a write still count as pending after it has ended. The
+    replica reads the stored machines in this time; a tick before that would store them again. `on_change`: called when
+    machines no longer count as pending, whether or not they were stored.
     """
 
     def __init__(self, context: ControllerContext, write_pause_s: float, on_change: Callable[[], None]) -> None:
@@ -59,13 +59,18 @@
         self.write_pause_s = write_pause_s
         self.on_change = on_change
         self.sleep: Callable[[float], Awaitable[None]] = anyio.sleep
-        # Machines whose registration is in flight, and deleted machines that are still stored.
+        # Machines whose registration is in flight or has ended less than `write_pause_s` ago, and deleted machines that
+        # are still stored.
         self.pending_registrations: set[str] = set()
         self.pending_removals: set[str] = set()
         self.groups_created = 0
 
     def _new_group_key(self, split_from: str = "") -> str:
-        """Returns a key that was never used. A group split off another one sorts after it by key (`core/tables.py`)."""
+        """Returns a key that was never used.
+
+        The key of a group that is split off another one sorts after it. Machines in both groups belong to the last one
+        (`core/row_application.py`), and so to the group that was split off.
+        """
         self.groups_created += 1
         prefix = f"{split_from}." if split_from else keys.machine_group_key("")
         return f"{prefix}{self.leadership.incarnation_id}.{self.groups_created}"
@@ -110,8 +115,8 @@
     async def store(self, new: NewMachines, view_number: int) -> None:
         """Stores new machines on condition of the view under which they were reconciled.
 
-        They count as pending until the write has ended, whether or not it succeeded. The next tick retries those that
-        are not stored by then.
+        They count as pending until `write_pause_s` after the write, whether or not it succeeded. The next tick retries
+        those that are not stored by then.
         """
         change = Transaction(self.leadership.view_conditions(), dict(new.writes))
         try:
@@ -147,7 +152,7 @@
             groups = self._remaining_groups(key)
             if len(groups) > 1 and not self.tables.layout_complete:
                 # A controller with an earlier layout would treat machines that move between groups as deleted. Until
-                # no controller has that layout, the group is left as it is; the extra row does little harm.
+                # no controller has that layout, the group and its deleted machines stay stored, which does little harm.
                 continue
             # Deleting a group is one change; splitting one takes a change per resulting group.
             changes = max(1, len(groups))
