--- a/sloeswitch/actors/cancelled_tasks.py
+++ b/sloeswitch/actors/cancelled_tasks.py
@@ -42,6 +42,11 @@
                         self._record_cancelled(machine, attempt, jobs_to_stop[attempt.job], now)
 
     def _release_unplaced(self) -> None:
+        """Releases the claims on unplaced tasks of cancelled jobs, except jobs with foreign attempts.
+
+        Those jobs keep their claims, because a cancelled job without claims is stored as finished, while a foreign
+        attempt may still run.
+        """
         cancelled = [job for job in self.tables.jobs.values() if job.is_cancelled]
         if not cancelled:
             return
--- a/sloeswitch/actors/commands.py
+++ b/sloeswitch/actors/commands.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class InspectionReply:
-    """The report of an inspected machine; None if the machine did not answer."""
+    """The report of an inspected machine; None if it did not answer, or answered with a status other than 200."""
 
     machine: str
     report: wire.WorkerReport | None
@@ -104,9 +104,11 @@
             self.send(machine)
 
     def probe(self, machine: Machine, now: float) -> None:
-        """Sends a command to a machine that does not report; while it does not answer, at most once per worker lease.
+        """Sends a command to a machine that does not report, unless it is too early to probe the machine again.
 
-        This also fences a machine that was just taken over: from then on it rejects commands with an older token.
+        The next probe is allowed a quarter of a report interval after the command has ended, or after a worker lease if
+        it has not ended by then. A probe also fences a machine that was just taken over: from then on it rejects
+        commands with an older token.
         """
         if now < self.probe_at.get(machine.name, 0.0) or not machine.address:
             return
@@ -121,7 +123,7 @@
         self.spawn(self._inspect, name, address, is_wanted)
 
     def awaits_first_answer(self, machine: Machine, now: float) -> bool:
-        """Whether a command is queued or in flight and none has failed since this controller owns the machine."""
+        """Whether a command is queued or in flight and none has failed since this controller became the owner."""
         name = machine.name
         is_open = name in self._queued or now < self._sent_at.get(name, float("-inf")) + self.timeout_s
         return is_open and self._failed_at.get(name, float("-inf")) < machine.owned_since
@@ -139,7 +141,7 @@
         return self._replied_at.get(machine, float("-inf"))
 
     def forget(self, machine: str) -> None:
-        """Drops the state of a machine that is gone."""
+        """Drops the state of a deleted machine."""
         self.failures.pop(machine, None)
         self.probe_at.pop(machine, None)
         self._sent_at.pop(machine, None)
@@ -160,7 +162,7 @@
     def record_ended(self, machine: Machine) -> None:
         """Records that a command ended, with or without an answer, and sets when the machine may be probed again.
 
-        A machine that this controller no longer owns may be probed at once if it returns.
+        A machine that this controller no longer owns may be probed at once when this controller owns it again.
         """
         self._queued.discard(machine.name)
         if machine.name in self.registry.machines:
--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -19,7 +19,7 @@
 
 
 class GangPreemption:
-    """Frees capacity for gangs of one task, and reserves it until they are placed."""
+    """Frees capacity for gangs of one task, and reserves it until they are claimed."""
 
     def __init__(self, shard: ShardState, kill: Callable[[Machine, Attempt, float], None]) -> None:
         context = shard.context
@@ -38,7 +38,7 @@
     def preempt_for_gangs(self, now: float) -> None:
         """Stops tasks of lower priority for each gang of one task that has been queued for a while.
 
-        The machine is reserved for the gang until the gang is placed, but no longer than a worker lease.
+        The machine is reserved for the gang until the gang is claimed, but no longer than a worker lease.
         """
         self._expire_reservations(now)
         if not self.queue.scarce_types:
--- a/sloeswitch/actors/job_messages.py
+++ b/sloeswitch/actors/job_messages.py
@@ -26,9 +26,9 @@
     # Teams whose row is written even if its value does not change, so that an earlier write with an unknown outcome
     # can no longer succeed.
     forced_rewrites: set[str] = field(default_factory=set)
-    # By job whose tasks are bound to zones, the zone to store with its first claim.
+    # By zone-bound job without a zone, the zone to store with its first claim.
     zones: dict[str, str] = field(default_factory=dict)
-    # By zone-bound job, the set of its tasks that fit the free capacity of their zones.
+    # By zone-bound job, the set of its tasks that fit the free capacity of its zone.
     zone_bound_tasks: dict[str, int] = field(default_factory=dict)
     # Set by the jobs actor: by job, the set of tasks that the transaction claims, whether or not it was committed. They
     # had no valid claim before.
--- a/sloeswitch/actors/job_requests.py
+++ b/sloeswitch/actors/job_requests.py
@@ -1,4 +1,4 @@
-"""Users' requests on jobs: submit, cancel, status. Each writes its own conditional transactions."""
+"""Users' requests on jobs: submit, cancel, status. The first two write their own conditional transactions."""
 
 from __future__ import annotations
 
--- a/sloeswitch/actors/leadership.py
+++ b/sloeswitch/actors/leadership.py
@@ -32,10 +32,12 @@
 class Leadership:
     """What the current incarnation is allowed to do. Only the membership actor writes it; every actor reads it.
 
-    An incarnation is one process run of a member, identified by its lease. The answers of an earlier owner of a machine
-    may keep a worker alive until the confirmations from siblings expire. A sibling that becomes the owner therefore
-    waits one controller lease on top of the worker's lease before it assumes that the worker is gone
-    (`Settings.takeover_expiry_s`).
+    An incarnation is a member under one lease. A member that restarts, or whose lease has expired, joins with a new
+    lease and is then a new incarnation.
+
+    The answers of an earlier owner of a machine may renew the worker's lease until the confirmations from siblings
+    expire. A sibling that becomes the owner therefore waits one controller lease on top of the worker's lease before it
+    counts the worker's tasks as ended (`Settings.takeover_expiry_s`).
     """
 
     def __init__(self, settings: Settings, tables: Tables, replica: Replica, now: Callable[[], float]) -> None:
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -1,8 +1,8 @@
 """The machines actor: heartbeats, commands, placement and accounting of the machines that this controller owns.
 
-For free capacity it claims the oldest ready tasks from the jobs actor (ClaimRequest), and it sends completions back
-(TaskUpdates), as a worker does in dwork (docs/design.md cites the paper). Tasks of lost machines are placed before new
-ones.
+For free capacity it claims tasks of the first jobs in the queue from the jobs actor (ClaimRequest), and it sends
+completions back (TaskUpdates), as a worker does in dwork (docs/design.md cites the paper). Claimed tasks that are not
+placed, such as those of lost machines, are placed before new ones are claimed.
 
 This module receives the messages and calls the modules that do the work, in order. Each module owns its own state; the
 state that they share is in shard_state.
@@ -188,7 +188,10 @@
         self.task_updates.prune_stored()
 
     def _log_recovery(self) -> None:
-        """Logs once per view that recovery is complete; it voids claims and allocations of departed controllers."""
+        """Logs once per view that recovery is complete.
+
+        Claims and allocations of departed controllers are then void.
+        """
         view_number = self.leadership.view.number
         if self.recovery_logged_view != view_number:
             self.recovery_logged_view = view_number
--- a/sloeswitch/actors/membership.py
+++ b/sloeswitch/actors/membership.py
@@ -41,9 +41,10 @@
 
 @dataclass
 class ShardRecovered:
-    """Recovery after a view change is complete: every machine that the view assigns to this controller is known.
+    """Recovery after a view change is complete: the tasks on all machines that this controller owns are known.
 
-    A machine is known once it has reported or can no longer run tasks of an earlier owner.
+    Every machine has reported or can no longer run tasks of an earlier owner, and the adoptions and completions found
+    are settled (`MachineRegistry.is_recovered`).
     """
 
     view_number: int
@@ -209,9 +210,10 @@
             await self._write_view()
 
     def _is_earlier_incarnation(self, incarnation: Incarnation) -> bool:
-        """Whether this is an earlier incarnation of the same member, whose process has ended.
+        """Whether this is an earlier incarnation of the same member.
 
-        The coordinator key of an earlier incarnation may be replaced.
+        It no longer acts, because its process has ended or has joined with a new lease. Its coordinator key may
+        therefore be replaced.
         """
         own = self.leadership.own_incarnation
         return incarnation.member == own.member and incarnation.lease_id != own.lease_id
--- a/sloeswitch/actors/quota_log.py
+++ b/sloeswitch/actors/quota_log.py
@@ -55,7 +55,7 @@
 
 
 def log_foreign(machine: str, foreign: Sequence[ForeignAttempt], view_number: int) -> None:
-    """Logs reported attempts that are being killed; no team's usage includes them until they have ended."""
+    """Logs foreign attempts of a report: they are being killed, and no team's usage here includes them."""
     cores: dict[str, float] = {}
     for attempt in foreign:
         team = attempt.team or "unknown"
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -1,8 +1,8 @@
 """Scaling in: selects idle machines, and deletes machines at the cloud.
 
 A machine is deleted by its owner, when it is idle or when the machines actor has another reason. The coordinator
-deletes failed instances and those that never registered, which it finds in the cloud's list. Machines are drained first
-if there is time.
+deletes failed instances and those that never registered, which it finds in the cloud's list. A faulty machine is
+drained first, and so is a surplus one if its tasks can move (`actors/surplus_drain.py`).
 """
 
 from __future__ import annotations
--- a/sloeswitch/actors/shard_summary.py
+++ b/sloeswitch/actors/shard_summary.py
@@ -12,7 +12,7 @@
 
 
 def log_summary(shard: ShardState) -> None:
-    """Logs the numbers of machines, cores, tasks and jobs of the shard."""
+    """Logs the numbers of machines, cores and tasks of the shard, and of jobs of all controllers."""
     tables, registry = shard.context.tables, shard.registry
     machines = [m for m in registry.machines.values() if m.reconciled and m.type in tables.machine_types]
     live = [job for job in tables.jobs.values() if job.status == JobState.LIVE]
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -1,4 +1,4 @@
-"""Stores a job's spec that exceeds the size limit of a value in chunks, each under its own key."""
+"""Splits a job's spec that exceeds the size limit of a value, and stores each chunk under its own key."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
         self._tables = context.tables
         self._leadership = context.leadership
         self._values_bytes = transaction_values_bytes(context.settings.value_bytes)
-        # The number of attempts of this incarnation. It is a part of the keys, so that no two attempts share a key.
+        # The number of attempts of this process. The keys of an attempt contain it and the incarnation, so that no two
+        # attempts share a key.
         self._attempt_count = 0
 
     async def store(self, spec: wire.JobSpec) -> StoredSpec | None:
--- a/sloeswitch/actors/task_update_outbox.py
+++ b/sloeswitch/actors/task_update_outbox.py
@@ -61,7 +61,7 @@
         add_tasks(self.unstored_releases, job, tasks)
 
     def withdraw_releases(self, claimed: dict[str, int]) -> None:
-        """Drops the releases of tasks that this controller claimed again.
+        """Ends the release of tasks that a transaction of this controller claims again, even if that is not committed.
 
         A task may be released and claimed again between two ticks. If it still counted as being released, this
         controller would never place it, and no other could claim it.
