--- a/sloeswitch/actors/base.py
+++ b/sloeswitch/actors/base.py
@@ -25,7 +25,7 @@
 
 
 class UnansweredError(Exception):
-    """The request has no answer: it is still waiting, or the actor failed while handling it."""
+    """The request has no answer: it has not been handled yet, or the actor failed while handling it."""
 
 
 @dataclass
--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -164,7 +164,7 @@
             )
 
     def _oldest_overdue(self, now: float) -> CancelledJob | None:
-        """The overdue job with the oldest cancellation; the reason for machines suspected by stored claims alone."""
+        """The overdue job with the oldest cancellation; used for suspects whose cancelled job is not known."""
         overdue = self.guard.cancelled_jobs(self.tables, now, self.clock.wall_clock_ms(), OVERDUE_SHARE)
         return overdue[0] if overdue else None
 
--- a/sloeswitch/actors/garbage_collection.py
+++ b/sloeswitch/actors/garbage_collection.py
@@ -27,7 +27,7 @@
 
 
 class GarbageCollector:
-    """Deletes the progress of finished jobs, adoptions of former incarnations, and chunks of specs without a job.
+    """Deletes the progress of finished jobs, adoptions of departed incarnations, and chunks of specs without a job.
 
     Chunks without a job remain when the submitting controller terminates or when another controller stores the same job
     first. Their deletion is conditional on the revisions of the job's row and of the first chunk, which is stored last
@@ -67,12 +67,12 @@
             self._replica.request_read()
 
     def _add_progress(self, transaction: Transaction, max_changes: int) -> None:
-        """Adds the progress of finished jobs."""
+        """Adds the deletion of the progress of finished jobs."""
         finished = itertools.islice(self._tables.leftover_progress, max_changes)
         transaction.deletes.extend(keys.progress_key(name) for name in finished)
 
     def _add_adoptions(self, transaction: Transaction, max_changes: int) -> None:
-        """Adds the adoptions of former incarnations, which are void like all their claims.
+        """Adds the deletion of adoptions of departed incarnations, which are void like all their claims.
 
         The adoptions of incarnations in the view are kept (see `core.commit_planner`).
         """
@@ -85,7 +85,7 @@
             transaction.conditions.update(self._leadership.view_conditions())
 
     def _add_orphaned_chunks(self, transaction: Transaction, max_changes: int) -> None:
-        """Adds the chunks of specs that no job refers to, if they are old enough or the job is finished."""
+        """Adds the deletion of spec chunks that no job refers to, if they are old enough or the job is finished."""
         now_s = self._now()
         max_age_s = ORPHAN_AGE_LEASES * self._settings.lease_s
         orphaned_since_s: dict[SpecAttempt, float] = {}
@@ -106,7 +106,7 @@
         return orphans
 
     def _add_chunks(self, transaction: Transaction, orphan: SpecAttempt, max_changes: int) -> None:
-        """Adds the chunks of one attempt, from the first to the last."""
+        """Adds the deletion of the chunks of one attempt, from the first to the last."""
         name, attempt = orphan
         if name not in self._tables.finished_jobs:
             job = self._tables.jobs.get(name)
--- a/sloeswitch/actors/quota_ledger.py
+++ b/sloeswitch/actors/quota_ledger.py
@@ -125,7 +125,7 @@
             controllers: The number of controllers that share the quotas.
             now: The clock's time in seconds.
         """
-        # Leaves some changes of a commit round for claims.
+        # Leaves some of the changes that a transaction may contain for claims.
         max_teams = max(
             1, min(self.client.max_transaction_changes // 2, self.client.available_changes(RequestPriority.CLAIM) - 1)
         )
@@ -147,6 +147,7 @@
                 decrease = QuotaDecrease(self.tables.mod_revision(keys.quota_key(name)), *allocation.decreased)
                 request.quota_decreases[name] = self.pending_decreases[name] = decrease
                 del self.surplus_since[name]
-        # A decrease may have lost its answer; this controller stays within it until another write to the row. An
-        # increase back to the stored amount would otherwise write nothing, and no task of the team would start.
+        # If the answer to a decrease is lost, this controller stays within the decreased amount until the row is
+        # written again. An increase back to the stored amount changes nothing in the row; unless the write is forced,
+        # the row is not written and no task of the team starts.
         request.forced_rewrites = {name for name in request.quota_increases if name in self.pending_decreases}
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -65,7 +65,8 @@
         self.refused_until: dict[InstanceKind, float] = {}
         self.catalog_at = float("-inf")
         self.listed_at = float("-inf")
-        # How long the last list took. With thousands of machines it has many pages, and the cloud's rate limits them.
+        # How long the last list took. With thousands of machines it has many pages, and the cloud limits the rate of
+        # requests.
         self.list_duration_s = 0.0
         self.requests_made = 0
 
--- a/sloeswitch/actors/shard_state.py
+++ b/sloeswitch/actors/shard_state.py
@@ -1,4 +1,4 @@
-"""The state of this controller's shard, its machines and their tasks, that the machines actor's modules share."""
+"""The state that the modules of the machines actor share: this controller's shard, its machines and their tasks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     quota: QuotaLedger
     # Jobs in the order in which they get free capacity.
     queue: RunnableQueue
-    # Results of attempts that are to be sent to the jobs actor.
+    # Completions, releases and adoptions of tasks that are to be sent to the jobs actor.
     task_updates: TaskUpdateOutbox
     # The pause between two ticks in seconds, except under load.
     tick_interval_s: float
--- a/sloeswitch/actors/users.py
+++ b/sloeswitch/actors/users.py
@@ -26,9 +26,9 @@
 
 log = logging.getLogger("users")
 
-# Users wait 2 s for the answer to a poll and 5 s for other answers (protocol). A refusal must be sent well before.
+# Users wait 2 s for the answer to a poll and 5 s for other answers (protocol). A refusal must be sent well before that.
 READ_TIMEOUT_S = 1.0
-# Requests to the state service time out after a fraction of the controller lease. Clients should retry by then.
+# Refused clients should retry within the timeout of requests to the state service, a fraction of the controller lease.
 RETRY_AFTER_S = 1.0
 # The Prometheus text format.
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
@@ -137,7 +137,7 @@
 
     @property
     def is_healthy(self) -> bool:
-        """Whether clients should come to this controller.
+        """Whether clients should send their requests to this controller.
 
         A controller without the state service still answers requests on finished jobs and refuses others at once. If no
         sibling reaches the state service, no controller can do more, so this one counts as healthy. It is unhealthy if
