--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -45,7 +45,7 @@
             return
         order = preemption.QueueOrder.of(self.queue.jobs, self.registry.placed_tasks)
         capacities: dict[str, placement.FreeCapacity] | None = None
-        for job in self._unplaced_gangs(now):
+        for job in self._unclaimed_gangs(now):
             if capacities is None:
                 capacities = self._scarce_capacities()
             fitting = [
@@ -145,7 +145,7 @@
             ):
                 del self.reservations[name]
 
-    def _unplaced_gangs(self, now: float) -> Iterator[Job]:
+    def _unclaimed_gangs(self, now: float) -> Iterator[Job]:
         """Yields the unclaimed gangs of one task that have been queued for a while, in the order of the queue.
 
         The controller with affinity to the job's image goes first. The others follow at offsets of one report interval,
--- a/sloeswitch/actors/garbage_collection.py
+++ b/sloeswitch/actors/garbage_collection.py
@@ -79,9 +79,9 @@
         if not self._tables.recovery_complete():
             return
         members = self._tables.view.incarnation_ids
-        former = [key for key, holder in self._tables.adoption_keys.items() if holder not in members]
-        if former and len(transaction.deletes) < max_changes:
-            transaction.deletes.extend(former[: max_changes - len(transaction.deletes)])
+        departed = [key for key, holder in self._tables.adoption_keys.items() if holder not in members]
+        if departed and len(transaction.deletes) < max_changes:
+            transaction.deletes.extend(departed[: max_changes - len(transaction.deletes)])
             transaction.conditions.update(self._leadership.view_conditions())
 
     def _add_orphaned_chunks(self, transaction: Transaction, max_changes: int) -> None:
--- a/sloeswitch/actors/spec_chunks.py
+++ b/sloeswitch/actors/spec_chunks.py
@@ -14,12 +14,12 @@
 from sloeswitch.state_client import TransactionOutcome
 
 # The fraction of the maximum request size that the values of one transaction may take.
-VALUES_FRACTION = 0.8
+VALUES_SHARE = 0.8
 
 
 def transaction_values_bytes(value_bytes: int) -> int:
     """The size of a transaction's values above which another value of `value_bytes` may not fit into the request."""
-    return max(0, int(VALUES_FRACTION * wire.MAX_BODY_BYTES) - value_bytes)
+    return max(0, int(VALUES_SHARE * wire.MAX_BODY_BYTES) - value_bytes)
 
 
 class StoredSpec(NamedTuple):
