--- a/sloeswitch/actors/cancellation_watch.py
+++ b/sloeswitch/actors/cancellation_watch.py
@@ -60,7 +60,7 @@
         context: ControllerContext,
         registry: MachineRegistry,
         commands: CommandSender,
-        scale_in: Callable[[str], bool],
+        request_termination: Callable[[str], bool],
     ) -> None:
         self.settings = context.settings
         self.tables = context.tables
@@ -68,7 +68,7 @@
         self.clock = context.clock
         self.registry = registry
         self.commands = commands
-        self.scale_in = scale_in
+        self.request_termination = request_termination
         self.guard = CancellationGuard(context.settings)
         # When any machine last sent a report, answered or not, or answered a request, in seconds of the clock.
         self.last_machine_contact_at = float("-inf")
@@ -138,14 +138,14 @@
         """Has a deletable machine deleted if the cancellation that it is suspected for is overdue."""
         machine = self.registry.machines.get(name)
         if machine is not None and self.holds_overdue_task(machine, now):
-            self._scale_in(self.held_task_wait(machine, now))
+            self._terminate(self.held_task_wait(machine, now))
             return
         cancelled = self.unaccounted_machines.get(name) or self._oldest_overdue(now)
         if cancelled is not None and cancelled.age_s >= OVERDUE_SHARE * self.settings.cancel_s:
-            self._scale_in(CancelledTaskWait(name, cancelled.job, cancelled.age_s))
+            self._terminate(CancelledTaskWait(name, cancelled.job, cancelled.age_s))
 
-    def _scale_in(self, wait: CancelledTaskWait) -> None:
-        if self.scale_in(wait.machine):
+    def _terminate(self, wait: CancelledTaskWait) -> None:
+        if self.request_termination(wait.machine):
             reason = TerminationReason.CANCELLED_TASKS_UNACCOUNTED
             log.info("machine termination requested: machine=%s reason=%s", wait.machine, reason)
         self.log_overdue(wait)
--- a/sloeswitch/actors/machine_messages.py
+++ b/sloeswitch/actors/machine_messages.py
@@ -38,7 +38,7 @@
 class InstanceTerminator(Protocol):
     """Deletes machines at the cloud; the machines actor then receives InstancesDeleted."""
 
-    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+    def request_termination(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         """Requests the deletion of a machine.
 
         Args:
--- a/sloeswitch/actors/machine_monitor.py
+++ b/sloeswitch/actors/machine_monitor.py
@@ -122,7 +122,7 @@
             # Deleting the machine ends its tasks in time, whether it hangs or is disconnected, also while the state
             # service is down. If it has another owner by now, that owner sees it as silent: work is lost, but no task
             # is started twice.
-            self.termination.drain_and_scale_in(machine, TerminationReason.CANCELLED_TASKS, urgent=True)
+            self.termination.drain_and_terminate(machine, TerminationReason.CANCELLED_TASKS, urgent=True)
             self.cancellations.log_overdue(wait)
         failed_commands = self.commands.failures.get(machine.name, 0)
         if (
@@ -132,15 +132,15 @@
             and not self._most_machines_lost(now)
             and not self.cancellations.is_network_suspected(now)
         ):
-            self.termination.drain_and_scale_in(machine, TerminationReason.SILENT)
+            self.termination.drain_and_terminate(machine, TerminationReason.SILENT)
         elif unreachable_s > self.max_unreachable_s and self.leadership.is_leader and not self._most_machines_lost(now):
             # The machine reports but receives nothing, or it answers commands but cannot report. Its lease has expired
             # by now and no task runs on it, so that it would only cost money.
-            self.termination.drain_and_scale_in(machine, TerminationReason.UNREACHABLE)
+            self.termination.drain_and_terminate(machine, TerminationReason.UNREACHABLE)
         elif self.health.is_machine_quarantined(machine.name) and self.leadership.is_leader:
             machine.draining = True
             if not machine.attempts:
-                self.termination.drain_and_scale_in(machine, TerminationReason.FAULTY)
+                self.termination.drain_and_terminate(machine, TerminationReason.FAULTY)
 
     def _overdue_wait(self, machine: Machine, now: float) -> CancelledTaskWait | None:
         """Returns the overdue cancelled task that is or may be on the machine, if any.
--- a/sloeswitch/actors/machine_termination.py
+++ b/sloeswitch/actors/machine_termination.py
@@ -45,25 +45,25 @@
         # None without a cloud; no machine is deleted then.
         self.autoscaler: InstanceTerminator | None = None
 
-    def drain_and_scale_in(self, machine: Machine, reason: TerminationReason, urgent: bool = False) -> None:
+    def drain_and_terminate(self, machine: Machine, reason: TerminationReason, urgent: bool = False) -> None:
         """Stops placing tasks on a machine and requests its deletion; logs the reason.
 
         Args:
             machine: A machine of this controller.
             reason: The reason to log.
-            urgent: Whether to delete it also without leadership (see `InstanceTerminator.scale_in`).
+            urgent: Whether to delete it also without leadership (see `InstanceTerminator.request_termination`).
         """
         machine.draining = True
-        if self.autoscaler is not None and self.autoscaler.scale_in(machine.name, urgent=urgent):
+        if self.autoscaler is not None and self.autoscaler.request_termination(machine.name, urgent=urgent):
             log.info("machine termination requested: machine=%s reason=%s", machine.name, reason)
 
-    def scale_in_urgently(self, machine: str) -> bool:
+    def terminate_urgently(self, machine: str) -> bool:
         """Requests the deletion of a machine of any owner, even while no controller may answer machines.
 
         Returns:
             False if its urgent deletion was already requested, or if there is no cloud.
         """
-        return self.autoscaler is not None and self.autoscaler.scale_in(machine, urgent=True)
+        return self.autoscaler is not None and self.autoscaler.request_termination(machine, urgent=True)
 
     def apply_deleted(self, machines: list[str]) -> None:
         """Removes machines whose deletion the cloud confirmed.
--- a/sloeswitch/actors/machines.py
+++ b/sloeswitch/actors/machines.py
@@ -81,7 +81,7 @@
         self.registration = Registration(context, self.tick_interval_s, self._wake)
         self.termination = MachineTermination(shard, self.commands, self.registration)
         self.cancellations = CancellationWatch(
-            context, self.registry, self.commands, self.termination.scale_in_urgently
+            context, self.registry, self.commands, self.termination.terminate_urgently
         )
         self.next_summary_at = 0.0
         # The last view whose completed recovery was logged.
--- a/sloeswitch/actors/scale_in.py
+++ b/sloeswitch/actors/scale_in.py
@@ -47,7 +47,7 @@
 
 
 class ScaleIn:
-    """Owns the machines that are to be deleted; the machines actor and `ScaleOut` call `scale_in` for each."""
+    """Owns the machines that are to be deleted; the machines actor and `ScaleOut` request their deletion."""
 
     def __init__(self, context: ControllerContext, cloud: CloudClient) -> None:
         self.settings = context.settings
@@ -65,8 +65,8 @@
 
     # -- termination
 
-    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
-        """Requests the deletion of a machine (see `InstanceTerminator.scale_in`).
+    def request_termination(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+        """Requests the deletion of a machine (see `InstanceTerminator.request_termination`).
 
         Args:
             machine: The machine's name.
@@ -169,7 +169,7 @@
             idle_s = now - self.idle_since.setdefault(machine.name, now)
             if idle_s > machine_type.boot_s or (machine.surplus and idle_s > 2 * self.settings.report_s):
                 del self.idle_since[machine.name]
-                self.machines.termination.drain_and_scale_in(machine, TerminationReason.IDLE)
+                self.machines.termination.drain_and_terminate(machine, TerminationReason.IDLE)
 
     def _mark_surplus(self, machines: Machines) -> None:
         """Marks this controller's machines that are not needed, so that no new tasks are placed on them.
--- a/sloeswitch/actors/scale_out.py
+++ b/sloeswitch/actors/scale_out.py
@@ -174,7 +174,7 @@
             return
         if instance.state == "failed":
             # The instance stopped by itself. Its confirmed deletion allows its tasks to be placed again.
-            self.scale_in.scale_in(name, by_coordinator=True)
+            self.scale_in.request_termination(name, by_coordinator=True)
         elif name not in self.tables.machines and name not in self.pending_instances:
             log.info("unexpected instance: machine=%s", name)
             kind = InstanceKind(instance.type, instance.zone, instance.spot)
@@ -195,7 +195,7 @@
             elif machine_type is not None and age_s > MAX_BOOT_TIMES * machine_type.boot_s:
                 log.info("instance did not come up: machine=%s type=%s", name, machine_type.name)
                 self.refused_until[pending.kind] = now + self.settings.list_lag_s
-                self.scale_in.scale_in(name, by_coordinator=True)
+                self.scale_in.request_termination(name, by_coordinator=True)
 
     # -- renting
 
--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -73,7 +73,7 @@
         self.node = node
         self.returning: set[str] = set()
 
-    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+    def request_termination(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         self.node.world.recorder.record("return", self.node.settings.member, machine, by_coordinator, urgent)
         if machine in self.returning:
             return False
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -192,13 +192,13 @@
         self.store.view(4, ("c0", 1))
         deleted: list[str] = []
 
-        def scale_in(machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+        def request_termination(machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
             is_new = urgent and machine not in deleted
             if is_new:
                 deleted.append(machine)
             return is_new
 
-        terminator: Any = SimpleNamespace(scale_in=scale_in)
+        terminator: Any = SimpleNamespace(request_termination=request_termination)
         self.machines.termination.autoscaler = terminator
         sent, tick_s = 0, 0.0
         while not deleted:
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -58,7 +58,7 @@
         commands.record_failure(args[0])
         commands.record_ended(args[0])
 
-    def scale_in(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
+    def request_termination(self, machine: str, by_coordinator: bool = False, urgent: bool = False) -> bool:
         """Records machines deleted for a cancellation in `deleted`, and all others in `silent`."""
         if not urgent:
             self.silent.add(machine)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -128,7 +128,7 @@
         assert call.__name__ == "_inspect"
         self.inspected_machines.append(args[0])
 
-    def scale_in(self, machine: str, urgent: bool) -> bool:
+    def request_termination(self, machine: str, urgent: bool) -> bool:
         self.deleted.append(machine)
         return urgent
 
@@ -175,8 +175,8 @@
     autoscaler = ScaleIn(world.context, cloud)
     autoscaler.machines = world.machines
     urgent, other = sorted(machines_owned_by(store, "c1"))[:2]
-    autoscaler.scale_in(urgent, urgent=True)
-    autoscaler.scale_in(other)
+    autoscaler.request_termination(urgent, urgent=True)
+    autoscaler.request_termination(other)
     outage.set_sibling_status(5, True)
     assert deletions(world, autoscaler) == []
     outage.set_sibling_status(0, False)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -58,7 +58,7 @@
 def test_unreachable_machine_is_terminated_after_two_lease_periods(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     reasons: list[TerminationReason] = []
-    world.machines.termination.drain_and_scale_in = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
+    world.machines.termination.drain_and_terminate = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
         later(world, 1.0)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -123,7 +123,7 @@
     scale_in.machines = world.machines
     members = (("c0", 1), ("c1", 2))
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", members) == "c1")
-    scale_in.scale_in(name)
+    scale_in.request_termination(name)
     world.clock.time += 2 * world.settings.controller_lease_s
     assert deletions(world, scale_in) == []  # Its lease has expired.
     # After the pause the controller reads that the machine has another owner.
@@ -131,7 +131,7 @@
     later(world, 0.0)
     assert deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
-    scale_in.scale_in(name)
+    scale_in.request_termination(name)
     assert deletions(world, scale_in) == [name]
 
 
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -106,9 +106,9 @@
 
 def test_deletion_is_requested_once_for_each_urgency_and_urgent_machines_come_first(world: World, cloud: Any) -> None:
     scale_in = ScaleIn(world.context, cloud)
-    assert scale_in.scale_in("vm-5") and not scale_in.scale_in("vm-5")
-    assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", urgent=True)
-    assert not scale_in.scale_in("vm-6", urgent=True) and not scale_in.scale_in("vm-6")
+    assert scale_in.request_termination("vm-5") and not scale_in.request_termination("vm-5")
+    assert scale_in.request_termination("vm-6") and scale_in.request_termination("vm-6", urgent=True)
+    assert not scale_in.request_termination("vm-6", urgent=True) and not scale_in.request_termination("vm-6")
     assert scale_in._next_batch() == ["vm-6", "vm-5"]
     world.clock.time += 2 * world.settings.controller_lease_s
     assert scale_in._next_batch() == []  # this controller is not leader, and another one may be
