--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -1,7 +1,7 @@
 """Free capacity by kind of machine: what admitted work leaves of the machines, and what a job may take of it.
 
-Capacity is counted in machines, as fractions, without assigning tasks to particular machines. It is what one epoch may
-admit jobs for.
+Capacity is counted in machines, as fractions, without assigning tasks to particular machines. The jobs that an epoch
+admits take it.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
     age_s: float
 
 
-# A job's work is spread over the whole time left to its next target. A job that meets its target this way is no
-# overload.
+# The fraction of the time left to a job's next target over which its work is spread. It is the whole time, so that a
+# job that still meets its target is no overload.
 ADMITTED_SPREAD = 1.0
 
 
@@ -69,7 +69,7 @@
             self.quota,
             lambda job: scaling.parallel_or_gang_tasks(job, settings, wall_clock_ms, ADMITTED_SPREAD),
         )
-        # `free`: how many machines of each kind the admitted work leaves, as fractions.
+        # `free`: how many machines of each kind, as fractions, the admitted work leaves of the overcommitted supply.
         self.free, unmet = scaling.pack_demand(needs, _overcommitted(supply, overcommit), self.offers)
         # Whether the machines cannot take all tasks that should run concurrently.
         self.overloaded = bool(unmet)
--- a/sloeswitch/admission/compare.py
+++ b/sloeswitch/admission/compare.py
@@ -4,13 +4,14 @@
 (admission watermarks), and decisions on jobs, each with the number of the row that it was made by. The rules:
 
 - Records of the same row and number must have the same digest.
-- Cuts are never lowered, so a job is deferred by its own cut up to some number and admitted at all higher ones. If one
-  controller admitted it at a number, no other may have deferred it at that number or a higher one.
+- Cuts are never lowered, so a job is deferred by its lane's cut up to some number and admitted at all higher ones. If
+  one controller admitted it at a number, no other may have deferred it at that number or a higher one.
 - If a controller logs a job as deferred, then applies further numbers, and then logs the job as admitted, it deferred
   the job at the numbers in between as well.
-- A job that was admitted as a prerequisite of another ("needed") is not compared: it depends on the other job's cut.
-- A job that was admitted since its work had begun ("begun") counts as deferred by its cut: controllers learn of that
-  work at different times.
+- A job that was admitted as a prerequisite of another ("needed") is not compared: it depends on the cut of that job's
+  lane.
+- A job that was admitted because its work had begun ("begun") counts as deferred by its lane's cut: controllers learn
+  of that work at different times.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from sloeswitch.admission.decision_log import DecisionRecord, EpochRecord, Record, decode
 from sloeswitch.admission.decisions import DecisionReason
 
-# The text before a record in a line of a controller's log, up to the record's first character.
+# The text before a record in a line of a controller's log, and the record's first character.
 RECORD_MARKER = " admission: {"
 
 
--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -41,9 +41,10 @@
 
 
 class AdmissionCoordinator:
-    """Keeps the idle capacity that siblings reported, and when each row was last written.
+    """Runs the epochs while this controller is the coordinator.
 
-    All other state is in the tables, so that a new coordinator continues from there.
+    Keeps only the idle capacity that siblings reported, and when each row was last written. All other state is in the
+    tables, so that a new coordinator continues from there.
     """
 
     def __init__(
@@ -135,7 +136,7 @@
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
         # The conditions on the rows' revisions ensure that no cut is lowered (docs/admission.md). The condition on the
-        # coordinator's key only saves a deposed coordinator useless changes.
+        # coordinator's key only avoids useless writes by a controller that is no longer the coordinator.
         conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
         outcome, revision = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         now = self.now()
--- a/sloeswitch/admission/cuts.py
+++ b/sloeswitch/admission/cuts.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-# Bits of a lane's hash, which is also the maximum depth of the tree of rows.
+# The number of bits of a lane's hash, which is also the maximum depth of the tree of rows.
 HASH_BITS = 32
 # The path of the root row, where the lookup of a lane starts.
 ROOT_PATH = ""
@@ -45,7 +45,7 @@
 
 
 class LaneCut(NamedTuple):
-    """The highest admitted ticket of a lane, and when it was last raised, by the clock of the coordinator then."""
+    """The highest admitted ticket of a lane, and when it was raised, by the clock of the coordinator that raised it."""
 
     ticket: Ticket
     raised_ms: int
@@ -74,7 +74,7 @@
         return self.common if cut is None or cut.ticket < self.common.ticket else cut
 
     def raised(self, common: LaneCut, lanes: Mapping[Lane, LaneCut], deficits: Mapping[str, float]) -> AdmissionRow:
-        """Returns the row with each cut raised to the given one; lower ones are ignored.
+        """Returns the row with each cut raised to the given one and with the given deficits; lower cuts are ignored.
 
         A cut is never lowered, so a controller that reads rows late admits no job that others defer.
         """
@@ -162,7 +162,7 @@
 
 
 def row_path(rows: Mapping[str, AdmissionRow], lane: Lane) -> str | None:
-    """Returns the path of the row that holds a lane's cut; None, so that nothing is admitted, until it is read."""
+    """Returns the path of the row that holds a lane's cut; None, so that the cut admits no job, until it is read."""
     path = ROOT_PATH
     bits = hash_bits(lane)
     while path in rows and rows[path].split:
--- a/sloeswitch/admission/decisions.py
+++ b/sloeswitch/admission/decisions.py
@@ -20,9 +20,9 @@
 class DecisionReason(Enum):
     """The reason why a job is admitted or deferred."""
 
-    CUT = "cut"
-    NEEDED = "needed"
-    BEGUN = "begun"
+    CUT = "cut"  # admitted: its ticket is at or below the cut of its lane
+    NEEDED = "needed"  # admitted as a prerequisite of an admitted job
+    BEGUN = "begun"  # admitted above the cut, because its work has begun
     DEFERRED = "deferred"
 
 
@@ -81,7 +81,7 @@
         return entry
 
     def decide(self, job: Job) -> Decision:
-        """Decides on a job by the cut of its lane, or since its work has begun."""
+        """Decides on a job by the cut of its lane and by whether its work has begun."""
         path, number, cut = self.lookup_lane_of(job.spec)
         if path is not None and (job.submitted_ms, job.spec.id) <= cut:
             reason = DecisionReason.CUT
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -1,4 +1,4 @@
-"""Computes the cuts of the next epoch from the stored rows, the time of day and the reported idle capacity.
+"""Computes the cuts of the next epoch from the tables, the wall-clock time and the reported idle capacity.
 
 A cut is a lane's admission watermark: the highest ticket (place in the order of submission) that is admitted. A lane
 holds the jobs of one team, class and priority. An epoch is one run of this computation; it raises cuts in three steps:
@@ -38,7 +38,7 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.settings import Settings, Team
 
-# The weight of a team without any guarantee in the round robin, as a fraction of an even share.
+# The minimum weight of a team in the round robin, as a fraction of an even share. A team without any guarantee has it.
 MIN_WEIGHT = 0.1
 
 
@@ -73,12 +73,12 @@
         self.team_usage = admitted_usage(admitted, self.decisions)
         self.deficits = self._stored_deficits()
         self.admission_count = 0
-        # Task shapes that did not fit the free capacity. It only shrinks during an epoch, so that jobs of such a shape
-        # need no second check.
+        # Task shapes that did not fit the free capacity. Free capacity only shrinks during an epoch, so that jobs of
+        # such a shape need no second check.
         self.unplaceable_shapes: set[tuple[object, ...]] = set()
 
     def changes(self, value_bytes: int) -> list[RowChange]:
-        """Returns the changes to store: none for rows without a raised cut. Rows above the value limit are split."""
+        """Returns the changes to store: none for rows without a raised cut. Splits rows that grow too large."""
         rows = self.tables.admission_rows
         if not rows:
             return [RowChange(ROOT_PATH, {ROOT_PATH: AdmissionRow().raised(self._leading_cut(), {}, {})})]
@@ -121,7 +121,7 @@
     def _leading_cut(self) -> LaneCut:
         """Returns the common cut for times without overload: two leads ahead of the clock.
 
-        New jobs are then admitted at once, and the row is written only about once in a lead.
+        New jobs are then admitted at once, and the row is written only about once per lead.
         """
         return LaneCut(Ticket(self.wall_clock_ms + int(2000 * self.limits.lead_s), ""), self.wall_clock_ms)
 
@@ -136,7 +136,7 @@
     # -- step 1: guarantees
 
     def _admit_guaranteed(self) -> None:
-        """Admits the heads of lanes that fit their team's guarantee together with its admitted unfinished work."""
+        """Admits heads of lanes while they and the admitted unfinished work of their team fit the team's guarantee."""
         for team in self.backlog.teams:
             guarantee = self.settings.teams.get(team)
             if guarantee is None:
@@ -157,7 +157,7 @@
         return within_guarantee(team, usage.cores + more.cores, usage.gpus + more.gpus)
 
     def _admit(self, queue: LaneQueue, index: int, bundle: JobBundle) -> None:
-        """Raises a lane's cut to the job at an index, and takes the capacity and guarantee of its bundle."""
+        """Raises a lane's cut to the job at an index; counts its bundle against the capacity and the guarantees."""
         bundle.take(self.capacity, self.settings, self.wall_clock_ms)
         for job in bundle.released:
             if job.incoming_handoff is None:
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -1,7 +1,7 @@
-"""The mesh frame by which a machine owner reports idle capacity to the coordinator; packed by hand as all mesh frames.
+"""Encoding of the mesh frames by which machine owners report idle capacity to the coordinator.
 
 A request has no body. An answer is a count, followed by one entry for each kind of machine: the lengths of the names of
-its type and zone in bytes, a flag for spot machines, the free capacity in machines, its age in seconds, and the names.
+its type and zone in bytes, a flag for spot machines, the idle capacity in machines, its age in seconds, and the names.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def pack_idle_capacity(capacities: Iterable[IdleCapacity]) -> bytes:
-    """Packs the body of an answer. Entries that do not fit are left out; this only affects the order of admission."""
+    """Packs the body of an answer. Entries that do not fit are left out; this only affects when jobs are admitted."""
     entries: list[bytes] = []
     for entry in capacities:
         kind, zone, spot = entry.kind
--- a/sloeswitch/admission/gate.py
+++ b/sloeswitch/admission/gate.py
@@ -66,7 +66,7 @@
         self._cuts = {lane: cut for lane, cut in self._cuts.items() if lane in self._deferred}
 
     def _jobs_of_changed_lanes(self) -> set[str]:
-        """Returns the deferred jobs of lanes whose cut changed: with thousands of jobs, a small part in most epochs."""
+        """Returns the deferred jobs of lanes whose cut changed; in most epochs a small part of the deferred jobs."""
         reader = CutReader(self.tables.admission_rows)
         found: set[str] = set()
         for lane, names in self._deferred.items():
--- a/sloeswitch/admission/idle_capacity.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -1,6 +1,6 @@
 """Tracks the idle capacity of the machines that this controller owns.
 
-Idle capacity is what remains free after every queued job, all of which are admitted, was considered for placement.
+Idle capacity is what remains free after every queued job was considered for placement; only admitted jobs are queued.
 """
 
 from __future__ import annotations
--- a/sloeswitch/admission/limits.py
+++ b/sloeswitch/admission/limits.py
@@ -12,7 +12,7 @@
 
 # The first job of a lane (its head) is admitted without regard to free capacity after STARVATION_LEASES worker leases,
 # or after STARVATION_FRACTION_OF_MAX_WAIT of MAX_WAIT_WITH_CAPACITY_S, whichever is shorter. MAX_WAIT_WITH_CAPACITY_S
-# is the longest that the protocol lets a job wait while there is free capacity that fits it.
+# is the longest that the protocol lets a job wait while there is free capacity for it.
 STARVATION_LEASES = 2.0
 MAX_WAIT_WITH_CAPACITY_S = 90.0
 STARVATION_FRACTION_OF_MAX_WAIT = 0.4
@@ -20,16 +20,17 @@
 EPOCHS_PER_LEASE = 8.0
 # The fraction of the state service's write rate that epochs may use.
 WRITE_RATE_FRACTION = 0.1
-# The lead, as a multiple of the time until every controller has read the cuts of an epoch.
+# The lead of the common cut over the clock (see `AdmissionLimits.lead_s`), as a multiple of the time until every
+# controller has read the cuts of an epoch.
 LEAD_ROUNDS = 2.0
 # The fraction by which admitted work may exceed the machines, so that no machine runs empty between two epochs.
 OVERCOMMIT_FRACTION = 0.25
-# A low estimate of the admissions that one processor core computes per second. They may take at most
-# EPOCH_TIME_FRACTION of the interval between epochs. Without this limit an epoch could outlast the controller's lease
-# when thousands of jobs fit.
+# A low estimate of the admissions that one processor core computes per second. Computing an epoch's admissions may take
+# at most EPOCH_TIME_FRACTION of the interval between epochs. Without this limit an epoch could outlast the controller's
+# lease when thousands of jobs fit.
 ADMISSIONS_PER_CORE_S = 4000
 EPOCH_TIME_FRACTION = 0.25
-# Free capacity counts as idle once it has been left unused for this many report intervals.
+# An epoch uses reported idle capacity only once it has been idle for this many report intervals.
 MIN_IDLE_REPORTS = 2.0
 
 
@@ -39,7 +40,7 @@
 
     starvation_timeout_s: float
     epoch_s: float
-    # While nothing is deferred, the common cut is kept between one and two leads ahead of the clock.
+    # Without overload, the common cut is kept between one and two leads ahead of the clock.
     lead_s: float
     clock_error_s: float
     min_idle_s: float
@@ -69,7 +70,7 @@
     def _row_write_delay_s(self, rows: int) -> float:
         """Returns the longest time until a row that is to change is stored.
 
-        That is one epoch, and as many as it takes to write all rows, since one epoch writes at most `max_row_writes`.
+        That is one epoch, plus the number of epochs that it takes to write all rows, at most `max_row_writes` in each.
         """
         return (1 + math.ceil(rows / self.max_row_writes)) * self.epoch_s
 
