--- a/sloeswitch/cells/delegation.py
+++ b/sloeswitch/cells/delegation.py
@@ -95,7 +95,7 @@
 
 
 def decide(record: TargetRecord, handoff: HandoffId, request: Request, has_capacity: bool) -> TargetDecision:
-    """Decides on a request. `has_capacity`: whether the cell has free capacity for a new offer."""
+    """Decides on a request. `has_capacity`: whether the cell can run the offered job and has free capacity for it."""
     delegation = record.delegation
     if delegation is not None and delegation.handoff == handoff:
         return _decide_recorded(record, delegation, request)
--- a/sloeswitch/cells/frames.py
+++ b/sloeswitch/cells/frames.py
@@ -1,8 +1,8 @@
 """Encoding of the messages between cells as mesh frames.
 
 A request is a fixed part followed by three texts: the name of the requesting cell, the name of the job and, for an
-offer, the job specification as its user submitted it. An answer has a fixed part only. Summaries are sent as JSON
-because their size depends on the number of machine types and teams of the cell.
+offer, the job specification in the JSON form in which users submit it. An answer has a fixed part only. Summaries are
+sent as JSON because their size depends on the number of machine types and teams of the cell.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 ANSWER_CODES = {answer: code for code, answer in enumerate(Answer, 1)}
 REQUESTS = {code: request for request, code in REQUEST_CODES.items()}
 ANSWERS = {code: answer for answer, code in ANSWER_CODES.items()}
-# The target cannot answer now: it has not read its tables, or could not store the outcome.
+# The target cannot answer now, for example because it has not read its tables or could not store its decision.
 NO_ANSWER = 0
 # The length of a cell or job name is encoded in one byte.
 MAX_NAME_BYTES = 255
--- a/sloeswitch/cells/handoff.py
+++ b/sloeswitch/cells/handoff.py
@@ -36,10 +36,9 @@
     cell: str
     job: str
     policy: MovePolicy
-    # The latest handoff, by which the job runs in another cell; None if it runs in its origin.
+    # The handoff by which the job may run in another cell; None if it runs in its origin.
     moved_to: OpenHandoff | None = None
-    # Handoffs to be stopped: earlier ones whose target was unreachable for too long, and those that targets still had
-    # on record when the job ended.
+    # Earlier handoffs whose target was unreachable for too long; the target is asked to stop them.
     recalled: tuple[OpenHandoff, ...] = ()
     # Whether a task of the job was ever claimed in its origin.
     claimed_in_origin: bool = False
@@ -125,7 +124,9 @@
 
 
 def requests(row: OriginRow, withdraw: bool = False) -> Iterator[tuple[str, RequestMessage]]:
-    """Yields each request to send now, with its target cell. A request is repeated until it is answered.
+    """Yields each request to send now, with its target cell, one for each open handoff.
+
+    They are repeated, also after an answer, until the target reports a final state, which closes the handoff.
 
     `withdraw`: whether the job could start in its origin now, so that it is withdrawn from the target.
     """
@@ -138,7 +139,7 @@
 
 
 def acknowledgement(message: AnswerMessage) -> RequestMessage | None:
-    """The acknowledgement to send after the row changed by an answer is stored; None if the answer needs none.
+    """The acknowledgement to send once the row that the answer changed is stored; None if the answer needs none.
 
     It allows the target to delete its record of the handoff.
     """
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -123,12 +123,12 @@
     # -- rollout
 
     async def record_member(self) -> None:
-        """Stores that this controller runs with the feature; the rollout is complete once every configured one does."""
+        """Stores that this controller runs with the feature; the rollout is complete once each configured one has."""
         await self.feature.record_member()
 
     @property
     def rollout_complete(self) -> bool:
-        """Whether every configured controller of this cell runs with the feature."""
+        """Whether every configured controller of this cell has run with the feature."""
         return self.feature.is_complete
 
     # -- selection
@@ -186,7 +186,7 @@
     # -- driving handoffs
 
     async def poll_peer(self, peer: str) -> None:
-        """One round of requests to a peer: its summary, then each handoff to it that this controller manages."""
+        """Requests a peer's summary, then sends the requests about each handoff to it that this controller manages."""
         link = self.links[peer]
         if self.leadership.is_leader and self.rollout_complete:
             requested_at = self.now()
@@ -249,7 +249,7 @@
         return replace(finished.outgoing_handoffs, cell=self.features.name, result=result)
 
     async def _send_requests(self, name: str, peer: str, link: Link) -> None:
-        """Sends the pending requests about a job's handoffs to a peer, and stores the changes by its answers."""
+        """Sends the pending requests about a job's handoffs to a peer, and stores what its answers change."""
         row = self._current_row(name)
         if row is None:
             return
@@ -304,7 +304,7 @@
     def _should_withdraw(self, job: Job) -> bool:
         """Whether to withdraw a job because it could start here now.
 
-        The target refuses the withdrawal if it has claimed a task of the job.
+        The target keeps the job if it has claimed a task of it.
         """
         assert job.outgoing_handoffs is not None
         moved_to = job.outgoing_handoffs.moved_to
--- a/sloeswitch/cells/policy.py
+++ b/sloeswitch/cells/policy.py
@@ -13,6 +13,6 @@
     # The job moves only before any of its tasks was claimed, and starts in one cell only. If that cell is unreachable,
     # the origin waits for it.
     ONCE = "once"
-    # The job may start in several cells. If its cell is unreachable for too long, the origin runs it too, and the first
-    # completion is the result.
+    # The job may start in several cells. If the cell that it was moved to is unreachable for too long, the origin runs
+    # it too, and the first completion is the result.
     REPEATABLE = "repeatable"
--- a/sloeswitch/cells/selection.py
+++ b/sloeswitch/cells/selection.py
@@ -21,7 +21,7 @@
 class MoveLimits:
     """Limits on moving jobs."""
 
-    # A job must be late in this cell, and in time in the other, by more than this.
+    # A job moves if it would miss its target in this cell and meet it in the other, both by at least this margin.
     margin_s: float
     # The time until the target has stored the job: the offer, its answer, and up to one interval of the request loop.
     transfer_s: float
--- a/sloeswitch/cells/target.py
+++ b/sloeswitch/cells/target.py
@@ -28,7 +28,7 @@
 
 log = logging.getLogger("cells")
 
-# The number of unacknowledged handoffs listed in one summary; others are listed once these are acknowledged.
+# The maximum number of unacknowledged handoffs in one summary; others are listed once these are acknowledged.
 MAX_ENDED_HANDOFFS = 100
 
 
@@ -50,7 +50,7 @@
 
     @property
     def rollout_complete(self) -> bool:
-        """Whether every configured controller of this cell runs with the feature."""
+        """Whether every configured controller of this cell has run with the feature."""
         return self.tables.features.get("cells", FeatureStatus()).complete
 
     def summary(self, origin: str = "") -> Summary | None:
@@ -68,10 +68,10 @@
         return replace(summary, ended=self._unacknowledged(origin))
 
     def _unacknowledged(self, origin: str) -> tuple[tuple[str, int], ...]:
-        """Finished handoffs that the origin has not acknowledged.
+        """Handoffs in a final state that the origin has not acknowledged.
 
         Guards against a lost acknowledgement: the origin has deleted the handoff and sends no more requests about it,
-        so that the target's record would never be deleted.
+        so that without this list the target's record would never be deleted.
         """
         ended = (
             (name, finished.incoming_handoff.number)
--- a/sloeswitch/features.py
+++ b/sloeswitch/features.py
@@ -1,7 +1,7 @@
 """The features file: optional features that operators turn on.
 
-Every controller of a cell gets the same file (`--features`). The platform writes the settings and a later version may
-add fields to them; operators write the features file, so that an unknown field in it is reported as a fault.
+Every controller of a cell gets the same file (`--features`). Operators write it, so an unknown field in it is reported
+as a fault. In the settings unknown fields are allowed: the platform writes them, and a later version may add fields.
 """
 
 from __future__ import annotations
