--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -66,14 +66,14 @@
         self.now = context.clock.now
         self.sleep = sleep
         self.limits = AdmissionLimits.from_settings(context.settings)
-        self.feature = FeatureRollout("admission", context)
+        self.rollout = FeatureRollout("admission", context)
         self.reported: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
 
     @property
     def switched_on(self) -> bool:
         """Whether jobs are deferred: the setting is on, and every configured controller has run with the feature."""
-        return self.features.deferring and self.feature.is_complete
+        return self.features.deferring and self.rollout.is_complete
 
     # -- loops
 
@@ -82,7 +82,7 @@
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
-                await self.feature.record_member()
+                await self.rollout.record_member()
                 await self.run_epoch()
             except StaleReplicaError:
                 pass
--- a/sloeswitch/cells/delegation.py
+++ b/sloeswitch/cells/delegation.py
@@ -20,14 +20,14 @@
 
     ACCEPTED = "accepted"
     BEGUN = "begun"
-    CANCELLED = "withdrawn"
+    WITHDRAWN = "withdrawn"
     STOPPING = "stopping"
     STOPPED = "stopped"
     DONE = "done"
 
 
 # In these states no task of the job may start, and none is on a machine.
-FINAL_STATES = frozenset({DelegationState.CANCELLED, DelegationState.STOPPED, DelegationState.DONE})
+FINAL_STATES = frozenset({DelegationState.WITHDRAWN, DelegationState.STOPPED, DelegationState.DONE})
 
 
 @dataclass(frozen=True)
@@ -61,7 +61,7 @@
     def withdraw(self) -> Delegation:
         """Withdraws the handoff if no task of the job was claimed; otherwise changes nothing."""
         if self.state is DelegationState.ACCEPTED:
-            return replace(self, state=DelegationState.CANCELLED)
+            return replace(self, state=DelegationState.WITHDRAWN)
         return self
 
     def stop(self) -> Delegation:
--- a/sloeswitch/cells/messages.py
+++ b/sloeswitch/cells/messages.py
@@ -37,14 +37,14 @@
     REFUSED = "refused"  # will never be accepted
     ACCEPTED = "accepted"  # no task was claimed
     BEGUN = "begun"  # a task was claimed, so that the job is not returned
-    CANCELLED = "withdrawn"  # the job was returned and no task was claimed
+    WITHDRAWN = "withdrawn"  # the job was returned and no task was claimed
     STOPPING = "stopping"  # no task will start; some may still be on machines
     STOPPED = "stopped"  # no task will start, and none is on a machine
     DONE = "done"  # all tasks are done
 
 
 # After one of these answers the target never starts a task of the handoff.
-FINAL_ANSWERS = frozenset({Answer.REFUSED, Answer.CANCELLED, Answer.STOPPED, Answer.DONE})
+FINAL_ANSWERS = frozenset({Answer.REFUSED, Answer.WITHDRAWN, Answer.STOPPED, Answer.DONE})
 
 
 @dataclass(frozen=True)
--- a/sloeswitch/cells/origin.py
+++ b/sloeswitch/cells/origin.py
@@ -92,7 +92,7 @@
         self.clock = context.clock
         self.now = context.clock.now
         self.sleep = sleep
-        self.feature = FeatureRollout("cells", context)
+        self.rollout = FeatureRollout("cells", context)
         self.summaries = SummaryCache(SUMMARY_MAX_AGE_LEASES * context.settings.controller_lease_s)
         self.contacts: dict[tuple[str, OpenHandoff], HandoffContact] = {}
         self.incarnations: dict[str, int] = {}
@@ -124,12 +124,12 @@
 
     async def record_member(self) -> None:
         """Stores that this controller runs with the feature; the rollout is complete once each configured one has."""
-        await self.feature.record_member()
+        await self.rollout.record_member()
 
     @property
     def rollout_complete(self) -> bool:
         """Whether every configured controller of this cell has run with the feature."""
-        return self.feature.is_complete
+        return self.rollout.is_complete
 
     # -- selection
 
--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -128,7 +128,7 @@
         self.next_epoch_at = self.world.clock.time + 0.8 * self.admission.limits.epoch_s
 
         async def loops() -> None:
-            await self.admission.feature.record_member()
+            await self.admission.rollout.record_member()
             for member in self.admission.links:
                 try:
                     await self.admission.request_idle_capacity(member)
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -41,7 +41,7 @@
 
 
 def _withdraw_begun(stored: Delegation) -> Delegation:
-    return replace(stored, state=DelegationState.CANCELLED) if stored.startable else stored
+    return replace(stored, state=DelegationState.WITHDRAWN) if stored.startable else stored
 
 
 def _match_any_number(row: OriginRow, open_handoff: OpenHandoff, message: AnswerMessage) -> bool:
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -156,7 +156,7 @@
     "refused": cell_answer(Answer.REFUSED),
     "accepted": cell_answer(Answer.ACCEPTED),
     "begun": cell_answer(Answer.BEGUN),
-    "withdrawn": cell_answer(Answer.CANCELLED),
+    "withdrawn": cell_answer(Answer.WITHDRAWN),
     "stopping": cell_answer(Answer.STOPPING),
     "stopped": cell_answer(Answer.STOPPED),
     "done": cell_answer(Answer.DONE),
