--- a/sloeswitch/admission/backlog.py
+++ b/sloeswitch/admission/backlog.py
@@ -27,7 +27,7 @@
     Only released jobs, which wait for no prerequisite, take capacity; the others cost nothing.
     """
 
-    head: Job
+    job: Job
     released: tuple[Job, ...]
 
     @property
--- a/sloeswitch/admission/capacity.py
+++ b/sloeswitch/admission/capacity.py
@@ -58,7 +58,7 @@
         for row in tables.machines.values():
             kind = InstanceKind(row.type, row.zone, row.spot)
             supply[kind] = supply.get(kind, 0.0) + 1.0
-        self.cores = sum(
+        self.total_cores = sum(
             tables.machine_types[kind[0]].cores * count
             for kind, count in supply.items()
             if kind[0] in tables.machine_types
--- a/sloeswitch/admission/epoch.py
+++ b/sloeswitch/admission/epoch.py
@@ -216,7 +216,7 @@
 
         This is a sixteenth of the cores of all machines, but at least one core, times the team's weight.
         """
-        return max(1.0, self.capacity.cores / 16) * weights[team]
+        return max(1.0, self.capacity.total_cores / 16) * weights[team]
 
     def _weights(self) -> dict[str, float]:
         """Returns the weight of each team: its share of all guarantees, of cores or GPUs, whichever is larger."""
--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -33,8 +33,8 @@
     """Packs the body of an answer. Entries that do not fit are left out; this only affects when jobs are admitted."""
     entries: list[bytes] = []
     for entry in capacities:
-        kind, zone, spot = entry.kind
-        names = kind.encode(), zone.encode()
+        type_name, zone, spot = entry.kind
+        names = type_name.encode(), zone.encode()
         if max(map(len, names)) <= MAX_NAME_BYTES and len(entries) < MAX_ENTRIES:
             header = ENTRY.pack(len(names[0]), len(names[1]), spot, entry.machines, entry.age_s)
             entries.append(header + names[0] + names[1])
@@ -48,10 +48,10 @@
         offset = COUNT.size
         capacities: list[IdleCapacity] = []
         for _ in range(count):
-            kind_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, offset)
+            type_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, offset)
             offset += ENTRY.size
-            end = offset + kind_length + zone_length
-            names = body[offset : offset + kind_length].decode(), body[offset + kind_length : end].decode()
+            end = offset + type_length + zone_length
+            names = body[offset : offset + type_length].decode(), body[offset + type_length : end].decode()
             if end > len(body) or not (machines >= 0 and age_s >= 0):
                 raise FrameError(f"idle capacity answer: invalid entry at byte {offset}")
             offset = end
--- a/sloeswitch/admission/idle_capacity.py
+++ b/sloeswitch/admission/idle_capacity.py
@@ -13,9 +13,13 @@
 from sloeswitch.wire import MachineType
 
 
-def free_fraction(capacity: FreeCapacity, kind: MachineType) -> float:
+def free_fraction(capacity: FreeCapacity, machine_type: MachineType) -> float:
     """Returns the free fraction of a machine, by its scarcest resource."""
-    pairs = ((capacity.cores, kind.cores), (capacity.gpus, kind.gpus), (capacity.memory_gb, kind.memory))
+    pairs = (
+        (capacity.cores, machine_type.cores),
+        (capacity.gpus, machine_type.gpus),
+        (capacity.memory_gb, machine_type.memory),
+    )
     return max(0.0, min((free / whole for free, whole in pairs if whole > 0), default=0.0))
 
 
@@ -30,12 +34,12 @@
         """Takes in the capacity that a planning pass over the whole queue left free."""
         machines_by_kind: dict[InstanceKind, float] = {}
         for capacity in capacities:
-            kind = types.get(capacity.type)
-            if kind is not None:
-                key = InstanceKind(capacity.type, capacity.zone, capacity.spot)
-                machines_by_kind[key] = machines_by_kind.get(key, 0.0) + free_fraction(capacity, kind)
-        self._machines = {key: machines for key, machines in machines_by_kind.items() if machines > MIN_MACHINES}
-        self._since = {key: self._since.get(key, now) for key in self._machines}
+            machine_type = types.get(capacity.type)
+            if machine_type is not None:
+                kind = InstanceKind(capacity.type, capacity.zone, capacity.spot)
+                machines_by_kind[kind] = machines_by_kind.get(kind, 0.0) + free_fraction(capacity, machine_type)
+        self._machines = {kind: machines for kind, machines in machines_by_kind.items() if machines > MIN_MACHINES}
+        self._since = {kind: self._since.get(kind, now) for kind in self._machines}
 
     def report(self, now: float) -> list[IdleCapacity]:
         """Returns the idle capacity by kind of machine, for the coordinator."""
