--- a/sloeswitch/admission/coordinator.py
+++ b/sloeswitch/admission/coordinator.py
@@ -41,9 +41,10 @@
 
 
 class AdmissionCoordinator:
-    """Keeps the idle capacity that siblings reported, and when each row was last written.
+    """Runs the epochs while this controller is the coordinator.
 
-    All other state is in the tables, so that a new coordinator continues from there.
+    Keeps only the idle capacity that siblings reported, and when each row was last written. All other state is in the
+    tables, so that a new coordinator continues from there.
     """
 
     def __init__(
@@ -65,14 +66,14 @@
         self.now = context.clock.now
         self.sleep = sleep
         self.limits = AdmissionLimits.from_settings(context.settings)
-        self.feature = FeatureRollout("admission", context)
+        self.rollout = FeatureRollout("admission", context)
         self.reported: dict[str, ReportedIdleCapacity] = {}
         self.written_at: dict[str, float] = {}
 
     @property
     def switched_on(self) -> bool:
         """Whether jobs are deferred: the setting is on, and every configured controller has run with the feature."""
-        return self.features.deferring and self.feature.is_complete
+        return self.features.deferring and self.rollout.is_complete
 
     # -- loops
 
@@ -81,7 +82,7 @@
         while True:
             await self.sleep(self.limits.epoch_s)
             try:
-                await self.feature.record_member()
+                await self.rollout.record_member()
                 await self.run_epoch()
             except StaleReplicaError:
                 pass
@@ -135,7 +136,7 @@
             return
         writes = {keys.admission_key(path): row.stored() for change in chosen for path, row in change.rows.items()}
         # The conditions on the rows' revisions ensure that no cut is lowered (docs/admission.md). The condition on the
-        # coordinator's key only saves a deposed coordinator useless changes.
+        # coordinator's key only avoids useless writes by a controller that is no longer the coordinator.
         conditions = {key: tables.mod_revision(key) for key in (keys.COORDINATOR_KEY, *writes)}
         outcome, revision = await self.client.compare_and_swap(Transaction(conditions, writes), RequestPriority.CLAIM)
         now = self.now()
