--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -1,4 +1,4 @@
-"""Imports all that a controller imports, so that its compiled form is in target/ before the first start."""
+"""Imports every module that a controller imports, so that their bytecode is in target/ before the first start."""
 
 import importlib
 import os.path
--- a/run.py
+++ b/run.py
@@ -1,12 +1,12 @@
-"""Starts a sloeswitch controller from a checkout, with the libraries that the build put in place."""
+"""Starts a sloeswitch controller from a checkout, with the libraries that the build installed in target/deps."""
 
 import os.path
 import sys
 
 ROOT = os.path.dirname(os.path.abspath(__file__))
 sys.path[:0] = [ROOT, os.path.join(ROOT, "target", "deps")]
-# The build compiles here all that is imported (deploy/compile.py), since a controller's own disk is not
-# writable. Found on the bench: with the package alone compiled, each start compiled the libraries again.
+# The build writes the bytecode of all imported modules to this directory (deploy/compile.py), including the libraries:
+# a controller's disk is not writable, so modules without bytecode would be compiled again at every start.
 sys.pycache_prefix = os.path.join(ROOT, "target", "pycache")
 
 from sloeswitch.cli import main  # noqa: E402
