--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Builders shared by the tests: a job, a machine's report, stored tables. No clock, no network."""
+"""Builders that the tests share: submissions, worker reports and stored rows. They use no clock and no network."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def submission(name: str = "wk-000001", **changes: Any) -> dict[str, Any]:
-    """A submission as a user sends it."""
+    """Returns the body of a submission as a user sends it; a field changed to `...` is left out."""
     body: dict[str, Any] = {
         "id": name,
         "roster": "train",
@@ -95,7 +95,7 @@
 
 
 def report(serial: int, token: int, *tasks: tuple[Any, ...], session: int = 1, name: str = "vm-1") -> wire.WorkerReport:
-    """A machine's report; tasks are (name, attempt, state) or (name, attempt, "ended", cause)."""
+    """Returns a worker's report; each task is (name, attempt, state) or (name, attempt, "ended", cause)."""
     items = [wire.ReportedTask(*item) for item in tasks]
     return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, session, serial, token, items)
 
@@ -104,7 +104,7 @@
 
 
 class Store:
-    """Stored values with stamps, played into tables as a watch would."""
+    """Rows of the state service with their revisions; each change is applied to tables as a watch does."""
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -120,7 +120,7 @@
         return self.epoch
 
     def read_again(self) -> Tables:
-        """The tables of a controller that reads all rows, by key."""
+        """Returns the tables of a controller that reads all rows in the order of their keys."""
         tables = Tables()
         for key, (value, stamp) in sorted(self.rows.items()):
             tables.apply(key, value, stamp)
@@ -131,7 +131,7 @@
         self.put(keys.job_key(job.id), value)
 
     def progress(self, name: str, done: int = 0, **claims: int) -> None:
-        """Claims are given as c0_1=mask for the tag "c0.1"."""
+        """Stores a job's progress row; the claims of incarnation "c0.1" are passed as c0_1=mask."""
         held = {tag.replace("_", "."): mask for tag, mask in claims.items()}
         self.put(keys.progress_key(name), encode_progress(Progress(done, held)))
 
@@ -142,7 +142,7 @@
         self.put(keys.member_key(name), {"boot": boot, "settled": settled, "layout": keys.LAYOUT_VERSION})
 
     def upgraded(self) -> None:
-        """Every configured controller has run with this layout."""
+        """Stores that every configured controller has run with this layout version."""
         self.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
 
     def types(self) -> None:
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins that several test files share."""
+"""Fakes and simulations that several test files share."""
--- a/tests/support/clock.py
+++ b/tests/support/clock.py
@@ -1,4 +1,4 @@
-"""A clock that stands still until a test moves it."""
+"""A clock whose time changes only when a test sets it."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
         return self.time
 
     def wall_clock_ms(self) -> int:
-        """The time of day: the same time, which began at the epoch."""
+        """Returns the same time in milliseconds, as a wall clock that started at the Unix epoch."""
         return int(self.time * 1000)
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -1,4 +1,4 @@
-"""A digest of everything that leaves the controllers of a seeded world, in the order in which it leaves."""
+"""A digest of everything that the controllers of a seeded simulation send, in the order in which they send it."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class TraceRecorder:
-    """Hashes messages as the bytes that go over the wire, so that it does not depend on names in the code."""
+    """Hashes messages as encoded for the wire, so that the digest does not depend on names in the code."""
 
     def __init__(self) -> None:
         self._hash = hashlib.blake2b(digest_size=16)
-        # How many messages of each kind were recorded.
+        # Number of recorded messages by kind.
         self.counts = Counter[str]()
 
     def record(self, kind: str, *parts: bytes | str | int | None) -> None:
-        """Adds one message; `parts` say who sent it, to whom, and what."""
+        """Adds one message; `parts` are its sender, its recipient and its content, as far as it has them."""
         self.counts[kind] += 1
         for part in (kind, *parts):
             encoded = part if isinstance(part, bytes) else repr(part).encode()
@@ -39,5 +39,5 @@
 
     @property
     def digest(self) -> str:
-        """The digest over all that was recorded so far, in hexadecimal."""
+        """Returns the hexadecimal digest of all messages recorded so far."""
         return self._hash.hexdigest()
--- a/tests/support/seeds.py
+++ b/tests/support/seeds.py
@@ -1,4 +1,4 @@
-"""Longer runs of seeded worlds, outside CI."""
+"""Runs many seeds of a simulation, outside CI."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def play_seeds(play: Callable[[int], object], first: int, last: int) -> int:
-    """Plays worlds of these seeds and prints the rules that break; 1 if there are any."""
+    """Runs the seeds from `first` up to but without `last` and prints those that fail.
+
+    Returns the exit status: 1 if a seed failed, else 0.
+    """
     broken = 0
     for seed in range(first, last):
         try:
--- a/tests/support/settings_text.py
+++ b/tests/support/settings_text.py
@@ -1,4 +1,4 @@
-"""The settings file of each controller of a scripted cluster."""
+"""The settings files of the controllers of a simulated cluster."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def settings_text(member: str, members: tuple[str, ...], text: str = SETTINGS) -> str:
-    """One controller's settings; its siblings are the other members."""
+    """Returns the settings of one controller; its siblings are the other members."""
     head, _, rest = text.partition("[[siblings]]")
     _, _, tail = rest.partition("[outside]")
     siblings = "".join(
--- a/tests/support/streams.py
+++ b/tests/support/streams.py
@@ -1,4 +1,4 @@
-"""Connections in memory, for what is tested without a network."""
+"""In-memory connections for tests without a network."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def connect_to(mesh: Mesh, group: TaskGroup) -> Any:
-    """The near end of a connection whose far end a mesh serves."""
+    """Returns the client end of a connection whose server end is served by a mesh."""
     there_send, here_receive = anyio.create_memory_object_stream[bytes](9)
     here_send, there_receive = anyio.create_memory_object_stream[bytes](9)
     stream: Any = StapledObjectStream(there_send, there_receive)
--- a/tests/support/trace.py
+++ b/tests/support/trace.py
@@ -1,9 +1,11 @@
-"""One digest a seed over everything that leaves the controllers of the seeded worlds: transactions, answers to workers
-and users, calls to the cloud, and frames between controllers.
+"""Prints a digest of all messages that controllers send in the seeded simulations, for each simulation and seed.
+
+The messages are transactions, answers to workers and users, direct commands, calls to the cloud, and frames between
+controllers and between cells.
 
     python3 -m tests.support.trace 1 25          # seeds 1 to 24; compare with the output of another revision
 
-A change of the code that is to keep its behaviour keeps all digests. Log lines are no part of them.
+A change of the code that is meant to keep its behaviour must keep all digests. Log lines are not part of them.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 
 
 def ask_as_user(world: cluster.World, step: int) -> None:
-    """Users poll, repeat, and make mistakes at one controller; all answers are recorded."""
+    """Sends a step's user requests to one controller and records the answers."""
     node = world.nodes[world.members[step % len(world.members)]]
     users = Users(node.context, node.jobs, node.machines)
     for request in user_requests(world, step):
@@ -42,7 +44,7 @@
 
 
 def user_requests(world: cluster.World, step: int) -> Iterator[Request]:
-    """What users ask in a step."""
+    """Yields the user requests of a step: polls, repeated, invalid and oversized submissions, and cancellations."""
     names = list(world.specs)
     yield Request("GET", "/healthz", b"")
     if names:
@@ -56,7 +58,7 @@
 
 
 def play_random(seed: int, troubled: bool) -> TraceRecorder:
-    """A world of two controllers, with users' requests in between."""
+    """Runs two controllers with user requests after each step."""
     world = cluster.World(seed, troubled)
     world.start()
     for step in range(STEPS):
@@ -66,12 +68,12 @@
 
 
 def play_cells(seed: int) -> TraceRecorder:
-    """Three cells that hand jobs over."""
+    """Runs three cells that hand jobs over to each other."""
     return anyio.run(cells.play, seed, 120, 60).recorder
 
 
 def play_admission(seed: int) -> TraceRecorder:
-    """Four controllers under overload."""
+    """Runs four controllers under overload."""
     world = admission.AdmissionWorld(seed)
     world.start()
     for _ in range(STEPS // 2):
@@ -81,7 +83,7 @@
 
 
 def play_autoscaling(seed: int) -> TraceRecorder:
-    """Controllers that scale out and in at a scripted cloud."""
+    """Runs controllers that scale out and in at a fake cloud."""
     world = AutoscalingWorld(seed)
     world.start()
     for _ in range(AUTOSCALING_STEPS):
@@ -99,7 +101,7 @@
 
 
 def trace(seed: int) -> list[str]:
-    """One line for each kind of world: its name, the seed, the digest and the number of messages."""
+    """Returns one line for each simulation: its name, the seed, the digest and the number of messages by kind."""
     lines = []
     for name, play in PLAYERS.items():
         recorder = play(seed)
@@ -109,7 +111,7 @@
 
 
 def main(first: int, last: int) -> int:
-    """Prints the lines of these seeds, in order."""
+    """Prints the lines of the seeds from `first` up to but without `last`, in order."""
     with ProcessPoolExecutor(PROCESSES) as pool:
         for lines in pool.map(trace, range(first, last)):
             print("\n".join(lines), flush=True)
@@ -118,7 +120,7 @@
 
 if __name__ == "__main__":
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
-        # Sets of names are walked in an order that depends on it.
+        # The iteration order of sets of strings depends on the hash seed.
         os.environ["PYTHONHASHSEED"] = HASH_SEED
         os.execv(sys.executable, [sys.executable, "-m", "tests.support.trace", *sys.argv[1:]])
     sys.exit(main(int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace of the seeded worlds repeats, and a change of behaviour shows in it."""
+"""The digests of the seeded simulations are reproducible, and a change of behaviour changes them."""
 
 from __future__ import annotations
 
