--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -1,4 +1,7 @@
-"""Controllers that scale out and in at a scripted cloud, which refuses, loses answers and starts machines late."""
+"""A simulated cluster that scales out and in at a fake cloud.
+
+The cloud sometimes has no capacity, loses requests, and starts instances late or never.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,12 @@
 from tests.support.cluster_worker import Worker
 
 LARGE_TYPE = wire.MachineType("large", 16.0, 0.0, 64.0, 50.0, 0.5, 0.9, 0.3, 15.0, ["a", "b"])
-# Turns of the event loop in which the deletions that are due are sent.
+# Iterations of the event loop that suffice to send the deletions that are due.
 TURNS = 12
 
 
 class ScriptedInstance:
-    """One instance at the cloud."""
+    """An instance at the cloud; its worker starts at `up_at`."""
 
     def __init__(self, name: str, booking: wire.InstanceRequest, created_at: float, up_at: float) -> None:
         self.name = name
@@ -31,12 +34,12 @@
 
 
 class RecordingCloud(CloudClient):
-    """One controller's way to the world's cloud."""
+    """One controller's client of the simulated cloud; records each call."""
 
     node: AutoscalingNode
 
     def _sent(self, call: str, body: bytes) -> None:
-        """Records a call; some find no answer, and what they asked for does not happen."""
+        """Records a call; one in twenty is lost on its way to the cloud and gets no answer."""
         world = self.node.world
         world.recorder.record(f"cloud {call}", self.node.settings.member, body)
         if world.rng.random() < 0.05:
@@ -73,7 +76,7 @@
 
 
 class AutoscalingNode(Node):
-    """One process of a controller, with its own calls to the cloud."""
+    """One process of a controller, with its own client of the cloud."""
 
     world: AutoscalingWorld
 
@@ -86,7 +89,7 @@
         self.machines.termination.autoscaler, self.scale_in.machines = self.scale_in, self.machines
 
     def scale(self) -> None:
-        """What the loops of scaling do in about a report's time."""
+        """Runs one iteration of the scale-out and scale-in loops."""
         anyio.run(self._scale)
 
     async def _scale(self) -> None:
@@ -113,7 +116,7 @@
 
 
 class AutoscalingWorld(World):
-    """Time, what is stored, the cloud's instances and their workers."""
+    """A cluster whose machines are all instances that its controllers create at the fake cloud."""
 
     nodes: dict[str, Any]
 
@@ -130,7 +133,7 @@
             self.elect_coordinator()
 
     def happen(self, luck: float, node: Node) -> None:
-        """Users submit large and small jobs now and then, besides what else happens."""
+        """Submits a job of one, four or thirty tasks with a probability of 4%; else as in the base class."""
         if 0.1 <= luck < 0.14 and len(self.sizes) < 60:
             self.number += 1
             one_zone, spot = self.rng.random() < 0.3, self.rng.random() < 0.7
@@ -141,7 +144,7 @@
             super().happen(luck, node)
 
     def create(self, booking: wire.InstanceRequest) -> list[str] | None:
-        """Some of the instances asked for, or None if there is no capacity."""
+        """Creates instances, sometimes one fewer than requested; None if there is no capacity."""
         if self.rng.random() < 0.1:
             return None
         names = []
@@ -153,7 +156,7 @@
         return names
 
     def destroy(self, name: str) -> None:
-        """The instance is gone, and all on it."""
+        """Removes an instance together with its worker."""
         self.instances.pop(name, None)
         worker = self.worker(name)
         if worker is not None:
@@ -163,7 +166,7 @@
         self.destroy(name)
 
     def step(self, calm: bool = False) -> None:
-        """A longer step than that of the worlds without a cloud."""
+        """Adds up to half a second to the base step, starts the workers of new instances, and runs the scaling."""
         self.clock.time += 0.5 * self.rng.random()
         for instance in list(self.instances.values()):
             if instance.up_at <= self.clock.time and self.worker(instance.name) is None:
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,9 +1,12 @@
-"""Several controllers from the real core and actors in a scripted world: a state service that loses answers and carries
-writes out late, workers with leases, messages that are lost or late, controllers that end, come back, or are refused by
-the state service. After each step the rules of the protocol are checked.
+"""A seeded simulation of a cluster: several controllers run the real core and actors against fakes.
 
-A troubled world has, besides, machines that hang, hear nothing or cannot report, direct commands that are carried out
-late, and a cloud that deletes machines."""
+Faults of every simulation: the state service loses answers, commits transactions late, has outages and rejects single
+controllers; controllers restart; heartbeats are lost, late or duplicated; workers lose their leases. The invariants of
+the protocol are checked after each step.
+
+With machine faults there are also machines that hang, receive nothing or cannot report, direct commands that are
+executed late, and a cloud that deletes machines.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 
 
 class World:
-    """Time, what is stored, the workers, and the rules."""
+    """A simulated cluster: its clock, the stored rows, controllers and workers, and the checks of the invariants."""
 
     def __init__(
         self,
@@ -46,9 +49,9 @@
         self.recorder = TraceRecorder()
         self.members = members
         self.text = text
-        # How likely a running task ends in a step.
+        # Probability that a running task completes in a step.
         self.task_ends = 0.06
-        # All jobs that were submitted, whether or not they were accepted.
+        # All submitted jobs, accepted or not.
         self.specs: dict[str, wire.JobSpec] = {}
         self.happened = Counter[str]()
         self.finished: set[str] = set()
@@ -81,26 +84,26 @@
         self.answered = Counter[str]()
 
     def new_node(self, name: str) -> Node:
-        """A new process of a controller."""
+        """Returns a new process of a controller."""
         return Node(self, name)
 
     def new_worker(self, name: str) -> Worker:
-        """A new machine."""
+        """Returns a new worker."""
         return Worker(self, name)
 
     def run(self, call: Callable[[*Args], Awaitable[Result]], *args: *Args) -> Result:
-        """Runs a coroutine of an actor to its end."""
+        """Runs a coroutine function of an actor until it returns."""
         return anyio.run(call, *args)
 
     def deliver(self, member: str, message: HeartbeatRequest) -> bool:
-        """A report reaches a controller; whether it was answered."""
+        """Delivers a heartbeat to a controller; returns whether it was answered."""
         self.run(self.nodes[member].machines.handle, message)
         return True
 
     def coordinate(self) -> None:
-        """What the coordinator does: a view of those whose lease lives, however that ended."""
+        """Does the coordinator's work: removes members whose lease expired and stores a view of the others."""
         if self.outage:
-            # After an outage every lease has its full time again.
+            # The state service extends every lease to its full length after an outage.
             self.leases = {key: self.clock.time for key in self.leases}
             return
         span = self.nodes[self.members[0]].settings.controller_lease_s
@@ -115,7 +118,7 @@
             self.store.view(self.store.tables.view.number + 1, *members)
 
     def elect_coordinator(self) -> bool:
-        """The coordinator's key goes with its lease, and a member of the view takes a free one; whether one did."""
+        """Deletes the coordinator's row when its lease is gone; returns whether a member of the view then became it."""
         tables = self.store.tables
         if tables.coordinator is not None and tables.coordinator not in self.leases:
             self.store.put(keys.COORDINATOR_KEY, None)
@@ -127,8 +130,10 @@
         return True
 
     def present(self, leased: bool = False) -> list[tuple[str, str]]:
-        """Tasks and the machines on which they are; `leased`: without machines that hang past the end of their lease,
-        which give their tasks up before they go on."""
+        """Returns the tasks that have not ended, each with its machine.
+
+        `leased` leaves out machines whose lease expired while they hang: they drop their tasks before they go on.
+        """
         workers = [worker for worker in self.workers if not (leased and worker.lease_over)]
         return [(task, w.name) for w in workers for (task, _), (state, _) in w.tasks.items() if state != "ended"]
 
@@ -136,7 +141,7 @@
         return next((worker for worker in self.workers if worker.name == name), None)
 
     def delete(self, name: str) -> None:
-        """The cloud deletes a machine, and another one comes up."""
+        """Deletes a machine at the cloud; a new machine replaces it."""
         worker = self.worker(name)
         if worker is not None:
             self.happened["deleted"] += 1
@@ -152,18 +157,21 @@
             worker.hung_until = worker.deaf_until = worker.mute_until = self.clock.time
 
     def unfinished(self) -> set[str]:
-        """Accepted jobs that no controller knows as done or cancelled."""
+        """Returns the accepted jobs that no controller reports as done or cancelled."""
         final = (wire.JobStatus.DONE, wire.JobStatus.CANCELLED)
         return {job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())}
 
     def cancel(self, job: str, node: Node) -> None:
-        """A user cancels a job at one of the controllers."""
+        """Cancels a job at one of the controllers, as a user does."""
         if node.replica.loaded and self.run(node.jobs.cancel, job) == wire.JobStatus.CANCELLED:
             self.told.setdefault(job, self.clock.time)
 
     def trouble(self, node: Node) -> None:
-        """A machine hangs, hears nothing or cannot report for a while. A job on one that hangs is cancelled, and the
-        machine goes on long after its tasks must be gone."""
+        """Makes a machine hang, receive nothing or be unable to report for a while.
+
+        If a machine with tasks hangs, one of their jobs is cancelled, and the machine hangs for longer than the time
+        in which the cancelled task must be gone.
+        """
         worker = self.rng.choice(self.workers)
         kind = self.rng.choice(("hung", "deaf", "mute"))
         until = self.clock.time + 25 * self.rng.random()
@@ -187,7 +195,7 @@
             assert self.clock.time <= self.told[job] + 30.0, f"ran_cancelled: {task}"
 
     def used(self, team: str, tasks: list[str]) -> float:
-        """Cores that the team's among these tasks use."""
+        """Returns the cores that a team's tasks use, of the given tasks."""
         specs = (self.specs[task.partition("/")[0]] for task in tasks)
         return sum(spec.cores for spec in specs if spec.team == team)
 
@@ -208,14 +216,14 @@
     # -- steps
 
     def start(self) -> None:
-        """All controllers join."""
+        """Lets all controllers join."""
         for node in self.nodes.values():
             node.read()
             node.renew()
         self.coordinate()
 
     def submit(self, node: Node, job: wire.JobSpec) -> bool:
-        """A user submits a job; whether it is accepted. One that is not may be stored late all the same."""
+        """Submits a job; returns whether it is accepted. One that is not may still be stored later."""
         self.specs[job.id] = job
         if not node.replica.loaded or self.run(node.jobs.submit, job) is None:
             return False
@@ -223,13 +231,13 @@
         return True
 
     def happen(self, luck: float, node: Node) -> None:
-        """What happens in a step: something breaks or heals, or a user comes."""
+        """Performs the random event of a step: a fault begins or ends, a user's request, or a status request."""
         if luck < 0.01:
             self.outage = not self.outage
         elif luck < 0.03:
             node.refused = not node.refused
         elif luck < 0.037:
-            # A new process; the former lease ends by itself.
+            # Restarts the controller; the lease of the previous process expires.
             self.nodes[node.settings.member] = self.new_node(node.settings.member)
         elif luck < 0.1 and len(self.sizes) < 40:
             self.number += 1
@@ -240,7 +248,7 @@
             self.ask_sibling(node)
 
     def ask_sibling(self, node: Node) -> None:
-        """A question over the mesh, and its answer."""
+        """Requests another controller's status over the mesh and applies the answer."""
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
         peer = node.mesh.peers[other.settings.member]
@@ -252,7 +260,7 @@
         node.mesh.apply_status(peer, self.clock.time, answer)
 
     def step(self, calm: bool = False) -> None:
-        """About a sixth of a second; in calm times only siblings ask."""
+        """Advances the simulation by 0.15 s on average; without faults the only event is a status request."""
         rng = self.rng
         self.clock.time += 0.3 * rng.random()
         for item in [item for item in self.late if item[0] <= self.clock.time]:
@@ -282,7 +290,7 @@
 
 
 def run_steps(world: World, steps: int, calm_steps: int = 0) -> None:
-    """Plays a world, checking the rules after each step; in the calm steps at its end nothing more goes wrong."""
+    """Runs a simulation and checks the invariants after each step; its last `calm_steps` steps are free of faults."""
     world.start()
     for step in range(steps + calm_steps):
         if step == steps:
@@ -291,7 +299,7 @@
 
 
 def play(seed: int, steps: int, troubled: bool = False, calm_steps: int = 0) -> World:
-    """Plays a world of a seed; see `run_steps`."""
+    """Runs the simulation of a seed; see `run_steps`."""
     world = World(seed, troubled)
     run_steps(world, steps, calm_steps)
     return world
--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -1,4 +1,4 @@
-"""What a controller of the cluster starts beside its actors: direct commands, and deletions at the cloud."""
+"""Fakes for what a controller's actors start in the background: direct commands, inspections and cloud deletions."""
 
 from __future__ import annotations
 
@@ -14,11 +14,16 @@
 
 
 class ScriptedTaskGroup:
-    """Registrations are stored at once; direct commands arrive in a troubled world only."""
+    """Replaces the machines actor's task group.
 
-    # Draws below these are late, arrive, and are answered.
+    Registrations are kept in `pending`; the node runs them after its tick. Direct commands are sent only in simulations
+    with machine faults.
+    """
+
+    # Thresholds for a random number that is drawn for each command: below the first the command arrives late, below
+    # the second it arrives at once, below the third the answer to it arrives as well.
     late_share, arriving_share, answered_share = 0.2, 0.9, 0.8
-    # Which part of the inspections is lost.
+    # Probability that an inspection gets no answer.
     lost_inspections = 0.1
 
     def __init__(self, node: Node) -> None:
@@ -34,14 +39,14 @@
             self.inspect(args[0])
 
     def inspect(self, machine: str) -> None:
-        """A question for a machine's tasks: answered, or lost. It changes nothing there."""
+        """Asks a machine for its tasks, without side effects; the request may be lost."""
         worker = self.node.world.worker(machine)
         self.node.world.recorder.record("inspection", self.node.settings.member, machine)
         lost = worker is None or worker.hung or worker.deaf or self.node.world.rng.random() < self.lost_inspections
         self.node.inbox.append(InspectionReply(machine, None if lost or worker is None else worker.report()))
 
     def command(self, machine: Machine) -> None:
-        """A direct command: carried out and answered, only carried out, carried out late, or lost."""
+        """Sends a direct command: executed and answered, executed without an answer, executed late, or lost."""
         node, world = self.node, self.node.world
         worker = world.worker(machine.name)
         commands = node.machines.commands
@@ -51,7 +56,7 @@
         orders = node.machines.registry.commands(machine, node.tables, None) if machine.reconciled else []
         message = wire.WorkerCommands(node.leadership.view.number, orders, machine.agent_epoch or 1)
         world.recorder.record("command", node.settings.member, machine.name, wire.encode(message))
-        # As at the end of a real one, which waits for an answer no longer than this.
+        # The next probe is due as after a real command, which ends when its timeout expires at the latest.
         wait_s = min(2.0, node.settings.lease_s / 6)
         node.machines.commands.probe_at[machine.name] = world.clock.time + wait_s + node.settings.report_s / 4
         luck = world.rng.random()
@@ -67,7 +72,11 @@
 
 
 class ScriptedCloud:
-    """Deletes machines for one controller, as its fleet would: only what is still its own, and while it may."""
+    """Deletes machines for one controller under the conditions of the real scale-in.
+
+    A leader deletes machines that it owns. An urgent deletion of any machine is also allowed while the controller may
+    answer workers, or while no controller may as far as it can tell.
+    """
 
     def __init__(self, node: Node) -> None:
         self.node = node
--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -1,4 +1,4 @@
-"""One controller of the cluster: the real actors on scripted neighbours, driven a step at a time."""
+"""One controller of the simulated cluster: the real actors with fake external services, advanced step by step."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         self.membership = Membership(self.context)
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
-        # Pauses would be real ones.
+        # These delays would wait in real time.
         self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[MachinesMessage] = []
         if world.troubled:
@@ -63,7 +63,7 @@
         self.asked: list[ClaimRequest] = []
 
         async def ask_for(request: ClaimRequest) -> None:
-            raise AssertionError("taken from the group")
+            raise AssertionError("claim requests are intercepted in the task group")
 
         self.machines.claims._await_claims = ask_for  # type: ignore[method-assign]
 
@@ -72,7 +72,7 @@
         return not self.refused and not self.world.outage
 
     def read(self) -> None:
-        """All changes since the last reading, sent now and answered at once; and the lease is renewed."""
+        """Applies all changes since the last read, as a linearizable read that is sent and answered now."""
         if not self.reaches:
             return
         while self.log_position < len(self.world.log):
@@ -98,11 +98,11 @@
         self.store_member()
 
     def store_member(self) -> None:
-        """Stores the member row if it is not as it should be."""
+        """Stores the member row if the stored one differs."""
         self.world.run(self.membership._write_member)
 
     def tick(self) -> None:
-        """A tick of the machines actor, and a transaction of the jobs actor with the claims that it asked for."""
+        """Runs a tick of the machines actor and a commit of the jobs actor with the claims that the tick requested."""
         for message in self.inbox:
             self.world.run(self.machines.handle, message)
         self.inbox.clear()
@@ -110,7 +110,7 @@
         self.machines.claims.claim_in_flight = False
 
     def _tick_machines(self) -> list[ClaimRequest]:
-        """One tick of the machines actor; the claims that it asks the jobs actor for."""
+        """Runs one tick of the machines actor and returns the claims that it requests from the jobs actor."""
         group = self.group
         start_soon = group.start_soon
         requests: list[ClaimRequest] = []
@@ -127,7 +127,7 @@
         return requests
 
     async def _commit(self, requests: list[ClaimRequest]) -> None:
-        """Carries out what the tick started, delivers the actors' messages, and commits."""
+        """Runs the calls that the tick started, delivers the actors' messages, and commits."""
         for call, args in self.group.pending:
             await call(*args)
         self.group.pending.clear()
@@ -142,7 +142,7 @@
             await self.jobs._commit_round()
 
     async def _deliver_messages(self) -> None:
-        """The membership and jobs actors handle what is in their inboxes."""
+        """Lets the membership and jobs actors handle the messages in their inboxes."""
         while self.membership._inbox:
             message = self.membership._inbox.popleft()
             assert isinstance(message, ShardRecovered)
--- a/tests/support/cluster_state.py
+++ b/tests/support/cluster_state.py
@@ -1,4 +1,4 @@
-"""The state service as one controller of the cluster reaches it: out, refusing, losing answers, carrying out late."""
+"""The fake state service of the simulated cluster, with outages, rejections, lost answers and late commits."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ClusterStateClient(StateClient):
-    """Transactions against what is stored. Some answers are lost, and some of these are carried out late."""
+    """Commits to the simulated store. Some transactions get no answer; of these some are committed late."""
 
     node: Node
 
@@ -38,7 +38,7 @@
         return result
 
     async def travel(self) -> None:
-        """A request or its answer is on its way, which takes no time here."""
+        """Waits while a request or its answer is in transit; here that takes no time."""
 
     def _carry_out_or_lose(self, transaction: Transaction, leases: dict[str, int] | None) -> TransactionResult:
         conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
@@ -51,7 +51,7 @@
             stored = world.store.tables
             if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
                 return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
-            # One transaction, one revision.
+            # All changes of a transaction get the same revision.
             world.store.epoch += 1
             for key, value in [*writes.items(), *((key, None) for key in drops)]:
                 world.store.epoch -= 1
@@ -67,7 +67,7 @@
 
 
 class ClusterReplica(Replica):
-    """Reads what is stored, in order, while the state service can be reached."""
+    """Applies the stored changes in order while the state service can be reached."""
 
     node: Node
 
--- a/tests/support/cluster_worker.py
+++ b/tests/support/cluster_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the cluster, as the protocol describes workers."""
+"""A fake worker that follows the worker protocol."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Worker:
-    """A worker as the protocol tells it, of eight cores; images are there."""
+    """A worker of eight cores that follows the protocol and needs no time to fetch images."""
 
     def __init__(self, world: World, name: str, kind: str = "small", zone: str = "a", spot: bool = True) -> None:
         self.world = world
@@ -35,21 +35,21 @@
 
     @property
     def hung(self) -> bool:
-        """Whether it does nothing at all, and keeps what is on it until it goes on."""
+        """Whether it does nothing at all; its tasks stay on it until it resumes."""
         return self.world.clock.time < self.hung_until
 
     @property
     def deaf(self) -> bool:
-        """Whether neither answers nor commands reach it."""
+        """Whether it receives neither answers nor direct commands."""
         return self.world.clock.time < self.deaf_until
 
     @property
     def mute(self) -> bool:
-        """Whether it reaches no controller."""
+        """Whether its reports reach no controller."""
         return self.world.clock.time < self.mute_until
 
     def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
-        """A direct command: carried out if token and session still match."""
+        """Executes a direct command unless its fencing token is outdated or its agent epoch is another."""
         if self.hung or message.fencing_token < self.fencing_token or message.agent_epoch != self.agent_epoch:
             return
         self.fencing_token = message.fencing_token
@@ -83,10 +83,13 @@
         )
 
     def heartbeat(self) -> None:
-        """A report to the controller of which the worker thinks, or to the next one; the answer may be late or lost."""
+        """Sends a report to the controller that the worker takes for its owner; report and answer may be lost or late.
+
+        After a redirect the next report goes to the named controller, after a failure to a random one.
+        """
         world, rng, sent = self.world, self.world.rng, self.world.clock.time
         if any(sent - earlier <= 4.0 for _, earlier, _, _ in self.answers_in_flight):
-            return  # one report in flight at a time; an answer is waited for so long
+            return  # one report in flight at a time, with a timeout of 4 s
         self.answers_in_flight.clear()
         report = self.report()
         if self.mute:
@@ -94,7 +97,7 @@
             return
         self.send_copies(report)
         if rng.random() < 0.05:
-            return  # never arrives
+            return  # the report is lost
         message = HeartbeatRequest(report=report, last_answer_received=self.last_answer_received)
         if not world.deliver(self.target, message):
             self.last_answer_received = False
@@ -113,7 +116,7 @@
             self.answers_in_flight.append((world.clock.time + delay, sent, self.agent_epoch, answer.body))
 
     def send_copies(self, report: wire.WorkerReport) -> None:
-        """Copies of some reports arrive late, at any controller."""
+        """Keeps copies of some reports and delivers them later to a random controller."""
         world, rng = self.world, self.world.rng
         if rng.random() < 0.1:
             self.report_copies.append(report)
