--- a/tests/support/completion_world.py
+++ b/tests/support/completion_world.py
@@ -1,7 +1,7 @@
-"""A cluster of healthy machines whose controllers end and come back: no task that completed is started once more.
+"""A simulated cluster of healthy machines whose controllers restart: no completed task may be started again.
 
-Completions wait for their write while the owners of their machines change, alone or all at once. Every machine keeps
-the results of its tasks until they are cleared, so that each completion is there for the next owner to find.
+Controllers restart, one or all of them, while they have completions that are not yet committed. Every machine keeps the
+results of its tasks until they are cleared or its lease expires, so the next owner can still find each completion.
 
     python3 -m tests.support.completion_world 1 201          # seeds 1 to 200
 """
@@ -21,14 +21,14 @@
 MACHINES = 10
 MAX_JOBS = 30
 STEPS = 500
-# How likely a running task ends in a step.
+# Probability that a running task completes in a step.
 TASK_END_SHARE = 0.02
-# How likely controllers end in a step: one, or all of them; and how likely an outage begins or ends.
+# Probabilities in a step: one controller restarts; all restart; an outage of the state service begins or ends.
 RESTART_SHARE, RESTART_ALL_SHARE, OUTAGE_SHARE = 0.02, 0.006, 0.004
 
 
 class ResultKeeper(PromptWorker):
-    """A worker whose results are lost only with its lease."""
+    """A worker that keeps the results of its tasks unless its lease expires."""
 
     world: CompletionWorld
 
@@ -39,12 +39,12 @@
 
 
 class CompletionWorld(World):
-    """Nothing fails but controllers and the state service."""
+    """A cluster in which only controllers and the state service fail."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES)
         self.task_ends = TASK_END_SHARE
-        # Completed tasks whose result is stored, or still with the machine that has it.
+        # Completed tasks whose completion is stored or can still be read from their machine.
         self.kept: set[str] = set()
 
     def new_node(self, name: str) -> Node:
@@ -54,7 +54,7 @@
         return ResultKeeper(self, name)
 
     def trouble(self, node: Node) -> None:
-        """No machine fails."""
+        """Does nothing: no machine fails."""
 
     def happen(self, luck: float, node: Node) -> None:
         if luck < RESTART_SHARE:
@@ -70,7 +70,7 @@
         self.ask_sibling(node)
 
     def restart(self, name: str) -> None:
-        """The process of a controller ends, and a new one is there."""
+        """Replaces a controller's process by a new one."""
         self.happened["restart"] += 1
         self.nodes[name] = self.new_node(name)
 
@@ -85,7 +85,7 @@
 
 
 def play(seed: int) -> CompletionWorld:
-    """Plays a world, checking the rules after each step."""
+    """Runs the simulation of a seed and checks the invariants after each step."""
     world = CompletionWorld(seed)
     run_steps(world, STEPS)
     return world
--- a/tests/support/quota_world.py
+++ b/tests/support/quota_world.py
@@ -1,13 +1,13 @@
-"""A cluster in which several teams are at their limits while their machines change owners.
+"""A simulated cluster in which several teams are at their quota limits while their machines change owners.
 
-Three controllers all want more of every limit, with spells in which a team has hardly any work. Controllers stand
-still, end alone and all at once, and come back seconds later. A transaction is under way for a while, and reports come
-in and views change in the meantime: what was planned from one state of the tables is stored beside later changes.
+Three controllers compete for the quota of every team; at times a team submits nothing. Controllers freeze, or restart
+alone or all at once and are back within seconds. Transactions take time, so heartbeats arrive and views change between
+the planning of a transaction and its commit: it may commit next to changes that its plan did not know.
 
-After each step, besides the rules of every cluster:
-- what exists on machines of a team is within its limit, whoever knows of it;
-- what a controller accounts for is within its stored allocation, once its adoptions are stored;
-- the stored allocations of a team are within its limit.
+Invariants that are checked after each step, in addition to those of every simulated cluster:
+- the tasks of a team that exist on machines are within its limit, whether or not a controller knows them;
+- the tasks that a controller accounts for are within its stored allocation, once its adoptions are stored;
+- the sum of a team's stored allocations is within its limit.
 
     python3 -m tests.support.quota_world 1 201          # seeds 1 to 200
 """
@@ -35,16 +35,16 @@
 MACHINES = 10
 MAX_JOBS = 60
 STEPS = 1200
-# How likely something breaks in a step, and what.
+# Probability that a fault begins in a step, and the kinds of faults, weighted by repetition.
 TROUBLE_SHARE = 0.015
-# How likely a team whose demand changes stops to submit jobs.
+# Probability that a team that submits jobs stops when its demand changes.
 QUIET_SHARE = 0.4
 TROUBLES = ("frozen",) * 4 + ("ended",) * 3 + ("all ended", "outage", "refused", "refused")
-# How long a message to or from the state service is under way, on average and in seconds.
+# Mean latency of a message to or from the state service, in seconds.
 LATENCY_S = 0.2
-# How long a transaction waits for the write rate, on average and in seconds, before it is planned.
+# Mean time that a transaction waits for the write rate limit before it is planned, in seconds.
 RATE_WAIT_S = 1.5
-# How likely a running task ends in a step, and which part of the cluster's usual troubles of machines there are.
+# Probability that a running task completes in a step, and the share of the base class's machine faults that is kept.
 TASK_END_SHARE = 0.02
 MACHINE_TROUBLE_SHARE = 0.3
 
@@ -57,21 +57,21 @@
 
 
 class LaggingStateClient(ClusterStateClient):
-    """Transactions that a controller's actors commit are under way for a while, and so are their answers."""
+    """A state client whose transactions and answers take a random time in transit."""
 
     node: QuotaNode
 
     async def acquire_changes(self, changes: int, priority: Any) -> None:
-        """Waits for the write rate."""
+        """Waits a random time, as for the write rate limit."""
         await self.node.pause(RATE_WAIT_S)
 
     async def travel(self) -> None:
-        """A request or its answer is on its way."""
+        """Waits while a request or its answer is in transit."""
         await self.node.pause(LATENCY_S)
 
 
 class QuotaNode(Node):
-    """A controller that may stand still or be down, and whose transactions take time."""
+    """A controller that may freeze or be down, and whose transactions take time."""
 
     world: QuotaWorld
     client_class = LaggingStateClient
@@ -80,11 +80,11 @@
         super().__init__(world, name)
         self.down_until = down_until
         self.frozen_until = float("-inf")
-        # Reports that arrived while it stood still.
+        # Heartbeats that arrived while it was frozen.
         self.held: list[HeartbeatRequest] = []
         self.background: set[asyncio.Task[None]] = set()
         self.committing: asyncio.Task[None] | None = None
-        # Waits for the next transaction.
+        # Claim requests that wait for the next transaction.
         self.requests: list[ClaimRequest] = []
         self.storing_member: asyncio.Task[None] | None = None
 
@@ -97,23 +97,23 @@
         return not self.is_down and self.world.clock.time >= self.frozen_until
 
     async def pause(self, mean_s: float) -> None:
-        """Waits for a message to the state service; without end while this controller stands still."""
+        """Waits a random time if called in a background task of this controller; while frozen it keeps waiting."""
         if asyncio.current_task() in self.background:
             await self.world.wait_message(self, mean_s)
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Starts something that goes on beside the steps of the world."""
+        """Starts a background task that runs across the steps of the simulation."""
         task = self.world.loop.create_task(work)
         self.background.add(task)
         return task
 
     def end(self) -> None:
-        """The process ends."""
+        """Ends the process: cancels its background tasks."""
         for task in self.background:
             task.cancel()
 
     def wake_up(self) -> None:
-        """Handles the reports that came while it stood still; their workers wait for no answer any more."""
+        """Handles the heartbeats that arrived while it was frozen; their workers have already timed out."""
         for message in self.held:
             self.world.run(self.machines.handle, message)
         self.held.clear()
@@ -130,7 +130,7 @@
         await self.membership._write_member()
 
     def tick(self) -> None:
-        """A tick of the machines actor; the jobs actor begins a transaction unless one is under way."""
+        """Runs a tick of the machines actor; the jobs actor begins a transaction unless one is in flight."""
         if not self.is_awake:
             return
         self.wake_up()
@@ -148,7 +148,7 @@
             self.committing = self.start(self._commit_requests(requests))
 
     def deliver_messages(self) -> None:
-        """The jobs actor takes updates at once; the membership actor stores the view that is recovered."""
+        """Lets the jobs actor handle its messages now and the membership actor handle its own in the background."""
         while self.jobs._inbox:
             updates = self.jobs._inbox.popleft()
             assert isinstance(updates, TaskUpdates)
@@ -166,7 +166,7 @@
 
 
 class QuotaWorker(Worker):
-    """A worker that keeps results: a task that is started again after it completed ends at once."""
+    """A worker that keeps results: a task that is started again after it completed is reported as done at once."""
 
     def execute(self, order: Any) -> None:
         if order.verb == "start" and order.task in self.world.finished:
@@ -176,16 +176,16 @@
 
 
 class QuotaWorld(World):
-    """Time, what is stored, the workers, and the rules on quotas."""
+    """A simulated cluster with transactions that take time, and with checks of the quotas."""
 
     def __init__(self, seed: int) -> None:
         self.loop = asyncio.new_event_loop()
-        # Messages under way: when they arrive, whose they are, and what waits for them.
+        # Messages in transit: arrival time, controller, and the future that is resolved on arrival.
         self.messages: list[tuple[float, QuotaNode, asyncio.Future[None]]] = []
         super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES, text=TEXT)
         self.nodes: dict[str, QuotaNode]  # type: ignore[assignment]
         self.task_ends = TASK_END_SHARE
-        # Teams that submit jobs now.
+        # Teams that currently submit jobs.
         self.hungry = set(TEAMS)
         self.limits = {name: team.cpus_max for name, team in self.nodes["c0"].settings.teams.items()}
 
@@ -198,13 +198,13 @@
         return self.loop.run_until_complete(to_its_end())
 
     async def wait_message(self, node: QuotaNode, mean_s: float) -> None:
-        """Waits until a message of a controller has arrived, which takes a random time."""
+        """Waits until a message of a controller arrives, after an exponentially distributed time."""
         arrived = self.loop.create_future()
         self.messages.append((self.clock.time + self.rng.expovariate(1 / mean_s), node, arrived))
         await arrived
 
     def deliver_due(self) -> None:
-        """Messages arrive; those to a controller that stands still wait for it."""
+        """Delivers the messages that are due, except those of frozen controllers, and collects finished tasks."""
         due = [item for item in self.messages if item[0] <= self.clock.time and (item[1].is_awake or item[2].done())]
         for item in due:
             self.messages.remove(item)
@@ -219,13 +219,13 @@
                     task.result()
 
     def close(self) -> None:
-        """Ends what is under way."""
+        """Cancels all background tasks and closes the event loop."""
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.run(asyncio.sleep, 0)
         self.loop.close()
 
-    # -- what is in the world
+    # -- controllers and workers
 
     def new_node(self, name: str) -> QuotaNode:
         return QuotaNode(self, name)
@@ -234,7 +234,7 @@
         return QuotaWorker(self, name)
 
     def restart(self, name: str) -> None:
-        """A controller ends, and comes back within seconds."""
+        """Restarts a controller; it is down for up to 6 s."""
         self.nodes[name].end()
         self.nodes[name] = QuotaNode(self, name, self.clock.time + 6 * self.rng.random())
 
@@ -267,14 +267,14 @@
             self.ask_sibling(node)
 
     def change_demand(self, team: str) -> None:
-        """A team that submits nothing submits jobs again; one that does may stop."""
+        """Lets a team that submits no jobs resume; one that does may stop."""
         if team not in self.hungry:
             self.hungry.add(team)
         elif self.rng.random() < QUIET_SHARE:
             self.hungry.remove(team)
 
     def break_something(self, kind: str, node: QuotaNode) -> None:
-        """A trouble begins; it ends by itself."""
+        """Begins a fault, which ends by itself."""
         self.happened[kind] += 1
         until = self.clock.time + 10 * self.rng.random()
         if kind == "frozen":
@@ -318,7 +318,7 @@
         for node in self.nodes.values():
             node.down_until = node.frozen_until = self.clock.time
 
-    # -- rules
+    # -- invariants
 
     def check(self) -> None:
         super().check()
@@ -332,7 +332,10 @@
                 self.check_covered(node)
 
     def check_covered(self, node: QuotaNode) -> None:
-        """What a controller accounts for is within its allocation, by its own tables, once its adoptions are stored."""
+        """Checks a controller's accounted cores against its allocation, once its adoptions are stored.
+
+        The allocation and the adoptions are those of the controller's own tables.
+        """
         incarnation_id, tables, registry = node.leadership.incarnation_id, node.tables, node.machines.registry
         ownership = node.machines.ownership
         is_current = ownership.incarnation == node.leadership.incarnation and node.leadership.is_member
@@ -346,7 +349,11 @@
             assert cores <= allocated + ROUNDING_TOLERANCE, f"not covered: {team} {cores} of {allocated}"
 
     def accounted_cores(self, node: QuotaNode, team: str) -> float:
-        """The cores of tasks on a controller's machines, and of its tasks on machines that another one owns now."""
+        """Returns the cores of the tasks that a controller accounts for.
+
+        These are the tasks on its machines and, until recovery is complete, its claimed tasks that were handed off
+        with machines that another controller now owns.
+        """
         registry, tables = node.machines.registry, node.tables
         placed = [attempt.spec for machine in registry.machines.values() for attempt in machine.attempts.values()]
         cores = sum(each.cores for each in placed if each.team == team)
@@ -361,7 +368,7 @@
 
 
 def play(seed: int, steps: int = STEPS, calm_steps: int = 0) -> QuotaWorld:
-    """Plays a world of a seed; see `run_steps`."""
+    """Runs the simulation of a seed; see `run_steps`."""
     world = QuotaWorld(seed)
     try:
         run_steps(world, steps, calm_steps)
--- a/tests/support/takeover_world.py
+++ b/tests/support/takeover_world.py
@@ -1,7 +1,7 @@
-"""A cluster in which a machine hangs with a cancelled task, and its owner changes again and again.
+"""A simulated cluster in which a machine hangs with a cancelled task while its owner changes repeatedly.
 
-Each seed draws how owners change and how often. Nothing else goes wrong: whatever is deleted besides the machine that
-hangs was healthy.
+The seed selects how owners change and how often. There are no other faults, so no machine but the one that hangs may be
+deleted.
 
     python3 -m tests.support.takeover_world 1 201          # seeds 1 to 200
 """
@@ -25,49 +25,49 @@
 MEMBERS = ("c0", "c1", "c2")
 MACHINES = 12
 JOBS = 12
-# Steps before a machine hangs: all controllers have joined, and tasks run everywhere.
+# Steps before a machine hangs, after which all controllers have joined and machines run tasks.
 QUIET_STEPS = 120
-# For so long after the cancellation the world is played; the machine would hang longer.
+# How long the simulation runs after the cancellation, and how long the machine hangs, in seconds.
 PLAYED_S = 40.0
 HANG_S = 200.0
 # The shortest and the longest time between two changes of owners, in seconds.
 MIN_INTERVAL_S, MAX_INTERVAL_S = 0.3, 6.0
-# For so long the state service refuses a controller that is to lose its lease, in seconds.
+# How long the state service rejects a controller that is to lose its lease, in seconds.
 REFUSED_S = 4.0
 
 
 class TakeoverKind(StrEnum):
     """How the hung machine changes owners."""
 
-    # The owner's process ends, and another one is back at once.
+    # The owner restarts, with no downtime.
     OWNER_RESTARTS = "owner restarts"
     # All controllers restart, one after the other.
     EACH_RESTARTS = "each restarts"
-    # The state service refuses the owner until its lease is over; the process goes on.
+    # The state service rejects the owner until its lease expires; the process continues.
     OWNER_LOSES_LEASE = "owner loses its lease"
-    # One or the other.
+    # Each change is one of the three kinds above, drawn at random.
     MIXED = "mixed"
-    # Its owner changes once, shortly before the task must be gone.
+    # The owner restarts once, 12 to 28.5 s after the cancellation; the task must be gone after 30 s.
     ONCE_LATE = "once, late"
     # The owner restarts while the state service is down.
     RESTART_IN_OUTAGE = "restart in an outage"
 
 
 class ReliableTaskGroup(ScriptedTaskGroup):
-    """Commands and inspections are answered at once by every machine that does not hang."""
+    """Delivers all commands and inspections; every machine that does not hang answers at once."""
 
     late_share, arriving_share, answered_share = 0.0, 1.0, 1.0
     lost_inspections = 0.0
 
     def command(self, machine: Machine) -> None:
-        """One that is not sent after all ends at once."""
+        """Sends a command; one that is dropped because the controller may not answer workers ends at once."""
         super().command(machine)
         if not self.node.leadership.may_answer_workers:
             self.node.machines.commands.record_ended(machine)
 
 
 class TakeoverNode(Node):
-    """A controller whose network is sound."""
+    """A controller whose commands and inspections are not lost or late."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -92,7 +92,7 @@
 
 
 class TakeoverWorld(World):
-    """Healthy machines and one that hangs; owners change as the seed has it."""
+    """A cluster of healthy machines and one that hangs, with changes of owners selected by the seed."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES)
@@ -111,7 +111,7 @@
         return PromptWorker(self, name)
 
     def trouble(self, node: Node) -> None:
-        """No machine fails but the one that hangs."""
+        """Does nothing: no machine fails except the one that hangs."""
 
     def happen(self, luck: float, node: Node) -> None:
         if self.hung_machine is None:
@@ -124,12 +124,15 @@
         self.ask_siblings()
 
     def ask_siblings(self) -> None:
-        """Every controller asks one of the others for its status."""
+        """Lets every controller request the status of one of the others."""
         for node in self.nodes.values():
             self.ask_sibling(node)
 
     def hang_machine(self) -> bool:
-        """A machine with tasks hangs, and the job of one of them is cancelled; False where there is none."""
+        """Cancels the job of a running task and makes its machine hang.
+
+        Returns False if no machine runs a task or the cancellation fails.
+        """
         running = [worker for worker in self.workers if any(state == "running" for state, _ in worker.tasks.values())]
         if not running:
             return False
@@ -145,22 +148,22 @@
         return True
 
     def first_change_at(self) -> float:
-        """Owners change from the cancellation on, or once at a moment between half of the time and its end."""
+        """Returns the time of the first change of owners; for ONCE_LATE also disables later changes."""
         if self.kind is not TakeoverKind.ONCE_LATE:
             return self.clock.time + self.interval_s * self.rng.random()
         self.interval_s = float("inf")
         return self.clock.time + 30.0 * self.rng.uniform(0.4, 0.95)
 
     def owner(self) -> str:
-        """The owner of the hung machine by the stored view."""
+        """Returns the owner of the hung machine by the stored view."""
         assert self.hung_machine is not None
         return self.store.tables.view.owner(self.hung_machine.name) or MEMBERS[0]
 
     def is_known_to_siblings(self) -> bool:
         """Whether each controller has read the cancellation.
 
-        One that nobody has read but a process which ends in an outage cannot be known to anybody (docs/design.md,
-        "Limits known"); the seed decides how long after its reading owners change.
+        A cancellation is lost until the state service returns if only a process that ends during the outage has read
+        it (docs/design.md, "Limits known"), so the owner restarts in an outage only after every controller has read it.
         """
         if self.kind is not TakeoverKind.RESTART_IN_OUTAGE:
             return True
@@ -184,7 +187,7 @@
             self.restart(self.owner())
 
     def restart(self, name: str) -> None:
-        """The process of a controller ends, and a new one is there."""
+        """Replaces a controller's process by a new one."""
         self.restarted += 1
         self.nodes[name] = self.new_node(name)
 
@@ -199,7 +202,7 @@
 
 
 def play(seed: int) -> TakeoverWorld:
-    """Plays a world until the cancelled task must be gone, checking the rules after each step."""
+    """Runs the simulation of a seed until after the cancelled task must be gone, checking the invariants each step."""
     world = TakeoverWorld(seed)
     world.start()
     for _ in range(QUIET_STEPS):
--- a/tests/test_quota_world.py
+++ b/tests/test_quota_world.py
@@ -1,4 +1,4 @@
-"""The random worlds of tests/support/quota_world.py: no quota is exceeded while machines change owners."""
+"""The simulated cluster of tests/support/quota_world.py: no quota is exceeded while machines change owners."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("seed", [6, 19, 32])
 def test_tasks_stay_covered_by_allocations_while_their_machines_change_owners(seed: int) -> None:
-    """In these seeds a decrease meets an adoption that it did not know of, in one transaction."""
+    """In these seeds a transaction combines a quota decrease with an adoption that its plan did not know."""
     world = play(seed)
     assert world.starts > 100 and world.done and {"frozen", "ended", "late command"} <= world.happened.keys()
 
