--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,7 +1,7 @@
-"""One controller alone with a fleet of scripted machines: take-over, reports, a wave of cancellations, deletions.
+"""A single controller with many fake machines: takeover from another owner, heartbeats, mass cancellation, deletion.
 
-The machines' former owner is gone. Nothing is timed here; `python3 -m tests.support.fleet MACHINES` prints how long
-each phase takes on this computer, and how much memory the process holds.
+`python3 -m tests.support.fleet MACHINES` prints how long each phase takes on this computer and the peak memory of the
+process. The tests that use this module measure no time.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class HungMachineOutcome(NamedTuple):
-    """What became of a fleet with a hung machine: which machines were deleted, when, and what it took."""
+    """Which machines were deleted when one of them hung, after what time, and the commands and tick time it took."""
 
     hung: str
     deleted: list[str]
@@ -52,7 +52,7 @@
 
 
 class RecoveryOutcome(NamedTuple):
-    """What a fleet's recovery took: transactions with their changes and bytes, and time of this computer."""
+    """The transactions of a recovery, with their changes and bytes in total, and its time on this computer."""
 
     transactions: int
     changes: int
@@ -61,7 +61,7 @@
 
 
 class FleetWorld(World):
-    """Controller c0.1, and machines that c1.2 owned until it ended."""
+    """Controller c0.1, and machines that c1.2 owned before it terminated."""
 
     def __init__(self, machines: int) -> None:
         text = SETTINGS.replace("fd_limit = 500", f"fd_limit = {2 * machines}")
@@ -85,9 +85,9 @@
             store.progress(job_name(number), **{FORMER_TAG.replace(".", "_"): (1 << size) - 1})
         store.put(keys.quota_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
         self.serials = dict.fromkeys(rows, 0)
-        # Tasks that are over on their machines.
+        # Tasks that their machines no longer report.
         self.ended: set[str] = set()
-        # Tasks that completed, and whose results their machines keep.
+        # Tasks that their machines report as completed.
         self.completed: set[str] = set()
 
     def _watch_commits(self) -> None:
@@ -106,7 +106,7 @@
         return [wire.task_name(job_name(job), first + index) for index in range(TASKS_OF_A_MACHINE)]
 
     def renew(self) -> None:
-        """The lease is renewed and the tables are read afresh."""
+        """Renews the lease and marks the tables as just read."""
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
 
     def _worker_report(self, number: int, token: int) -> wire.WorkerReport:
@@ -122,13 +122,13 @@
         return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, 1, self.serials[name], token, items)
 
     async def report(self, number: int, token: int) -> int:
-        """A machine reports its tasks as running; the status of the answer."""
+        """Sends a machine's heartbeat and returns the HTTP status of the answer."""
         message = HeartbeatRequest(report=self._worker_report(number, token), last_answer_received=True)
         await self.machines.handle(message)
         return int(message.answer.status)
 
     def report_all(self, token: int, silent: str = "") -> set[int]:
-        """Every machine but a silent one reports once; which statuses were answered."""
+        """Sends a heartbeat of every machine except `silent`; returns the set of HTTP statuses."""
         numbers = [number for number in range(self.machine_count) if machine_name(number) != silent]
 
         async def report_each() -> set[int]:
@@ -138,11 +138,11 @@
 
     def tick(self) -> None:
         self.machines.monitor.next_check_at = 0.0
-        self.machines.claims.claim_in_flight = True  # no claims: only what is there already counts
+        self.machines.claims.claim_in_flight = True  # prevents new claims
         self.machines._tick()
 
     def store_all(self) -> int:
-        """Rounds until nothing is left to be stored; how many there were."""
+        """Commits until there is nothing left to store; returns the number of commits."""
         rounds = 0
         while True:
             before = len(self.transactions)
@@ -154,7 +154,7 @@
             rounds += 1
 
     def take_over(self) -> None:
-        """The former owner is gone: all machines are this controller's, and report under its token."""
+        """Makes this controller the only member: it owns all machines, and they report with its fencing token."""
         self.store.view(4, ("c0", 1))
         self.renew()
         self.tick()
@@ -162,7 +162,7 @@
         self.report_all(4)
 
     def recover_with_completions(self) -> RecoveryOutcome:
-        """All machines are taken over, one task of each completed; what it takes until that counts as recovered."""
+        """Takes over all machines, each with one completed task; returns the cost until the shard is recovered."""
         self.completed = {self.tasks_of(number)[0] for number in range(self.machine_count)}
         started = time.perf_counter()
         self.take_over()
@@ -183,7 +183,7 @@
         await self.jobs._commit_round()
 
     def take_over_with_a_hung_machine(self) -> HungMachineOutcome:
-        """All machines are taken over while a cancellation is overdue; one hangs, and all others report and answer."""
+        """Takes over all machines while a cancellation is overdue; one machine hangs and all others answer."""
         hung, now = machine_name(0), self.clock.time
         key = keys.job_key(job_name(0))
         cancelled_ms = int(1000 * (now - OVERDUE_SHARE * self.settings.cancel_s))
@@ -217,7 +217,7 @@
         return HungMachineOutcome(hung, deleted, self.clock.time - now, sent, tick_s)
 
     def _answer_command(self, call: str, machine: Any, hung: str) -> None:
-        """A machine answers a command or an inspection, unless it hangs."""
+        """Answers a command or an inspection, unless the machine hangs."""
         commands = self.machines.commands
         name = machine if call == "_inspect" else machine.name
         number = int(name.removeprefix("vm-"))
@@ -233,13 +233,13 @@
         commands.record_ended(machine)
 
     def cancel_all(self) -> None:
-        """Every job is cancelled at once, by rows that other controllers wrote."""
+        """Cancels every job at once, through rows that other controllers wrote."""
         for number in range(self.jobs_count):
             key = keys.job_key(job_name(number))
             self.store.put(key, {**self.store.rows[key][0], "s": JobState.CANCELLED, "x": int(self.clock.time * 1000)})
 
     def delete_all(self) -> int:
-        """All machines are deleted; how many transactions take them out of what is stored."""
+        """Deletes all machines; returns the number of transactions that remove their rows."""
         names = [machine_name(number) for number in range(self.machine_count)]
         for start in range(0, len(names), 100):
             anyio.run(self.machines.handle, InstancesDeleted(names[start : start + 100]))
@@ -255,7 +255,7 @@
 
 
 def main(machines: int) -> None:
-    """Prints the time of each phase, and the memory held."""
+    """Prints the time of each phase and the peak memory of the process."""
 
     def timed(title: str, call: Callable[[], Any]) -> None:
         started = time.perf_counter()
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -1,6 +1,6 @@
-"""A controller whose writes are kept as texts, and tables as plain values. Frozen rows are told by it (tests/frozen).
+"""Records the rows that a controller writes and dumps the tables that it reads, for comparison with tests/frozen.
 
-A row is one line: its key, and unless it is dropped a space and its JSON.
+A row is one line of text: its key, followed by a space and its JSON unless the row is deleted.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 from tests.support.single_controller import World
 
 DATA = Path(__file__).parent.parent / "frozen"
-# Stamps of rows that a test gives begin above those that are there at its start.
+# Rows that a test adds get revisions above this one, so above those of the rows that each simulation starts with.
 FIRST_STAMP = 1000
 
 
 def frozen(name: str) -> dict[str, Any]:
-    """A data file."""
+    """Returns the content of a data file."""
     value: dict[str, Any] = json.loads((DATA / f"{name}.json").read_text())
     return value
 
 
 def line_of(key: str, value: Any) -> str:
-    """A row as a line, as the code encodes it."""
+    """Formats a row as a line, with the value encoded as the code encodes it."""
     return key if value is None else f"{key} {wire.encode(value).decode()}"
 
 
 def parse_line(line: str) -> tuple[str, Any]:
-    """The key and the value of a line; None if the row is dropped."""
+    """Returns the key and the value of a line; the value is None if the row is deleted."""
     key, _, text = line.partition(" ")
     return key, json.loads(text) if text else None
 
 
 class Recorder(World):
-    """One controller, c0.1, alone in view 3; what it writes is kept."""
+    """Controller c0.1, alone in view 3; records the rows that it writes."""
 
     def __init__(self, text: str = SETTINGS) -> None:
         super().__init__(Store(), text)
@@ -56,32 +56,32 @@
             outcome = apply(conditions, writes, drops)
             assert outcome[0] is TransactionOutcome.COMMITTED, (outcome, conditions)
             self.lines += [line_of(key, value) for key, value in writes.items()]
-            self.lines += sorted(drops)  # one transaction: their order means nothing
+            self.lines += sorted(drops)  # the order within a transaction has no meaning
             return outcome
 
         self.client.apply = record  # type: ignore[method-assign]
 
     def given(self, *names: str) -> None:
-        """Rows of the frozen ones, by their name in rows_read."""
+        """Stores frozen rows, selected by their names in rows_read.json."""
         for name in names:
             for line in frozen("rows_read")[name]:
                 self.store.put(*parse_line(line))
 
     def run(self, call: Callable[..., Awaitable[Any]], *args: Any) -> Any:
-        """What a coroutine function gives."""
+        """Runs a coroutine function and returns its result."""
         return anyio.run(call, *args)
 
     def later(self, seconds: float) -> None:
-        """Time passes, and the lease is renewed."""
+        """Advances the clock and renews the lease."""
         self.clock.time += seconds
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
 
 
-# -- tables as plain values; the only place with Python names of what is read
+# -- dumps of the tables; only this code depends on the Python names of their fields
 
 
 def dump(tables: Tables) -> str:
-    """All that was read, as JSON that does not depend on Python names; what is empty is left out."""
+    """Returns the tables as JSON without Python names; empty parts are left out."""
     found = {
         "members": {name: [row.incarnation, row.recovered_view, row.layout] for name, row in tables.members.items()},
         "coordinator": tables.coordinator,
@@ -116,7 +116,7 @@
 
 
 def dump_type(kind: wire.MachineType) -> list[Any]:
-    """A machine type."""
+    """Returns the fields of a machine type."""
     return [
         kind.name,
         kind.cores,
@@ -132,7 +132,7 @@
 
 
 def dump_spec(spec: wire.JobSpec) -> dict[str, Any]:
-    """What a user asked for."""
+    """Returns the fields of a job spec."""
     return {
         "names": [spec.id, spec.job_class, spec.team, spec.shape, spec.priority, spec.image, spec.zone],
         "amounts": [spec.tasks, spec.cores, spec.gpus, spec.memory, spec.image_gb],
@@ -144,7 +144,7 @@
 
 
 def dump_job(job: Job) -> dict[str, Any]:
-    """A job that is not over."""
+    """Returns the fields of a live job."""
     progress = job.progress
     return {
         "spec": dump_spec(job.spec),
@@ -163,7 +163,7 @@
 
 
 def dump_over(over: FinishedJob) -> dict[str, Any]:
-    """A job that is over."""
+    """Returns the fields of a finished job."""
     return {
         "end": [over.status, over.tasks, over.finished_ms, over.mod_revision, over.is_done, over.is_final],
         "handoff": dump_handoff(over.outgoing_handoffs),
@@ -172,7 +172,7 @@
 
 
 def dump_handoff(row: OriginRow | None) -> list[Any] | None:
-    """Handoffs to other cells."""
+    """Returns the handoffs of a job to other cells."""
     if row is None:
         return None
     placements = [[each.target, each.number] for each in row.recalled]
@@ -181,7 +181,7 @@
 
 
 def dump_admission(row: AdmissionRow) -> dict[str, Any]:
-    """Cuts of admission."""
+    """Returns the admission cuts of a row."""
     cuts = {
         f"{lane.team} {lane.job_class} {lane.priority}": [cut.ticket.submitted_ms, cut.ticket.job, cut.raised_ms]
         for lane, cut in row.lanes.items()
--- a/tests/support/scripted_state.py
+++ b/tests/support/scripted_state.py
@@ -1,4 +1,4 @@
-"""A state service of a dictionary, for one controller or several, and a replica that knows all of it at once."""
+"""A fake state service in memory, for one or several controllers, and a replica that is always up to date."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 
 class ScriptedState(StateClient):
-    """A state service of a dictionary: commits are checked and applied, or lost as the test says."""
+    """A state client that checks transactions against the limits of the settings and commits them to a Store.
+
+    The next `lose_answers` transactions get no answer and are not committed; they are kept in `late`, from where a test
+    may commit them with `apply`.
+    """
 
     store: Store
     lose_answers = 0
     late: list[tuple[dict[str, int], dict[str, Any], list[str]]]
-    # What it takes now, which may be less than what the settings tell.
+    # The limits that the service enforces, if they are below those of the settings.
     most_changes_now: int | None = None
     most_bytes_now: int | None = None
 
@@ -47,7 +51,7 @@
 
     def apply(self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
         tables = self.store.tables
-        # What the state service would refuse (protocol).
+        # The limits of the protocol, beyond which the state service rejects a transaction.
         assert len(writes) + len(drops) <= self.settings.txn_ops
         assert len(conditions) <= 4 * self.settings.txn_ops
         assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY_BYTES
@@ -62,7 +66,7 @@
 
 
 class ScriptedReplica(Replica):
-    """Knows all that is stored at once."""
+    """A replica whose applied revision is always the latest stored one."""
 
     @property
     def applied_revision(self) -> int:
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -1,4 +1,4 @@
-"""One controller with scripted neighbours, and what tests ask of it."""
+"""One controller with fake external services, and helpers with which tests drive it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class World:
-    """One controller, c0.1, alone in view 3 with one machine heard."""
+    """Controller c0.1, alone in view 3, with the state service replaced by a Store."""
 
     def __init__(self, store: Store, text: str = SETTINGS) -> None:
         self.store = store
@@ -61,7 +61,7 @@
         return None
 
     def heartbeat(self, heard: wire.WorkerReport) -> wire.WorkerCommands:
-        """What the machine is answered, which is seen to have received the answer before."""
+        """Sends a heartbeat that acknowledges the previous answer; returns the commands of the answer."""
         message = HeartbeatRequest(report=heard, last_answer_received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
@@ -81,7 +81,7 @@
         self.machines.task_placement.place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
-        """What the machines actor asks the jobs actor for."""
+        """Returns the claim requests that the machines actor would send to the jobs actor now."""
         asked: list[ClaimRequest] = []
 
         async def ask(request: ClaimRequest) -> None:
@@ -100,7 +100,7 @@
 
 
 def meshed(world: World) -> Mesh:
-    """The controller's part of the mesh; none of its siblings has told anything yet."""
+    """Gives the controller a mesh, in which no sibling has sent a status yet."""
     world.leadership.mesh = Mesh(
         world.settings.siblings,
         1.0,
@@ -134,7 +134,7 @@
 
 
 def running(world: World) -> tuple[str, int]:
-    """One task of a job runs on vm-1, as its report 4 tells."""
+    """Starts a job's only task on vm-1, which reports it as running; returns the task and its attempt."""
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
@@ -143,7 +143,7 @@
 
 
 class Cloud:
-    """Takes deletions and says which."""
+    """A cloud that accepts all deletions and records them."""
 
     def __init__(self) -> None:
         self.deleted: list[str] = []
@@ -153,7 +153,7 @@
 
 
 def world_with_scale_in(store: Store) -> World:
-    """A controller with one machine, which deletes machines at a cloud that takes all deletions."""
+    """Returns a controller with one machine and a scale-in whose cloud accepts all deletions."""
     world = World(store)
     machine_up(world)
     cloud: Any = Cloud()
@@ -176,7 +176,7 @@
 
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
-    """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
+    """Applies the status answer of sibling c1, which has this cancellation log, as encoded for the wire; returns it."""
     sibling = Mesh(
         (),
         1.0,
@@ -196,7 +196,7 @@
 
 
 def state_outage(world: World) -> None:
-    """The controller's lease and its last fresh read are over."""
+    """Advances the clock until the lease and the last linearizable read have expired without an answer since."""
     world.clock.time += world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
 
@@ -236,7 +236,7 @@
 
 
 def watched(world: World) -> dict[str, Any]:
-    """All rows written from now on, which must be within the lesser of both limits."""
+    """Returns a dict that collects the rows written from now on; asserts that each is within the value size limit."""
     written: dict[str, Any] = {}
     put = world.store.put
 
