--- a/tests/support/admission.py
+++ b/tests/support/admission.py
@@ -35,7 +35,7 @@
 from tests.support.cluster import World
 from tests.support.cluster_node import Node
 from tests.support.cluster_worker import CORES
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 from tests.support.settings_text import settings_text
 
 MEMBERS = ("c0", "c1", "c2", "c3")
@@ -86,7 +86,7 @@
     async def idle_capacity(self) -> list[IdleCapacity]:
         """Asks for idle capacity; there is no answer if a message is lost in either direction."""
         world = self.world
-        lost = world.troubled and world.rng.random() < 0.1
+        lost = world.extra_faults and world.rng.random() < 0.1
         if (
             lost
             or (self.sender, self.receiver) in world.broken_links
@@ -138,7 +138,7 @@
                 await self.admission.run_epoch()
             except StaleReplicaError:
                 return
-            if self.admission.switched_on and self.leadership.is_coordinator and self.reaches:
+            if self.admission.switched_on and self.leadership.is_coordinator and self.reaches_service:
                 self.world.count_epoch()
 
         anyio.run(loops)
@@ -152,7 +152,7 @@
     def __init__(
         self,
         seed: int,
-        troubled: bool = True,
+        extra_faults: bool = True,
         deferring: bool = True,
         text: str | None = None,
         machines: int = MACHINES,
@@ -171,8 +171,8 @@
         self.free_since: dict[str, float] = {}
         self.startable_since: dict[str, float] = {}
         self.limits = AdmissionLimits.from_settings(parse(settings_text("c0", MEMBERS, text or cluster_text())))
-        super().__init__(seed, troubled, MEMBERS, machines, text or cluster_text())
-        self.task_ends = 0.012
+        super().__init__(seed, extra_faults, MEMBERS, machines, text or cluster_text())
+        self.task_end_probability = 0.012
         self.store.put(keys.LAYOUT_KEY, {"seen": list(MEMBERS), "complete": True})
 
     def new_node(self, name: str) -> Node:
@@ -183,39 +183,39 @@
     def coordinate(self) -> None:
         super().coordinate()
         if not self.outage and self.elect_coordinator():
-            self.happened["coordinator"] += 1
+            self.event_counts["coordinator"] += 1
 
     def count_epoch(self) -> None:
         """Counts an epoch of a coordinator that reaches the state service."""
         self.coordinated_s += min(self.limits.epoch_s, self.clock.time - self.last_epoch_at)
         self.last_epoch_at = self.clock.time
-        self.happened["look"] += 1
+        self.event_counts["look"] += 1
 
     # -- steps
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         """Injects failures of controllers, links and the state service, cancellations, and mesh status requests."""
-        if not self.troubled:
+        if not self.extra_faults:
             return
-        if luck < 0.003 or (self.outage and luck < 0.03):
+        if draw < 0.003 or (self.outage and draw < 0.03):
             self.outage = not self.outage
-            self.happened["outage"] += 1
-        elif luck < 0.01 or (node.refused and luck < 0.1):
+            self.event_counts["outage"] += 1
+        elif draw < 0.01 or (node.refused and draw < 0.1):
             node.refused = not node.refused
-        elif luck < 0.02:
+        elif draw < 0.02:
             self.nodes[node.settings.member] = self.new_node(node.settings.member)
-            self.happened["crash"] += 1
-        elif luck < 0.022:
+            self.event_counts["crash"] += 1
+        elif draw < 0.022:
             for name in self.members:
                 self.nodes[name] = self.new_node(name)
-            self.happened["all crash"] += 1
-        elif luck < 0.03:
+            self.event_counts["all crash"] += 1
+        elif draw < 0.03:
             one, other = self.rng.sample(self.members, 2)
             self.broken_links ^= {(one, other)}
-        elif luck < 0.045 and self.sizes:
-            self.cancel(self.rng.choice(sorted(self.sizes)), node)
-        elif luck < 0.3:
-            self.ask_sibling(node)
+        elif draw < 0.045 and self.accepted_jobs:
+            self.cancel(self.rng.choice(sorted(self.accepted_jobs)), node)
+        elif draw < 0.3:
+            self.request_peer_status(node)
 
     @property
     def past_common_cut(self) -> bool:
@@ -227,15 +227,17 @@
         """Submits a job of a random team and class from time to time; some have a prerequisite."""
         if (
             self.rng.random() > 0.35
-            or len(self.sizes) >= most
-            or (len(self.sizes) >= most / 2 and not self.past_common_cut)
+            or len(self.accepted_jobs) >= most
+            or (len(self.accepted_jobs) >= most / 2 and not self.past_common_cut)
         ):
             return
-        self.number += 1
+        self.last_job_number += 1
         team = self.rng.choices(list(TEAMS), weights=[6, 2, 1])[0]
-        awaits = [self.rng.choice(sorted(self.sizes))] if self.sizes and self.rng.random() < 0.1 else ...
+        awaits = (
+            [self.rng.choice(sorted(self.accepted_jobs))] if self.accepted_jobs and self.rng.random() < 0.1 else ...
+        )
         job = spec(
-            f"wk-{self.number:06d}",
+            f"wk-{self.last_job_number:06d}",
             crew=team,
             roster=self.rng.choice(CLASSES),
             visits=self.rng.randint(1, 5),
@@ -247,18 +249,18 @@
         node = self.nodes[self.rng.choice(self.members)]
         self.submit(node, job)
 
-    def step(self, calm: bool = False) -> None:
-        super().step(calm)
+    def step(self, fault_free: bool = False) -> None:
+        super().step(fault_free)
         for node in self.nodes.values():
             node.run_epoch_when_due()
         self.check_cuts()
         self.check_bound()
-        if calm:
+        if fault_free:
             self.check_idle_capacity()
 
-    def end_troubles(self) -> None:
-        super().end_troubles()
-        self.troubled = False
+    def end_faults(self) -> None:
+        super().end_faults()
+        self.extra_faults = False
         self.broken_links.clear()
         self.startable_since.clear()
 
@@ -303,9 +305,9 @@
         It has to be the same machine all the time: at most moments some machine has capacity, since tasks end.
         """
         now = self.clock.time
-        tasks = [task for task, _ in self.present()]
+        tasks = [task for task, _ in self.present_tasks()]
         cores: Counter[str] = Counter()
-        for task, machine in self.present():
+        for task, machine in self.present_tasks():
             cores[machine] += int(self.specs[task.partition("/")[0]].cores)
         names = {worker.name for worker in self.workers if cores[worker.name] + TASK_CORES <= CORES}
         self.free_since = {name: self.free_since.get(name, now) for name in names}
@@ -334,16 +336,16 @@
         return len({line.partition('"job":')[2].partition(",")[0] for line in lines if '"deferred"' in line})
 
 
-def play(seed: int, steps: int, calm_steps: int = 0, jobs: int = 120) -> AdmissionWorld:
+def play(seed: int, steps: int, fault_free_steps: int = 0, jobs: int = 120) -> AdmissionWorld:
     """Simulates overload with failures, then a time without failures in which all jobs have to end."""
     world = AdmissionWorld(seed)
     world.start()
     for _ in range(steps):
         world.submit_at_random(jobs)
         world.step()
-    world.end_troubles()
-    for _ in range(calm_steps):
-        world.step(calm=True)
+    world.end_faults()
+    for _ in range(fault_free_steps):
+        world.step(fault_free=True)
         if not world.unfinished():
             break
     world.check_logs()
@@ -354,9 +356,9 @@
     """Simulates ten minutes of overload, and then a time without failures."""
     world = play(seed, 4000, 16_000, jobs=600)
     left = sorted(world.unfinished())
-    assert not left, f"left: {len(left)} of {len(world.sizes)}, first {left[:3]}"
+    assert not left, f"left: {len(left)} of {len(world.accepted_jobs)}, first {left[:3]}"
 
 
 if __name__ == "__main__":
     # Long simulations of these seeds.
-    sys.exit(play_seeds(play_long, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(play_long, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/autoscaling.py
+++ b/tests/support/autoscaling.py
@@ -20,17 +20,17 @@
 
 LARGE_TYPE = wire.MachineType("large", 16.0, 0.0, 64.0, 50.0, 0.5, 0.9, 0.3, 15.0, ["a", "b"])
 # Iterations of the event loop that suffice to send the deletions that are due.
-TURNS = 12
+EVENT_LOOP_ITERATIONS = 12
 
 
 class ScriptedInstance:
-    """An instance at the cloud; its worker starts at `up_at`."""
+    """An instance at the cloud; its worker starts at `running_at`."""
 
-    def __init__(self, name: str, booking: wire.InstanceRequest, created_at: float, up_at: float) -> None:
+    def __init__(self, name: str, request: wire.InstanceRequest, created_at: float, running_at: float) -> None:
         self.name = name
-        self.booking = booking
+        self.request = request
         self.created_at = created_at
-        self.up_at = up_at
+        self.running_at = running_at
 
 
 class RecordingCloud(CloudClient):
@@ -38,7 +38,7 @@
 
     node: AutoscalingNode
 
-    def _sent(self, call: str, body: bytes) -> None:
+    def _record_call(self, call: str, body: bytes) -> None:
         """Records a call; one in twenty is lost on its way to the cloud and gets no answer."""
         world = self.node.world
         world.recorder.record(f"cloud {call}", self.node.settings.member, body)
@@ -46,31 +46,31 @@
             raise CloudError("no answer")
 
     async def read_catalog(self) -> wire.MachineTypeCatalog:
-        self._sent("catalog", b"")
+        self._record_call("catalog", b"")
         return wire.MachineTypeCatalog([MACHINE_TYPE, LARGE_TYPE])
 
     async def list_instances(self) -> list[wire.Instance]:
-        self._sent("list", b"")
+        self._record_call("list", b"")
         world = self.node.world
         return [
             wire.Instance(
                 each.name,
                 "127.0.0.1:9000",
-                each.booking.type,
-                each.booking.zone,
-                each.booking.spot,
-                "up" if each.up_at <= world.clock.time else "pending",
+                each.request.type,
+                each.request.zone,
+                each.request.spot,
+                "up" if each.running_at <= world.clock.time else "pending",
                 world.clock.time - each.created_at,
             )
             for each in world.instances.values()
         ]
 
-    async def create_instances(self, booking: wire.InstanceRequest) -> list[str] | None:
-        self._sent("rent", wire.encode(booking))
-        return self.node.world.create(booking)
+    async def create_instances(self, request: wire.InstanceRequest) -> list[str] | None:
+        self._record_call("rent", wire.encode(request))
+        return self.node.world.create(request)
 
     async def delete_instances(self, machines: list[str]) -> None:
-        self._sent("delete", wire.delete_body(machines))
+        self._record_call("delete", wire.delete_body(machines))
         for name in machines:
             self.node.world.destroy(name)
 
@@ -99,7 +99,7 @@
         if self.scale_in.terminating:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.scale_in.terminate_forever)
-                for _ in range(TURNS):
+                for _ in range(EVENT_LOOP_ITERATIONS):
                     await anyio.lowlevel.checkpoint()
                 group.cancel_scope.cancel()
         while self.machines._inbox:
@@ -132,26 +132,26 @@
         if not self.outage:
             self.elect_coordinator()
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         """Submits a job of one, four or thirty tasks with a probability of 4%; else as in the base class."""
-        if 0.1 <= luck < 0.14 and len(self.sizes) < 60:
-            self.number += 1
+        if 0.1 <= draw < 0.14 and len(self.accepted_jobs) < 60:
+            self.last_job_number += 1
             one_zone, spot = self.rng.random() < 0.3, self.rng.random() < 0.7
             visits = self.rng.choice((1, 4, 30))
-            job = spec(f"wk-{self.number:06d}", visits=visits, together=one_zone, loaners=spot, pullGb=0.1)
+            job = spec(f"wk-{self.last_job_number:06d}", visits=visits, together=one_zone, loaners=spot, pullGb=0.1)
             self.submit(node, job)
         else:
-            super().happen(luck, node)
+            super().perform_event(draw, node)
 
-    def create(self, booking: wire.InstanceRequest) -> list[str] | None:
+    def create(self, request: wire.InstanceRequest) -> list[str] | None:
         """Creates instances, sometimes one fewer than requested; None if there is no capacity."""
         if self.rng.random() < 0.1:
             return None
         names = []
-        for number in range(max(1, booking.count - (self.rng.random() < 0.1))):
-            name = f"{booking.name}-{number}"
+        for number in range(max(1, request.count - (self.rng.random() < 0.1))):
+            name = f"{request.name}-{number}"
             delay = 8 * self.rng.random() if self.rng.random() < 0.95 else 1e9
-            self.instances[name] = ScriptedInstance(name, booking, self.clock.time, self.clock.time + delay)
+            self.instances[name] = ScriptedInstance(name, request, self.clock.time, self.clock.time + delay)
             names.append(name)
         return names
 
@@ -165,14 +165,14 @@
     def delete(self, name: str) -> None:
         self.destroy(name)
 
-    def step(self, calm: bool = False) -> None:
+    def step(self, fault_free: bool = False) -> None:
         """Adds up to half a second to the base step, starts the workers of new instances, and runs the scaling."""
         self.clock.time += 0.5 * self.rng.random()
         for instance in list(self.instances.values()):
-            if instance.up_at <= self.clock.time and self.worker(instance.name) is None:
+            if instance.running_at <= self.clock.time and self.worker(instance.name) is None:
                 self.workers.append(
-                    Worker(self, instance.name, instance.booking.type, instance.booking.zone, instance.booking.spot)
+                    Worker(self, instance.name, instance.request.type, instance.request.zone, instance.request.spot)
                 )
-        super().step(calm)
+        super().step(fault_free)
         for node in self.nodes.values():
             node.scale()
--- a/tests/support/cells.py
+++ b/tests/support/cells.py
@@ -27,7 +27,7 @@
 from tests.support.cell_state import CellState
 from tests.support.clock import Clock
 from tests.support.recorder import TraceRecorder
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 
 
 class RuleError(AssertionError):
@@ -255,4 +255,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(check_seed, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(check_seed, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -4,7 +4,7 @@
 controllers; controllers restart; heartbeats are lost, late or duplicated; workers lose their leases. The invariants of
 the protocol are checked after each step.
 
-With machine faults there are also machines that hang, receive nothing or cannot report, direct commands that are
+With extra faults there are also machines that hang, receive nothing or cannot report, direct commands that are
 executed late, and a cloud that deletes machines.
 """
 
@@ -40,22 +40,22 @@
     def __init__(
         self,
         seed: int,
-        troubled: bool = False,
+        extra_faults: bool = False,
         members: tuple[str, ...] = MEMBERS,
         machines: int = MACHINES,
         text: str = SETTINGS,
     ) -> None:
-        self.troubled = troubled
+        self.extra_faults = extra_faults
         self.recorder = TraceRecorder()
         self.members = members
         self.text = text
         # Probability that a running task completes in a step.
-        self.task_ends = 0.06
+        self.task_end_probability = 0.06
         # All submitted jobs, accepted or not.
         self.specs: dict[str, wire.JobSpec] = {}
-        self.happened = Counter[str]()
-        self.finished: set[str] = set()
-        self.sizes: dict[str, int] = {}
+        self.event_counts = Counter[str]()
+        self.completed_tasks: set[str] = set()
+        self.accepted_jobs: dict[str, int] = {}
         self.starts = 0
         self.rng = random.Random(seed)
         self.clock = Clock()
@@ -66,22 +66,22 @@
         put = self.store.put
 
         def logged(key: str, value: Any) -> int:
-            epoch = put(key, value)
-            self.log.append((key, value, epoch))
-            return epoch
+            revision = put(key, value)
+            self.log.append((key, value, revision))
+            return revision
 
         self.store.put = logged  # type: ignore[method-assign]
         self.outage = False
-        self.late: list[tuple[float, Callable[[], object]]] = []
+        self.delayed_calls: list[tuple[float, Callable[[], object]]] = []
         self.incarnations = 0
         self.nodes: dict[str, Node] = {name: self.new_node(name) for name in members}
         self.leases: dict[tuple[str, int], float] = {}
         self.workers = [self.new_worker(f"vm-{number}") for number in range(machines)]
         self.machines_made = len(self.workers)
-        self.number = 0
-        self.told: dict[str, float] = {}
-        self.done: set[str] = set()
-        self.answered = Counter[str]()
+        self.last_job_number = 0
+        self.cancelled_at: dict[str, float] = {}
+        self.done_jobs: set[str] = set()
+        self.answer_counts = Counter[str]()
 
     def new_node(self, name: str) -> Node:
         """Returns a new process of a controller."""
@@ -106,9 +106,9 @@
             # The state service extends every lease to its full length after an outage.
             self.leases = {key: self.clock.time for key in self.leases}
             return
-        span = self.nodes[self.members[0]].settings.controller_lease_s
+        lease_s = self.nodes[self.members[0]].settings.controller_lease_s
         for (name, boot), at in list(self.leases.items()):
-            if self.clock.time > at + span:
+            if self.clock.time > at + lease_s:
                 del self.leases[name, boot]
                 row = self.store.tables.members.get(name)
                 if row is not None and row.incarnation == boot:
@@ -129,12 +129,12 @@
         self.store.put(keys.COORDINATOR_KEY, {"member": member, "boot": boot})
         return True
 
-    def present(self, leased: bool = False) -> list[tuple[str, str]]:
+    def present_tasks(self, leased: bool = False) -> list[tuple[str, str]]:
         """Returns the tasks that have not ended, each with its machine.
 
         `leased` leaves out machines whose lease expired while they hang: they drop their tasks before they go on.
         """
-        workers = [worker for worker in self.workers if not (leased and worker.lease_over)]
+        workers = [worker for worker in self.workers if not (leased and worker.lease_expired)]
         return [(task, w.name) for w in workers for (task, _), (state, _) in w.tasks.items() if state != "ended"]
 
     def worker(self, name: str) -> Worker | None:
@@ -144,12 +144,12 @@
         """Deletes a machine at the cloud; a new machine replaces it."""
         worker = self.worker(name)
         if worker is not None:
-            self.happened["deleted"] += 1
+            self.event_counts["deleted"] += 1
             self.workers.remove(worker)
             self.workers.append(self.new_worker(f"vm-{self.machines_made}"))
             self.machines_made += 1
 
-    def end_troubles(self) -> None:
+    def end_faults(self) -> None:
         self.outage = False
         for node in self.nodes.values():
             node.refused = False
@@ -159,14 +159,16 @@
     def unfinished(self) -> set[str]:
         """Returns the accepted jobs that no controller reports as done or cancelled."""
         final = (wire.JobStatus.DONE, wire.JobStatus.CANCELLED)
-        return {job for job in self.sizes if all(node.jobs.status(job) not in final for node in self.nodes.values())}
+        return {
+            job for job in self.accepted_jobs if all(node.jobs.status(job) not in final for node in self.nodes.values())
+        }
 
     def cancel(self, job: str, node: Node) -> None:
         """Cancels a job at one of the controllers, as a user does."""
         if node.replica.loaded and self.run(node.jobs.cancel, job) == wire.JobStatus.CANCELLED:
-            self.told.setdefault(job, self.clock.time)
+            self.cancelled_at.setdefault(job, self.clock.time)
 
-    def trouble(self, node: Node) -> None:
+    def begin_machine_fault(self, node: Node) -> None:
         """Makes a machine hang, receive nothing or be unable to report for a while.
 
         If a machine with tasks hangs, one of their jobs is cancelled, and the machine hangs for longer than the time
@@ -175,24 +177,24 @@
         worker = self.rng.choice(self.workers)
         kind = self.rng.choice(("hung", "deaf", "mute"))
         until = self.clock.time + 25 * self.rng.random()
-        self.happened[kind] += 1
+        self.event_counts[kind] += 1
         running = [task for (task, _), (state, _) in worker.tasks.items() if state != "ended"]
         if kind == "hung" and running:
-            self.happened["cancelled on a hung machine"] += 1
+            self.event_counts["cancelled on a hung machine"] += 1
             self.cancel(running[0].partition("/")[0], node)
             until = self.clock.time + 60
         setattr(worker, kind + "_until", until)
 
     def check_start(self, worker: Worker, task: str) -> None:
         self.starts += 1
-        present = self.present(leased=True)
+        present = self.present_tasks(leased=True)
         assert task not in [there for there, _ in present], f"ran_twice: {task}"
         team = self.specs[task.partition("/")[0]].team
         limit = self.nodes[self.members[0]].settings.teams[team].cpus_max
         assert self.used(team, [there for there, _ in present] + [task]) <= limit, f"quota: {team}"
         job = task.partition("/")[0]
-        if job in self.told:
-            assert self.clock.time <= self.told[job] + 30.0, f"ran_cancelled: {task}"
+        if job in self.cancelled_at:
+            assert self.clock.time <= self.cancelled_at[job] + 30.0, f"ran_cancelled: {task}"
 
     def used(self, team: str, tasks: list[str]) -> float:
         """Returns the cores that a team's tasks use, of the given tasks."""
@@ -200,18 +202,20 @@
         return sum(spec.cores for spec in specs if spec.team == team)
 
     def check(self) -> None:
-        for task, machine in self.present():
+        for task, machine in self.present_tasks():
             job = task.partition("/")[0]
-            assert job not in self.told or self.clock.time <= self.told[job] + 30.0, f"ran_cancelled: {task} {machine}"
-        finished = Counter(task.partition("/")[0] for task in self.finished)
+            assert job not in self.cancelled_at or self.clock.time <= self.cancelled_at[job] + 30.0, (
+                f"ran_cancelled: {task} {machine}"
+            )
+        finished = Counter(task.partition("/")[0] for task in self.completed_tasks)
         for node in self.nodes.values():
-            for name, size in self.sizes.items():
+            for name, size in self.accepted_jobs.items():
                 status = node.jobs.status(name)
                 if status == wire.JobStatus.DONE:
                     assert finished[name] == size, f"not_done: {name}"
-                    assert name not in self.told, f"went_back: {name}"
-                    self.done.add(name)
-                assert not (name in self.done and status == wire.JobStatus.CANCELLED), f"went_back: {name}"
+                    assert name not in self.cancelled_at, f"went_back: {name}"
+                    self.done_jobs.add(name)
+                assert not (name in self.done_jobs and status == wire.JobStatus.CANCELLED), f"went_back: {name}"
 
     # -- steps
 
@@ -227,27 +231,27 @@
         self.specs[job.id] = job
         if not node.replica.loaded or self.run(node.jobs.submit, job) is None:
             return False
-        self.sizes[job.id] = job.tasks
+        self.accepted_jobs[job.id] = job.tasks
         return True
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         """Performs the random event of a step: a fault begins or ends, a user's request, or a status request."""
-        if luck < 0.01:
+        if draw < 0.01:
             self.outage = not self.outage
-        elif luck < 0.03:
+        elif draw < 0.03:
             node.refused = not node.refused
-        elif luck < 0.037:
+        elif draw < 0.037:
             # Restarts the controller; the lease of the previous process expires.
             self.nodes[node.settings.member] = self.new_node(node.settings.member)
-        elif luck < 0.1 and len(self.sizes) < 40:
-            self.number += 1
-            self.submit(node, spec(f"wk-{self.number:06d}", visits=self.rng.randint(1, 5)))
-        elif luck < 0.14 and self.sizes:
-            self.cancel(self.rng.choice(list(self.sizes)), node)
-        elif luck < 0.3:
-            self.ask_sibling(node)
-
-    def ask_sibling(self, node: Node) -> None:
+        elif draw < 0.1 and len(self.accepted_jobs) < 40:
+            self.last_job_number += 1
+            self.submit(node, spec(f"wk-{self.last_job_number:06d}", visits=self.rng.randint(1, 5)))
+        elif draw < 0.14 and self.accepted_jobs:
+            self.cancel(self.rng.choice(list(self.accepted_jobs)), node)
+        elif draw < 0.3:
+            self.request_peer_status(node)
+
+    def request_peer_status(self, node: Node) -> None:
         """Requests another controller's status over the mesh and applies the answer."""
         others = [member for member in self.members if member != node.settings.member]
         other = self.nodes[others[0] if len(others) == 1 else self.rng.choice(others)]
@@ -259,24 +263,24 @@
         answer = StatusFrame.unpack(frame[HEADER.size :])
         node.mesh.apply_status(peer, self.clock.time, answer)
 
-    def step(self, calm: bool = False) -> None:
+    def step(self, fault_free: bool = False) -> None:
         """Advances the simulation by 0.15 s on average; without faults the only event is a status request."""
         rng = self.rng
         self.clock.time += 0.3 * rng.random()
-        for item in [item for item in self.late if item[0] <= self.clock.time]:
-            self.late.remove(item)
+        for item in [item for item in self.delayed_calls if item[0] <= self.clock.time]:
+            self.delayed_calls.remove(item)
             item[1]()
-        luck = 0.2 if calm else rng.random()
+        draw = 0.2 if fault_free else rng.random()
         node = self.nodes[rng.choice(self.members)]
-        self.happen(luck, node)
+        self.perform_event(draw, node)
         for each in self.nodes.values():
             if rng.random() < 0.4:
                 each.renew()
             if rng.random() < 0.5:
                 each.tick()
         self.coordinate()
-        if self.troubled and not calm and rng.random() < 0.015:
-            self.trouble(node)
+        if self.extra_faults and not fault_free and rng.random() < 0.015:
+            self.begin_machine_fault(node)
         for worker in list(self.workers):
             if worker.hung:
                 continue
@@ -289,17 +293,17 @@
         self.check()
 
 
-def run_steps(world: World, steps: int, calm_steps: int = 0) -> None:
-    """Runs a simulation and checks the invariants after each step; its last `calm_steps` steps are free of faults."""
+def run_steps(world: World, steps: int, fault_free_steps: int = 0) -> None:
+    """Runs a simulation and checks the invariants after each step; the fault-free steps come last."""
     world.start()
-    for step in range(steps + calm_steps):
+    for step in range(steps + fault_free_steps):
         if step == steps:
-            world.end_troubles()
-        world.step(calm=step >= steps)
+            world.end_faults()
+        world.step(fault_free=step >= steps)
 
 
-def play(seed: int, steps: int, troubled: bool = False, calm_steps: int = 0) -> World:
+def simulate(seed: int, steps: int, extra_faults: bool = False, fault_free_steps: int = 0) -> World:
     """Runs the simulation of a seed; see `run_steps`."""
-    world = World(seed, troubled)
-    run_steps(world, steps, calm_steps)
+    world = World(seed, extra_faults)
+    run_steps(world, steps, fault_free_steps)
     return world
--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -17,14 +17,14 @@
     """Replaces the machines actor's task group.
 
     Registrations are kept in `pending`; the node runs them after its tick. Direct commands are sent only in simulations
-    with machine faults.
+    with extra faults.
     """
 
     # Thresholds for a random number that is drawn for each command: below the first the command arrives late, below
     # the second it arrives at once, below the third the answer to it arrives as well.
-    late_share, arriving_share, answered_share = 0.2, 0.9, 0.8
+    late_below, arriving_below, answered_below = 0.2, 0.9, 0.8
     # Probability that an inspection gets no answer.
-    lost_inspections = 0.1
+    inspection_loss = 0.1
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -33,7 +33,7 @@
     def start_soon(self, call: Any, *args: Any) -> None:
         if call.__name__ == "store":
             self.pending.append((call, args))
-        elif call.__name__ == "_command" and self.node.world.troubled:
+        elif call.__name__ == "_command" and self.node.world.extra_faults:
             self.command(args[0])
         elif call.__name__ == "_inspect":
             self.inspect(args[0])
@@ -42,7 +42,7 @@
         """Asks a machine for its tasks, without side effects; the request may be lost."""
         worker = self.node.world.worker(machine)
         self.node.world.recorder.record("inspection", self.node.settings.member, machine)
-        lost = worker is None or worker.hung or worker.deaf or self.node.world.rng.random() < self.lost_inspections
+        lost = worker is None or worker.hung or worker.deaf or self.node.world.rng.random() < self.inspection_loss
         self.node.inbox.append(InspectionReply(machine, None if lost or worker is None else worker.report()))
 
     def command(self, machine: Machine) -> None:
@@ -59,13 +59,13 @@
         # The next probe is due as after a real command, which ends when its timeout expires at the latest.
         wait_s = min(2.0, node.settings.lease_s / 6)
         node.machines.commands.probe_at[machine.name] = world.clock.time + wait_s + node.settings.report_s / 4
-        luck = world.rng.random()
-        if luck < self.late_share or worker.hung:
+        draw = world.rng.random()
+        if draw < self.late_below or worker.hung:
             at = world.clock.time + 2 + 14 * world.rng.random()
-            world.late.append((at, lambda: worker.command(message, late=True)))
-        elif luck < self.arriving_share and not worker.deaf:
+            world.delayed_calls.append((at, lambda: worker.command(message, late=True)))
+        elif draw < self.arriving_below and not worker.deaf:
             worker.command(message)
-            if luck < self.answered_share:
+            if draw < self.answered_below:
                 node.inbox.append(CommandReply(worker.report()))
                 return
         commands.record_failure(machine)
@@ -80,24 +80,24 @@
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.returning: set[str] = set()
+        self.deleting: set[str] = set()
 
     def scale_in(self, machine: str, listed: bool = False, pressing: bool = False) -> bool:
         self.node.world.recorder.record("return", self.node.settings.member, machine, listed, pressing)
-        if machine in self.returning:
+        if machine in self.deleting:
             return False
-        self.returning.add(machine)
+        self.deleting.add(machine)
 
         def delete() -> None:
-            self.returning.discard(machine)
+            self.deleting.discard(machine)
             node = self.node
             leadership = node.leadership
-            ours = leadership.owner_of(machine) == node.settings.member
-            if (ours and leadership.is_leader) or (
+            is_owner = leadership.owner_of(machine) == node.settings.member
+            if (is_owner and leadership.is_leader) or (
                 pressing and (leadership.may_answer_workers or leadership.is_leaderless)
             ):
                 node.world.delete(machine)
                 node.inbox.append(InstancesDeleted([machine]))
 
-        self.node.world.late.append((self.node.world.clock.time + self.node.world.rng.random(), delete))
+        self.node.world.delayed_calls.append((self.node.world.clock.time + self.node.world.rng.random(), delete))
         return True
--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -56,7 +56,7 @@
         # These delays would wait in real time.
         self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
         self.inbox: list[MachinesMessage] = []
-        if world.troubled:
+        if world.extra_faults:
             self.machines.termination.autoscaler = ScriptedCloud(self)
         self.group = ScriptedTaskGroup(self)
         self.machines.group = self.group  # type: ignore[assignment]
@@ -68,23 +68,23 @@
         self.machines.claims._await_claims = ask_for  # type: ignore[method-assign]
 
     @property
-    def reaches(self) -> bool:
+    def reaches_service(self) -> bool:
         return not self.refused and not self.world.outage
 
     def read(self) -> None:
         """Applies all changes since the last read, as a linearizable read that is sent and answered now."""
-        if not self.reaches:
+        if not self.reaches_service:
             return
         while self.log_position < len(self.world.log):
-            key, value, stamp = self.world.log[self.log_position]
-            self.tables.apply(key, value, stamp)
+            key, value, revision = self.world.log[self.log_position]
+            self.tables.apply(key, value, revision)
             self.log_position += 1
         self.replica.applied_revision = self.world.store.epoch
         self.replica.loaded = self.replica.fully_read = True
         self.replica.linearizable_at = self.world.clock.time
 
     def renew(self) -> None:
-        if not self.reaches:
+        if not self.reaches_service:
             return
         name, now = self.settings.member, self.world.clock.time
         if not self.leadership.incarnation or (name, self.leadership.incarnation) not in self.world.leases:
--- a/tests/support/cluster_state.py
+++ b/tests/support/cluster_state.py
@@ -19,7 +19,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        return self.node.reaches
+        return self.node.reaches_service
 
     async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
@@ -32,38 +32,38 @@
         leases: dict[str, int] | None = None,
         acquired_changes: int = 0,
     ) -> TransactionResult:
-        await self.travel()
-        result = self._carry_out_or_lose(transaction, leases)
-        await self.travel()
+        await self.wait_in_transit()
+        result = self._commit_or_lose(transaction, leases)
+        await self.wait_in_transit()
         return result
 
-    async def travel(self) -> None:
+    async def wait_in_transit(self) -> None:
         """Waits while a request or its answer is in transit; here that takes no time."""
 
-    def _carry_out_or_lose(self, transaction: Transaction, leases: dict[str, int] | None) -> TransactionResult:
-        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
+    def _commit_or_lose(self, transaction: Transaction, leases: dict[str, int] | None) -> TransactionResult:
+        conditions, writes, deletes = transaction.conditions, transaction.writes, transaction.deletes
         world = self.node.world
-        world.recorder.transaction(self.node.settings.member, conditions, writes, drops, leases)
-        if not self.node.reaches:
+        world.recorder.transaction(self.node.settings.member, conditions, writes, deletes, leases)
+        if not self.node.reaches_service:
             return TransactionResult(TransactionOutcome.REJECTED, 0)
 
-        def carry_out() -> TransactionResult:
+        def commit() -> TransactionResult:
             stored = world.store.tables
-            if any(stored.mod_revision(key) != stamp for key, stamp in conditions.items()):
+            if any(stored.mod_revision(key) != revision for key, revision in conditions.items()):
                 return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
             # All changes of a transaction get the same revision.
             world.store.epoch += 1
-            for key, value in [*writes.items(), *((key, None) for key in drops)]:
+            for key, value in [*writes.items(), *((key, None) for key in deletes)]:
                 world.store.epoch -= 1
                 world.store.put(key, value)
             return TransactionResult(TransactionOutcome.COMMITTED, world.store.epoch)
 
-        luck = world.rng.random()
-        if luck < 0.04:
-            world.late.append((world.clock.time + 10 * world.rng.random(), carry_out))
+        draw = world.rng.random()
+        if draw < 0.04:
+            world.delayed_calls.append((world.clock.time + 10 * world.rng.random(), commit))
             return TransactionResult(TransactionOutcome.UNKNOWN, 0)
-        outcome = carry_out()
-        return TransactionResult(TransactionOutcome.UNKNOWN) if luck < 0.08 else outcome
+        outcome = commit()
+        return TransactionResult(TransactionOutcome.UNKNOWN) if draw < 0.08 else outcome
 
 
 class ClusterReplica(Replica):
--- a/tests/support/cluster_worker.py
+++ b/tests/support/cluster_worker.py
@@ -26,8 +26,8 @@
         self.target = world.members[0]
         self.agent_epoch, self.report_sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], tuple[str, str | None]] = {}
-        self.finished: set[str] = set()
-        self.renewed_at = world.clock.time
+        self.completed_tasks: set[str] = set()
+        self.lease_renewed_at = world.clock.time
         self.answers_in_flight: list[tuple[float, float, int, bytes]] = []
         self.last_answer_received = False
         self.report_copies: list[wire.WorkerReport] = []
@@ -53,19 +53,19 @@
         if self.hung or message.fencing_token < self.fencing_token or message.agent_epoch != self.agent_epoch:
             return
         self.fencing_token = message.fencing_token
-        self.world.happened["late command" if late else "command"] += 1
+        self.world.event_counts["late command" if late else "command"] += 1
         for order in message.commands:
             self.execute(order)
 
     @property
-    def lease_over(self) -> bool:
-        return self.world.clock.time - self.renewed_at > 10.0
+    def lease_expired(self) -> bool:
+        return self.world.clock.time - self.lease_renewed_at > 10.0
 
     def expire(self) -> None:
-        if self.lease_over:
+        if self.lease_expired:
             self.tasks.clear()
             self.agent_epoch += 1
-            self.renewed_at = self.world.clock.time
+            self.lease_renewed_at = self.world.clock.time
 
     def report(self) -> wire.WorkerReport:
         self.report_sequence += 1
@@ -104,7 +104,7 @@
             self.target = rng.choice(world.members)
             return
         answer, self.last_answer_received = message.answer, False
-        world.answered[str(answer.status)] += 1
+        world.answer_counts[str(answer.status)] += 1
         world.recorder.record("heartbeat", self.name, self.target, answer.status, answer.body)
         if answer.status == 421:
             to = wire.decode(answer.body, dict[str, Any]).get("foreman")
@@ -134,7 +134,7 @@
             if now - sent > 4.0 or session != self.agent_epoch or orders.fencing_token < self.fencing_token:
                 continue
             self.fencing_token = orders.fencing_token
-            self.renewed_at = max(self.renewed_at, sent)
+            self.lease_renewed_at = max(self.lease_renewed_at, sent)
             self.last_answer_received = True
             for order in orders.commands:
                 self.execute(order)
@@ -157,6 +157,6 @@
 
     def work(self) -> None:
         for key, (state, _cause) in list(self.tasks.items()):
-            if state == "running" and self.world.rng.random() < self.world.task_ends:
+            if state == "running" and self.world.rng.random() < self.world.task_end_probability:
                 self.tasks[key] = ("ended", "done")
-                self.world.finished.add(key[0])
+                self.world.completed_tasks.add(key[0])
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -66,7 +66,7 @@
     """Records when jobs are submitted and first start."""
 
     def __init__(self, seed: int, deferring: bool) -> None:
-        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
+        super().__init__(seed, extra_faults=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
         self.started_at: dict[str, float] = {}
         self.submitted_at: dict[str, float] = {}
 
@@ -95,7 +95,7 @@
             number = len(world.submitted_at)
             submit_one(world, number, plan[number][1], *shapes[number])
         world.step()
-        for name in world.sizes.keys() - ended_at.keys():
+        for name in world.accepted_jobs.keys() - ended_at.keys():
             if world.store.tables.finished_jobs.get(name) is not None:
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
--- a/tests/support/quota_world.py
+++ b/tests/support/quota_world.py
@@ -28,7 +28,7 @@
 from tests.support.cluster_node import Node
 from tests.support.cluster_state import ClusterStateClient
 from tests.support.cluster_worker import Worker
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 
 MEMBERS = ("c0", "c1", "c2")
 TEAMS = ("red", "blue", "green")
@@ -36,24 +36,26 @@
 MAX_JOBS = 60
 STEPS = 1200
 # Probability that a fault begins in a step, and the kinds of faults, weighted by repetition.
-TROUBLE_SHARE = 0.015
+FAULT_PROBABILITY = 0.015
 # Probability that a team that submits jobs stops when its demand changes.
-QUIET_SHARE = 0.4
-TROUBLES = ("frozen",) * 4 + ("ended",) * 3 + ("all ended", "outage", "refused", "refused")
+STOP_PROBABILITY = 0.4
+FAULTS = ("frozen",) * 4 + ("ended",) * 3 + ("all ended", "outage", "refused", "refused")
 # Mean latency of a message to or from the state service, in seconds.
 LATENCY_S = 0.2
 # Mean time that a transaction waits for the write rate limit before it is planned, in seconds.
 RATE_WAIT_S = 1.5
 # Probability that a running task completes in a step, and the share of the base class's machine faults that is kept.
-TASK_END_SHARE = 0.02
-MACHINE_TROUBLE_SHARE = 0.3
+TASK_END_PROBABILITY = 0.02
+MACHINE_FAULT_SHARE = 0.3
 
 
-def _team(name: str) -> str:
+def _team_settings(name: str) -> str:
     return f'[[deployment.teams]]\nname = "{name}"\ncpus = 8.0\ncpus_max = 20.0\ngpus = 0.0\ngpus_max = 0.0\n'
 
 
-TEXT = SETTINGS.replace("[deployment.workers]", _team("blue") + _team("green") + "[deployment.workers]")
+SETTINGS_TEXT = SETTINGS.replace(
+    "[deployment.workers]", _team_settings("blue") + _team_settings("green") + "[deployment.workers]"
+)
 
 
 class LaggingStateClient(ClusterStateClient):
@@ -65,7 +67,7 @@
         """Waits a random time, as for the write rate limit."""
         await self.node.pause(RATE_WAIT_S)
 
-    async def travel(self) -> None:
+    async def wait_in_transit(self) -> None:
         """Waits while a request or its answer is in transit."""
         await self.node.pause(LATENCY_S)
 
@@ -81,7 +83,7 @@
         self.down_until = down_until
         self.frozen_until = float("-inf")
         # Heartbeats that arrived while it was frozen.
-        self.held: list[HeartbeatRequest] = []
+        self.held_heartbeats: list[HeartbeatRequest] = []
         self.background: set[asyncio.Task[None]] = set()
         self.committing: asyncio.Task[None] | None = None
         # Claim requests that wait for the next transaction.
@@ -93,13 +95,13 @@
         return self.world.clock.time < self.down_until
 
     @property
-    def is_awake(self) -> bool:
+    def is_responsive(self) -> bool:
         return not self.is_down and self.world.clock.time >= self.frozen_until
 
     async def pause(self, mean_s: float) -> None:
         """Waits a random time if called in a background task of this controller; while frozen it keeps waiting."""
         if asyncio.current_task() in self.background:
-            await self.world.wait_message(self, mean_s)
+            await self.world.wait_for_message(self, mean_s)
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Starts a background task that runs across the steps of the simulation."""
@@ -112,14 +114,14 @@
         for task in self.background:
             task.cancel()
 
-    def wake_up(self) -> None:
+    def handle_held_heartbeats(self) -> None:
         """Handles the heartbeats that arrived while it was frozen; their workers have already timed out."""
-        for message in self.held:
+        for message in self.held_heartbeats:
             self.world.run(self.machines.handle, message)
-        self.held.clear()
+        self.held_heartbeats.clear()
 
     def renew(self) -> None:
-        if self.is_awake:
+        if self.is_responsive:
             super().renew()
 
     def store_member(self) -> None:
@@ -131,9 +133,9 @@
 
     def tick(self) -> None:
         """Runs a tick of the machines actor; the jobs actor begins a transaction unless one is in flight."""
-        if not self.is_awake:
+        if not self.is_responsive:
             return
-        self.wake_up()
+        self.handle_held_heartbeats()
         for message in self.inbox:
             self.world.run(self.machines.handle, message)
         self.inbox.clear()
@@ -169,7 +171,7 @@
     """A worker that keeps results: a task that is started again after it completed is reported as done at once."""
 
     def execute(self, order: Any) -> None:
-        if order.verb == "start" and order.task in self.world.finished:
+        if order.verb == "start" and order.task in self.world.completed_tasks:
             self.tasks.setdefault((order.task, order.attempt), ("ended", "done"))
             return
         super().execute(order)
@@ -182,30 +184,32 @@
         self.loop = asyncio.new_event_loop()
         # Messages in transit: arrival time, controller, and the future that is resolved on arrival.
         self.messages: list[tuple[float, QuotaNode, asyncio.Future[None]]] = []
-        super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES, text=TEXT)
+        super().__init__(seed, extra_faults=True, members=MEMBERS, machines=MACHINES, text=SETTINGS_TEXT)
         self.nodes: dict[str, QuotaNode]  # type: ignore[assignment]
-        self.task_ends = TASK_END_SHARE
+        self.task_end_probability = TASK_END_PROBABILITY
         # Teams that currently submit jobs.
-        self.hungry = set(TEAMS)
+        self.submitting_teams = set(TEAMS)
         self.limits = {name: team.cpus_max for name, team in self.nodes["c0"].settings.teams.items()}
 
     # -- the event loop
 
     def run(self, call: Callable[[*Args], Awaitable[Result]], *args: *Args) -> Result:
-        async def to_its_end() -> Result:
+        async def run_to_completion() -> Result:
             return await call(*args)
 
-        return self.loop.run_until_complete(to_its_end())
+        return self.loop.run_until_complete(run_to_completion())
 
-    async def wait_message(self, node: QuotaNode, mean_s: float) -> None:
+    async def wait_for_message(self, node: QuotaNode, mean_s: float) -> None:
         """Waits until a message of a controller arrives, after an exponentially distributed time."""
         arrived = self.loop.create_future()
         self.messages.append((self.clock.time + self.rng.expovariate(1 / mean_s), node, arrived))
         await arrived
 
-    def deliver_due(self) -> None:
+    def deliver_due_messages(self) -> None:
         """Delivers the messages that are due, except those of frozen controllers, and collects finished tasks."""
-        due = [item for item in self.messages if item[0] <= self.clock.time and (item[1].is_awake or item[2].done())]
+        due = [
+            item for item in self.messages if item[0] <= self.clock.time and (item[1].is_responsive or item[2].done())
+        ]
         for item in due:
             self.messages.remove(item)
             if not item[2].done():
@@ -242,40 +246,44 @@
         node = self.nodes[member]
         if node.is_down:
             return False
-        if not node.is_awake:
-            node.held.append(message)
+        if not node.is_responsive:
+            node.held_heartbeats.append(message)
             return False
-        node.wake_up()
+        node.handle_held_heartbeats()
         return super().deliver(member, message)
 
     # -- steps
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         rng = self.rng
-        if luck < TROUBLE_SHARE:
-            self.break_something(rng.choice(TROUBLES), self.nodes[node.settings.member])
-        elif luck < 0.025:
+        if draw < FAULT_PROBABILITY:
+            self.begin_fault(rng.choice(FAULTS), self.nodes[node.settings.member])
+        elif draw < 0.025:
             self.change_demand(rng.choice(TEAMS))
-        elif luck < 0.03 and self.sizes:
-            self.cancel(rng.choice(list(self.sizes)), node)
-        elif luck < 0.18 and self.hungry and len(self.sizes) < MAX_JOBS + len(self.done) + len(self.told):
-            self.number += 1
-            team = rng.choice(sorted(self.hungry))
+        elif draw < 0.03 and self.accepted_jobs:
+            self.cancel(rng.choice(list(self.accepted_jobs)), node)
+        elif (
+            draw < 0.18
+            and self.submitting_teams
+            and len(self.accepted_jobs) < MAX_JOBS + len(self.done_jobs) + len(self.cancelled_at)
+        ):
+            self.last_job_number += 1
+            team = rng.choice(sorted(self.submitting_teams))
             cores = float(rng.randint(1, 2))
-            self.submit(node, spec(f"wk-{self.number:06d}", crew=team, visits=rng.randint(1, 12), cores=cores))
-        elif luck < 0.3:
-            self.ask_sibling(node)
+            self.submit(node, spec(f"wk-{self.last_job_number:06d}", crew=team, visits=rng.randint(1, 12), cores=cores))
+        elif draw < 0.3:
+            self.request_peer_status(node)
 
     def change_demand(self, team: str) -> None:
         """Lets a team that submits no jobs resume; one that does may stop."""
-        if team not in self.hungry:
-            self.hungry.add(team)
-        elif self.rng.random() < QUIET_SHARE:
-            self.hungry.remove(team)
+        if team not in self.submitting_teams:
+            self.submitting_teams.add(team)
+        elif self.rng.random() < STOP_PROBABILITY:
+            self.submitting_teams.remove(team)
 
-    def break_something(self, kind: str, node: QuotaNode) -> None:
+    def begin_fault(self, kind: str, node: QuotaNode) -> None:
         """Begins a fault, which ends by itself."""
-        self.happened[kind] += 1
+        self.event_counts[kind] += 1
         until = self.clock.time + 10 * self.rng.random()
         if kind == "frozen":
             node.frozen_until = until + 2
@@ -286,35 +294,35 @@
                 self.restart(name)
         elif kind == "outage":
             self.outage = True
-            self.late.append((until, self.end_outage))
+            self.delayed_calls.append((until, self.end_outage))
         elif kind == "refused":
             node.refused = True
-            self.late.append((until, lambda: setattr(node, "refused", False)))
+            self.delayed_calls.append((until, lambda: setattr(node, "refused", False)))
 
-    def trouble(self, node: Node) -> None:
-        if self.rng.random() < MACHINE_TROUBLE_SHARE:
-            super().trouble(node)
+    def begin_machine_fault(self, node: Node) -> None:
+        if self.rng.random() < MACHINE_FAULT_SHARE:
+            super().begin_machine_fault(node)
 
     def end_outage(self) -> None:
         self.outage = False
 
     def submit(self, node: Node, job: Any) -> bool:
-        return self.nodes[node.settings.member].is_awake and super().submit(node, job)
+        return self.nodes[node.settings.member].is_responsive and super().submit(node, job)
 
     def cancel(self, job: str, node: Node) -> None:
-        if self.nodes[node.settings.member].is_awake:
+        if self.nodes[node.settings.member].is_responsive:
             super().cancel(job, node)
 
-    def ask_sibling(self, node: Node) -> None:
-        if all(each.is_awake for each in self.nodes.values()):
-            super().ask_sibling(node)
+    def request_peer_status(self, node: Node) -> None:
+        if all(each.is_responsive for each in self.nodes.values()):
+            super().request_peer_status(node)
 
-    def step(self, calm: bool = False) -> None:
-        self.deliver_due()
-        super().step(calm)
+    def step(self, fault_free: bool = False) -> None:
+        self.deliver_due_messages()
+        super().step(fault_free)
 
-    def end_troubles(self) -> None:
-        super().end_troubles()
+    def end_faults(self) -> None:
+        super().end_faults()
         for node in self.nodes.values():
             node.down_until = node.frozen_until = self.clock.time
 
@@ -322,13 +330,13 @@
 
     def check(self) -> None:
         super().check()
-        present = [task for task, _ in self.present(leased=True)]
+        present = [task for task, _ in self.present_tasks(leased=True)]
         for team, limit in self.limits.items():
             assert self.used(team, present) <= limit + ROUNDING_TOLERANCE, f"quota: {team}"
             stored = sum(amount.cores for amount in self.store.tables.quota_allocations.get(team, {}).values())
             assert stored <= limit + ROUNDING_TOLERANCE, f"allocations above the limit: {team} {stored}"
         for node in self.nodes.values():
-            if node.is_awake:
+            if node.is_responsive:
                 self.check_covered(node)
 
     def check_covered(self, node: QuotaNode) -> None:
@@ -367,15 +375,15 @@
         return cores
 
 
-def play(seed: int, steps: int = STEPS, calm_steps: int = 0) -> QuotaWorld:
+def simulate(seed: int, steps: int = STEPS, fault_free_steps: int = 0) -> QuotaWorld:
     """Runs the simulation of a seed; see `run_steps`."""
     world = QuotaWorld(seed)
     try:
-        run_steps(world, steps, calm_steps)
+        run_steps(world, steps, fault_free_steps)
     finally:
         world.close()
     return world
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(play, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(simulate, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/takeover_world.py
+++ b/tests/support/takeover_world.py
@@ -20,15 +20,15 @@
 from tests.support.cluster_cloud import ScriptedTaskGroup
 from tests.support.cluster_node import Node
 from tests.support.cluster_worker import Worker
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 
 MEMBERS = ("c0", "c1", "c2")
 MACHINES = 12
 JOBS = 12
 # Steps before a machine hangs, after which all controllers have joined and machines run tasks.
-QUIET_STEPS = 120
+WARM_UP_STEPS = 120
 # How long the simulation runs after the cancellation, and how long the machine hangs, in seconds.
-PLAYED_S = 40.0
+SIMULATED_S = 40.0
 HANG_S = 200.0
 # The shortest and the longest time between two changes of owners, in seconds.
 MIN_INTERVAL_S, MAX_INTERVAL_S = 0.3, 6.0
@@ -56,8 +56,8 @@
 class ReliableTaskGroup(ScriptedTaskGroup):
     """Delivers all commands and inspections; every machine that does not hang answers at once."""
 
-    late_share, arriving_share, answered_share = 0.0, 1.0, 1.0
-    lost_inspections = 0.0
+    late_below, arriving_below, answered_below = 0.0, 1.0, 1.0
+    inspection_loss = 0.0
 
     def command(self, machine: Machine) -> None:
         """Sends a command; one that is dropped because the controller may not answer workers ends at once."""
@@ -87,20 +87,20 @@
         if answer.status == 200:
             self.answers_in_flight.append((sent, sent, self.agent_epoch, answer.body))
             return
-        told = wire.decode(answer.body, dict[str, Any]).get("foreman") if answer.status == 421 else None
-        self.target = told or world.rng.choice(world.members)
+        named_owner = wire.decode(answer.body, dict[str, Any]).get("foreman") if answer.status == 421 else None
+        self.target = named_owner or world.rng.choice(world.members)
 
 
 class TakeoverWorld(World):
     """A cluster of healthy machines and one that hangs, with changes of owners selected by the seed."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES)
-        self.task_ends = 0.004
+        super().__init__(seed, extra_faults=True, members=MEMBERS, machines=MACHINES)
+        self.task_end_probability = 0.004
         self.kind = self.rng.choice(list(TakeoverKind))
         self.interval_s = self.rng.uniform(MIN_INTERVAL_S, MAX_INTERVAL_S)
         self.next_change_at = float("inf")
-        self.restarted = 0
+        self.restart_count = 0
         self.hung_machine: Worker | None = None
         self.cancelled_job = ""
 
@@ -110,23 +110,23 @@
     def new_worker(self, name: str) -> Worker:
         return PromptWorker(self, name)
 
-    def trouble(self, node: Node) -> None:
+    def begin_machine_fault(self, node: Node) -> None:
         """Does nothing: no machine fails except the one that hangs."""
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         if self.hung_machine is None:
-            if len(self.sizes) < JOBS:
-                self.number += 1
-                self.submit(node, spec(f"wk-{self.number:06d}", visits=self.rng.randint(2, 4), cores=0.5))
-        elif self.clock.time >= self.next_change_at and self.is_known_to_siblings():
+            if len(self.accepted_jobs) < JOBS:
+                self.last_job_number += 1
+                self.submit(node, spec(f"wk-{self.last_job_number:06d}", visits=self.rng.randint(2, 4), cores=0.5))
+        elif self.clock.time >= self.next_change_at and self.is_cancellation_read():
             self.next_change_at = self.clock.time + self.interval_s
             self.change_owner(self.kind)
-        self.ask_siblings()
+        self.request_peer_statuses()
 
-    def ask_siblings(self) -> None:
+    def request_peer_statuses(self) -> None:
         """Lets every controller request the status of one of the others."""
         for node in self.nodes.values():
-            self.ask_sibling(node)
+            self.request_peer_status(node)
 
     def hang_machine(self) -> bool:
         """Cancels the job of a running task and makes its machine hang.
@@ -140,7 +140,7 @@
         task = next(task for (task, _), (state, _) in worker.tasks.items() if state == "running")
         self.cancelled_job = task.partition("/")[0]
         self.cancel(self.cancelled_job, self.nodes[self.rng.choice(MEMBERS)])
-        if self.cancelled_job not in self.told:
+        if self.cancelled_job not in self.cancelled_at:
             return False
         worker.hung_until = self.clock.time + HANG_S
         self.hung_machine = worker
@@ -159,7 +159,7 @@
         assert self.hung_machine is not None
         return self.store.tables.view.owner(self.hung_machine.name) or MEMBERS[0]
 
-    def is_known_to_siblings(self) -> bool:
+    def is_cancellation_read(self) -> bool:
         """Whether each controller has read the cancellation.
 
         A cancellation is lost until the state service returns if only a process that ends during the outage has read
@@ -171,12 +171,12 @@
         return all(row is None or row.is_cancelled for row in rows)
 
     def change_owner(self, kind: TakeoverKind) -> None:
-        self.happened[str(kind)] += 1
+        self.event_counts[str(kind)] += 1
         if kind is TakeoverKind.MIXED:
             kinds = (TakeoverKind.OWNER_RESTARTS, TakeoverKind.EACH_RESTARTS, TakeoverKind.OWNER_LOSES_LEASE)
             kind = self.rng.choice(kinds)
         if kind is TakeoverKind.EACH_RESTARTS:
-            self.restart(MEMBERS[self.restarted % len(MEMBERS)])
+            self.restart(MEMBERS[self.restart_count % len(MEMBERS)])
         elif kind is TakeoverKind.OWNER_LOSES_LEASE:
             self.refuse(self.nodes[self.owner()])
         elif kind is TakeoverKind.RESTART_IN_OUTAGE:
@@ -188,12 +188,12 @@
 
     def restart(self, name: str) -> None:
         """Replaces a controller's process by a new one."""
-        self.restarted += 1
+        self.restart_count += 1
         self.nodes[name] = self.new_node(name)
 
     def refuse(self, node: Node) -> None:
         node.refused = True
-        self.late.append((self.clock.time + REFUSED_S, lambda: setattr(node, "refused", False)))
+        self.delayed_calls.append((self.clock.time + REFUSED_S, lambda: setattr(node, "refused", False)))
 
     def delete(self, name: str) -> None:
         worker = self.worker(name)
@@ -201,19 +201,19 @@
         super().delete(name)
 
 
-def play(seed: int) -> TakeoverWorld:
+def simulate(seed: int) -> TakeoverWorld:
     """Runs the simulation of a seed until after the cancelled task must be gone, checking the invariants each step."""
     world = TakeoverWorld(seed)
     world.start()
-    for _ in range(QUIET_STEPS):
+    for _ in range(WARM_UP_STEPS):
         world.step()
     while not world.hang_machine():
         world.step()
-    end = world.clock.time + PLAYED_S
+    end = world.clock.time + SIMULATED_S
     while world.clock.time < end:
         world.step()
     return world
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(play, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(simulate, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/trace.py
+++ b/tests/support/trace.py
@@ -57,9 +57,9 @@
     yield Request("GET", f"/submissions/wk-8{step:05d}", b"")
 
 
-def play_random(seed: int, troubled: bool) -> TraceRecorder:
+def simulate_cluster(seed: int, extra_faults: bool) -> TraceRecorder:
     """Runs two controllers with user requests after each step."""
-    world = cluster.World(seed, troubled)
+    world = cluster.World(seed, extra_faults)
     world.start()
     for step in range(STEPS):
         world.step()
@@ -67,12 +67,12 @@
     return world.recorder
 
 
-def play_cells(seed: int) -> TraceRecorder:
+def simulate_cells(seed: int) -> TraceRecorder:
     """Runs three cells that hand jobs over to each other."""
     return anyio.run(cells.play, seed, 120, 60).recorder
 
 
-def play_admission(seed: int) -> TraceRecorder:
+def simulate_admission(seed: int) -> TraceRecorder:
     """Runs four controllers under overload."""
     world = admission.AdmissionWorld(seed)
     world.start()
@@ -82,7 +82,7 @@
     return world.recorder
 
 
-def play_autoscaling(seed: int) -> TraceRecorder:
+def simulate_autoscaling(seed: int) -> TraceRecorder:
     """Runs controllers that scale out and in at a fake cloud."""
     world = AutoscalingWorld(seed)
     world.start()
@@ -91,20 +91,20 @@
     return world.recorder
 
 
-PLAYERS: dict[str, Callable[[int], TraceRecorder]] = {
-    "random": partial(play_random, troubled=False),
-    "troubled": partial(play_random, troubled=True),
-    "cells": play_cells,
-    "admission": play_admission,
-    "autoscaling": play_autoscaling,
+SIMULATIONS: dict[str, Callable[[int], TraceRecorder]] = {
+    "random": partial(simulate_cluster, extra_faults=False),
+    "troubled": partial(simulate_cluster, extra_faults=True),
+    "cells": simulate_cells,
+    "admission": simulate_admission,
+    "autoscaling": simulate_autoscaling,
 }
 
 
 def trace(seed: int) -> list[str]:
     """Returns one line for each simulation: its name, the seed, the digest and the number of messages by kind."""
     lines = []
-    for name, play in PLAYERS.items():
-        recorder = play(seed)
+    for name, simulate in SIMULATIONS.items():
+        recorder = simulate(seed)
         counts = " ".join(f"{kind.replace(' ', '_')}={count}" for kind, count in sorted(recorder.counts.items()))
         lines.append(f"{name} {seed} {recorder.digest} {counts}")
     return lines
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -21,7 +21,9 @@
     world = play(seed, STEPS, CALM_STEPS, JOBS)
     assert world.unfinished() == set()
     # The simulation did exercise deferral, starts, crashes and epochs.
-    assert world.deferred() > 5 and world.starts > 50 and world.happened["crash"] and world.happened["look"] > 50
+    assert (
+        world.deferred() > 5 and world.starts > 50 and world.event_counts["crash"] and world.event_counts["look"] > 50
+    )
 
 
 def test_detects_a_controller_that_admits_by_its_own_queue(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -63,4 +65,4 @@
     for _ in range(150):
         world.submit_at_random(JOBS)
         world.step()
-    assert world.store.tables.admission_rows == {} and world.sizes and not any(world.logs.values())
+    assert world.store.tables.admission_rows == {} and world.accepted_jobs and not any(world.logs.values())
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -20,7 +20,7 @@
 from tests.conftest import Store, report, spec
 from tests.support.fleet import FleetWorld
 from tests.support.single_controller import JOB, Cloud, World, ask, deletions
-from tests.support.takeover_world import TakeoverKind, play
+from tests.support.takeover_world import TakeoverKind, simulate
 
 CANCEL_S = 30.0
 MACHINES = [f"vm-{number}" for number in range(8)]
@@ -85,9 +85,9 @@
 @pytest.mark.parametrize("seed", [2, 4, 16, 17, 23, 27])
 def test_only_the_hung_machine_is_deleted_and_in_time_despite_owner_changes(seed: int) -> None:
     """Guards against a wait that restarts at each takeover: in these seeds the task then outlasts `cancel_s`."""
-    world = play(seed)
+    world = simulate(seed)
     kinds = {str(kind) for kind in TakeoverKind}
-    assert kinds & world.happened.keys() and world.happened["deleted"] == 1
+    assert kinds & world.event_counts.keys() and world.event_counts["deleted"] == 1
 
 
 @pytest.mark.parametrize("stored", [{}, {"x": 0}, {"x": 10**15}, {"x": -5}])
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import WorkerReport
 from tests.conftest import Store, report, spec
-from tests.support.completion_world import play
+from tests.support.completion_world import simulate
 from tests.support.fleet import FleetWorld
 from tests.support.single_controller import JOB, World, heartbeat, later, state_outage, submit
 
@@ -72,8 +72,8 @@
 @pytest.mark.parametrize("seed", [2, 3, 4, 5, 7, 8])
 def test_no_completed_task_is_started_once_more_while_controllers_restart(seed: int) -> None:
     """In each of these seeds a completion was stored after its view counted as recovered, and its task ran again."""
-    world = play(seed)
-    assert world.starts > 50 and len(world.kept) > 10 and world.happened["restart"] > 5
+    world = simulate(seed)
+    assert world.starts > 50 and len(world.kept_completions) > 10 and world.event_counts["restart"] > 5
 
 
 @pytest.mark.parametrize("grouped", [True, False])
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -10,22 +10,22 @@
 
 
 @pytest.fixture(autouse=True)
-def short_worlds(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_simulations(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(trace, "STEPS", 60)
     monkeypatch.setattr(trace, "AUTOSCALING_STEPS", 120)
 
 
-@pytest.mark.parametrize("world", trace.PLAYERS)
+@pytest.mark.parametrize("world", trace.SIMULATIONS)
 def test_the_same_seed_gives_the_same_digest_and_another_seed_another(world: str) -> None:
-    play = trace.PLAYERS[world]
-    first = play(3)
+    simulate = trace.SIMULATIONS[world]
+    first = simulate(3)
     assert first.counts["transaction"] > 0
-    assert play(3).digest == first.digest
-    assert play(4).digest != first.digest
+    assert simulate(3).digest == first.digest
+    assert simulate(4).digest != first.digest
 
 
-def test_another_answer_to_users_shows_in_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
-    play = trace.PLAYERS["random"]
-    before = play(3).digest
+def test_a_changed_answer_to_users_changes_the_digest(monkeypatch: pytest.MonkeyPatch) -> None:
+    simulate = trace.SIMULATIONS["random"]
+    before = simulate(3).digest
     monkeypatch.setattr(users, "error_answer", lambda status, text: Answer(status, text.encode()))
-    assert play(3).digest != before
+    assert simulate(3).digest != before
