--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -122,8 +122,8 @@
     def read_again(self) -> Tables:
         """Returns the tables of a controller that reads all rows in the order of their keys."""
         tables = Tables()
-        for key, (value, stamp) in sorted(self.rows.items()):
-            tables.apply(key, value, stamp)
+        for key, (value, revision) in sorted(self.rows.items()):
+            tables.apply(key, value, revision)
         return tables
 
     def job(self, job: wire.JobSpec, status: str = JobState.LIVE) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -28,9 +28,9 @@
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import World, ask
 
-TASKS_OF_A_MACHINE = 2
-MACHINES_OF_A_JOB = 50
-FORMER_TAG = "c1.2"
+TASKS_PER_MACHINE = 2
+MACHINES_PER_JOB = 50
+FORMER_INCARNATION_ID = "c1.2"
 
 
 def machine_name(number: int) -> str:
@@ -73,45 +73,47 @@
         self.machine_count = machines
         self.commands: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
         self.transactions: list[tuple[int, int]] = []
-        self._watch_commits()
+        self._record_commits()
         self.machines.commands.spawn = lambda call, *args: self.commands.append((call, args))
         rows = {machine_name(n): ["127.0.0.1:9000", "small", "a", True] for n in range(machines)}
         for number, group in enumerate(split_machine_groups(rows, self.settings.value_bytes)):
-            store.put(keys.machine_group_key(f"{FORMER_TAG}.{number}"), {"m": group})
-        self.jobs_count = -(-machines // MACHINES_OF_A_JOB)
-        size = MACHINES_OF_A_JOB * TASKS_OF_A_MACHINE
-        for number in range(self.jobs_count):
+            store.put(keys.machine_group_key(f"{FORMER_INCARNATION_ID}.{number}"), {"m": group})
+        self.job_count = -(-machines // MACHINES_PER_JOB)
+        size = MACHINES_PER_JOB * TASKS_PER_MACHINE
+        for number in range(self.job_count):
             store.job(spec(job_name(number), visits=size, cores=1.0))
-            store.progress(job_name(number), **{FORMER_TAG.replace(".", "_"): (1 << size) - 1})
-        store.put(keys.quota_key("red"), {FORMER_TAG: [4.0 * machines, 0.0]})
-        self.serials = dict.fromkeys(rows, 0)
+            store.progress(job_name(number), **{FORMER_INCARNATION_ID.replace(".", "_"): (1 << size) - 1})
+        store.put(keys.quota_key("red"), {FORMER_INCARNATION_ID: [4.0 * machines, 0.0]})
+        self.report_sequences = dict.fromkeys(rows, 0)
         # Tasks that their machines no longer report.
         self.ended: set[str] = set()
         # Tasks that their machines report as completed.
         self.completed: set[str] = set()
 
-    def _watch_commits(self) -> None:
+    def _record_commits(self) -> None:
         commit = self.client.compare_and_swap
 
-        async def watched(transaction: Transaction, priority: Any, **more: Any) -> tuple[TransactionOutcome, int]:
+        async def recorded_commit(
+            transaction: Transaction, priority: Any, **more: Any
+        ) -> tuple[TransactionOutcome, int]:
             body = wire.commit_body(transaction.conditions, transaction.writes, transaction.deletes, {})
             self.transactions.append((len(transaction), len(body)))
             return await commit(transaction, priority, **more)
 
-        self.client.compare_and_swap = watched  # type: ignore[method-assign, assignment]
+        self.client.compare_and_swap = recorded_commit  # type: ignore[method-assign, assignment]
 
     def tasks_of(self, number: int) -> list[str]:
-        job, place = divmod(number, MACHINES_OF_A_JOB)
-        first = place * TASKS_OF_A_MACHINE
-        return [wire.task_name(job_name(job), first + index) for index in range(TASKS_OF_A_MACHINE)]
+        job, machine_index = divmod(number, MACHINES_PER_JOB)
+        first = machine_index * TASKS_PER_MACHINE
+        return [wire.task_name(job_name(job), first + index) for index in range(TASKS_PER_MACHINE)]
 
     def renew(self) -> None:
         """Renews the lease and marks the tables as just read."""
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
 
-    def _worker_report(self, number: int, token: int) -> wire.WorkerReport:
+    def _worker_report(self, number: int, fencing_token: int) -> wire.WorkerReport:
         name = machine_name(number)
-        self.serials[name] += 1
+        self.report_sequences[name] += 1
         items = [
             wire.ReportedTask(task, 7, "ended", "done")
             if task in self.completed
@@ -119,20 +121,22 @@
             for task in self.tasks_of(number)
             if task not in self.ended
         ]
-        return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, 1, self.serials[name], token, items)
+        return wire.WorkerReport(
+            name, "127.0.0.1:9000", "small", "a", True, 1, self.report_sequences[name], fencing_token, items
+        )
 
-    async def report(self, number: int, token: int) -> int:
+    async def report(self, number: int, fencing_token: int) -> int:
         """Sends a machine's heartbeat and returns the HTTP status of the answer."""
-        message = HeartbeatRequest(report=self._worker_report(number, token), last_answer_received=True)
+        message = HeartbeatRequest(report=self._worker_report(number, fencing_token), last_answer_received=True)
         await self.machines.handle(message)
         return int(message.answer.status)
 
-    def report_all(self, token: int, silent: str = "") -> set[int]:
+    def report_all(self, fencing_token: int, silent: str = "") -> set[int]:
         """Sends a heartbeat of every machine except `silent`; returns the set of HTTP statuses."""
         numbers = [number for number in range(self.machine_count) if machine_name(number) != silent]
 
         async def report_each() -> set[int]:
-            return {await self.report(number, token) for number in numbers}
+            return {await self.report(number, fencing_token) for number in numbers}
 
         return anyio.run(report_each)
 
@@ -141,17 +145,17 @@
         self.machines.claims.claim_in_flight = True  # prevents new claims
         self.machines._tick()
 
-    def store_all(self) -> int:
+    def commit_all(self) -> int:
         """Commits until there is nothing left to store; returns the number of commits."""
-        rounds = 0
+        commits = 0
         while True:
             before = len(self.transactions)
             while self.machines.jobs._inbox:
                 anyio.run(self.machines.jobs.handle, self.machines.jobs._inbox.popleft())
             anyio.run(self.jobs._commit_round)
             if len(self.transactions) == before:
-                return rounds
-            rounds += 1
+                return commits
+            commits += 1
 
     def take_over(self) -> None:
         """Makes this controller the only member: it owns all machines, and they report with its fencing token."""
@@ -188,7 +192,7 @@
         key = keys.job_key(job_name(0))
         cancelled_ms = int(1000 * (now - OVERDUE_SHARE * self.settings.cancel_s))
         self.store.put(key, {**self.store.rows[key][0], "s": JobState.CANCELLED, "x": cancelled_ms})
-        self.ended = {task for number in range(1, MACHINES_OF_A_JOB) for task in self.tasks_of(number)}
+        self.ended = {task for number in range(1, MACHINES_PER_JOB) for task in self.tasks_of(number)}
         self.store.view(4, ("c0", 1))
         deleted: list[str] = []
 
@@ -200,7 +204,7 @@
 
         terminator: Any = SimpleNamespace(scale_in=scale_in)
         self.machines.termination.autoscaler = terminator
-        sent, tick_s = 0, 0.0
+        command_count, tick_s = 0, 0.0
         while not deleted:
             self.renew()
             started = time.perf_counter()
@@ -208,13 +212,13 @@
             tick_s = max(tick_s, time.perf_counter() - started)
             commands = self.commands[:]
             self.commands.clear()
-            sent += len(commands)
+            command_count += len(commands)
             for call, args in commands:
                 self._answer_command(call.__name__, args[0], hung)
             self.clock.time += self.settings.report_s / 4
             if (self.clock.time - now) % self.settings.report_s == 0:
                 self.report_all(4, silent=hung)
-        return HungMachineOutcome(hung, deleted, self.clock.time - now, sent, tick_s)
+        return HungMachineOutcome(hung, deleted, self.clock.time - now, command_count, tick_s)
 
     def _answer_command(self, call: str, machine: Any, hung: str) -> None:
         """Answers a command or an inspection, unless the machine hangs."""
@@ -234,7 +238,7 @@
 
     def cancel_all(self) -> None:
         """Cancels every job at once, through rows that other controllers wrote."""
-        for number in range(self.jobs_count):
+        for number in range(self.job_count):
             key = keys.job_key(job_name(number))
             self.store.put(key, {**self.store.rows[key][0], "s": JobState.CANCELLED, "x": int(self.clock.time * 1000)})
 
@@ -262,17 +266,17 @@
         result = call()
         print(f"{title:34} {time.perf_counter() - started:8.3f} s  {result if result is not None else ''}")
 
-    def settle() -> str:
-        rounds = world.store_all()
+    def commit_and_summarise() -> str:
+        commits = world.commit_all()
         sizes = [size for _, size in world.transactions]
-        return f"{rounds} transactions, the largest {max(sizes, default=0)} bytes, {sum(sizes)} in all"
+        return f"{commits} transactions, the largest {max(sizes, default=0)} bytes, {sum(sizes)} in all"
 
     def scrape() -> str:
         return f"{len(ask(world, 'GET', '/metrics').body)} bytes"
 
     world = FleetWorld(machines)
     timed("take-over, all machines heard", world.take_over)
-    timed("adoptions stored", settle)
+    timed("adoptions stored", commit_and_summarise)
     timed("tick", world.tick)
     timed("tick", world.tick)
     timed("unchanged reports of all machines", lambda: world.report_all(4))
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -23,7 +23,7 @@
 
 DATA = Path(__file__).parent.parent / "frozen"
 # Rows that a test adds get revisions above this one, so above those of the rows that each simulation starts with.
-FIRST_STAMP = 1000
+BASE_REVISION = 1000
 
 
 def frozen(name: str) -> dict[str, Any]:
@@ -32,7 +32,7 @@
     return value
 
 
-def line_of(key: str, value: Any) -> str:
+def format_line(key: str, value: Any) -> str:
     """Formats a row as a line, with the value encoded as the code encodes it."""
     return key if value is None else f"{key} {wire.encode(value).decode()}"
 
@@ -43,25 +43,25 @@
     return key, json.loads(text) if text else None
 
 
-class Recorder(World):
+class RowRecorder(World):
     """Controller c0.1, alone in view 3; records the rows that it writes."""
 
     def __init__(self, text: str = SETTINGS) -> None:
         super().__init__(Store(), text)
-        self.store.epoch = FIRST_STAMP
+        self.store.epoch = BASE_REVISION
         self.lines: list[str] = []
         apply = self.client.apply
 
-        def record(conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
-            outcome = apply(conditions, writes, drops)
+        def record(conditions: dict[str, int], writes: dict[str, Any], deletes: list[str]) -> TransactionResult:
+            outcome = apply(conditions, writes, deletes)
             assert outcome[0] is TransactionOutcome.COMMITTED, (outcome, conditions)
-            self.lines += [line_of(key, value) for key, value in writes.items()]
-            self.lines += sorted(drops)  # the order within a transaction has no meaning
+            self.lines += [format_line(key, value) for key, value in writes.items()]
+            self.lines += sorted(deletes)  # the order within a transaction has no meaning
             return outcome
 
         self.client.apply = record  # type: ignore[method-assign]
 
-    def given(self, *names: str) -> None:
+    def put_frozen(self, *names: str) -> None:
         """Stores frozen rows, selected by their names in rows_read.json."""
         for name in names:
             for line in frozen("rows_read")[name]:
@@ -82,13 +82,13 @@
 
 def dump(tables: Tables) -> str:
     """Returns the tables as JSON without Python names; empty parts are left out."""
-    found = {
+    parts = {
         "members": {name: [row.incarnation, row.recovered_view, row.layout] for name, row in tables.members.items()},
         "coordinator": tables.coordinator,
         "view": [tables.view.number, tables.view.members] if tables.view.number else None,
         "types": {name: dump_type(kind) for name, kind in tables.machine_types.items()},
         "jobs": {name: dump_job(job) for name, job in tables.jobs.items()},
-        "over": {name: dump_over(over) for name, over in tables.finished_jobs.items()},
+        "over": {name: dump_finished_job(job) for name, job in tables.finished_jobs.items()},
         "over and open": sorted(tables.finished_jobs_with_handoffs),
         "layout seen": tables.layout_members,
         "layout complete": tables.layout_complete,
@@ -108,11 +108,12 @@
             for number, text in texts.items()
         },
         "adoptions": {
-            job: [[stamp, tag, hex(tasks)] for stamp, tag, tasks in each] for job, each in tables.adoptions.items()
+            job: [[revision, tag, hex(tasks)] for revision, tag, tasks in each]
+            for job, each in tables.adoptions.items()
         },
         "adoption keys": tables.adoption_keys,
     }
-    return json.dumps({name: value for name, value in found.items() if value}, sort_keys=True)
+    return json.dumps({name: value for name, value in parts.items() if value}, sort_keys=True)
 
 
 def dump_type(kind: wire.MachineType) -> list[Any]:
@@ -162,12 +163,12 @@
     }
 
 
-def dump_over(over: FinishedJob) -> dict[str, Any]:
+def dump_finished_job(job: FinishedJob) -> dict[str, Any]:
     """Returns the fields of a finished job."""
     return {
-        "end": [over.status, over.tasks, over.finished_ms, over.mod_revision, over.is_done, over.is_final],
-        "handoff": dump_handoff(over.outgoing_handoffs),
-        "delegated": over.incoming_handoff and [over.incoming_handoff.origin, over.incoming_handoff.number],
+        "end": [job.status, job.tasks, job.finished_ms, job.mod_revision, job.is_done, job.is_final],
+        "handoff": dump_handoff(job.outgoing_handoffs),
+        "delegated": job.incoming_handoff and [job.incoming_handoff.origin, job.incoming_handoff.number],
     }
 
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -198,7 +198,7 @@
 
     world = FleetWorld(MACHINES)
     world.take_over()
-    world.store_all()
+    world.commit_all()
     wall_clock_ms = int(1000 * world.clock.time)
     for number in range(DEFERRED_JOBS):
         job = spec(job_name(500_000 + number), roster=f"class-{number % 16}")
--- a/tests/support/recorder.py
+++ b/tests/support/recorder.py
@@ -31,11 +31,11 @@
         sender: str,
         conditions: dict[str, int],
         writes: dict[str, Any],
-        drops: list[str],
-        lease: dict[str, int] | None,
+        deletes: list[str],
+        leases: dict[str, int] | None,
     ) -> None:
         """Adds a transaction as it is sent to the state service."""
-        self.record("transaction", sender, wire.commit_body(conditions, writes, drops, lease or {}))
+        self.record("transaction", sender, wire.commit_body(conditions, writes, deletes, leases or {}))
 
     @property
     def digest(self) -> str:
--- a/tests/support/scripted_state.py
+++ b/tests/support/scripted_state.py
@@ -36,31 +36,31 @@
         leases: dict[str, int] | None = None,
         acquired_changes: int = 0,
     ) -> TransactionResult:
-        conditions, writes, drops = transaction.conditions, transaction.writes, transaction.deletes
+        conditions, writes, deletes = transaction.conditions, transaction.writes, transaction.deletes
         if self.lose_answers:
             self.lose_answers -= 1
-            self.late.append((conditions, writes, drops))
+            self.late.append((conditions, writes, deletes))
             return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         sizes = [len(wire.encode(value)) for value in writes.values()]
-        if (self.most_changes_now is not None and len(writes) + len(drops) > self.most_changes_now) or (
+        if (self.most_changes_now is not None and len(writes) + len(deletes) > self.most_changes_now) or (
             self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
         ):
             self._lower_limits(transaction)
             return TransactionResult(TransactionOutcome.REJECTED, 0)
-        return self.apply(conditions, writes, drops)
+        return self.apply(conditions, writes, deletes)
 
-    def apply(self, conditions: dict[str, int], writes: dict[str, Any], drops: list[str]) -> TransactionResult:
+    def apply(self, conditions: dict[str, int], writes: dict[str, Any], deletes: list[str]) -> TransactionResult:
         tables = self.store.tables
         # The limits of the protocol, beyond which the state service rejects a transaction.
-        assert len(writes) + len(drops) <= self.settings.txn_ops
+        assert len(writes) + len(deletes) <= self.settings.txn_ops
         assert len(conditions) <= 4 * self.settings.txn_ops
-        assert len(wire.commit_body(conditions, writes, drops, {})) <= wire.MAX_BODY_BYTES
+        assert len(wire.commit_body(conditions, writes, deletes, {})) <= wire.MAX_BODY_BYTES
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
-        if any(tables.mod_revision(key) != stamp for key, stamp in conditions.items()):
+        if any(tables.mod_revision(key) != revision for key, revision in conditions.items()):
             return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
         for key, value in writes.items():
             self.store.put(key, value)
-        for key in drops:
+        for key in deletes:
             self.store.put(key, None)
         return TransactionResult(TransactionOutcome.COMMITTED, self.store.epoch)
 
@@ -73,5 +73,5 @@
         return self.client.store.epoch  # type: ignore[attr-defined, no-any-return]
 
     @applied_revision.setter
-    def applied_revision(self, epoch: int) -> None:
+    def applied_revision(self, revision: int) -> None:
         pass
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -60,15 +60,15 @@
     async def read(self, timeout_s: float) -> None:
         return None
 
-    def heartbeat(self, heard: wire.WorkerReport) -> wire.WorkerCommands:
+    def heartbeat(self, worker_report: wire.WorkerReport) -> wire.WorkerCommands:
         """Sends a heartbeat that acknowledges the previous answer; returns the commands of the answer."""
-        message = HeartbeatRequest(report=heard, last_answer_received=True)
+        message = HeartbeatRequest(report=worker_report, last_answer_received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
         return wire.decode(message.answer.body, wire.WorkerCommands)
 
-    def tell_jobs(self, learnt: TaskUpdates) -> None:
-        anyio.run(self.jobs.handle, learnt)
+    def tell_jobs(self, updates: TaskUpdates) -> None:
+        anyio.run(self.jobs.handle, updates)
 
     def round(self, request: ClaimRequest | None = None) -> None:
         async def once() -> None:
@@ -82,10 +82,10 @@
 
     def claim_requests(self) -> list[ClaimRequest]:
         """Returns the claim requests that the machines actor would send to the jobs actor now."""
-        asked: list[ClaimRequest] = []
+        requests: list[ClaimRequest] = []
 
         async def ask(request: ClaimRequest) -> None:
-            asked.append(request)
+            requests.append(request)
             self.machines.claims.claim_in_flight = False
 
         self.machines.claims._await_claims = ask  # type: ignore[method-assign]
@@ -96,7 +96,7 @@
                 self.machines.claims.request_claims()
 
         anyio.run(once)
-        return asked
+        return requests
 
 
 def meshed(world: World) -> Mesh:
@@ -117,8 +117,8 @@
     world.heartbeat(report(2, 3))
 
 
-def heartbeat(world: World, heard: wire.WorkerReport, received: bool = True) -> Any:
-    message = HeartbeatRequest(report=heard, last_answer_received=received)
+def heartbeat(world: World, worker_report: wire.WorkerReport, received: bool = True) -> Any:
+    message = HeartbeatRequest(report=worker_report, last_answer_received=received)
     anyio.run(world.machines.handle, message)
     return message.answer
 
@@ -162,17 +162,17 @@
     return world
 
 
-def deletions(world: World, fleet: ScaleIn) -> list[str]:
+def deletions(world: World, scale_in: ScaleIn) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(fleet.terminate_forever)
+                group.start_soon(scale_in.terminate_forever)
                 await anyio.wait_all_tasks_blocked()
                 scope.cancel()
 
     anyio.run(run)
-    assert isinstance(fleet.cloud, Cloud)
-    return fleet.cloud.deleted
+    assert isinstance(scale_in.cloud, Cloud)
+    return scale_in.cloud.deleted
 
 
 def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
@@ -185,8 +185,8 @@
         log,
     )
     peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
-    frame = sibling.status_for(question).pack()
+    request = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(request).pack()
     length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.STATUS)
     answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
     assert length == len(frame) - mesh_frames.HEADER.size
@@ -230,9 +230,9 @@
     return ask(world, "GET", f"/submissions/{name}").status
 
 
-NEXT = "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
+NEXT_LIMITS = "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
 
-NARROW = SETTINGS.replace("[deployment.cloud]", NEXT + "[deployment.cloud]")
+NARROW = SETTINGS.replace("[deployment.cloud]", NEXT_LIMITS + "[deployment.cloud]")
 
 
 def watched(world: World) -> dict[str, Any]:
@@ -240,13 +240,13 @@
     written: dict[str, Any] = {}
     put = world.store.put
 
-    def see(key: str, value: Any) -> int:
+    def record(key: str, value: Any) -> int:
         if value is not None:
             assert len(wire.encode(value)) <= world.settings.value_kb * 1024
             written[key] = value
         return put(key, value)
 
-    world.store.put = see  # type: ignore[method-assign]
+    world.store.put = record  # type: ignore[method-assign]
     return written
 
 
--- a/tests/test_admission_compare.py
+++ b/tests/test_admission_compare.py
@@ -21,9 +21,9 @@
     tables = Tables()
     lines: list[str] = ["I machines: 3 machines up\n"]
     gate = AdmissionGate(tables, RecordingLog(lines), lambda: True)
-    for key, (value, stamp) in sorted(cluster.store.rows.items(), key=lambda item: item[1][1]):
-        if stamp <= until:
-            tables.apply(key, value, stamp)
+    for key, (value, revision) in sorted(cluster.store.rows.items(), key=lambda item: item[1][1]):
+        if revision <= until:
+            tables.apply(key, value, revision)
             gate.apply()
     return lines
 
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -19,10 +19,10 @@
     cluster = Cluster()
     names = cluster.overload()
     other = Store()
-    for key, (value, stamp) in cluster.store.rows.items():
+    for key, (value, revision) in cluster.store.rows.items():
         # The other controller has read only every second job.
         if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
-            other.tables.apply(key, value, stamp)
+            other.tables.apply(key, value, revision)
     cluster.later(cluster.limits.starvation_timeout_s)
     for _ in range(3):
         cluster.epoch()
@@ -124,7 +124,7 @@
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
     conditions, writes, drops = world.client.late[0]
-    conditions = {key: stamp for key, stamp in conditions.items() if key != keys.COORDINATOR_KEY}
+    conditions = {key: revision for key, revision in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(coordinator.run_epoch)  # no longer the coordinator, so it computes no epoch
     assert store.tables.admission_rows[cuts.ROOT_PATH].number == 1
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -39,7 +39,7 @@
 from sloeswitch.frame_link import NoAnswerError
 from tests.conftest import MACHINE_TYPE, report, spec
 from tests.support.clock import Clock
-from tests.support.frozen import FIRST_STAMP, Recorder, dump, frozen, line_of, parse_line
+from tests.support.frozen import BASE_REVISION, RowRecorder, dump, format_line, frozen, parse_line
 from tests.support.single_controller import unregister
 
 JOB, COMPLEX, THIRD = "wk-000001", "wk-000002", "wk-000003"
@@ -78,51 +78,51 @@
 # -- membership, layout and features
 
 
-def member(world: Recorder) -> None:
+def member(world: RowRecorder) -> None:
     world.membership.recovered_view = 4
     assert world.run(world.membership._write_member)
 
 
-def coordinator(world: Recorder) -> None:
+def coordinator(world: RowRecorder) -> None:
     world.run(world.membership._coordinate)
 
 
-def view(world: Recorder) -> None:
-    world.given("coordinator", "member")
+def view(world: RowRecorder) -> None:
+    world.put_frozen("coordinator", "member")
     world.run(world.membership._coordinate)
 
 
-def layout_mark(world: Recorder) -> None:
+def layout_mark(world: RowRecorder) -> None:
     world.run(world.membership._record_layout)
-    world.given("member")
+    world.put_frozen("member")
     world.store.put(keys.LAYOUT_KEY, {"seen": ["c1"], "complete": False})
     world.run(world.membership._record_layout)
 
 
-def feature_mark(world: Recorder) -> None:
-    world.given("layout mark, complete")
+def feature_mark(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete")
     for name in ("cells", "admission"):
         world.run(FeatureRollout(name, world.context).record_member)
-    world.given("feature mark, begun")
+    world.put_frozen("feature mark, begun")
     world.run(FeatureRollout("cells", world.context).record_member)
 
 
 # -- machines
 
 
-def catalog(world: Recorder) -> None:
+def catalog(world: RowRecorder) -> None:
     cloud: Any = None
     scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
     other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
     world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
-    world.given("layout mark, complete")
+    world.put_frozen("layout mark, complete")
     world.client.value_bytes = 200
     world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
     world.client.value_bytes = 400
     world.run(scale_out._store_catalog, [MACHINE_TYPE])
 
 
-def register(world: Recorder) -> None:
+def register(world: RowRecorder) -> None:
     """Registers two reporting machines in a single pass, so that the test ends even if the rows are not read back."""
     for name in ("vm-000000", "vm-000001"):
         world.heartbeat(report(1, 0, name=name))
@@ -137,113 +137,113 @@
     world.run(register_once)
 
 
-def machine_group(world: Recorder) -> None:
+def machine_group(world: RowRecorder) -> None:
     register(world)
 
 
-def single_machines(world: Recorder) -> None:
-    world.given("member of layout 1")
+def single_machines(world: RowRecorder) -> None:
+    world.put_frozen("member of layout 1")
     register(world)
 
 
-def group_without_machines(world: Recorder) -> None:
-    world.given("one group", "single machines of layout 1", "groups")
+def group_without_machines(world: RowRecorder) -> None:
+    world.put_frozen("one group", "single machines of layout 1", "groups")
     unregister(world, "vm-1")
     unregister(world, "vm-2", "vm-3")
 
 
-def group_in_parts(world: Recorder) -> None:
-    world.given("one group", "layout mark, complete")
+def group_in_parts(world: RowRecorder) -> None:
+    world.put_frozen("one group", "layout mark, complete")
     world.client.value_bytes = 64
     unregister(world, "vm-1")
 
 
-def group_in_parts_first(world: Recorder) -> None:
-    world.given("one group", "layout mark, complete")
+def group_in_parts_first(world: RowRecorder) -> None:
+    world.put_frozen("one group", "layout mark, complete")
     world.client.value_bytes, world.client.txn_ops = 64, 2
     unregister(world, "vm-1")
 
 
-def single_machine_deleted(world: Recorder) -> None:
-    world.given("single machines of layout 1")
+def single_machine_deleted(world: RowRecorder) -> None:
+    world.put_frozen("single machines of layout 1")
     unregister(world, "vm-2")
 
 
 # -- jobs
 
 
-def submit(world: Recorder, name: str, **changes: Any) -> None:
+def submit(world: RowRecorder, name: str, **changes: Any) -> None:
     assert world.run(world.jobs.submit, spec(name, **changes)) is not None
 
 
-def job(world: Recorder) -> None:
+def job(world: RowRecorder) -> None:
     submit(world, JOB)
 
 
-def job_with_every_field(world: Recorder) -> None:
+def job_with_every_field(world: RowRecorder) -> None:
     submit(world, COMPLEX, **EVERY_FIELD)
 
 
-def job_in_parts(world: Recorder) -> None:
-    world.given("layout mark, complete")
+def job_in_parts(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete")
     world.client.value_bytes = 200
     submit(world, JOB)
 
 
-def job_done(world: Recorder) -> None:
-    world.given("job")
+def job_done(world: RowRecorder) -> None:
+    world.put_frozen("job")
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
     world.round()
 
 
-def jobs_cancelled_unclaimed(world: Recorder) -> None:
-    world.given("job", "job in parts")
+def jobs_cancelled_unclaimed(world: RowRecorder) -> None:
+    world.put_frozen("job", "job in parts")
     for name in (JOB, "wk-000004"):
         assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
 
 
-def job_cancelled_with_tasks(world: Recorder) -> None:
-    world.given("progress")
+def job_cancelled_with_tasks(world: RowRecorder) -> None:
+    world.put_frozen("progress")
     cancel_and_release(world, JOB, 0b100)
 
 
-def job_in_parts_cancelled_with_tasks(world: Recorder) -> None:
-    world.given("layout mark, complete", "job in parts")
+def job_in_parts_cancelled_with_tasks(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete", "job in parts")
     world.round(ClaimRequest(task_counts={"wk-000004": 3}))
     cancel_and_release(world, "wk-000004", 0b111)
 
 
-def job_of_layout_2_cancelled_with_tasks(world: Recorder) -> None:
-    world.given("job of layout 2")
+def job_of_layout_2_cancelled_with_tasks(world: RowRecorder) -> None:
+    world.put_frozen("job of layout 2")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     cancel_and_release(world, JOB, 0b10)
 
 
-def job_with_every_field_cancelled_with_tasks(world: Recorder) -> None:
-    world.given("job with every field")
+def job_with_every_field_cancelled_with_tasks(world: RowRecorder) -> None:
+    world.put_frozen("job with every field")
     world.store.put(*parse_line('s1/r/wk-000002 {"d":[],"c":{"c0.1":[0,2]}}'))
     cancel_and_release(world, COMPLEX, 0b11)
 
 
-def cancel_and_release(world: Recorder, name: str, tasks: int) -> None:
+def cancel_and_release(world: RowRecorder, name: str, tasks: int) -> None:
     assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
     world.tell_jobs(TaskUpdates(released={name: tasks}))
     world.later(20.0)
     world.round()
 
 
-def job_withdrawn_before_layout_3(world: Recorder) -> None:
-    world.given("job withdrawn, with tasks, before layout 3")
+def job_withdrawn_before_layout_3(world: RowRecorder) -> None:
+    world.put_frozen("job withdrawn, with tasks, before layout 3")
     world.tell_jobs(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
     world.round()
 
 
-def cleared_away(world: Recorder) -> None:
-    world.given("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
-    world.given("adoptions that the progress holds")
+def cleared_away(world: RowRecorder) -> None:
+    world.put_frozen("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
+    world.put_frozen("adoptions that the progress holds")
     world.run(world.jobs.garbage_collector.collect)
     world.later(100.0)
     world.run(world.jobs.garbage_collector.collect)
@@ -252,54 +252,54 @@
 # -- progress
 
 
-def progress_before_the_mark(world: Recorder) -> None:
-    world.given("progress with every field")
+def progress_before_the_mark(world: RowRecorder) -> None:
+    world.put_frozen("progress with every field")
     world.tell_jobs(TaskUpdates(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
     world.later(20.0)
     world.round()
 
 
-def progress_after_the_mark(world: Recorder) -> None:
-    world.given("layout mark, complete")
+def progress_after_the_mark(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete")
     progress_before_the_mark(world)
 
 
-def scattered_claims(world: Recorder) -> None:
-    world.given("layout mark, complete", "progress with every field")
+def scattered_claims(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete", "progress with every field")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[],"c":{"c0.1":[0,9]},"z":"b"}'))
     world.tell_jobs(TaskUpdates(released={JOB: 0b10101010}))
     world.later(20.0)
     world.round()
 
 
-def progress_with_a_zone(world: Recorder) -> None:
-    world.given("job with every field")
+def progress_with_a_zone(world: RowRecorder) -> None:
+    world.put_frozen("job with every field")
     for name in (JOB, THIRD):
         world.store.put(*parse_line(f's1/j/{name} {{"s":"done","n":1}}'))
     tasks_in_zone, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
     world.round(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=tasks_in_zone, zones=zones))
 
 
-def progress_beside_adoptions(world: Recorder) -> None:
-    world.given("layout mark, complete", "adoptions after the progress")
+def progress_beside_adoptions(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete", "adoptions after the progress")
     world.tell_jobs(TaskUpdates(done={JOB: 0b10}))
     world.later(20.0)
     world.round()
 
 
-def adoptions_before_the_mark(world: Recorder) -> None:
-    world.given("progress", "team limits")
+def adoptions_before_the_mark(world: RowRecorder) -> None:
+    world.put_frozen("progress", "team limits")
     world.tell_jobs(TaskUpdates(adopted={JOB: 0b11000}, view_number=3))
     world.round()
 
 
-def adoptions_after_the_mark(world: Recorder) -> None:
-    world.given("layout mark, complete", "progress", "team limits")
+def adoptions_after_the_mark(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete", "progress", "team limits")
     world.tell_jobs(TaskUpdates(adopted={JOB: 0b101001000}, view_number=3))
     world.round()
 
 
-def team_limit(world: Recorder) -> None:
+def team_limit(world: RowRecorder) -> None:
     world.round(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
     revision = world.store.tables.mod_revision(keys.quota_key("red"))
     world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 2.25, 0.0)}))
@@ -310,14 +310,14 @@
 # -- admission
 
 
-def admission_root(world: Recorder) -> None:
-    world.given("layout mark, complete", "feature marks, complete", "coordinator")
+def admission_root(world: RowRecorder) -> None:
+    world.put_frozen("layout mark, complete", "feature marks, complete", "coordinator")
     features = AdmissionFeatures(True)
     admission_coordinator = AdmissionCoordinator(world.context, features, list, {})
     world.run(admission_coordinator.run_epoch)
 
 
-def admission_every_field(world: Recorder) -> None:
+def admission_every_field(world: RowRecorder) -> None:
     common = LaneCut(Ticket(1000, JOB), 2000)
     lanes = {
         Lane("red", "train", "urgent"): LaneCut(Ticket(1900, THIRD), 3500),
@@ -327,15 +327,15 @@
     row = AdmissionRow(4, common, lanes, {"red": 12.54, "blue": 0.0, "green": -3.0})
     root, parts = row.children("")
     for path, path_row in {"": row, **parts}.items():
-        world.lines.append(line_of(keys.admission_key(path), path_row.stored()))
-    world.lines.append(line_of(keys.admission_key(""), root.stored()))
+        world.lines.append(format_line(keys.admission_key(path), path_row.stored()))
+    world.lines.append(format_line(keys.admission_key(""), root.stored()))
 
 
-def admission_read_and_written(world: Recorder) -> None:
-    world.given("admission rows with every field")
+def admission_read_and_written(world: RowRecorder) -> None:
+    world.put_frozen("admission rows with every field")
     for path, row in sorted(world.store.tables.admission_rows.items()):
         higher = row.raised(LaneCut(Ticket(1200, COMPLEX), 9000), {}, row.deficits)
-        world.lines += [line_of(keys.admission_key(path), version.stored()) for version in (row, higher)]
+        world.lines += [format_line(keys.admission_key(path), version.stored()) for version in (row, higher)]
 
 
 # -- other cells
@@ -365,67 +365,67 @@
     return CellFeatures("north", 1, True, 30, (PeerCell("south", ()),), policies)
 
 
-def make_origin(world: Recorder, *answers: Answer | None) -> CellOrigin:
-    world.given("layout mark, complete", "feature marks, complete")
+def make_origin(world: RowRecorder, *answers: Answer | None) -> CellOrigin:
+    world.put_frozen("layout mark, complete", "feature marks, complete")
     links: Any = {"south": ScriptedLink(*answers)}
     return CellOrigin(world.context, cell_features(), list, links)
 
 
-def moved_and_taken_back(world: Recorder) -> None:
+def moved_and_taken_back(world: RowRecorder) -> None:
     cell_origin = make_origin(world, None, None, Answer.ACCEPTED)
-    world.given("job")
+    world.put_frozen("job")
     world.run(cell_origin._start_handoff, world.store.tables.jobs[JOB], "south")
     world.run(cell_origin.poll_peer, "south")
     world.later(50.0)
     world.run(cell_origin.poll_peer, "south")
 
 
-def moved_and_given_back(world: Recorder) -> None:
+def moved_and_given_back(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.REFUSED)
-    world.given("job offered to a cell")
+    world.put_frozen("job offered to a cell")
     world.run(cell_origin.poll_peer, "south")
 
 
-def moved_and_done(world: Recorder) -> None:
+def moved_and_done(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.DONE)
-    world.given("job offered to a cell")
+    world.put_frozen("job offered to a cell")
     world.run(cell_origin.poll_peer, "south")
 
 
-def every_handoff_field(world: Recorder) -> None:
+def every_handoff_field(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.STOPPED)
-    world.given("job with every field of a handoff")
+    world.put_frozen("job with every field of a handoff")
     world.run(cell_origin.poll_peer, "south")
 
 
-def done_elsewhere_with_a_handoff_left(world: Recorder) -> None:
+def done_elsewhere_with_a_handoff_left(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.DONE)
-    world.given("job with every field of a handoff")
+    world.put_frozen("job with every field of a handoff")
     world.run(cell_origin.poll_peer, "south")
 
 
-def over_with_handoffs(world: Recorder) -> None:
+def over_with_handoffs(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.STOPPED, Answer.STOPPED)
-    world.given("jobs over that await other cells")
+    world.put_frozen("jobs over that await other cells")
     world.run(cell_origin.poll_peer, "south")
 
 
-def cancellation_of_a_moved_job(world: Recorder) -> None:
+def cancellation_of_a_moved_job(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.STOPPED)
-    world.given("job offered to a cell")
+    world.put_frozen("job offered to a cell")
     assert world.run(world.jobs.cancel, JOB) is None
     world.run(cell_origin.poll_peer, "south")
 
 
-def cancellation_of_a_moved_job_with_tasks(world: Recorder) -> None:
+def cancellation_of_a_moved_job_with_tasks(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.STOPPED)
-    world.given("job offered to a cell")
+    world.put_frozen("job offered to a cell")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     assert world.run(world.jobs.cancel, JOB) is None
     world.run(cell_origin.poll_peer, "south")
 
 
-def handoffs_beside_the_end(world: Recorder) -> None:
+def handoffs_beside_the_end(world: RowRecorder) -> None:
     """A job that runs in its own cell while an earlier handoff of it is not stopped yet."""
     world.store.put(keys.job_key(JOB), recalled_job())
     world.round(ClaimRequest(task_counts={JOB: 4}))
@@ -440,33 +440,33 @@
     return {**value, "h": {"p": "repeatable", "r": [["south", 20]]}}
 
 
-def cancellation_after_its_return(world: Recorder) -> None:
-    world.given("job that came back, with tasks")
+def cancellation_after_its_return(world: RowRecorder) -> None:
+    world.put_frozen("job that came back, with tasks")
     cancel_and_release(world, JOB, 0b110)
 
 
-def recall_of_a_cancelled_job(world: Recorder) -> None:
+def recall_of_a_cancelled_job(world: RowRecorder) -> None:
     cell_origin = make_origin(world, Answer.STOPPED)
     world.store.put(keys.job_key(JOB), {**recalled_job(), "s": "withdrawn", "x": 5000})
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[0,1],"c":{"c0.1":[1,1]}}'))
     world.run(cell_origin.poll_peer, "south")
 
 
-def make_target(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
-    world.given("layout mark, complete", "feature marks, complete")
+def make_target(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> CellTarget:
+    world.put_frozen("layout mark, complete", "feature marks, complete")
     cell_target = CellTarget(world.context, cell_features(), world.jobs)
     monkeypatch.setattr(cell_target, "_can_accept", lambda handoff, offer: offer is not None)
     return cell_target
 
 
-def send_request(world: Recorder, cell_target: CellTarget, request: Request, number: int = 40) -> Answer | None:
+def send_request(world: RowRecorder, cell_target: CellTarget, request: Request, number: int = 40) -> Answer | None:
     offer = Offer(spec(JOB, roster="again", visits=1), 1000) if request is Request.OFFER else None
     message = RequestMessage(HandoffId("south", JOB, number), request)
     answer: Answer | None = world.run(cell_target.answer, CellRequest(message, 1, offer))
     return answer
 
 
-def accepted_and_done(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+def accepted_and_done(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
     assert send_request(world, cell_target, Request.OFFER) is Answer.ACCEPTED
     world.round(ClaimRequest(task_counts={JOB: 1}))
@@ -476,15 +476,15 @@
     assert send_request(world, cell_target, Request.ACKNOWLEDGE) is Answer.DONE
 
 
-def accepted_and_withdrawn(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+def accepted_and_withdrawn(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
-    world.given("job handed over by a cell")
+    world.put_frozen("job handed over by a cell")
     assert send_request(world, cell_target, Request.WITHDRAW) is not None
 
 
-def accepted_and_stopped(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+def accepted_and_stopped(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
-    world.given("job handed over by a cell")
+    world.put_frozen("job handed over by a cell")
     world.round(ClaimRequest(task_counts={JOB: 1}))
     assert send_request(world, cell_target, Request.STOP) is Answer.STOPPING
     world.tell_jobs(TaskUpdates(released={JOB: 1}))
@@ -492,12 +492,12 @@
     world.round()
 
 
-def refused(world: Recorder, monkeypatch: pytest.MonkeyPatch) -> None:
+def refused(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
     assert send_request(world, cell_target, Request.STOP, 39) is Answer.REFUSED
 
 
-CASES: tuple[Callable[[Recorder], None], ...] = (
+CASES: tuple[Callable[[RowRecorder], None], ...] = (
     member,
     coordinator,
     view,
@@ -544,7 +544,7 @@
     cancellation_after_its_return,
     recall_of_a_cancelled_job,
 )
-TARGET_CASES: tuple[Callable[[Recorder, pytest.MonkeyPatch], None], ...] = (
+TARGET_CASES: tuple[Callable[[RowRecorder, pytest.MonkeyPatch], None], ...] = (
     accepted_and_done,
     accepted_and_withdrawn,
     accepted_and_stopped,
@@ -554,7 +554,7 @@
 
 def written_rows(name: str, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Returns the rows that a case writes."""
-    world = Recorder()
+    world = RowRecorder()
     for case in CASES:
         if case.__name__ == name:
             case(world)
@@ -567,7 +567,7 @@
 def read_tables(lines: list[str], backwards: bool = False) -> Tables:
     """Returns the tables of a controller that reads these rows, in their order or in reverse."""
     tables = Tables()
-    rows = [(*parse_line(line), FIRST_STAMP + position) for position, line in enumerate(lines, 1)]
+    rows = [(*parse_line(line), BASE_REVISION + position) for position, line in enumerate(lines, 1)]
     for key, value, revision in reversed(rows) if backwards else rows:
         tables.apply(key, value, revision)
     return tables
@@ -577,7 +577,7 @@
     """Returns the tables after these rows are read and then deleted, in their order."""
     tables = read_tables(lines)
     for position, line in enumerate(lines, 1):
-        tables.apply(parse_line(line)[0], None, FIRST_STAMP + len(lines) + position)
+        tables.apply(parse_line(line)[0], None, BASE_REVISION + len(lines) + position)
     return tables
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -33,17 +33,17 @@
 
 
 def test_a_takeover_stores_all_adoptions_in_few_changes_and_completes_recovery(fleet: FleetWorld) -> None:
-    rounds = fleet.store_all()
+    rounds = fleet.commit_all()
     assert rounds == 1 and all(size < wire.MAX_BODY_BYTES for _, size in fleet.transactions)
     fleet.tick()
     claims = [job.progress.claims for job in fleet.store.tables.jobs.values()]
-    assert all(set(held) == {"c0.1"} for held in claims) and len(claims) == fleet.jobs_count
+    assert all(set(held) == {"c0.1"} for held in claims) and len(claims) == fleet.job_count
     assert fleet.machines.registry.is_recovered(fleet.store.tables, "c0.1")
     assert fleet.store.tables.quota_allocations["red"]["c0.1"] == (2.0 * MACHINES, 0.0)
 
 
 def test_a_wave_of_cancellations_makes_one_command_for_each_machine(fleet: FleetWorld) -> None:
-    fleet.store_all()
+    fleet.commit_all()
     fleet.cancel_all()
     fleet.tick()
     fleet.tick()
@@ -67,7 +67,7 @@
 
 def test_planning_claims_is_bounded_and_returns_no_allocation_in_use(fleet: FleetWorld) -> None:
     """Four thousand machines with free capacity, and five hundred jobs that want it."""
-    fleet.store_all()
+    fleet.commit_all()
     fleet.store.put(keys.quota_key("red"), {"c0.1": [78.0 * MACHINES, 0.0]})
     for number in range(500):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=100, cores=1.0))
@@ -89,7 +89,7 @@
 def test_jobs_that_fit_nowhere_cost_one_packing_for_each_shape(
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    fleet.store_all()
+    fleet.commit_all()
     for number in range(50):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=3, cores=7.0))
     fleet.store.job(spec("wk-800000", visits=3, cores=1.0))
