--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -99,7 +99,7 @@
         return requests
 
 
-def meshed(world: World) -> Mesh:
+def attach_mesh(world: World) -> Mesh:
     """Gives the controller a mesh, in which no sibling has sent a status yet."""
     world.leadership.mesh = Mesh(
         world.settings.siblings,
@@ -111,7 +111,7 @@
     return world.leadership.mesh
 
 
-def machine_up(world: World) -> None:
+def register_machine(world: World) -> None:
     world.store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(report(1, 0))
     world.heartbeat(report(2, 3))
@@ -129,11 +129,11 @@
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
-def verbs(answer: Any) -> list[str]:
+def command_verbs(answer: Any) -> list[str]:
     return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).commands]
 
 
-def running(world: World) -> tuple[str, int]:
+def start_task(world: World) -> tuple[str, int]:
     """Starts a job's only task on vm-1, which reports it as running; returns the task and its attempt."""
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
@@ -155,14 +155,14 @@
 def world_with_scale_in(store: Store) -> World:
     """Returns a controller with one machine and a scale-in whose cloud accepts all deletions."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     cloud: Any = Cloud()
     scale_in = ScaleIn(world.context, cloud)
     world.machines.termination.autoscaler, scale_in.machines = scale_in, world.machines
     return world
 
 
-def deletions(world: World, scale_in: ScaleIn) -> list[str]:
+def run_deletions(world: World, scale_in: ScaleIn) -> list[str]:
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
@@ -175,7 +175,7 @@
     return scale_in.cloud.deleted
 
 
-def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
+def apply_sibling_status(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
     """Applies the status answer of sibling c1, which has this cancellation log, as encoded for the wire; returns it."""
     sibling = Mesh(
         (),
@@ -184,7 +184,7 @@
         MeshCallbacks(lambda: PeerStatus(view, False, 0, whole, True), lambda entries: None),
         log,
     )
-    peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
+    peer = attach_mesh(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
     request = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
     frame = sibling.status_for(request).pack()
     length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.STATUS)
@@ -232,10 +232,10 @@
 
 NEXT_LIMITS = "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
 
-NARROW = SETTINGS.replace("[deployment.cloud]", NEXT_LIMITS + "[deployment.cloud]")
+SETTINGS_WITH_NEXT_LIMITS = SETTINGS.replace("[deployment.cloud]", NEXT_LIMITS + "[deployment.cloud]")
 
 
-def watched(world: World) -> dict[str, Any]:
+def record_writes(world: World) -> dict[str, Any]:
     """Returns a dict that collects the rows written from now on; asserts that each is within the value size limit."""
     written: dict[str, Any] = {}
     put = world.store.put
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -17,7 +17,7 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, machine_up, meshed
+from tests.support.single_controller import JOB, World, attach_mesh, register_machine
 
 
 @pytest.fixture
@@ -26,7 +26,7 @@
 
 
 def test_claim_and_allowance_are_stored_before_any_start(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
     assert world.heartbeat(report(3, 3)).commands == []
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
@@ -36,7 +36,7 @@
 
 
 def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
     assert len(world.heartbeat(report(3, 3)).commands) == 2
@@ -59,8 +59,8 @@
 
 
 def test_outside_the_lease_no_machine_is_answered_unless_every_sibling_confirms(world: World) -> None:
-    machine_up(world)
-    mesh = meshed(world)
+    register_machine(world)
+    mesh = attach_mesh(world)
     world.clock.time += world.settings.controller_lease_s
     refused = HeartbeatRequest(report=report(3, 3))
     anyio.run(world.machines.handle, refused)
@@ -78,7 +78,7 @@
 
 
 def test_claim_with_a_lost_answer_that_is_carried_out_later_is_used(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
     world.client.lose_answers = 1
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
@@ -90,7 +90,7 @@
 
 def test_completion_between_telling_and_storing_is_not_started_again(world: World) -> None:
     """Failure found on the bench: a task that had ended looked like work handed back."""
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
@@ -105,7 +105,7 @@
 
 
 def test_a_thousand_completions_are_one_message(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=2000, cores=0.001, memoryGb=0.0))
     world.store.progress(JOB, c1_9=(1 << 2000) - 1)
     ended = [(f"{JOB}/{index}", 5, "ended", "done") for index in range(2000)]
@@ -130,7 +130,7 @@
 
 
 def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
@@ -177,14 +177,14 @@
 
 
 def test_malformed_report_is_refused(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     message = HeartbeatRequest(report=report(3, 3, ("nonsense", 1, "running")))
     anyio.run(world.machines.handle, message)
     assert message.answer.status == 400
 
 
 def test_last_tasks_that_save_move_off_a_machine_that_is_not_needed(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
@@ -236,7 +236,7 @@
 
 
 def test_a_new_job_is_left_for_a_moment_to_the_controller_that_has_its_image(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.machines.ownership.follow_view()
     kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
@@ -262,7 +262,7 @@
 
 def test_tasks_released_and_claimed_again_between_two_ticks_are_run(world: World) -> None:
     """Failure found on the bench: their claim looked like the one being released, for ever."""
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(keys.quota_key("red"), {"c0.1": [8.0, 0.0]})
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -18,7 +18,7 @@
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import NARROW, World
+from tests.support.single_controller import SETTINGS_WITH_NEXT_LIMITS, World
 
 JOB = "wk-000001"
 NAMES = [f"wk-{number:06d}" for number in range(60)]
@@ -28,7 +28,7 @@
 def world(store: Store) -> World:
     """c0.1, which took over what a departed c1.9 had: every second task of each job is on its machines."""
     store.upgraded()
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     for name in NAMES:
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
@@ -100,7 +100,7 @@
         for n in range(5)
     )
     store.upgraded()
-    world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more + "[deployment.workers]"))
     world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -11,7 +11,7 @@
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from tests.conftest import Store, spec
-from tests.support.single_controller import NARROW, World, machine_up
+from tests.support.single_controller import SETTINGS_WITH_NEXT_LIMITS, World, register_machine
 
 
 def test_the_largest_round_of_claims_does_not_overdraw_the_bucket_for_a_submission(store: Store) -> None:
@@ -27,7 +27,7 @@
 
 def test_the_jobs_of_a_pipeline_are_accepted_one_after_another_without_waiting(store: Store) -> None:
     """Failure found on the bench: after a round of claims the last of them waited for half a second."""
-    client = World(store, NARROW).client
+    client = World(store, SETTINGS_WITH_NEXT_LIMITS).client
     client.controller_count = lambda: 3
     bucket = TokenBucket(client.write_tokens.rate, 0.0)
     while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
@@ -83,7 +83,7 @@
 def test_a_limit_that_is_used_up_is_held_without_a_margin(store: Store) -> None:
     """Failure found on the bench: each controller kept a fifth more than it used, and checks were late."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.job(spec())
     world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.machines.quota.usage("red").cores == 8.0
@@ -93,7 +93,7 @@
 def test_while_much_of_a_limit_is_free_parts_are_kept(store: Store) -> None:
     """Failure found on the bench: allowances shrank and grew every few seconds, each time for a write."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.job(spec())
     world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert surplus_given_up(world, {"c0.1": [12.0, 0.0]}) == {}
@@ -102,7 +102,7 @@
 def test_a_long_line_is_not_looked_through_when_nothing_is_free(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
     """Failure found on the bench: with hundreds of jobs waiting most of the processor time went into this."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
     store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -19,7 +19,7 @@
 from sloeswitch.core.records import JobState
 from tests.conftest import Store, report, spec
 from tests.support.fleet import FleetWorld
-from tests.support.single_controller import JOB, Cloud, World, ask, deletions
+from tests.support.single_controller import JOB, Cloud, World, ask, run_deletions
 from tests.support.takeover_world import TakeoverKind, simulate
 
 CANCEL_S = 30.0
@@ -279,11 +279,11 @@
     store.member("c1", 2, settled=4)
     sibling.tick(1.0)
     scale_in.wake = anyio.Event()
-    assert deletions(sibling.world, scale_in) == [], "its owner accounts for it"
+    assert run_deletions(sibling.world, scale_in) == [], "its owner accounts for it"
     store.member("c1", 2, settled=3)
     sibling.pass_time_answering(10, {silent})
     scale_in.wake = anyio.Event()
-    assert deletions(sibling.world, scale_in) == [silent]
+    assert run_deletions(sibling.world, scale_in) == [silent]
 
 
 def test_takeover_of_a_fleet_deletes_only_the_hung_machine() -> None:
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -17,7 +17,7 @@
 from sloeswitch.mesh import Mesh, MeshCallbacks
 from sloeswitch.settings import Settings
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, Cloud, World, deletions
+from tests.support.single_controller import JOB, Cloud, World, run_deletions
 
 NOW = 1000.0
 CANCELLED_MS = 1
@@ -178,10 +178,10 @@
     autoscaler.scale_in(pressing, pressing=True)
     autoscaler.scale_in(other)
     outage.set_sibling_status(5, True)
-    assert deletions(world, autoscaler) == []
+    assert run_deletions(world, autoscaler) == []
     outage.set_sibling_status(0, False)
     autoscaler.wake = anyio.Event()  # each run of an event loop needs its own event
-    assert deletions(world, autoscaler) == [pressing]
+    assert run_deletions(world, autoscaler) == [pressing]
 
 
 def test_controller_without_contact_to_any_machine_deletes_none(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -32,13 +32,13 @@
 from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, report, spec
 from tests.support.clock import Clock
-from tests.support.single_controller import JOB, World, machine_up, running, state_outage, told
+from tests.support.single_controller import JOB, World, apply_sibling_status, register_machine, start_task, state_outage
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
@@ -49,11 +49,11 @@
 
 
 def test_cancellation_confirmed_by_a_sibling_reaches_a_controller_that_cannot_read_it(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied_revision + 1)  # c1 stored it and confirmed it to its user
     state_outage(world)
-    told(log, world)
+    apply_sibling_status(log, world)
     assert world.leadership.may_answer_workers and not world.leadership.is_leader
     commands = world.heartbeat(report(5, 3, (*task, "running"))).commands
     assert commands == []  # the cancellation is known; the task is marked for kill at the next tick
@@ -72,20 +72,20 @@
     log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied_revision + 1)
     state_outage(world)
-    told(log, world)
+    apply_sibling_status(log, world)
     world.machines.queue.rebuild()
     world.machines.task_placement.place_unplaced()
     assert world.heartbeat(report(3, 3)).commands == []
 
 
 def test_sibling_without_a_full_read_confirms_nothing(world: World) -> None:
-    running(world)
+    start_task(world)
     state_outage(world)
-    told(CancellationLog(100, 9), world, whole=False)
+    apply_sibling_status(CancellationLog(100, 9), world, whole=False)
     assert not world.leadership.may_answer_workers
-    told(CancellationLog(100, 9), world)
+    apply_sibling_status(CancellationLog(100, 9), world)
     assert world.leadership.may_answer_workers
-    told(CancellationLog(100, 9), world, view=4)
+    apply_sibling_status(CancellationLog(100, 9), world, view=4)
     assert not world.leadership.may_answer_workers
 
 
@@ -99,11 +99,11 @@
     state_outage(world)
     received_jobs = []
     for _ in range(3):
-        answer = told(log, world)
+        answer = apply_sibling_status(log, world)
         received_jobs += [entry.job for entry in answer.delta.cancellations]
         assert world.leadership.may_answer_workers == (len(received_jobs) == 5)
     assert received_jobs == [f"wk-{number}" for number in range(5)]
-    assert told(log, world).delta.cancellations == []
+    assert apply_sibling_status(log, world).delta.cancellations == []
 
 
 def test_cancellation_known_from_a_sibling_persists_until_its_row_is_read(store: Store) -> None:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -11,13 +11,13 @@
 
 from sloeswitch.core.machine import Machine
 from tests.conftest import Store
-from tests.support.single_controller import World, machine_up
+from tests.support.single_controller import World, register_machine
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -17,7 +17,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.http import Answer, Request
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, heartbeat, later, machine_up, running, verbs
+from tests.support.single_controller import JOB, World, command_verbs, heartbeat, later, register_machine, start_task
 
 LEASE_S = 10.0
 
@@ -25,19 +25,19 @@
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def test_no_start_command_goes_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
     world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert verbs(heartbeat(world, report(3, 3), received=False)) == []
-    assert verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
+    assert command_verbs(heartbeat(world, report(3, 3), received=False)) == []
+    assert command_verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
 
 
 def test_tasks_never_sent_are_placed_elsewhere_and_tasks_sent_count_as_present(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
     world.round(ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
@@ -92,7 +92,7 @@
 
 
 def test_a_late_copy_renews_no_lease_and_gets_no_commands(world: World) -> None:
-    running(world)
+    start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     gone_at = machine.lease_expires_at
     later(world, 5.0)
@@ -102,7 +102,7 @@
 
 
 def test_a_report_held_up_beyond_its_lease_revives_nothing(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     later(world, machine.lease_expires_at + 0.1 - world.clock.time)
     world.machines.monitor.check_machine(machine, world.clock.time)
@@ -115,7 +115,7 @@
 
 
 def test_a_copy_from_an_earlier_agent_epoch_is_ignored(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     heartbeat(world, report(1, 3, session=2))
     assert JOB not in world.machines.registry.placed_tasks
     assert heartbeat(world, report(50, 3, (*task, "running"))).status == 503
@@ -126,14 +126,14 @@
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c1_9=0b1)
     answer = heartbeat(world, report(3, 3, (f"{JOB}/0", 5, "running")))
-    assert verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed_tasks
+    assert command_verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed_tasks
     assert not world.machines.registry.adopting
 
 
 def test_a_copy_is_no_evidence_that_a_start_was_not_carried_out(world: World) -> None:
     world.store.job(spec(visits=1))
     world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert verbs(heartbeat(world, report(3, 3))) == ["start"]
+    assert command_verbs(heartbeat(world, report(3, 3))) == ["start"]
     heartbeat(world, report(2, 3))
     heartbeat(world, report(3, 3))
     (attempt,) = world.machines.registry.machines["vm-1"].attempts.values()
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -23,18 +23,27 @@
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report, spec, submission
-from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, meshed
+from tests.support.single_controller import (
+    JOB,
+    Cloud,
+    World,
+    attach_mesh,
+    heartbeat,
+    later,
+    register_machine,
+    run_deletions,
+)
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def cut_off(world: World) -> Users:
-    mesh = meshed(world)
+    mesh = attach_mesh(world)
     mesh.peers["c1"].asked_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
@@ -124,14 +133,14 @@
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", both) == "c1")
     scale_in.scale_in(name)
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert deletions(world, scale_in) == []  # its lease is over
+    assert run_deletions(world, scale_in) == []  # its lease is over
     # Awake again, it learns that the machine has another owner.
     world.store.view(4, *both)
     later(world, 0.0)
-    assert deletions(world, scale_in) == [] and not scale_in.terminating
+    assert run_deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
     scale_in.scale_in(name)
-    assert deletions(world, scale_in) == [name]
+    assert run_deletions(world, scale_in) == [name]
 
 
 def test_after_a_freeze_nothing_is_answered_or_claimed_on_what_was_known_before(world: World) -> None:
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -9,20 +9,20 @@
 
 from sloeswitch import mesh_frames
 from tests.conftest import Store
-from tests.support.single_controller import World, machine_up, meshed, state_outage
+from tests.support.single_controller import World, attach_mesh, register_machine, state_outage
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def test_frames_of_an_earlier_version_confirm_nothing_and_are_not_confirmed(world: World) -> None:
     answers: list[bytes] = []
     leadership = world.leadership
-    own = meshed(world)
+    own = attach_mesh(world)
 
     class Stream:
         def __init__(self, *frames: bytes) -> None:
@@ -82,7 +82,7 @@
     async def connect(host: str, port: int) -> Earlier:
         return Earlier()
 
-    own = meshed(world)
+    own = attach_mesh(world)
     own.pause_s = 0.01
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -15,13 +15,13 @@
 from sloeswitch.settings import Settings
 from sloeswitch.state_client import StateClient
 from tests.conftest import Store, spec
-from tests.support.single_controller import JOB, World, ask, machine_up, running
+from tests.support.single_controller import JOB, World, ask, register_machine, start_task
 
 
 @pytest.fixture
 def world(store: Store) -> World:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
@@ -46,7 +46,7 @@
 
 
 def test_metrics_say_what_a_team_may_use_and_uses(world: World) -> None:
-    running(world)
+    start_task(world)
     world.machines.registry.handed_off_tasks[JOB] = 0b10
     world.machines.quota.update_handed_off_usage()
     world.machines.registry.machines["vm-1"].foreign_attempts[AttemptKey(f"{JOB}/3", 9)] = None
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -8,7 +8,7 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec, submission
-from tests.support.single_controller import World, machine_up, queued_names, store_done
+from tests.support.single_controller import World, queued_names, register_machine, store_done
 
 A, B, C, D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
 
@@ -17,7 +17,7 @@
 def world(store: Store) -> World:
     store.upgraded()
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -18,11 +18,11 @@
 from sloeswitch.replica import Replica, StaleReplicaError
 from tests.conftest import SETTINGS, Store, report, spec, submission
 from tests.support.single_controller import (
-    NARROW,
+    SETTINGS_WITH_NEXT_LIMITS,
     World,
     ask,
-    machine_up,
     queued_names,
+    register_machine,
     status,
     store_done,
     submit,
@@ -35,7 +35,7 @@
 def world(store: Store) -> World:
     store.upgraded()
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
@@ -254,7 +254,7 @@
 
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
     """Failure found by reasoning: claims alone would fill each round of three changes."""
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     world.client.controller_count = lambda: 3
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -11,14 +11,14 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, machine_up, running
+from tests.support.single_controller import JOB, World, register_machine, start_task
 
 
 @pytest.fixture
 def world(store: Store, caplog: pytest.LogCaptureFixture) -> World:
     caplog.set_level(logging.INFO)
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
@@ -72,7 +72,7 @@
 def test_use_above_the_stored_allocation_is_warned_of_once_each_time(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
-    running(world)
+    start_task(world)
     for _ in range(2):
         for cores in (1.0, 1.0, 8.0):
             world.store.put(keys.quota_key("red"), {"c0.1": [cores, 0.0]})
@@ -82,7 +82,7 @@
 
 
 def test_use_by_adoptions_that_are_not_stored_is_not_warned_of(world: World, caplog: pytest.LogCaptureFixture) -> None:
-    running(world)
+    start_task(world)
     world.store.put(keys.quota_key("red"), {"c0.1": [1.0, 0.0]})
     world.machines.registry.adopting[JOB] = 0b10
     world.machines._update_accounting()
@@ -91,7 +91,7 @@
 
 def test_the_right_to_start_is_logged_at_debug(world: World, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG)
-    running(world)
+    start_task(world)
     assert [line.partition(" team=")[2] for line in logged(caplog, "tasks placed")] == [
         "red usage=2 allocation=8 view=3"
     ]
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -12,13 +12,13 @@
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
 from tests.conftest import Store, report
-from tests.support.single_controller import World, heartbeat, machine_up
+from tests.support.single_controller import World, heartbeat, register_machine
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -13,7 +13,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.scaling import InstanceKind
 from tests.conftest import MACHINE_TYPE, Store, spec
-from tests.support.single_controller import World, machine_up
+from tests.support.single_controller import World, register_machine
 
 SPOT = InstanceKind("small", "a", True)
 
@@ -43,7 +43,7 @@
 @pytest.fixture
 def world(store: Store) -> World:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     return world
 
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -17,11 +17,11 @@
 from tests.support.single_controller import (
     JOB,
     World,
-    deletions,
+    apply_sibling_status,
     heartbeat,
     later,
-    running,
-    told,
+    run_deletions,
+    start_task,
     world_with_scale_in,
 )
 
@@ -57,13 +57,13 @@
 def deleted(world: World) -> list[str]:
     assert isinstance(world.machines.termination.autoscaler, ScaleIn)
     world.machines.termination.autoscaler.wake = anyio.Event()  # of this event loop
-    return deletions(world, world.machines.termination.autoscaler)
+    return run_deletions(world, world.machines.termination.autoscaler)
 
 
 @pytest.mark.parametrize("outage", [False, True])
 def test_a_machine_that_hangs_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
     """Also while the state service is down, and although its lease is over in the registry."""
-    running(world)
+    start_task(world)
     cancelled(world)
     log = CancellationLog(10, 9)
     soon = OVERDUE_SHARE * world.settings.cancel_s
@@ -72,7 +72,7 @@
     while world.clock.time - since < soon - 1:
         if outage:
             world.clock.time += 1.0
-            told(log, world)
+            apply_sibling_status(log, world)
         else:
             later(world, 1.0)
         check(world)
@@ -81,7 +81,7 @@
     assert deleted(world) == []
     world.clock.time += 2.0
     if outage:
-        told(log, world)
+        apply_sibling_status(log, world)
     else:
         later(world, 0.0)
     check(world)
@@ -90,7 +90,7 @@
 
 
 def test_a_machine_that_ended_the_cancelled_task_is_kept(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     cancelled(world)
     check(world)
     assert machine(world).cancelled_since is not None
@@ -106,7 +106,7 @@
 
 
 def test_a_new_owner_goes_by_the_time_when_the_cancellation_was_stored(world: World) -> None:
-    running(world)
+    start_task(world)
     cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
     check(world)
     later(world, 0.2 * world.settings.cancel_s)
@@ -116,7 +116,7 @@
 
 def test_a_cancelled_task_is_gone_in_time_though_its_hung_machine_changes_owners_again_and_again(world: World) -> None:
     """Each new owner waits anew for the machine's silence before it has it deleted."""
-    running(world)
+    start_task(world)
     cancelled(world, at=world.clock.time)
     since = world.clock.time
     while world.clock.time - since < world.settings.cancel_s:
@@ -135,14 +135,14 @@
 ) -> None:
     """Nothing is known of what is on it. Failure found by the random world: it hung with a cancelled task, got another
     owner, and the state service was down: nobody deleted it."""
-    running(world)
+    start_task(world)
     machine(world).cancelled_since = None
     world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_gone_s)
     cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
     log = CancellationLog(10, 9)
     for _ in range(5):
         world.clock.time += 1.0
-        told(log, world)
+        apply_sibling_status(log, world)
         check(world)
     assert world.leadership.may_answer_workers
     assert deleted(world) == (["vm-1"] if overdue else [])
@@ -157,7 +157,7 @@
 
 def test_a_controller_that_may_not_answer_deletes_nothing(world: World) -> None:
     """It was suspended: the machine may have got another owner, and tasks from it."""
-    running(world)
+    start_task(world)
     cancelled(world)
     check(world)
     world.clock.time += world.settings.cancel_s
--- a/tests/test_starvation.py
+++ b/tests/test_starvation.py
@@ -11,7 +11,7 @@
 from sloeswitch.core.job_queue import STARVATION_LEASES, GuaranteeLedger, QueueKey, StarvationRank
 from sloeswitch.settings import parse
 from tests.conftest import SETTINGS, Store, spec
-from tests.support.single_controller import JOB, World, machine_up
+from tests.support.single_controller import JOB, World, register_machine
 
 LEASE_S = 10.0
 
@@ -19,7 +19,7 @@
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -19,20 +19,20 @@
 from sloeswitch.state_client import StateClient
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import (
-    NARROW,
+    SETTINGS_WITH_NEXT_LIMITS,
     World,
     heartbeat_and_register,
-    machine_up,
+    record_writes,
+    register_machine,
     submit,
     unregister,
-    watched,
 )
 
 
 def test_the_lesser_of_the_limits_now_and_next_holds_from_the_start() -> None:
-    settings = parse(NARROW)
+    settings = parse(SETTINGS_WITH_NEXT_LIMITS)
     assert (settings.value_kb, settings.txn_ops, settings.state_write_rps, settings.state_rps) == (2.0, 4, 15.0, 100.0)
-    larger = NARROW.replace("txn_ops = 4", "txn_ops = 400").replace("write_rps = 15.0\n", "")
+    larger = SETTINGS_WITH_NEXT_LIMITS.replace("txn_ops = 4", "txn_ops = 400").replace("write_rps = 15.0\n", "")
     assert (parse(larger).txn_ops, parse(larger).state_write_rps) == (12, 20.0)
     for wrong, name in (("txn_ops = 1", "txn_ops"), ('value_kb = "2"', "value_kb"), ("write_rps = -1", "write_rps")):
         faulty = SETTINGS.replace("[deployment.cloud]", f"[deployment.state.next]\n{wrong}\n[deployment.cloud]")
@@ -46,7 +46,7 @@
 def test_a_scattered_job_goes_on_within_the_lesser_limits(store: Store) -> None:
     """Every round keeps within two kilobytes and four changes (the scripted state service insists)."""
     store.upgraded()
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     names = [f"wk-{number:06d}" for number in range(8)]
     shuffle = random.Random(11)
     for name in names:
@@ -76,14 +76,14 @@
 
 
 def test_a_group_of_production_too_large_by_now_is_parted_when_it_changes_and_loses_no_machine(store: Store) -> None:
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     store.put(keys.machine_group_key("c1.5.1"), large_group(240))
     everything = set(store.tables.machines)
     unregister(world, "vm-000007")
     # While an old controller is about, machines stay where they are: it would take them for deleted.
     assert set(store.tables.machines) == everything
     store.upgraded()
-    written = watched(world)
+    written = record_writes(world)
     missing: list[str] = []
     apply = world.client.apply
 
@@ -104,7 +104,7 @@
 
 
 def test_a_catalog_larger_than_a_value_is_stored_type_by_type(store: Store) -> None:
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     cloud: Any = None
     scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
     kinds = [
@@ -123,7 +123,7 @@
 def test_limits_that_fall_below_what_was_announced_are_kept_to(store: Store, changes: int, size: int) -> None:
     """A take-over, machines and a burst of jobs while the limits fall: nothing is refused for ever."""
     store.upgraded()
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
         store.progress(f"wk-00000{number}", c1_9=1)
@@ -143,7 +143,7 @@
 
 
 def test_a_refusal_for_the_rate_is_told_from_one_for_size(store: Store) -> None:
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     client = StateClient(world.settings, lambda: 1, world.clock.now)
     answers = [wire.encode({"error": "too many"}), wire.encode({"error": "too large"})]
 
@@ -178,8 +178,8 @@
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
     )
-    world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
-    machine_up(world)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more + "[deployment.workers]"))
+    register_machine(world)
     for number in range(5):
         store.job(spec(f"wk-00000{number}", crew=f"t{number}", visits=1, cores=1.0))
     for _ in range(8):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,12 +19,12 @@
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
     JOB,
-    NARROW,
+    SETTINGS_WITH_NEXT_LIMITS,
     World,
     ask,
     heartbeat_and_register,
+    record_writes,
     submit,
-    watched,
 )
 
 # Rows as production writes them.
@@ -122,8 +122,8 @@
 
 def test_what_is_written_before_the_mark_production_reads_as_it_is_meant(store: Store) -> None:
     """A day of one controller: machines, a job accepted, claimed, half done, done; another one cancelled."""
-    world = World(store, NARROW)
-    written = watched(world)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
+    written = record_writes(world)
     heartbeat_and_register(world, 40)
     assert anyio.run(world.membership._write_member)
     world.leadership.mesh = None
@@ -152,7 +152,7 @@
 
 
 def test_nothing_new_is_accepted_or_written_before_the_mark(store: Store) -> None:
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     store.job(spec())
     answer = ask(world, "POST", "/submissions", submission("wk-000002", awaits=[JOB]))
     assert answer.status == 503 and dict(answer.headers)["Retry-After"]
