--- a/tests/support/scripted_state.py
+++ b/tests/support/scripted_state.py
@@ -14,8 +14,8 @@
 class ScriptedState(StateClient):
     """A state client that checks transactions against the limits of the settings and commits them to a Store.
 
-    The next `lose_answers` transactions get no answer and are not committed; they are kept in `late`, from where a test
-    may commit them with `apply`.
+    The next `lose_answers` transactions get no answer and are not committed. They are kept, so that a test may commit
+    them late with `apply`.
     """
 
     store: Store
