--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -57,7 +57,7 @@
         world = cell.world
         settings = member_settings(member)
         client = CellState(settings, lambda: len(MEMBERS), world.clock.now)
-        client.store, client.late, client.cell = cell.store, [], cell
+        client.store, client.lost_transactions, client.cell = cell.store, [], cell
         self.replica = CellReplica(client, cell.store.tables, world.clock.now)
         self.replica.cell = cell
         self.replica.loaded = self.replica.fully_read = True
--- a/tests/support/scripted_state.py
+++ b/tests/support/scripted_state.py
@@ -20,10 +20,10 @@
 
     store: Store
     lose_answers = 0
-    late: list[tuple[dict[str, int], dict[str, Any], list[str]]]
+    lost_transactions: list[tuple[dict[str, int], dict[str, Any], list[str]]]
     # The limits that the service enforces, if they are below those of the settings.
-    most_changes_now: int | None = None
-    most_bytes_now: int | None = None
+    enforced_max_changes: int | None = None
+    enforced_max_bytes: int | None = None
 
     async def acquire_changes(self, changes: int, priority: Any) -> None:
         return None
@@ -39,11 +39,11 @@
         conditions, writes, deletes = transaction.conditions, transaction.writes, transaction.deletes
         if self.lose_answers:
             self.lose_answers -= 1
-            self.late.append((conditions, writes, deletes))
+            self.lost_transactions.append((conditions, writes, deletes))
             return TransactionResult(TransactionOutcome.UNKNOWN, 0)
         sizes = [len(wire.encode(value)) for value in writes.values()]
-        if (self.most_changes_now is not None and len(writes) + len(deletes) > self.most_changes_now) or (
-            self.most_bytes_now is not None and max(sizes, default=0) > self.most_bytes_now
+        if (self.enforced_max_changes is not None and len(writes) + len(deletes) > self.enforced_max_changes) or (
+            self.enforced_max_bytes is not None and max(sizes, default=0) > self.enforced_max_bytes
         ):
             self._lower_limits(transaction)
             return TransactionResult(TransactionOutcome.REJECTED, 0)
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -43,7 +43,7 @@
         self.settings = parse(text)
         self.client = ScriptedState(self.settings, lambda: 1, self.clock.now)
         self.client.store = store
-        self.client.late = []
+        self.client.lost_transactions = []
         self.replica = ScriptedReplica(self.client, store.tables, self.clock.now)
         self.replica.loaded = self.replica.fully_read = True
         self.replica.read_linearizable = self.read  # type: ignore[method-assign]
@@ -67,10 +67,10 @@
         assert message.answer.status == 200, message.answer
         return wire.decode(message.answer.body, wire.WorkerCommands)
 
-    def tell_jobs(self, updates: TaskUpdates) -> None:
+    def send_task_updates(self, updates: TaskUpdates) -> None:
         anyio.run(self.jobs.handle, updates)
 
-    def round(self, request: ClaimRequest | None = None) -> None:
+    def commit_and_place(self, request: ClaimRequest | None = None) -> None:
         async def once() -> None:
             if request is not None:
                 await self.jobs.handle(request)
@@ -136,7 +136,7 @@
 def start_task(world: World) -> tuple[str, int]:
     """Starts a job's only task on vm-1, which reports it as running; returns the task and its attempt."""
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     return start.task, start.attempt
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -29,7 +29,7 @@
     register_machine(world)
     world.store.job(spec())
     assert world.heartbeat(report(3, 3)).commands == []
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1111}
     assert world.store.tables.quota_allocations["red"] == {"c0.1": (8.0, 0.0)}
     assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
@@ -38,7 +38,7 @@
 def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
     register_machine(world)
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
     assert len(world.heartbeat(report(3, 3)).commands) == 2
 
 
@@ -47,14 +47,14 @@
     standing_view = world.leadership.view_conditions()
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.leadership.view_conditions = lambda: standing_view  # type: ignore[method-assign]
-    world.round(ClaimRequest(task_counts={JOB: 4}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
 def test_nothing_is_claimed_outside_the_lease(world: World) -> None:
     world.store.job(spec())
     world.clock.time += world.settings.controller_lease_s
-    world.round(ClaimRequest(task_counts={JOB: 4}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
@@ -81,9 +81,9 @@
     register_machine(world)
     world.store.job(spec())
     world.client.lose_answers = 1
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.heartbeat(report(3, 3)).commands == []
-    world.client.apply(*world.client.late[0])
+    world.client.apply(*world.client.lost_transactions[0])
     world.machines.task_placement.place_unplaced()
     assert len(world.heartbeat(report(4, 3)).commands) == 4
 
@@ -92,13 +92,13 @@
     """Failure found on the bench: a task that had ended looked like work handed back."""
     register_machine(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
     assert answer.commands == []  # neither a start nor, before it is stored, a clear
-    world.tell_jobs(TaskUpdates(done={JOB: 1}))
+    world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 1)
     cleared = world.heartbeat(report(5, 3, (start.task, start.attempt, "ended", "done")))
     assert [order.verb for order in cleared.commands] == ["clear"]
@@ -117,9 +117,9 @@
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c0_1=0b1)
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
-    world.tell_jobs(TaskUpdates(done={JOB: 1}))
+    world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.jobs.status(JOB) == wire.JobStatus.CANCELLED
 
 
@@ -132,7 +132,7 @@
 def test_cancelled_task_is_killed_and_its_claim_given_up_once_it_is_gone(world: World) -> None:
     register_machine(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
@@ -145,9 +145,9 @@
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
     world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
     world.machines.cancelled_tasks.stop_all()
-    world.tell_jobs(world.machines.task_updates.pending)
+    world.send_task_updates(world.machines.task_updates.pending)
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.CANCELLED, 1)
 
 
@@ -172,7 +172,7 @@
     stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
 
 
@@ -186,7 +186,7 @@
 def test_last_tasks_that_save_move_off_a_machine_that_is_not_needed(world: World) -> None:
     register_machine(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
     spared = world.machines.registry.machines["vm-1"]
@@ -214,12 +214,12 @@
         world.store.job(spec(name, visits=1), JobState.CANCELLED)
         world.store.progress(name, c0_1=0b1)
     world.store.job(spec("wk-000099"))
-    world.tell_jobs(TaskUpdates(done={"wk-000099": 0b1}))
-    world.tell_jobs(TaskUpdates(released=dict.fromkeys(names, 1)))
+    world.send_task_updates(TaskUpdates(done={"wk-000099": 0b1}))
+    world.send_task_updates(TaskUpdates(released=dict.fromkeys(names, 1)))
     world.clock.time += 20.0
     for _ in range(20):
         world.clock.time += 20.0
-        world.round()
+        world.commit_and_place()
     assert set(names) <= world.store.tables.finished_jobs.keys()
 
 
@@ -228,10 +228,10 @@
     scattered = sum(1 << index for index in range(0, 2400, 2))
     for name in names:
         world.store.job(spec(name, visits=3000))
-    world.tell_jobs(TaskUpdates(done=dict.fromkeys(names, scattered)))
+    world.send_task_updates(TaskUpdates(done=dict.fromkeys(names, scattered)))
     for _ in range(20):
         world.clock.time += 20.0
-        world.round()
+        world.commit_and_place()
     assert all(world.store.tables.jobs[name].progress.done == scattered for name in names)
 
 
@@ -267,7 +267,7 @@
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(keys.quota_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines.task_updates.release(JOB, 0b11)
-    world.tell_jobs(world.machines.task_updates.pending)
+    world.send_task_updates(world.machines.task_updates.pending)
     world.machines.task_updates.pending = TaskUpdates()
     world.clock.time += 2 * world.jobs.batch_s
 
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -110,8 +110,8 @@
     later(world, coordinator.limits.starvation_timeout_s)
     anyio.run(coordinator.run_epoch)
     newer = store.tables.admission_rows
-    assert newer != before and len(world.client.late) == 1
-    outcome, _ = world.client.apply(*world.client.late[0])
+    assert newer != before and len(world.client.lost_transactions) == 1
+    outcome, _ = world.client.apply(*world.client.lost_transactions[0])
     assert outcome.value == "conflict" and store.tables.admission_rows == newer
 
 
@@ -123,7 +123,7 @@
     world, coordinator = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
-    conditions, writes, drops = world.client.late[0]
+    conditions, writes, drops = world.client.lost_transactions[0]
     conditions = {key: revision for key, revision in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(coordinator.run_epoch)  # no longer the coordinator, so it computes no epoch
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -41,9 +41,9 @@
 
 
 def adopt(world: World, rounds: int = 1) -> None:
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=dict.fromkeys(NAMES, HALF), view_number=3))
     for _ in range(rounds):
-        world.round()
+        world.commit_and_place()
 
 
 def test_a_take_over_is_a_few_changes_and_brings_its_part_of_the_limit(world: World) -> None:
@@ -62,9 +62,9 @@
 
 def test_what_is_given_up_after_an_adoption_stays_given_up(world: World) -> None:
     adopt(world, 3)
-    world.tell_jobs(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
+    world.send_task_updates(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
     world.clock.time += 20.0
-    world.round()
+    world.commit_and_place()
     for tables in (world.store.tables, world.store.read_again()):
         progress = tables.jobs[JOB].progress
         assert progress.claims["c0.1"] == HALF & ~0b10100 and progress.done == 0b10001
@@ -84,13 +84,13 @@
 def test_a_late_adoption_is_carried_out_once_or_never(world: World) -> None:
     world.client.lose_answers = 1
     adopt(world, 4)
-    conditions, writes, _drops = world.client.late[0]
+    conditions, writes, _drops = world.client.lost_transactions[0]
     assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == HALF for name in NAMES)
-    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
+    assert world.client.apply(*world.client.lost_transactions[0])[0] is TransactionOutcome.CONFLICT
     # Late in the other order: it comes first, and what was tried again under its key fails.
     world.store.view(4, ("c0", 1))
-    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
+    assert world.client.apply(*world.client.lost_transactions[0])[0] is TransactionOutcome.CONFLICT
 
 
 def test_adoptions_and_allowances_of_many_teams_keep_within_a_transaction(store: Store) -> None:
@@ -106,10 +106,10 @@
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
         store.progress(name, c1_9=0b1)
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
     for _ in range(8):
         grow = {f"t{number}": ResourceAmount(3.0) for number in (2, 3)}
-        world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=grow))
+        world.commit_and_place(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=grow))
     claims = [store.tables.jobs[name].progress.claims for name in names]
     assert all(held.keys() == {"c0.1"} and held["c0.1"] & 1 for held in claims)
     assert all(held["c0.1"].bit_count() > 1 for held in claims[2:4])  # claims are made beside
@@ -263,8 +263,8 @@
             store.view(4, ("c0", 1), ("c1", 9))
 
     world.replica.read_linearizable = read  # type: ignore[method-assign]
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
     decreases = {team: QuotaDecrease(revision, 1.0, 0.0) for team in ("red", "blue")}
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_decreases=decreases))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_decreases=decreases))
     assert store.tables.view.number == 4
     assert store.tables.jobs[JOB].progress.claims.get("c0.1", 0) & 0b01 == 0
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -53,7 +53,7 @@
     for number in range(1, 9):
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
-    world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=adopted, view_number=3))
     due = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
     assert due[0] == "wk-000007" and due[2] == "wk-000008" and set(adopted) <= set(due)
 
@@ -65,8 +65,8 @@
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
     world.client.controller_count = lambda: 3
-    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
-    world.round()
+    world.send_task_updates(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
+    world.commit_and_place()
     moved = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
     assert len(moved) >= 2
 
@@ -85,7 +85,9 @@
     world = World(store)
     register_machine(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert world.machines.quota.usage("red").cores == 8.0
     assert surplus_given_up(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
 
@@ -95,7 +97,9 @@
     world = World(store)
     register_machine(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert surplus_given_up(world, {"c0.1": [12.0, 0.0]}) == {}
 
 
@@ -125,7 +129,7 @@
     store.progress("wk-000001", c1_2=0b1111)
     world.leadership.lease_renewed_at = float("-inf")  # claims nothing
     before = world.client.write_tokens.tokens
-    world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
+    world.send_task_updates(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
     async def acquire(changes: int, priority: RequestPriority) -> None:
@@ -133,5 +137,5 @@
 
     world.client.acquire_changes = acquire  # type: ignore[method-assign]
     epoch = store.epoch
-    world.round()
+    world.commit_and_place()
     assert store.epoch == epoch and world.client.write_tokens.tokens == before
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -67,7 +67,7 @@
 
 def test_claimed_tasks_of_a_job_cancelled_at_a_sibling_are_not_started(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.machines.registry.remove_unsent(world.machines.registry.machines["vm-1"])
     log = CancellationLog(100, 9)
     log.add(JOB, world.replica.applied_revision + 1)
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -52,7 +52,7 @@
         """The jobs actor takes what it was sent, and commits a transaction."""
         while self.jobs._inbox:
             anyio.run(self.jobs.handle, self.jobs._inbox.popleft())
-        self.round()
+        self.commit_and_place()
 
     def is_settled(self) -> bool:
         """Whether no controller may start the task any more, as anybody reads it."""
@@ -257,5 +257,5 @@
     world.find(ENDED, name="vm-2")
     assert not world.machines.registry.found_completions
     world.commit()
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(2.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(2.0, 0.0)}))
     assert world.recovered_views() == [3]
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -97,7 +97,7 @@
 
 # What happens in the controller between requests.
 STEPS: dict[str, Callable[[World], Any]] = {
-    "claim": lambda world: world.round(
+    "claim": lambda world: world.commit_and_place(
         ClaimRequest(task_counts={"wk-000412": 2}, quota_increases={"red": ResourceAmount(4.0, 0.0)})
     ),
     "stop what is cancelled": lambda world: world.machines.cancelled_tasks.stop_all(),
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -192,10 +192,10 @@
 
 def job_done(world: RowRecorder) -> None:
     world.put_frozen("job")
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.send_task_updates(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def jobs_cancelled_unclaimed(world: RowRecorder) -> None:
@@ -211,7 +211,7 @@
 
 def job_in_parts_cancelled_with_tasks(world: RowRecorder) -> None:
     world.put_frozen("layout mark, complete", "job in parts")
-    world.round(ClaimRequest(task_counts={"wk-000004": 3}))
+    world.commit_and_place(ClaimRequest(task_counts={"wk-000004": 3}))
     cancel_and_release(world, "wk-000004", 0b111)
 
 
@@ -229,16 +229,16 @@
 
 def cancel_and_release(world: RowRecorder, name: str, tasks: int) -> None:
     assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
-    world.tell_jobs(TaskUpdates(released={name: tasks}))
+    world.send_task_updates(TaskUpdates(released={name: tasks}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def job_withdrawn_before_layout_3(world: RowRecorder) -> None:
     world.put_frozen("job withdrawn, with tasks, before layout 3")
-    world.tell_jobs(TaskUpdates(released={JOB: 1}))
+    world.send_task_updates(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def cleared_away(world: RowRecorder) -> None:
@@ -254,9 +254,9 @@
 
 def progress_before_the_mark(world: RowRecorder) -> None:
     world.put_frozen("progress with every field")
-    world.tell_jobs(TaskUpdates(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
+    world.send_task_updates(TaskUpdates(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def progress_after_the_mark(world: RowRecorder) -> None:
@@ -267,9 +267,9 @@
 def scattered_claims(world: RowRecorder) -> None:
     world.put_frozen("layout mark, complete", "progress with every field")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[],"c":{"c0.1":[0,9]},"z":"b"}'))
-    world.tell_jobs(TaskUpdates(released={JOB: 0b10101010}))
+    world.send_task_updates(TaskUpdates(released={JOB: 0b10101010}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def progress_with_a_zone(world: RowRecorder) -> None:
@@ -277,34 +277,34 @@
     for name in (JOB, THIRD):
         world.store.put(*parse_line(f's1/j/{name} {{"s":"done","n":1}}'))
     tasks_in_zone, zones = {COMPLEX: 0b11}, {COMPLEX: "b"}
-    world.round(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=tasks_in_zone, zones=zones))
+    world.commit_and_place(ClaimRequest(task_counts={COMPLEX: 2}, zone_bound_tasks=tasks_in_zone, zones=zones))
 
 
 def progress_beside_adoptions(world: RowRecorder) -> None:
     world.put_frozen("layout mark, complete", "adoptions after the progress")
-    world.tell_jobs(TaskUpdates(done={JOB: 0b10}))
+    world.send_task_updates(TaskUpdates(done={JOB: 0b10}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def adoptions_before_the_mark(world: RowRecorder) -> None:
     world.put_frozen("progress", "team limits")
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b11000}, view_number=3))
-    world.round()
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b11000}, view_number=3))
+    world.commit_and_place()
 
 
 def adoptions_after_the_mark(world: RowRecorder) -> None:
     world.put_frozen("layout mark, complete", "progress", "team limits")
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b101001000}, view_number=3))
-    world.round()
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b101001000}, view_number=3))
+    world.commit_and_place()
 
 
 def team_limit(world: RowRecorder) -> None:
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(8.5, 0.0)}))
     revision = world.store.tables.mod_revision(keys.quota_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 2.25, 0.0)}))
+    world.commit_and_place(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 2.25, 0.0)}))
     revision = world.store.tables.mod_revision(keys.quota_key("red"))
-    world.round(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 0.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(quota_decreases={"red": QuotaDecrease(revision, 0.0, 0.0)}))
 
 
 # -- admission
@@ -428,10 +428,10 @@
 def handoffs_beside_the_end(world: RowRecorder) -> None:
     """A job that runs in its own cell while an earlier handoff of it is not stopped yet."""
     world.store.put(keys.job_key(JOB), recalled_job())
-    world.round(ClaimRequest(task_counts={JOB: 4}))
-    world.tell_jobs(TaskUpdates(done={JOB: 0b1111}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
+    world.send_task_updates(TaskUpdates(done={JOB: 0b1111}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def recalled_job() -> Any:
@@ -469,10 +469,10 @@
 def accepted_and_done(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
     assert send_request(world, cell_target, Request.OFFER) is Answer.ACCEPTED
-    world.round(ClaimRequest(task_counts={JOB: 1}))
-    world.tell_jobs(TaskUpdates(done={JOB: 1}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}))
+    world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
     assert send_request(world, cell_target, Request.ACKNOWLEDGE) is Answer.DONE
 
 
@@ -485,11 +485,11 @@
 def accepted_and_stopped(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
     cell_target = make_target(world, monkeypatch)
     world.put_frozen("job handed over by a cell")
-    world.round(ClaimRequest(task_counts={JOB: 1}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}))
     assert send_request(world, cell_target, Request.STOP) is Answer.STOPPING
-    world.tell_jobs(TaskUpdates(released={JOB: 1}))
+    world.send_task_updates(TaskUpdates(released={JOB: 1}))
     world.later(20.0)
-    world.round()
+    world.commit_and_place()
 
 
 def refused(world: RowRecorder, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -34,7 +34,7 @@
     world.heartbeat(large(2, 3))
     store.put(keys.quota_key("red"), {"c0.1": [100.0, 0.0]})
     store.job(spec(FILL, visits=32, cores=1.0, memoryGb=0.1, urgency="best_effort"))
-    world.round(ClaimRequest(task_counts={FILL: 32}))
+    world.commit_and_place(ClaimRequest(task_counts={FILL: 32}))
     starts = world.heartbeat(large(3, 3)).commands
     world.heartbeat(large(4, 3, *((order.task, order.attempt, "running") for order in starts)))
     yield world
@@ -88,7 +88,7 @@
     world.machines.task_placement.place_unplaced()
     world.machines.task_placement.fill_machine(machine(world))
     assert machine(world).usage.cores == 2.0
-    world.round(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
+    world.commit_and_place(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
     assert machine(world).usage.cores == 32.0 and world.machines.registry.placed_tasks[SOLVE] == 0b1
 
 
@@ -148,7 +148,7 @@
     assert world.machines.quota.usage("red").cores == 20.0
     assert all(FILL not in asked.task_counts for asked in world.claim_requests())
     world.heartbeat(msgspec.structs.replace(large(3, 3), machine="vm-2"))
-    world.round(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
+    world.commit_and_place(ClaimRequest(task_counts={SOLVE: 1}, zones={SOLVE: "a"}, zone_bound_tasks={SOLVE: 0b1}))
     assert world.machines.registry.placed_tasks[SOLVE] == 0b1 and world.machines.quota.usage("red").cores == 50.0
 
 
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -31,7 +31,7 @@
 
 def test_no_start_command_goes_to_a_machine_not_seen_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert command_verbs(heartbeat(world, report(3, 3), received=False)) == []
     assert command_verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
 
@@ -40,7 +40,9 @@
     task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
-    world.round(ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert world.machines.registry.placed_tasks["wk-000002"] == 0b11
     heartbeat(world, report(5, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
@@ -132,7 +134,7 @@
 
 def test_a_copy_is_no_evidence_that_a_start_was_not_carried_out(world: World) -> None:
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert command_verbs(heartbeat(world, report(3, 3))) == ["start"]
     heartbeat(world, report(2, 3))
     heartbeat(world, report(3, 3))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -80,7 +80,7 @@
     world.leadership.incarnation = 7
     world.membership.recovered_view = 0
     assert anyio.run(world.membership._write_member)
-    for write in world.client.late:
+    for write in world.client.lost_transactions:
         assert world.client.apply(*write)[0] is TransactionOutcome.CONFLICT
     assert world.store.tables.members["c0"].incarnation == 7
 
@@ -149,7 +149,7 @@
     assert heartbeat(world, report(3, 3)).status == 503
     assert not world.leadership.is_leader and not world.leadership.is_coordinator
     epoch = world.store.epoch
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.epoch == epoch
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -43,17 +43,17 @@
     world.store.job(spec(A, visits=1))
     world.store.job(spec(B, visits=1, awaits=[A]))
     assert queued_names(world.store) == [A]
-    world.round(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert not world.store.tables.jobs[B].progress.claims
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
-    world.tell_jobs(
+    world.send_task_updates(
         world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={A: 1})
     )
     assert queued_names(world.store) == [A]  # told, not stored
-    world.round()  # at once: nothing that others wait for is kept for company
+    world.commit_and_place()  # at once: nothing that others wait for is kept for company
     assert queued_names(world.store) == [B]
-    world.round(ClaimRequest(task_counts={B: 1}))
+    world.commit_and_place(ClaimRequest(task_counts={B: 1}))
     assert world.store.tables.jobs[B].progress.claims == {"c0.1": 1}
 
 
@@ -157,7 +157,7 @@
         assert again.status == 200 and b'"withdrawn"' in again.body
     world.replica.read_linearizable = world.read  # type: ignore[method-assign]
     world.clock.time += 0.1
-    world.round()
+    world.commit_and_place()
     over = world.store.tables.finished_jobs
     assert over[B].status == over[C].status == JobState.CANCELLED and D in world.store.tables.jobs
     assert status(world, C) == wire.JobStatus.CANCELLED
@@ -177,7 +177,7 @@
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
     world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 4})
-    world.client.apply(*world.client.late[0])
+    world.client.apply(*world.client.lost_transactions[0])
     assert status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
@@ -186,18 +186,18 @@
     world.store.job(spec(A, visits=1))
     world.store.progress(A, c0_1=1)
     world.store.job(spec(B, awaits=[A]))
-    world.tell_jobs(TaskUpdates(done={A: 1}))
+    world.send_task_updates(TaskUpdates(done={A: 1}))
     if first == "end":
         world.client.lose_answers = 1
-        world.round()  # carried out later, its answer lost
-        world.client.apply(*world.client.late[0])
+        world.commit_and_place()  # carried out later, its answer lost
+        world.client.apply(*world.client.lost_transactions[0])
         assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.DONE
         assert queued_names(world.store) == [B]
     else:
         world.client.lose_answers = 4
         assert anyio.run(world.jobs.cancel, A) is None  # sent, and carried out late
-        world.client.apply(*world.client.late[0])
-        world.round()
+        world.client.apply(*world.client.lost_transactions[0])
+        world.commit_and_place()
         assert status(world, A) == status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
@@ -208,7 +208,7 @@
     world.client.lose_answers = 4
     assert anyio.run(world.jobs.cancel, A) is None
     world.store.progress(A, c1_2=1)
-    world.client.apply(*world.client.late[0])
+    world.client.apply(*world.client.lost_transactions[0])
     assert A in world.store.tables.jobs  # a task of it may run
     assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.CANCELLED
     assert world.store.tables.jobs[A].progress.claims
@@ -247,7 +247,7 @@
     world.store.job(spec(A))
     world.client.lose_answers = 1
     assert submit(world, B, A) == 503
-    world.client.apply(*world.client.late[0])
+    world.client.apply(*world.client.lost_transactions[0])
     assert submit(world, B, A) == 200
     assert world.store.tables.jobs[B].unfinished_prerequisites == 1
 
@@ -262,11 +262,11 @@
     store.job(spec("wk-000007", awaits=["wk-000006"]))
     store.job(spec("wk-000008"))
     store.job(spec("wk-000009"))
-    world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
+    world.send_task_updates(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
     due = world.jobs._schedule().due_jobs({"wk-000008": 4, "wk-000009": 4})
     assert due[0] == "wk-000006" and set(due[1:6]) == {f"wk-00000{number}" for number in range(1, 6)}
-    world.round(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
+    world.commit_and_place(ClaimRequest(task_counts={"wk-000008": 4, "wk-000009": 4}))
     assert "wk-000006" in store.tables.finished_jobs
 
 
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -32,20 +32,20 @@
     world.store.job(spec())
     world.store.progress(JOB, c1_9=0b11)
     world.store.put(keys.quota_key("red"), {"c1.9": [6.0, 0.0]})
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         "quota allocations changed: team=red before=c1.9:6 after=c0.1:9,c1.9:4 reasons=adoption,increase view=3"
         f" revision={world.store.epoch}"
     ]
     world.store.member("c0", 1, settled=3)
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
     assert "before=c0.1:9,c1.9:4 after=c0.1:12 reasons=increase,departed" in caplog.messages[-1]
 
 
 def test_an_unanswered_change_of_allocations_is_logged(world: World, caplog: pytest.LogCaptureFixture) -> None:
     world.client.lose_answers = 1
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         f"quota allocations unanswered: team=red before=- after=c0.1:9 reasons=increase view=3"
         f" revision={world.store.epoch}"
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -171,7 +171,7 @@
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert JOB in world.machines.registry.placed_tasks
     serial = 10
     begun = world.clock.time
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -43,7 +43,7 @@
     assert store.tables.jobs["wk-100001"].is_cancelled
     store.progress("wk-100001")
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
-    world.round()
+    world.commit_and_place()
     for _ in range(20):
         anyio.run(world.jobs.garbage_collector.collect)
     assert (
@@ -69,12 +69,12 @@
 
     world.client.compare_and_swap = lose_the_row  # type: ignore[method-assign]
     assert submit(world, "wk-100001", *names) == 503
-    assert len(world.client.late) == 1 and store.tables.spec_chunks
+    assert len(world.client.lost_transactions) == 1 and store.tables.spec_chunks
     assert status_code(world, "wk-100001") == 404
     anyio.run(world.jobs.garbage_collector.collect)
     world.clock.time += 5 * world.settings.lease_s
     anyio.run(world.jobs.garbage_collector.collect)
-    world.client.apply(*world.client.late[0])  # the row, carried out after its first part was dropped
+    world.client.apply(*world.client.lost_transactions[0])  # the row, carried out after its first part was dropped
     assert status_code(world, "wk-100001") == 404
     for _ in range(20):
         anyio.run(world.jobs.garbage_collector.collect)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -57,17 +57,17 @@
         for name in names:
             ended = sum(1 << index for index in range(600) if shuffle.random() < 0.1) & left[name]
             left[name] &= ~ended
-            world.tell_jobs(TaskUpdates(done={name: ended}))
+            world.send_task_updates(TaskUpdates(done={name: ended}))
         world.clock.time += 20.0
         for _ in range(4):
-            world.round()
+            world.commit_and_place()
         assert all(store.tables.jobs[n].progress.done == taskset.full(600) & ~left[n] for n in store.tables.jobs)
         if not any(left.values()):
             break
-    world.tell_jobs(TaskUpdates(done=left | dict.fromkeys(names, taskset.full(600))))
+    world.send_task_updates(TaskUpdates(done=left | dict.fromkeys(names, taskset.full(600))))
     world.clock.time += 20.0
     for _ in range(4):
-        world.round()
+        world.commit_and_place()
     assert set(names) == store.tables.finished_jobs.keys()
 
 
@@ -127,18 +127,18 @@
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
         store.progress(f"wk-00000{number}", c1_9=1)
-    world.client.most_changes_now, world.client.most_bytes_now = changes, size
+    world.client.enforced_max_changes, world.client.enforced_max_bytes = changes, size
     heartbeat_and_register(world, 12)
-    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view_number=3))
+    world.send_task_updates(TaskUpdates(adopted={f"wk-00000{number}": 1 for number in range(1, 7)}, view_number=3))
     for _ in range(12):
-        world.round()
+        world.commit_and_place()
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
     accepted = [submit(world, "wk-000009", kit="x" * 200) for _ in range(6)]
     assert accepted[-1] == 200 and 201 in accepted
-    world.tell_jobs(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
+    world.send_task_updates(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
     for _ in range(6):
-        world.round()
+        world.commit_and_place()
     assert len(store.tables.finished_jobs) == 6
 
 
@@ -185,5 +185,5 @@
     for _ in range(8):
         world.machines.queue.rebuild()
         for request in world.claim_requests():
-            world.round(request)
+            world.commit_and_place(request)
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -130,12 +130,14 @@
     anyio.run(world.membership._record_layout)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
-    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     scattered = sum(1 << index for index in range(0, 120, 3))
-    world.tell_jobs(TaskUpdates(done={JOB: scattered}))
+    world.send_task_updates(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
-    world.round()
+    world.commit_and_place()
     assert store.tables.jobs[JOB].progress.done == scattered
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.JobStatus.CANCELLED
     assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.JobStatus.CANCELLED
@@ -145,9 +147,9 @@
     progress = store.tables.jobs[JOB].progress
     assert ("r", JOB, progress.done, progress.claims, None, 0) in read
     assert {vm for row in read if row and row[0] == "g" for vm in row[2]} == store.tables.machines.keys()
-    world.tell_jobs(TaskUpdates(done={JOB: taskset.full(400)}))
+    world.send_task_updates(TaskUpdates(done={JOB: taskset.full(400)}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert Production().read(keys.job_key(JOB), written[keys.job_key(JOB)]) == ("j", JOB, JobState.DONE, 400)
 
 
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -28,7 +28,7 @@
 def test_a_job_is_bound_to_a_zone_only_while_any_of_its_tasks_is_claimed(world: World, bound: Any) -> None:
     """Guards against jobs that stay bound to a zone after they have lost all machines there."""
     world.store.job(spec(**bound))
-    world.round(
+    world.commit_and_place(
         ClaimRequest(
             task_counts={JOB: 4},
             zones={JOB: "b"},
@@ -38,15 +38,15 @@
     )
     job = world.store.tables.jobs[JOB]
     assert job.progress.zone == "b" and job.progress.claims
-    world.tell_jobs(TaskUpdates(released={JOB: 0b0111}))
+    world.send_task_updates(TaskUpdates(released={JOB: 0b0111}))
     later(world, 20.0)
-    world.round()
+    world.commit_and_place()
     assert job.progress.zone == "b"  # one task is still claimed and may run there
-    world.tell_jobs(TaskUpdates(released={JOB: 0b1000}))
+    world.send_task_updates(TaskUpdates(released={JOB: 0b1000}))
     later(world, 20.0)
-    world.round()
+    world.commit_and_place()
     assert job.progress.zone is None and not job.progress.claims
-    world.round(ClaimRequest(task_counts={JOB: 4}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1111}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1111}))
     assert job.progress.zone == "a"
 
 
@@ -62,14 +62,14 @@
     world.machines.claims._cores_ahead = lambda: 20.0  # type: ignore[method-assign]
     world.machines.queue.rebuild()
     assert all(not request.task_counts for request in world.claim_requests())
-    world.round(ClaimRequest(task_counts={JOB: 4}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     assert not world.store.tables.jobs[JOB].progress.claims
     machine(world).draining = False
     (request,) = world.claim_requests()
     # All tasks that may run in the chosen zone, and no others.
     allowed = 0b0011 if "spread" in bound else 0b1111
     assert request.zones == {JOB: "a"} and request.zone_bound_tasks == {JOB: allowed}
-    world.round(request)
+    world.commit_and_place(request)
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": allowed}
     assert world.machines.registry.placed_tasks[JOB] == allowed
 
@@ -82,7 +82,7 @@
     world.machines.queue.rebuild()
     (request,) = world.claim_requests()
     assert request.zone_bound_tasks == {JOB: 0b1100}
-    world.round(request)
+    world.commit_and_place(request)
     assert world.machines.registry.placed_tasks[JOB] == 0b1100
 
 
@@ -90,7 +90,7 @@
     """Earlier versions may have stored such claims."""
     world.store.job(spec(together=True))
     world.store.put(keys.progress_key(JOB), {"d": [], "c": {"c0.1": [0, 1]}})
-    world.round(
+    world.commit_and_place(
         ClaimRequest(
             task_counts={JOB: 3},
             zones={JOB: "a"},
