--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -138,19 +138,19 @@
     def view(self, number: int, *members: tuple[str, int]) -> None:
         self.put(keys.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
 
-    def member(self, name: str, boot: int, settled: int = 0) -> None:
-        self.put(keys.member_key(name), {"boot": boot, "settled": settled, "layout": keys.LAYOUT_VERSION})
+    def member(self, name: str, incarnation: int, recovered_view: int = 0) -> None:
+        self.put(keys.member_key(name), {"boot": incarnation, "settled": recovered_view, "layout": keys.LAYOUT_VERSION})
 
-    def upgraded(self) -> None:
+    def put_complete_layout(self) -> None:
         """Stores that every configured controller has run with this layout version."""
         self.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
 
-    def types(self) -> None:
+    def put_machine_types(self) -> None:
         self.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE])))
 
 
 @pytest.fixture
 def store() -> Store:
     store = Store()
-    store.types()
+    store.put_machine_types()
     return store
--- a/tests/support/cell.py
+++ b/tests/support/cell.py
@@ -91,14 +91,14 @@
         self.name = name
         self.outage = False
         self.store = Store()
-        self.store.types()
-        self.store.upgraded()
+        self.store.put_machine_types()
+        self.store.put_complete_layout()
         self.store.view(3, *((member, 1) for member in MEMBERS))
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(MACHINES)}
         self.store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
         self.store.put(keys.COORDINATOR_KEY, {"member": OWNER, "boot": 1})
         for member in MEMBERS:
-            self.store.member(member, 1, settled=3)
+            self.store.member(member, 1, recovered_view=3)
         self.controllers = {member: Controller(self, member, 1) for member in MEMBERS}
         # When each running task ends. Key: job, task index and the incarnation id of the controller that claimed it.
         self.running: dict[tuple[str, int, str], float] = {}
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -60,8 +60,8 @@
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.store = Store()
-        self.store.types()
-        self.store.upgraded()
+        self.store.put_machine_types()
+        self.store.put_complete_layout()
         self.log: list[tuple[str, Any, int]] = [(key, *row) for key, row in self.store.rows.items()]
         put = self.store.put
 
--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -21,8 +21,8 @@
 def store_recovered_view(store: Store) -> None:
     """Stores view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
-    store.member("c0", 1, settled=3)
-    store.member("c1", 2, settled=3)
+    store.member("c0", 1, recovered_view=3)
+    store.member("c1", 2, recovered_view=3)
 
 
 def snapshot(store: Store, updates: dict[str, JobUpdates] | None = None, **changes: Any) -> CommitSnapshot:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -67,8 +67,8 @@
         text = SETTINGS.replace("fd_limit = 500", f"fd_limit = {2 * machines}")
         text = text.replace("cpus_max = 20.0", f"cpus_max = {80.0 * machines}")
         store = Store()
-        store.types()
-        store.upgraded()
+        store.put_machine_types()
+        store.put_complete_layout()
         super().__init__(store, text)
         self.machine_count = machines
         self.commands: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -55,7 +55,7 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         store.view(3, ("c0", 1))
-        store.member("c0", 1, settled=3)
+        store.member("c0", 1, recovered_view=3)
 
     async def read(self, timeout_s: float) -> None:
         return None
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -144,6 +144,6 @@
     anyio.run(coordinator.request_idle_capacity, "c1")
     anyio.run(coordinator.run_epoch)
     assert not coordinator.switched_on and link.asked == 0 and store.epoch == before
-    store.upgraded()
+    store.put_complete_layout()
     anyio.run(coordinator.feature.record_member)
     assert not coordinator.switched_on, "c1 has not run with it"
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -27,12 +27,12 @@
 @pytest.fixture
 def world(store: Store) -> World:
     """c0.1, which took over what a departed c1.9 had: every second task of each job is on its machines."""
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     for name in NAMES:
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
-    store.member("c0", 1, settled=2)  # not settled: what the departed one had may still exist
+    store.member("c0", 1, recovered_view=2)  # not settled: what the departed one had may still exist
     store.put(keys.quota_key("red"), {"c1.9": [6.6, 0.0]})
     return world
 
@@ -99,7 +99,7 @@
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
     )
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more + "[deployment.workers]"))
     world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
@@ -126,7 +126,7 @@
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 7})
     anyio.run(world.jobs.garbage_collector.collect)
     assert set(world.store.tables.adoption_keys) == stored_keys  # not settled: still counted
-    world.store.member("c0", 7, settled=4)
+    world.store.member("c0", 7, recovered_view=4)
     for _ in range(4):
         anyio.run(world.jobs.garbage_collector.collect)
     assert not world.store.tables.adoption_keys and not world.store.tables.adoptions
@@ -135,7 +135,7 @@
 def test_a_completion_found_with_a_machine_is_stored_before_the_view_counts_as_recovered(store: Store) -> None:
     """Another controller may void the former owner's claim from then on, and start the task once more."""
     world = World(store)
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     store.job(spec(visits=2))
     store.progress(JOB, c1_9=0b01)
@@ -250,7 +250,7 @@
     store: Store,
 ) -> None:
     """Guards against a task taken back from its machine's new owner: the view changes while the tables are read."""
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store)
     world.client.txn_ops = 3
     store.job(spec(JOB, visits=2, cores=1.0))
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -194,8 +194,8 @@
         self.report_count = 0
         super().__init__(store, {"x": int(1000 * (1000.0 - cancelled_s))})
         store.view(4, ("c0", 1), ("c1", 2))
-        store.member("c0", 1, settled=4)
-        store.member("c1", 2, settled=3)
+        store.member("c0", 1, recovered_view=4)
+        store.member("c1", 2, recovered_view=3)
         self.sibling_machines = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
         self.tick()
         self.inspected_machines.clear()
@@ -231,7 +231,7 @@
 
 def test_sibling_does_not_inspect_machines_that_their_owner_accounts_for(store: Store) -> None:
     sibling = Sibling(store, 0.4 * CANCEL_S)
-    store.member("c1", 2, settled=4)
+    store.member("c1", 2, recovered_view=4)
     for _ in range(10):
         sibling.tick(1.0)
     assert sibling.inspected_machines == [] and sibling.deleted == []
@@ -276,11 +276,11 @@
     silent = sorted(sibling.sibling_machines)[0]
     sibling.pass_time_answering(10, {silent})
     assert list(scale_in.terminating) == [silent]
-    store.member("c1", 2, settled=4)
+    store.member("c1", 2, recovered_view=4)
     sibling.tick(1.0)
     scale_in.wake = anyio.Event()
     assert run_deletions(sibling.world, scale_in) == [], "its owner accounts for it"
-    store.member("c1", 2, settled=3)
+    store.member("c1", 2, recovered_view=3)
     sibling.pass_time_answering(10, {silent})
     scale_in.wake = anyio.Event()
     assert run_deletions(sibling.world, scale_in) == [silent]
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -77,7 +77,7 @@
     def __init__(self, store: Store, settings: Settings, machines: int) -> None:
         self.store, self.settings = store, settings
         store.view(3, ("c0", 1))
-        store.member("c0", 1, settled=3)
+        store.member("c0", 1, recovered_view=3)
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(machines)}
         store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
 
--- a/tests/test_commit_adoptions.py
+++ b/tests/test_commit_adoptions.py
@@ -74,7 +74,7 @@
 
 def two_adopted_jobs(store: Store) -> dict[str, JobUpdates]:
     """Returns adoptions of two teams' jobs; all controllers support the present layout."""
-    store.upgraded()
+    store.put_complete_layout()
     for name, team in ((JOB, "red"), (OTHER, "blue")):
         store.job(spec(name, crew=team))
         store.progress(name, c1_2=0b0011)
@@ -100,7 +100,7 @@
 
 
 def test_grouped_adoptions_of_unclaimed_tasks_rely_on_the_view(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     store.job(spec())
     store.progress(JOB, 0b0001)
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(adopted=0b0011, adopted_view=3)}), [])
@@ -154,7 +154,7 @@
 
 
 def test_a_first_adoption_too_large_for_a_row_is_split(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     store.job(spec(visits=400))
     scattered = sum(1 << number for number in range(0, 400, 3))
     store.progress(JOB, c1_2=scattered)
@@ -176,7 +176,7 @@
 
 
 def test_a_decrease_computed_before_an_adoption_keeps_the_quota_of_the_adopted_tasks(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0011)
     store.put(keys.quota_key("red"), {SIBLING: [4.0, 0.0], OWN: [8.0, 0.0]})
@@ -191,7 +191,7 @@
 
     Of 20 cores, the adopting controller uses 5 plus 4 for the adopted tasks, and a third controller uses 8.
     """
-    store.upgraded()
+    store.put_complete_layout()
     store.view(4, ("c0", 1), ("c2", 3))
     store.job(spec(cores=2.0))
     store.progress(JOB, c1_2=0b0011)
--- a/tests/test_commit_schedule.py
+++ b/tests/test_commit_schedule.py
@@ -18,8 +18,8 @@
 def store(store: Store) -> Store:
     """A store with view 3, whose members are this controller and a sibling, both with recovery complete."""
     store.view(3, ("c0", 1), ("c1", 2))
-    store.member("c0", 1, settled=3)
-    store.member("c1", 2, settled=3)
+    store.member("c0", 1, recovered_view=3)
+    store.member("c1", 2, recovered_view=3)
     return store
 
 
@@ -110,14 +110,14 @@
     updates = UncommittedUpdates()
     updates.merge(TaskUpdates(adopted={JOB: 0b0001}, view_number=3), now_s=100.0)
     assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.0).due_jobs(()) == [JOB]
-    store.upgraded()
+    store.put_complete_layout()
     assert schedule(store, updates, 100.0).is_urgent() and schedule(store, updates, 100.0).due_jobs(()) == []
 
 
 def test_claims_on_cancelled_jobs_are_valid_until_recovery_is_complete(store: Store) -> None:
     store.job(spec(), JobState.CANCELLED)
     store.progress(JOB, c1_1=0b0001)
-    store.member("c1", 2, settled=2)
+    store.member("c1", 2, recovered_view=2)
     assert schedule(store, UncommittedUpdates(), 0.0, is_coordinator=True).due_jobs(()) == []
 
 
--- a/tests/test_feature_rollout.py
+++ b/tests/test_feature_rollout.py
@@ -21,7 +21,7 @@
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus()  # an earlier layout would not know the row
-    world.store.upgraded()
+    world.store.put_complete_layout()
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus(("c0",), complete=False) and not rollout.is_complete
     others = sorted({*world.settings.members} - {"c0"})
@@ -34,7 +34,7 @@
 
 
 def test_a_controller_that_is_no_leader_records_nothing(world: World) -> None:
-    world.store.upgraded()
+    world.store.put_complete_layout()
     world.clock.time += 2 * world.settings.controller_lease_s
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -29,8 +29,8 @@
     def __init__(self, store: Store, grouped: bool = True) -> None:
         super().__init__(store)
         if grouped:
-            store.upgraded()
-        store.member("c0", 1, settled=2)
+            store.put_complete_layout()
+        store.member("c0", 1, recovered_view=2)
         store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
         store.job(spec(visits=3))
         store.progress(JOB, c1_9=0b011)
@@ -207,7 +207,7 @@
     world = Takeover(store)
     world.find(ENDED)
     store.view(4, ("c0", 2))
-    store.member("c0", 2, settled=3)
+    store.member("c0", 2, recovered_view=3)
     world.leadership.incarnation = 2
     world.machines.ownership.follow_view()
     assert not world.machines.registry.found_completions and world.recovered_views() == []
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -87,7 +87,7 @@
 
 def test_a_member_row_lost_to_the_former_run_is_written_again(world: World) -> None:
     world.leadership.incarnation = 7
-    world.store.member("c0", 1, settled=3)
+    world.store.member("c0", 1, recovered_view=3)
     assert not world.membership._row_is_current(7)
     assert anyio.run(world.membership._write_member)
     assert world.membership._row_is_current(7)
@@ -108,15 +108,15 @@
     world.store.progress(JOB, c0_1=0b1111)
     job = world.store.tables.jobs[JOB]
     world.store.view(4, ("c0", 7))
-    world.store.member("c0", 7, settled=0)
+    world.store.member("c0", 7, recovered_view=0)
     assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0
-    world.store.member("c0", 7, settled=4)
+    world.store.member("c0", 7, recovered_view=4)
     assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0b1111
 
 
 def test_a_recovered_view_whose_write_was_lost_is_stored_again(world: World) -> None:
     """A view that never counts as recovered would leave the claims of a departed controller standing for ever."""
-    world.store.member("c0", 1, settled=0)
+    world.store.member("c0", 1, recovered_view=0)
     world.membership.recovered_view = 3
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -56,7 +56,7 @@
 ) -> None:
     """It closes the connection on a frame that it does not know; none is sent before the mark."""
     if upgraded:
-        world.store.upgraded()
+        world.store.put_complete_layout()
     frame_types: list[int] = []
 
     class Earlier:
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def world(store: Store) -> World:
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store)
     register_machine(world)
     return world
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -27,8 +27,8 @@
 
 
 def test_a_change_of_allocations_is_logged_with_its_reasons(world: World, caplog: pytest.LogCaptureFixture) -> None:
-    world.store.upgraded()
-    world.store.member("c0", 1, settled=2)
+    world.store.put_complete_layout()
+    world.store.member("c0", 1, recovered_view=2)
     world.store.job(spec())
     world.store.progress(JOB, c1_9=0b11)
     world.store.put(keys.quota_key("red"), {"c1.9": [6.0, 0.0]})
@@ -38,7 +38,7 @@
         "quota allocations changed: team=red before=c1.9:6 after=c0.1:9,c1.9:4 reasons=adoption,increase view=3"
         f" revision={world.store.epoch}"
     ]
-    world.store.member("c0", 1, settled=3)
+    world.store.member("c0", 1, recovered_view=3)
     world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
     assert "before=c0.1:9,c1.9:4 after=c0.1:12 reasons=increase,departed" in caplog.messages[-1]
 
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -90,7 +90,7 @@
 def test_a_group_too_large_for_one_transaction_is_split_first(store: Store) -> None:
     """Failure this guards against: the same removal would be refused for ever, and the machine counted as there."""
     world = World(store)
-    store.upgraded()
+    store.put_complete_layout()
     rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
     store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
     registration = world.machines.registration
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -126,7 +126,7 @@
 def test_deletions_of_lease_bound_rows_apply_and_others_are_ignored(store: Store) -> None:
     store.view(2, ("c0", 1))
     store.member("c0", 1)
-    store.upgraded()
+    store.put_complete_layout()
     store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     store.put(keys.feature_key("cells"), {"seen": ["c0"], "complete": False})
     assert store.tables.coordinator == Incarnation("c0", 1)
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -30,7 +30,7 @@
     The tasks on such a machine would count as nowhere, and be started a second time.
     """
     world = World(store)
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     world.machines.ownership.follow_view()
     store.put(keys.machine_group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
     later(world, 0.1)
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -21,7 +21,7 @@
 
 
 def test_a_job_that_awaits_a_thousand_is_stored_in_parts_its_own_row_last(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
@@ -54,7 +54,7 @@
 
 
 def test_parts_without_a_job_are_no_job_and_are_cleared_away_before_a_late_row_can_need_them(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -45,7 +45,7 @@
 
 def test_a_scattered_job_goes_on_within_the_lesser_limits(store: Store) -> None:
     """Every round keeps within two kilobytes and four changes (the scripted state service insists)."""
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     names = [f"wk-{number:06d}" for number in range(8)]
     shuffle = random.Random(11)
@@ -82,7 +82,7 @@
     unregister(world, "vm-000007")
     # While an old controller is about, machines stay where they are: it would take them for deleted.
     assert set(store.tables.machines) == everything
-    store.upgraded()
+    store.put_complete_layout()
     written = record_writes(world)
     missing: list[str] = []
     apply = world.client.apply
@@ -112,7 +112,7 @@
     ]
     anyio.run(scale_out._store_catalog, kinds)
     assert store.tables.machine_types.keys() == {"small"}  # an earlier layout would not find them
-    store.upgraded()
+    store.put_complete_layout()
     anyio.run(scale_out._store_catalog, kinds)
     assert store.tables.machine_types == {kind.name: kind for kind in kinds}
     anyio.run(scale_out._store_catalog, kinds[:2])
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
 def test_limits_that_fall_below_what_was_announced_are_kept_to(store: Store, changes: int, size: int) -> None:
     """A take-over, machines and a burst of jobs while the limits fall: nothing is refused for ever."""
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     for number in range(1, 7):
         store.job(spec(f"wk-00000{number}", visits=1))
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -42,11 +42,11 @@
     store.job(spec())
     store.progress(JOB, c0_1=0b1, c1_2=0b10)
     store.view(2, ("c0", 1))
-    store.member("c0", 1, settled=1)
+    store.member("c0", 1, recovered_view=1)
     job = store.tables.jobs[JOB]
     assert not store.tables.recovery_complete()
     assert store.tables.unclaimed_tasks(job, store.tables.recovery_complete()) == 0b1100
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     assert store.tables.recovery_complete()
     assert store.tables.unclaimed_tasks(job, True) == 0b1110
     assert store.tables.departed_claim_holders(job) == ["c1.2"]
@@ -54,7 +54,7 @@
 
 def test_recovery_by_an_earlier_incarnation_does_not_count(store: Store) -> None:
     store.view(2, ("c0", 5))
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     assert not store.tables.recovery_complete()
 
 
@@ -66,7 +66,7 @@
     red = parse(SETTINGS).teams["red"]
     store.put(keys.quota_key("red"), {"c0.1": [14.0, 0.0], "c1.2": [6.0, 0.0]})
     store.view(2, ("c0", 3))
-    store.member("c0", 3, settled=1)
+    store.member("c0", 3, recovered_view=1)
     assert store.tables.unallocated_quota(red)[0] == 0.0
-    store.member("c0", 3, settled=2)
+    store.member("c0", 3, recovered_view=2)
     assert store.tables.unallocated_quota(red)[0] == 20.0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -161,7 +161,7 @@
     assert submit(world, "wk-000002") == 201  # empty is as absent
     assert submit(world, "wk-000002", JOB) == 200  # known already
     assert submit(world, "wk-000003", kit="x" * 3000) == 503  # in parts only
-    store.upgraded()
+    store.put_complete_layout()
     assert submit(world, "wk-000003", kit="x" * 3000) == 201
     assert submit(world, "wk-000004", JOB) == 201
 
@@ -199,7 +199,7 @@
     world = World(store)
     store.put("s1/j/wk-000001", OLD_ROWS["s1/j/wk-000001"])
     stamp = store.tables.jobs[JOB].mod_revision
-    store.upgraded()
+    store.put_complete_layout()
     assert submit(world, "wk-000002", JOB) == 201
     old = {"s1/j/wk-000001": stamp, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
