--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -107,17 +107,17 @@
     """Rows of the state service with their revisions; each change is applied to tables as a watch does."""
 
     def __init__(self) -> None:
-        self.epoch = 0
+        self.revision = 0
         self.tables = Tables(CancellationLog(100, 7))
         self.rows: dict[str, tuple[Any, int]] = {}
 
     def put(self, key: str, value: Any) -> int:
-        self.epoch += 1
-        self.rows[key] = (value, self.epoch)
+        self.revision += 1
+        self.rows[key] = (value, self.revision)
         if value is None:
             del self.rows[key]
-        self.tables.apply(key, value, self.epoch)
-        return self.epoch
+        self.tables.apply(key, value, self.revision)
+        return self.revision
 
     def read_again(self) -> Tables:
         """Returns the tables of a controller that reads all rows in the order of their keys."""
--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -79,7 +79,7 @@
             key, value, revision = self.world.log[self.log_position]
             self.tables.apply(key, value, revision)
             self.log_position += 1
-        self.replica.applied_revision = self.world.store.epoch
+        self.replica.applied_revision = self.world.store.revision
         self.replica.loaded = self.replica.fully_read = True
         self.replica.linearizable_at = self.world.clock.time
 
--- a/tests/support/cluster_state.py
+++ b/tests/support/cluster_state.py
@@ -50,13 +50,13 @@
         def commit() -> TransactionResult:
             stored = world.store.tables
             if any(stored.mod_revision(key) != revision for key, revision in conditions.items()):
-                return TransactionResult(TransactionOutcome.CONFLICT, world.store.epoch)
+                return TransactionResult(TransactionOutcome.CONFLICT, world.store.revision)
             # All changes of a transaction get the same revision.
-            world.store.epoch += 1
+            world.store.revision += 1
             for key, value in [*writes.items(), *((key, None) for key in deletes)]:
-                world.store.epoch -= 1
+                world.store.revision -= 1
                 world.store.put(key, value)
-            return TransactionResult(TransactionOutcome.COMMITTED, world.store.epoch)
+            return TransactionResult(TransactionOutcome.COMMITTED, world.store.revision)
 
         draw = world.rng.random()
         if draw < 0.04:
--- a/tests/support/commit_plans.py
+++ b/tests/support/commit_plans.py
@@ -37,7 +37,7 @@
         is_leader=True,
         recovery_complete=tables.recovery_complete(),
         view_conditions={keys.VIEW_KEY: tables.mod_revision(keys.VIEW_KEY)},
-        applied_revision=store.epoch,
+        applied_revision=store.revision,
         wall_clock_ms=NOW_MS,
     )
     return replace(base, **changes)
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -48,7 +48,7 @@
 
     def __init__(self, text: str = SETTINGS) -> None:
         super().__init__(Store(), text)
-        self.store.epoch = BASE_REVISION
+        self.store.revision = BASE_REVISION
         self.lines: list[str] = []
         apply = self.client.apply
 
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -89,7 +89,7 @@
     plan = sorted([(at, "red") for at in flood] + [(at, "green") for at in urgent])
     shapes = [(arrivals.randint(1, 5), arrivals.choice(("train", "index"))) for _ in plan]
     ended_at: dict[str, float] = {}
-    before = world.store.epoch
+    before = world.store.revision
     while len(world.submitted_at) < len(plan) or len(ended_at) < len(plan):
         while len(world.submitted_at) < len(plan) and plan[len(world.submitted_at)][0] <= world.clock.time:
             number = len(world.submitted_at)
@@ -100,7 +100,7 @@
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
             break
-    outcome = LoadResult(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
+    outcome = LoadResult(changes=world.store.revision - before, longest_head_s=world.longest_as_head_s)
     outcome.unfinished = len(plan) - len(ended_at)
     for name, at in world.started_at.items():
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
--- a/tests/support/scripted_state.py
+++ b/tests/support/scripted_state.py
@@ -57,12 +57,12 @@
         assert len(wire.commit_body(conditions, writes, deletes, {})) <= wire.MAX_BODY_BYTES
         assert all(len(wire.encode(value)) <= self.settings.value_kb * 1024 for value in writes.values())
         if any(tables.mod_revision(key) != revision for key, revision in conditions.items()):
-            return TransactionResult(TransactionOutcome.CONFLICT, self.store.epoch)
+            return TransactionResult(TransactionOutcome.CONFLICT, self.store.revision)
         for key, value in writes.items():
             self.store.put(key, value)
         for key in deletes:
             self.store.put(key, None)
-        return TransactionResult(TransactionOutcome.COMMITTED, self.store.epoch)
+        return TransactionResult(TransactionOutcome.COMMITTED, self.store.revision)
 
 
 class ScriptedReplica(Replica):
@@ -70,7 +70,7 @@
 
     @property
     def applied_revision(self) -> int:
-        return self.client.store.epoch  # type: ignore[attr-defined, no-any-return]
+        return self.client.store.revision  # type: ignore[attr-defined, no-any-return]
 
     @applied_revision.setter
     def applied_revision(self, revision: int) -> None:
--- a/tests/support/spill.py
+++ b/tests/support/spill.py
@@ -38,7 +38,7 @@
     """Submits sixty jobs in about half a minute, nine of ten in the north, and runs until all have ended."""
     world = CellWorld(seed, moving=moving, faults_enabled=False)
     arrivals = random.Random(seed)
-    before = sum(cell.store.epoch for cell in world.cells.values())
+    before = sum(cell.store.revision for cell in world.cells.values())
     while len(world.origins) < JOBS or world.unfinished():
         if len(world.origins) < JOBS and arrivals.random() < 0.8:
             cell = "north" if arrivals.random() < 0.9 else arrivals.choice(CELLS)
@@ -53,7 +53,7 @@
         at - world.accepted_at[job] for job, (status, at) in world.reported.items() if status == wire.JobStatus.DONE
     ]
     moved = sum(set(where) != {world.origins[job]} for job, where in world.starts.items())
-    changes = sum(cell.store.epoch for cell in world.cells.values()) - before
+    changes = sum(cell.store.revision for cell in world.cells.values()) - before
     in_time = sum(each <= DUE_S for each in times) / len(world.origins)
     return SpillResult(
         in_time, statistics.mean(times), max(times), moved, changes, world.messages, len(world.unfinished())
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -140,10 +140,10 @@
     store.put(keys.feature_key("admission"), {"seen": ["c0"], "complete": False})
     link = ScriptedLink()
     coordinator.links = {"c1": link}
-    before = store.epoch
+    before = store.revision
     anyio.run(coordinator.request_idle_capacity, "c1")
     anyio.run(coordinator.run_epoch)
-    assert not coordinator.switched_on and link.asked == 0 and store.epoch == before
+    assert not coordinator.switched_on and link.asked == 0 and store.revision == before
     store.put_complete_layout()
     anyio.run(coordinator.feature.record_member)
     assert not coordinator.switched_on, "c1 has not run with it"
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -48,9 +48,9 @@
 
 def test_a_take_over_is_a_few_changes_and_brings_its_part_of_the_limit(world: World) -> None:
     """Failure found on the bench: a change for each job took half a minute at the state service's rate."""
-    before = world.store.epoch
+    before = world.store.revision
     adopt(world, 3)
-    assert world.store.epoch - before <= 8
+    assert world.store.revision - before <= 8
     for tables in (world.store.tables, world.store.read_again()):
         for name in NAMES:
             claims = tables.jobs[name].progress.claims
@@ -180,7 +180,7 @@
         elif self.random.random() < 0.1:
             # A first reading: complete only up to where it began.
             writer.tables = self.store.read_again()
-            writer.applied_revision = max(0, self.store.epoch - self.random.randrange(4))
+            writer.applied_revision = max(0, self.store.revision - self.random.randrange(4))
             return
         job = writer.tables.jobs.get(JOB)
         if job is None:
@@ -194,7 +194,7 @@
         for key, value, revision in self.log:
             if revision > writer.applied_revision:
                 writer.tables.apply(key, value, revision)
-        writer.applied_revision = self.store.epoch
+        writer.applied_revision = self.store.revision
 
     def adopt(self, writer: Writer) -> None:
         """Tasks found on its machines: of the departed one only, and known only to it."""
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -136,6 +136,6 @@
         world.client.write_tokens.tokens -= changes
 
     world.client.acquire_changes = acquire  # type: ignore[method-assign]
-    epoch = store.epoch
+    revision = store.revision
     world.commit_and_place()
-    assert store.epoch == epoch and world.client.write_tokens.tokens == before
+    assert store.revision == revision and world.client.write_tokens.tokens == before
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -117,7 +117,7 @@
     store.job(spec("wk-000003"))
     assert tables.jobs["wk-000003"].is_cancelled
     tables.clear()
-    store.epoch = 100
+    store.revision = 100
     store.job(spec("wk-000001"))
     assert tables.jobs["wk-000001"].is_cancelled
     store.job(spec("wk-000001"), JobState.CANCELLED)
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -241,9 +241,9 @@
     target = north.controllers["c0"].target
     assert not target.rollout_complete and target.summary() is None
     offer = CellRequest(RequestMessage(HandoffId("south", JOB, 1), Request.OFFER), 1, Offer(spec(JOB), 0))
-    epoch = north.store.epoch
+    revision = north.store.revision
     assert anyio.run(target.answer, offer) is None
-    assert north.store.epoch == epoch, "no row that an earlier version does not know"
+    assert north.store.revision == revision, "no row that an earlier version does not know"
     anyio.run(mark, "c2")
     assert target.rollout_complete and target.summary() is not None
 
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -82,7 +82,7 @@
         store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
 
     def summary(self) -> Summary:
-        return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
+        return summarise(self.store.tables, self.settings, "north", 1, self.store.revision)
 
     def queue(self) -> list[Job]:
         return job_queue.queue_order(self.store.tables, self.settings, 0)
--- a/tests/test_commit_adoptions.py
+++ b/tests/test_commit_adoptions.py
@@ -136,7 +136,7 @@
     two_adopted_jobs(store)
     store.put(keys.adoption_key(OWN, 0), {"m": {JOB: [0, 1]}})
     plan = plan_commit(snapshot(store, {JOB: JobUpdates(done=0b0001)}), [JOB])
-    assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == store.epoch
+    assert plan.transaction.writes[keys.progress_key(JOB)]["e"] == store.revision
 
 
 def test_the_adoption_revision_of_progress_never_decreases(store: Store) -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -148,9 +148,9 @@
     world.clock.time += 2 * world.settings.controller_lease_s
     assert heartbeat(world, report(3, 3)).status == 503
     assert not world.leadership.is_leader and not world.leadership.is_coordinator
-    epoch = world.store.epoch
+    revision = world.store.revision
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert world.store.epoch == epoch
+    assert world.store.revision == revision
 
 
 def test_a_controller_whose_lease_expired_joins_with_a_new_one(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -39,7 +39,7 @@
     samples = scrape(world)
     assert samples["sloeswitch_leader"] == samples["sloeswitch_coordinator"] == 1
     assert samples["sloeswitch_view"] == 3 and samples["sloeswitch_recovery_complete"] == 1
-    assert samples["sloeswitch_revision"] == world.store.epoch
+    assert samples["sloeswitch_revision"] == world.store.revision
     assert samples["sloeswitch_revision_age_seconds"] == pytest.approx(1.5)
     world.leadership.lease_renewed_at -= 100.0
     assert scrape(world)["sloeswitch_leader"] == 0
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -143,9 +143,9 @@
     for name, awaits in ((A, []), (B, [A]), (C, [B])):
         assert submit(world, name, *awaits) == 201
     assert submit(world, D) == 201
-    epoch = world.store.epoch
+    revision = world.store.revision
     assert ask(world, "POST", f"/submissions/{A}/cancel").status == 200
-    assert world.store.epoch == epoch + 1
+    assert world.store.revision == revision + 1
     assert [status(world, name) for name in (A, B, C, D)] == [wire.JobStatus.CANCELLED] * 3 + [wire.JobStatus.QUEUED]
 
     # Asked about, cancelled or submitted again the answer is the same, and needs no state service.
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -36,7 +36,7 @@
     world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         "quota allocations changed: team=red before=c1.9:6 after=c0.1:9,c1.9:4 reasons=adoption,increase view=3"
-        f" revision={world.store.epoch}"
+        f" revision={world.store.revision}"
     ]
     world.store.member("c0", 1, recovered_view=3)
     world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
@@ -48,14 +48,14 @@
     world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         f"quota allocations unanswered: team=red before=- after=c0.1:9 reasons=increase view=3"
-        f" revision={world.store.epoch}"
+        f" revision={world.store.revision}"
     ]
 
 
 def test_the_complete_recovery_of_a_view_is_logged_once(world: World, caplog: pytest.LogCaptureFixture) -> None:
     for _ in range(3):
         world.machines._update_accounting()
-    assert logged(caplog, "recovery complete") == [f"recovery complete: view=3 revision={world.store.epoch}"]
+    assert logged(caplog, "recovery complete") == [f"recovery complete: view=3 revision={world.store.revision}"]
 
 
 def test_foreign_attempts_of_a_machine_are_logged_when_first_reported(
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -28,7 +28,7 @@
         heartbeat(world, heard, received=False)
         heard.sequence, heard.fencing_token = 2, 3
         heartbeat(world, heard)
-    before = world.store.epoch
+    before = world.store.revision
 
     async def register() -> None:
         async with anyio.create_task_group() as group:
@@ -36,7 +36,7 @@
             world.machines._register()
 
     anyio.run(register)
-    assert world.store.epoch == before + 1
+    assert world.store.revision == before + 1
     assert {f"vm-{number}" for number in range(100, 140)} <= world.store.tables.machines.keys()
 
 
