--- a/tests/support/admission_cluster.py
+++ b/tests/support/admission_cluster.py
@@ -23,7 +23,7 @@
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, Store, spec
 from tests.support.admission import cluster_text
-from tests.support.single_controller import World, later
+from tests.support.single_controller import World, advance_time
 
 START_MS = 1_000_000
 
@@ -46,12 +46,12 @@
         rows = {f"vm-{kind}-{n}": ["127.0.0.1:9000", kind, "a", True] for n in range(count)}
         self.store.put(keys.machine_group_key(kind), {"m": rows})
 
-    def later(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now_ms += int(1000 * seconds)
 
     def after_lead(self) -> None:
         """Moves the clock past the common cut, so that new jobs are deferred."""
-        self.later(2 * self.limits.lead_s + 1)
+        self.advance_time(2 * self.limits.lead_s + 1)
 
     def submit(self, name: str, at_ms: int | None = None, **changes: Any) -> None:
         changes = {"visits": 100, "cores": 1.0, "expectedS": 40.0, "dueS": None, **changes}
@@ -82,7 +82,7 @@
         self.submit("wk-000000", at_ms=START_MS, visits=1000)
         names = [f"wk-{number + 1:06d}" for number in range(count)]
         for name in names:
-            self.later(0.001)
+            self.advance_time(0.001)
             self.submit(name, **changes)
         return names
 
@@ -101,7 +101,7 @@
     world = World(store, cluster_text({"red": (0.0, 40.0)}))
     admission = coordinator(world)
     anyio.run(admission.run_epoch)
-    later(world, 2 * admission.limits.lead_s + 1)
+    advance_time(world, 2 * admission.limits.lead_s + 1)
     for number in range(5):
         job = spec(f"wk-{number:06d}")
         value = {
@@ -111,7 +111,7 @@
             "spec": msgspec.to_builtins(job),
         }
         store.put(keys.job_key(job.id), value)
-    later(world, admission.limits.starvation_timeout_s + 1)
+    advance_time(world, admission.limits.starvation_timeout_s + 1)
     return world, admission
 
 
--- a/tests/support/frozen.py
+++ b/tests/support/frozen.py
@@ -71,7 +71,7 @@
         """Runs a coroutine function and returns its result."""
         return anyio.run(call, *args)
 
-    def later(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         """Advances the clock and renews the lease."""
         self.clock.time += seconds
         self.leadership.lease_renewed_at = self.replica.linearizable_at = self.clock.time
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -123,7 +123,7 @@
     return message.answer
 
 
-def later(world: World, seconds: float) -> None:
+def advance_time(world: World, seconds: float) -> None:
     """Time passes and the controller keeps its lease."""
     world.clock.time += seconds
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -23,10 +23,10 @@
         # The other controller has read only every second job.
         if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
             other.tables.apply(key, value, revision)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     for _ in range(3):
         cluster.epoch()
-        cluster.later(cluster.limits.starvation_timeout_s)
+        cluster.advance_time(cluster.limits.starvation_timeout_s)
     key = keys.admission_key(cuts.ROOT_PATH)
     other.tables.apply(key, *cluster.store.rows[key])
     first, second = decide(cluster.store.tables), decide(other.tables)
@@ -38,7 +38,7 @@
     cluster = Cluster()
     cluster.overload()
     lagging = cluster.store.read_again()
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     stale = {name for name, decision in decide(lagging).items() if decision.admitted}
     assert stale < set(cluster.admitted())
@@ -49,23 +49,23 @@
     cluster.overload(0)
     for name in ("wk-000003", "wk-000001", "wk-000002"):
         cluster.submit(name)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     for count in (1, 2, 3):
         cluster.epoch()
         assert cluster.admitted() == ["wk-000000", "wk-000001", "wk-000002", "wk-000003"][: count + 1]
-        cluster.later(cluster.limits.starvation_timeout_s)
+        cluster.advance_time(cluster.limits.starvation_timeout_s)
 
 
 def test_clock_errors_defer_nothing_without_overload_and_old_tickets_are_admitted() -> None:
     cluster = Cluster()
     error_ms = int(1000 * cluster.settings.clock_error_s)
-    cluster.later(2 * cluster.limits.lead_s - cluster.limits.epoch_s)
+    cluster.advance_time(2 * cluster.limits.lead_s - cluster.limits.epoch_s)
     cluster.epoch()
-    cluster.later(cluster.limits.lead_s - cluster.limits.epoch_s)
+    cluster.advance_time(cluster.limits.lead_s - cluster.limits.epoch_s)
     cluster.submit("wk-000001", at_ms=cluster.now_ms + 2 * error_ms, visits=1)
     assert cluster.admitted() == ["wk-000001"]
     names = cluster.overload(3)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     # Accepted only now, by a controller whose clock is behind.
     cluster.submit("wk-000099", at_ms=cluster.now_ms - 10**6)
@@ -97,7 +97,7 @@
     assert AdmissionRow.from_stored(msgspec.json.decode(msgspec.json.encode(row.stored()))) == row
 
 
-def later(world: World, seconds: float) -> None:
+def advance_time(world: World, seconds: float) -> None:
     world.clock.time += seconds
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
@@ -107,7 +107,7 @@
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
     before = store.tables.admission_rows
-    later(world, coordinator.limits.starvation_timeout_s)
+    advance_time(world, coordinator.limits.starvation_timeout_s)
     anyio.run(coordinator.run_epoch)
     newer = store.tables.admission_rows
     assert newer != before and len(world.client.lost_transactions) == 1
--- a/tests/test_admission_epochs.py
+++ b/tests/test_admission_epochs.py
@@ -22,7 +22,7 @@
     cluster = Cluster()
     written = 0
     for number in range(200):
-        cluster.later(cluster.limits.epoch_s)
+        cluster.advance_time(cluster.limits.epoch_s)
         cluster.submit(f"wk-{number:06d}", visits=1)
         assert f"wk-{number:06d}" in cluster.admitted()
         cluster.store.put(keys.job_key(f"wk-{number:06d}"), {"s": JobState.DONE, "n": 1, "t": cluster.now_ms})
@@ -36,7 +36,7 @@
     cluster.submit("wk-990000", crew="blue", urgency="urgent", visits=3)
     cluster.submit("wk-990001", crew="blue", urgency="urgent", visits=3)
     assert "wk-990000" not in cluster.admitted()
-    cluster.later(cluster.limits.guarantee_bound_s())
+    cluster.advance_time(cluster.limits.guarantee_bound_s())
     cluster.epoch()
     assert cluster.admitted() == ["wk-000000", "wk-990000"], "what is beyond the guarantee waits for its turn"
 
@@ -49,7 +49,7 @@
     submitted_ms = cluster.now_ms
     # The first epoch runs as late as is allowed.
     while names[-1] not in cluster.admitted():
-        cluster.later(cluster.limits.epoch_s)
+        cluster.advance_time(cluster.limits.epoch_s)
         cluster.epoch()
         assert cluster.now_ms - submitted_ms <= 1000 * cluster.limits.bound_s(before)
     assert (before == 0) or cluster.now_ms - submitted_ms > 1000 * cluster.limits.head_bound_s()
@@ -66,7 +66,7 @@
     cluster.epoch()
     max_admissions = cluster.limits.max_admissions
     assert len(cluster.admitted()) == max_admissions + 1 < 1500
-    cluster.later(cluster.limits.epoch_s)
+    cluster.advance_time(cluster.limits.epoch_s)
     cluster.epoch()
     assert len(cluster.admitted()) == min(1501, 2 * max_admissions + 1)
 
@@ -76,7 +76,7 @@
     cluster.overload(50, urgency="critical")
     cluster.submit("wk-990000", urgency="best_effort")
     cluster.submit("wk-990001", crew="blue", roster="index")
-    cluster.later(cluster.limits.head_bound_s())
+    cluster.advance_time(cluster.limits.head_bound_s())
     cluster.epoch()
     assert cluster.admitted() == ["wk-000000", "wk-000001", "wk-990000", "wk-990001"]
 
@@ -84,13 +84,13 @@
 def test_a_class_first_seen_during_overload_has_the_common_cut() -> None:
     cluster = Cluster()
     cluster.overload(3)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     cluster.submit("wk-990000", roster="fresh")
     row = cluster.store.tables.admission_rows[cuts.ROOT_PATH]
     fresh = lane_of(cluster.store.tables.jobs["wk-990000"].spec)
     assert fresh not in row.lanes and "wk-990000" not in cluster.admitted()
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     assert fresh in cluster.store.tables.admission_rows[cuts.ROOT_PATH].lanes and "wk-990000" in cluster.admitted()
 
@@ -100,7 +100,7 @@
     names = cluster.overload(100)
     for name in names[:90]:
         cluster.cancel(name)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     assert names[90] in cluster.admitted() and names[91] not in cluster.admitted()
 
@@ -115,7 +115,7 @@
     before = cluster.admitted()
     assert 5 < len(before) < len(names)
     cluster.machines("small", 1)
-    cluster.later(cluster.limits.epoch_s)
+    cluster.advance_time(cluster.limits.epoch_s)
     cluster.epoch()
     assert cluster.admitted() == before
     cluster.submit("wk-990000")
@@ -138,7 +138,7 @@
     cluster.after_lead()
     cluster.submit("wk-000000", at_ms=START_MS, visits=100, builds=["large"])
     cluster.submit("wk-000001", visits=4, builds=["large"])
-    cluster.later(0.01)
+    cluster.advance_time(0.01)
     cluster.submit("wk-000002", visits=4)
     cluster.epoch()
     assert cluster.admitted() == ["wk-000000"], "the large machine is full, and there is no other"
@@ -178,7 +178,7 @@
     cluster.submit("wk-000002", crew="blue", visits=4)
     cluster.epoch()
     assert cluster.admitted() == ["wk-000000", "wk-000002"]
-    cluster.later(cluster.limits.head_bound_s())
+    cluster.advance_time(cluster.limits.head_bound_s())
     cluster.epoch()
     assert "wk-000001" in cluster.admitted()
 
@@ -199,9 +199,9 @@
     cluster = Cluster({"red": (0.0, 400.0), "blue": (300.0, 400.0)})
     cluster.overload(5)
     cluster.submit("wk-990000", crew="blue", urgency="best_effort", visits=295)
-    cluster.later(0.01)
+    cluster.advance_time(0.01)
     cluster.submit("wk-990001", urgency="best_effort", crew="blue", visits=10)
-    cluster.later(0.01)
+    cluster.advance_time(0.01)
     cluster.submit("wk-990002", urgency="urgent", crew="blue", awaits=["wk-990001"], visits=2)
     assert not {"wk-990000", "wk-990001", "wk-990002"} & set(cluster.admitted())
     cluster.epoch()
@@ -223,7 +223,7 @@
     cluster.store.put(key, value)
     cluster.epoch()
     assert "wk-990000" not in cluster.admitted()
-    cluster.later(cluster.limits.head_bound_s())
+    cluster.advance_time(cluster.limits.head_bound_s())
     cluster.epoch()
     assert "wk-990000" in cluster.admitted()
 
@@ -237,13 +237,13 @@
     for number, (team, klass) in enumerate(lanes):
         for turn in range(2):
             cluster.submit(f"wk-{turn}{number:05d}", crew=team, roster=klass)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     highest: dict[Lane, Ticket] = {}
     rounds = 0
     written_at: dict[str, float] = {}
     while not {f"wk-0{number:05d}" for number in range(len(lanes))} <= set(cluster.admitted()):
         rounds += 1
-        cluster.later(cluster.limits.epoch_s)
+        cluster.advance_time(cluster.limits.epoch_s)
         chosen = epochs.select_changes(
             cluster.changes(value_bytes=value_bytes), written_at, cluster.limits.max_row_writes, 12
         )
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -39,7 +39,7 @@
     gate.apply()
     # A job that began while admission was off stays admitted; the stored cuts are unchanged.
     assert queued_jobs(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
     assert queued_jobs(cluster) == ["wk-000000", names[0], names[1]]
@@ -58,7 +58,7 @@
     for _ in range(3):
         gate.apply()
         assert not cluster.store.tables.jobs["wk-990001"].deferred
-        cluster.later(cluster.limits.starvation_timeout_s)
+        cluster.advance_time(cluster.limits.starvation_timeout_s)
         cluster.epoch()
     # The prerequisite is still admitted for its dependent.
     fresh = decide(cluster.store.tables)["wk-990001"]
@@ -70,7 +70,7 @@
     cluster.overload(2)
     gate = new_gate(cluster, [], [True])
     gate.apply()
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
     assert queued_jobs(cluster) == ["wk-000000", "wk-000001"]
--- a/tests/test_admission_idle_capacity.py
+++ b/tests/test_admission_idle_capacity.py
@@ -20,7 +20,7 @@
 from sloeswitch.settings import Address
 from tests.conftest import MACHINE_TYPE, Store
 from tests.support.admission_cluster import ScriptedLink, overloaded_world
-from tests.support.single_controller import later
+from tests.support.single_controller import advance_time
 from tests.support.streams import connect_to
 
 
@@ -95,12 +95,12 @@
     link = ScriptedLink()
     coordinator.links = {"c1": link}
     anyio.run(coordinator.request_idle_capacity, "c1")
-    later(world, coordinator.limits.epoch_s)
+    advance_time(world, coordinator.limits.epoch_s)
     assert [capacity.age_s for capacity in coordinator._valid_idle_capacity()] == [1.0 + coordinator.limits.epoch_s]
     link.capacities = None
     with pytest.raises(NoAnswerError):
         anyio.run(coordinator.request_idle_capacity, "c1")
-    later(world, 3 * coordinator.limits.epoch_s)
+    advance_time(world, 3 * coordinator.limits.epoch_s)
     assert coordinator._valid_idle_capacity() == []
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(coordinator.request_idle_capacity, "c1")
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -18,7 +18,7 @@
 from tests.conftest import Store, report, spec
 from tests.support.completion_world import simulate
 from tests.support.fleet import FleetWorld
-from tests.support.single_controller import JOB, World, heartbeat, later, state_outage, submit
+from tests.support.single_controller import JOB, World, advance_time, heartbeat, state_outage, submit
 
 ENDED = (f"{JOB}/0", 5, "ended", "done")
 
@@ -196,7 +196,7 @@
     state_outage(world)
     world.machines._tick()
     assert not world.leadership.is_leader and not world.membership._inbox
-    later(world, 0.0)
+    advance_time(world, 0.0)
     assert world.recovered_views() == []
     world.commit()
     assert world.is_settled() and world.recovered_views() == [3]
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -194,7 +194,7 @@
     world.put_frozen("job")
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     world.send_task_updates(TaskUpdates(done={JOB: 0b1111}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -230,14 +230,14 @@
 def cancel_and_release(world: RowRecorder, name: str, tasks: int) -> None:
     assert world.run(world.jobs.cancel, name) == wire.JobStatus.CANCELLED
     world.send_task_updates(TaskUpdates(released={name: tasks}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
 def job_withdrawn_before_layout_3(world: RowRecorder) -> None:
     world.put_frozen("job withdrawn, with tasks, before layout 3")
     world.send_task_updates(TaskUpdates(released={JOB: 1}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -245,7 +245,7 @@
     world.put_frozen("coordinator", "layout mark, complete", "job over with its progress", "parts without a job")
     world.put_frozen("adoptions that the progress holds")
     world.run(world.jobs.garbage_collector.collect)
-    world.later(100.0)
+    world.advance_time(100.0)
     world.run(world.jobs.garbage_collector.collect)
 
 
@@ -255,7 +255,7 @@
 def progress_before_the_mark(world: RowRecorder) -> None:
     world.put_frozen("progress with every field")
     world.send_task_updates(TaskUpdates(done={JOB: 0b1010000000}, released={JOB: 0b1000}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -268,7 +268,7 @@
     world.put_frozen("layout mark, complete", "progress with every field")
     world.store.put(*parse_line('s1/r/wk-000001 {"d":[],"c":{"c0.1":[0,9]},"z":"b"}'))
     world.send_task_updates(TaskUpdates(released={JOB: 0b10101010}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -283,7 +283,7 @@
 def progress_beside_adoptions(world: RowRecorder) -> None:
     world.put_frozen("layout mark, complete", "adoptions after the progress")
     world.send_task_updates(TaskUpdates(done={JOB: 0b10}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -376,7 +376,7 @@
     world.put_frozen("job")
     world.run(cell_origin._start_handoff, world.store.tables.jobs[JOB], "south")
     world.run(cell_origin.poll_peer, "south")
-    world.later(50.0)
+    world.advance_time(50.0)
     world.run(cell_origin.poll_peer, "south")
 
 
@@ -430,7 +430,7 @@
     world.store.put(keys.job_key(JOB), recalled_job())
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     world.send_task_updates(TaskUpdates(done={JOB: 0b1111}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
@@ -471,7 +471,7 @@
     assert send_request(world, cell_target, Request.OFFER) is Answer.ACCEPTED
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}))
     world.send_task_updates(TaskUpdates(done={JOB: 1}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
     assert send_request(world, cell_target, Request.ACKNOWLEDGE) is Answer.DONE
 
@@ -488,7 +488,7 @@
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}))
     assert send_request(world, cell_target, Request.STOP) is Answer.STOPPING
     world.send_task_updates(TaskUpdates(released={JOB: 1}))
-    world.later(20.0)
+    world.advance_time(20.0)
     world.commit_and_place()
 
 
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
 from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
-from tests.support.single_controller import World, later
+from tests.support.single_controller import World, advance_time
 
 LARGE = MachineType("large", 32.0, 0.0, 64.0, 50.0, 0.5, 1.3, 0.4, 25.0, ["a", "b"])
 GANG: dict[str, Any] = {"shape": "group", "visits": 1, "cores": 30.0, "memoryGb": 51.0, "together": True}
@@ -50,7 +50,7 @@
 
 def tick(world: World, seconds: float) -> int:
     """How many tasks on the machine are to stop after a tick; direct commands are not sent here."""
-    later(world, seconds)
+    advance_time(world, seconds)
     world.machines.queue.rebuild()
     world.machines.queue.queued_since = {
         job.spec.id: world.machines.queue.queued_since.get(job.spec.id, world.clock.time)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -17,7 +17,15 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.http import Answer, Request
 from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, command_verbs, heartbeat, later, register_machine, start_task
+from tests.support.single_controller import (
+    JOB,
+    World,
+    advance_time,
+    command_verbs,
+    heartbeat,
+    register_machine,
+    start_task,
+)
 
 LEASE_S = 10.0
 
@@ -49,7 +57,7 @@
     assert "wk-000002" not in world.machines.registry.placed_tasks  # to be placed again
     assert world.machines.registry.placed_tasks[JOB] == 0b1
     # Its reports go on, so its lease may be alive: it counts until it is reported gone.
-    later(world, 2.0)
+    advance_time(world, 2.0)
     heartbeat(world, report(9, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert world.machines.registry.placed_tasks[JOB] == 0b1
@@ -63,7 +71,7 @@
     world.machines.termination.drain_and_scale_in = lambda machine, reason, pressing=False: reasons.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
-        later(world, 1.0)
+        advance_time(world, 1.0)
         heartbeat(world, report(serial, 3), received=serial < 5)
         serial += 1
         world.machines.monitor.check_machine(machine, world.clock.time)
@@ -97,7 +105,7 @@
     start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     gone_at = machine.lease_expires_at
-    later(world, 5.0)
+    advance_time(world, 5.0)
     assert heartbeat(world, report(3, 3)).status == 503
     assert machine.lease_expires_at == gone_at and machine.last_report_at < world.clock.time
     assert world.machines.registry.placed_tasks[JOB] == 0b1
@@ -106,7 +114,7 @@
 def test_a_report_held_up_beyond_its_lease_revives_nothing(world: World) -> None:
     task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
-    later(world, machine.lease_expires_at + 0.1 - world.clock.time)
+    advance_time(world, machine.lease_expires_at + 0.1 - world.clock.time)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert JOB not in world.machines.registry.placed_tasks
     # A sequence number never seen, of the agent epoch that is over: the task may run elsewhere by now.
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -27,9 +27,9 @@
     JOB,
     Cloud,
     World,
+    advance_time,
     attach_mesh,
     heartbeat,
-    later,
     register_machine,
     run_deletions,
 )
@@ -136,7 +136,7 @@
     assert run_deletions(world, scale_in) == []  # its lease is over
     # Awake again, it learns that the machine has another owner.
     world.store.view(4, *both)
-    later(world, 0.0)
+    advance_time(world, 0.0)
     assert run_deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
     scale_in.scale_in(name)
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -12,7 +12,7 @@
 from sloeswitch.state_reads import Snapshot
 from sloeswitch.wire import StoredRow
 from tests.conftest import Store, report
-from tests.support.single_controller import World, later
+from tests.support.single_controller import World, advance_time
 
 MACHINE = ["127.0.0.1:9000", "small", "a", True]
 
@@ -33,7 +33,7 @@
     store.member("c0", 1, recovered_view=2)
     world.machines.ownership.follow_view()
     store.put(keys.machine_group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
-    later(world, 0.1)
+    advance_time(world, 0.1)
     assert reported(world) == []
     world.heartbeat(report(1, 0))
     world.heartbeat(report(2, 3))
@@ -51,5 +51,5 @@
     monkeypatch.setattr(replica, "read_snapshot", read_snapshot)
     anyio.run(world.replica._load)
     assert world.leadership.view.number == 3 and not world.leadership.is_leader
-    later(world, 0.1)
+    advance_time(world, 0.1)
     assert world.leadership.is_leader
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -17,9 +17,9 @@
 from tests.support.single_controller import (
     JOB,
     World,
+    advance_time,
     apply_sibling_status,
     heartbeat,
-    later,
     run_deletions,
     start_task,
     world_with_scale_in,
@@ -74,7 +74,7 @@
             world.clock.time += 1.0
             apply_sibling_status(log, world)
         else:
-            later(world, 1.0)
+            advance_time(world, 1.0)
         check(world)
     assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
     assert JOB not in world.machines.registry.placed_tasks  # its lease is over in the registry
@@ -83,7 +83,7 @@
     if outage:
         apply_sibling_status(log, world)
     else:
-        later(world, 0.0)
+        advance_time(world, 0.0)
     check(world)
     assert deleted(world) == ["vm-1"]
     assert world.clock.time - since < 0.6 * world.settings.cancel_s
@@ -94,12 +94,12 @@
     cancelled(world)
     check(world)
     assert machine(world).cancelled_since is not None
-    later(world, 1.0)
+    advance_time(world, 1.0)
     heartbeat(world, report(5, 3, (*task, "running")))
     assert machine(world).cancelled_since is not None
     heartbeat(world, report(6, 3, (*task, "ended", "halted")))
     assert machine(world).cancelled_since is None
-    later(world, world.settings.cancel_s)
+    advance_time(world, world.settings.cancel_s)
     heartbeat(world, report(7, 3))
     check(world)
     assert deleted(world) == []
@@ -109,7 +109,7 @@
     start_task(world)
     cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
     check(world)
-    later(world, 0.2 * world.settings.cancel_s)
+    advance_time(world, 0.2 * world.settings.cancel_s)
     check(world)
     assert deleted(world) == ["vm-1"]
 
@@ -124,7 +124,7 @@
         gone_at = world.clock.time + world.settings.takeover_gone_s
         world.machines.registry.mark_unreconciled(machine(world), 3, gone_at)
         for _ in range(3):
-            later(world, 1.0)
+            advance_time(world, 1.0)
             check(world)
     assert deleted(world) == ["vm-1"]
 
@@ -163,7 +163,7 @@
     world.clock.time += world.settings.cancel_s
     check(world)
     assert deleted(world) == []
-    later(world, 0.0)
+    advance_time(world, 0.0)
     assert deleted(world) == []  # nor for what it decided then
 
 
@@ -176,7 +176,7 @@
     serial = 10
     begun = world.clock.time
     while not deleted(world):
-        later(world, 1.0)
+        advance_time(world, 1.0)
         serial += 1
         # Its lease runs out again and again, since direct commands do not renew it.
         session = 1 + int((world.clock.time - begun) // (world.settings.lease_s + 1))
@@ -194,21 +194,21 @@
     for _ in range(5 * int(world.settings.lease_s)):
         world.clock.time += 1.0
         world.machines._tick()
-    later(world, 0.0)
+    advance_time(world, 0.0)
     world.machines.heartbeats.apply_command_reply(report(90, 3, session=5))
     world.machines._tick()
-    later(world, 2.0)
+    advance_time(world, 2.0)
     world.machines._tick()
     assert deleted(world) == []
 
 
 def test_a_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
     world.store.put(keys.machine_group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
-    later(world, 100.0)
+    advance_time(world, 100.0)
     world.machines._tick()
     assert not world.machines.registry.machines["vm-8"].is_recovered
     for _ in range(4):
-        later(world, 10.0)
+        advance_time(world, 10.0)
         world.machines.commands.failures["vm-8"] = 2
         world.machines.monitor.next_check_at = 0.0
         world.machines._tick()
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -12,7 +12,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from tests.conftest import Store, spec
-from tests.support.single_controller import JOB, World, later, world_with_scale_in
+from tests.support.single_controller import JOB, World, advance_time, world_with_scale_in
 
 
 @pytest.fixture
@@ -39,11 +39,11 @@
     job = world.store.tables.jobs[JOB]
     assert job.progress.zone == "b" and job.progress.claims
     world.send_task_updates(TaskUpdates(released={JOB: 0b0111}))
-    later(world, 20.0)
+    advance_time(world, 20.0)
     world.commit_and_place()
     assert job.progress.zone == "b"  # one task is still claimed and may run there
     world.send_task_updates(TaskUpdates(released={JOB: 0b1000}))
-    later(world, 20.0)
+    advance_time(world, 20.0)
     world.commit_and_place()
     assert job.progress.zone is None and not job.progress.claims
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, zones={JOB: "a"}, zone_bound_tasks={JOB: 0b1111}))
