--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -28,7 +28,7 @@
     submit,
 )
 
-A, B, C, D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
+JOB_A, JOB_B, JOB_C, JOB_D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
 
 
 @pytest.fixture
@@ -40,56 +40,58 @@
 
 
 def test_a_job_is_released_only_by_the_stored_end_of_all_that_it_awaits(world: World) -> None:
-    world.store.job(spec(A, visits=1))
-    world.store.job(spec(B, visits=1, awaits=[A]))
-    assert queued_names(world.store) == [A]
-    world.commit_and_place(ClaimRequest(task_counts={A: 1, B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert not world.store.tables.jobs[B].progress.claims
+    world.store.job(spec(JOB_A, visits=1))
+    world.store.job(spec(JOB_B, visits=1, awaits=[JOB_A]))
+    assert queued_names(world.store) == [JOB_A]
+    world.commit_and_place(
+        ClaimRequest(task_counts={JOB_A: 1, JOB_B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
+    assert not world.store.tables.jobs[JOB_B].progress.claims
     start = world.heartbeat(report(3, 3)).commands[0]
     world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
     world.send_task_updates(
-        world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={A: 1})
+        world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={JOB_A: 1})
     )
-    assert queued_names(world.store) == [A]  # told, not stored
+    assert queued_names(world.store) == [JOB_A]  # told, not stored
     world.commit_and_place()  # at once: nothing that others wait for is kept for company
-    assert queued_names(world.store) == [B]
-    world.commit_and_place(ClaimRequest(task_counts={B: 1}))
-    assert world.store.tables.jobs[B].progress.claims == {"c0.1": 1}
+    assert queued_names(world.store) == [JOB_B]
+    world.commit_and_place(ClaimRequest(task_counts={JOB_B: 1}))
+    assert world.store.tables.jobs[JOB_B].progress.claims == {"c0.1": 1}
 
 
 def test_a_waiting_job_has_no_part_of_room_limit_or_guarantee(world: World) -> None:
-    world.store.job(spec(A, visits=1))
-    world.store.job(spec(B, visits=4, awaits=[A], urgency="critical"))
-    world.store.job(spec(C, visits=3))
+    world.store.job(spec(JOB_A, visits=1))
+    world.store.job(spec(JOB_B, visits=4, awaits=[JOB_A], urgency="critical"))
+    world.store.job(spec(JOB_C, visits=3))
     settings = world.settings
 
     def needed() -> list[str]:
         return [need.spec.id for need in scaling.current_demand(world.store.tables, settings, 0, 0.5)]
 
-    assert needed() == [A, C]
+    assert needed() == [JOB_A, JOB_C]
     world.machines.queue.rebuild()
-    assert {name for request in world.claim_requests() for name in request.task_counts} == {A, C}
-    # The team's 8 cores hold A and C, which came after B.
-    assert world.store.tables.jobs[C].guaranteed and world.store.tables.jobs[B].guaranteed is None
+    assert {name for request in world.claim_requests() for name in request.task_counts} == {JOB_A, JOB_C}
+    # The team's 8 cores hold JOB_A and JOB_C, which came after JOB_B.
+    assert world.store.tables.jobs[JOB_C].guaranteed and world.store.tables.jobs[JOB_B].guaranteed is None
     # For what may not use spot machines one is looked for once all that it still waits for has begun.
-    world.store.job(spec(D, awaits=[A], loaners=False))
-    assert needed() == [A, C]
-    world.store.progress(A, c0_1=1)
-    assert needed() == [A, C, D]
-    store_done(world.store, A)
-    assert queued_names(world.store) == [B, C, D]
+    world.store.job(spec(JOB_D, awaits=[JOB_A], loaners=False))
+    assert needed() == [JOB_A, JOB_C]
+    world.store.progress(JOB_A, c0_1=1)
+    assert needed() == [JOB_A, JOB_C, JOB_D]
+    store_done(world.store, JOB_A)
+    assert queued_names(world.store) == [JOB_B, JOB_C, JOB_D]
 
 
 def test_prerequisites_that_end_at_two_controllers_release_once_both_are_stored(store: Store) -> None:
-    for name in (A, B):
+    for name in (JOB_A, JOB_B):
         store.job(spec(name))
-    store.job(spec(C, awaits=[A, B, A]))
-    assert store.tables.jobs[C].spec.prerequisites == (A, B)
-    store_done(store, B)
-    store_done(store, B)  # seen again
-    assert C not in queued_names(store)
-    store_done(store, A)
-    assert queued_names(store) == [C] and store.tables.jobs[C].unfinished_prerequisites == 0
+    store.job(spec(JOB_C, awaits=[JOB_A, JOB_B, JOB_A]))
+    assert store.tables.jobs[JOB_C].spec.prerequisites == (JOB_A, JOB_B)
+    store_done(store, JOB_B)
+    store_done(store, JOB_B)  # seen again
+    assert JOB_C not in queued_names(store)
+    store_done(store, JOB_A)
+    assert queued_names(store) == [JOB_C] and store.tables.jobs[JOB_C].unfinished_prerequisites == 0
 
 
 def test_a_diamond_across_teams_is_released_stage_by_stage(store: Store) -> None:
@@ -98,11 +100,11 @@
         '[[deployment.teams]]\nname = "blue"\ncpus = 1.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         "[deployment.workers]",
     )
-    store.job(spec(A))
-    store.job(spec(B, awaits=[A], crew="blue"))
-    store.job(spec(C, awaits=[A]))
-    store.job(spec(D, awaits=[B, C]))
-    for over, waiting in ((A, [B, C]), (C, [B]), (B, [D])):
+    store.job(spec(JOB_A))
+    store.job(spec(JOB_B, awaits=[JOB_A], crew="blue"))
+    store.job(spec(JOB_C, awaits=[JOB_A]))
+    store.job(spec(JOB_D, awaits=[JOB_B, JOB_C]))
+    for over, waiting in ((JOB_A, [JOB_B, JOB_C]), (JOB_C, [JOB_B]), (JOB_B, [JOB_D])):
         store_done(store, over)
         assert sorted(queued_names(store, text=text)) == waiting
 
@@ -116,14 +118,24 @@
         keys.job_key("wk-000008"): {"s": JobState.CANCELLED, "n": 1, "t": 5000},
     }
     store = Store()
-    for name, awaits in ((A, ["wk-000009"]), (B, [A]), (C, ["wk-000008", A]), (D, [C, "wk-000009"])):
+    for name, awaits in (
+        (JOB_A, ["wk-000009"]),
+        (JOB_B, [JOB_A]),
+        (JOB_C, ["wk-000008", JOB_A]),
+        (JOB_D, [JOB_C, "wk-000009"]),
+    ):
         rows[keys.job_key(name)] = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(name, awaits=awaits)}
     for key in sorted(rows, reverse=backwards):
         store.put(key, rows[key])
     jobs = store.tables.jobs
-    assert queued_names(store) == [A] and jobs[A].ready_ms == 5000
-    assert {name: job.unfinished_prerequisites for name, job in jobs.items()} == {A: 0, B: 1, C: 2, D: 1}
-    assert [name for name in sorted(jobs) if jobs[name].is_cancelled] == [C, D]
+    assert queued_names(store) == [JOB_A] and jobs[JOB_A].ready_ms == 5000
+    assert {name: job.unfinished_prerequisites for name, job in jobs.items()} == {
+        JOB_A: 0,
+        JOB_B: 1,
+        JOB_C: 2,
+        JOB_D: 1,
+    }
+    assert [name for name in sorted(jobs) if jobs[name].is_cancelled] == [JOB_C, JOB_D]
 
 
 def test_a_thousand_in_a_chain_and_a_thousand_side_by_side_neither_recurse_nor_cost_a_look_each(store: Store) -> None:
@@ -140,93 +152,100 @@
 
 def test_cancelling_decides_all_that_needs_it_at_once_and_its_rows_are_settled_later(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
-    for name, awaits in ((A, []), (B, [A]), (C, [B])):
+    for name, awaits in ((JOB_A, []), (JOB_B, [JOB_A]), (JOB_C, [JOB_B])):
         assert submit(world, name, *awaits) == 201
-    assert submit(world, D) == 201
+    assert submit(world, JOB_D) == 201
     revision = world.store.revision
-    assert ask(world, "POST", f"/submissions/{A}/cancel").status == 200
+    assert ask(world, "POST", f"/submissions/{JOB_A}/cancel").status == 200
     assert world.store.revision == revision + 1
-    assert [status(world, name) for name in (A, B, C, D)] == [wire.JobStatus.CANCELLED] * 3 + [wire.JobStatus.QUEUED]
+    assert [status(world, name) for name in (JOB_A, JOB_B, JOB_C, JOB_D)] == [wire.JobStatus.CANCELLED] * 3 + [
+        wire.JobStatus.QUEUED
+    ]
 
     # Asked about, cancelled or submitted again the answer is the same, and needs no state service.
     async def stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
     world.replica.read_linearizable = stale  # type: ignore[method-assign]
-    for again in (ask(world, "POST", f"/submissions/{C}/cancel"), ask(world, "POST", "/submissions", submission(C))):
+    for again in (
+        ask(world, "POST", f"/submissions/{JOB_C}/cancel"),
+        ask(world, "POST", "/submissions", submission(JOB_C)),
+    ):
         assert again.status == 200 and b'"withdrawn"' in again.body
     world.replica.read_linearizable = world.read  # type: ignore[method-assign]
     world.clock.time += 0.1
     world.commit_and_place()
     over = world.store.tables.finished_jobs
-    assert over[B].status == over[C].status == JobState.CANCELLED and D in world.store.tables.jobs
-    assert status(world, C) == wire.JobStatus.CANCELLED
+    assert over[JOB_B].status == over[JOB_C].status == JobState.CANCELLED and JOB_D in world.store.tables.jobs
+    assert status(world, JOB_C) == wire.JobStatus.CANCELLED
 
 
 def test_a_job_that_names_a_cancelled_one_is_accepted_and_cancelled(world: World) -> None:
-    world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 1})
-    assert submit(world, B, A) == 201
-    assert submit(world, C, B) == 201
-    assert status(world, B) == status(world, C) == wire.JobStatus.CANCELLED
+    world.store.put(keys.job_key(JOB_A), {"s": JobState.CANCELLED, "n": 1})
+    assert submit(world, JOB_B, JOB_A) == 201
+    assert submit(world, JOB_C, JOB_B) == 201
+    assert status(world, JOB_B) == status(world, JOB_C) == wire.JobStatus.CANCELLED
     assert queued_names(world.store) == []
 
 
 def test_a_submission_racing_a_cancellation_does_not_slip_through(world: World) -> None:
     """The acceptance is decided on what was known before; what counts are the rows."""
-    world.store.job(spec(A))
+    world.store.job(spec(JOB_A))
     world.client.lose_answers = 1
-    assert submit(world, B, A) == 503
-    world.store.put(keys.job_key(A), {"s": JobState.CANCELLED, "n": 4})
+    assert submit(world, JOB_B, JOB_A) == 503
+    world.store.put(keys.job_key(JOB_A), {"s": JobState.CANCELLED, "n": 4})
     world.client.apply(*world.client.lost_transactions[0])
-    assert status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
+    assert status(world, JOB_B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
 
 
 @pytest.mark.parametrize("first", ["end", "cancellation"])
 def test_a_cancellation_racing_the_last_completion_is_decided_by_one_row(world: World, first: str) -> None:
-    world.store.job(spec(A, visits=1))
-    world.store.progress(A, c0_1=1)
-    world.store.job(spec(B, awaits=[A]))
-    world.send_task_updates(TaskUpdates(done={A: 1}))
+    world.store.job(spec(JOB_A, visits=1))
+    world.store.progress(JOB_A, c0_1=1)
+    world.store.job(spec(JOB_B, awaits=[JOB_A]))
+    world.send_task_updates(TaskUpdates(done={JOB_A: 1}))
     if first == "end":
         world.client.lose_answers = 1
         world.commit_and_place()  # carried out later, its answer lost
         world.client.apply(*world.client.lost_transactions[0])
-        assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.DONE
-        assert queued_names(world.store) == [B]
+        assert anyio.run(world.jobs.cancel, JOB_A) == wire.JobStatus.DONE
+        assert queued_names(world.store) == [JOB_B]
     else:
         world.client.lose_answers = 4
-        assert anyio.run(world.jobs.cancel, A) is None  # sent, and carried out late
+        assert anyio.run(world.jobs.cancel, JOB_A) is None  # sent, and carried out late
         world.client.apply(*world.client.lost_transactions[0])
         world.commit_and_place()
-        assert status(world, A) == status(world, B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
+        assert (
+            status(world, JOB_A) == status(world, JOB_B) == wire.JobStatus.CANCELLED and queued_names(world.store) == []
+        )
 
 
 def test_a_job_never_claimed_is_over_with_the_change_that_cancels_it_unless_it_is_claimed_meanwhile(
     world: World,
 ) -> None:
-    world.store.job(spec(A))
+    world.store.job(spec(JOB_A))
     world.client.lose_answers = 4
-    assert anyio.run(world.jobs.cancel, A) is None
-    world.store.progress(A, c1_2=1)
+    assert anyio.run(world.jobs.cancel, JOB_A) is None
+    world.store.progress(JOB_A, c1_2=1)
     world.client.apply(*world.client.lost_transactions[0])
-    assert A in world.store.tables.jobs  # a task of it may run
-    assert anyio.run(world.jobs.cancel, A) == wire.JobStatus.CANCELLED
-    assert world.store.tables.jobs[A].progress.claims
+    assert JOB_A in world.store.tables.jobs  # a task of it may run
+    assert anyio.run(world.jobs.cancel, JOB_A) == wire.JobStatus.CANCELLED
+    assert world.store.tables.jobs[JOB_A].progress.claims
 
 
 def test_submissions_are_judged_by_what_they_await(world: World) -> None:
-    world.store.job(spec(A))
-    store_done(world.store, B)
-    assert submit(world, C, A, B) == 201
-    assert submit(world, D, A, "wk-000404") == 422
-    assert submit(world, D, D) == 422
+    world.store.job(spec(JOB_A))
+    store_done(world.store, JOB_B)
+    assert submit(world, JOB_C, JOB_A, JOB_B) == 201
+    assert submit(world, JOB_D, JOB_A, "wk-000404") == 422
+    assert submit(world, JOB_D, JOB_D) == 422
     wrongs: list[Any] = ["wk-000001", [7], ["job-1"], None, {}]
     for wrong in wrongs:
-        assert ask(world, "POST", "/submissions", submission(D, awaits=wrong)).status == 400
+        assert ask(world, "POST", "/submissions", submission(JOB_D, awaits=wrong)).status == 400
     # Known jobs are answered before what they await is judged.
-    assert submit(world, A, "wk-000404") == 200
-    assert submit(world, C, A, B) == 200
-    assert submit(world, D) == 201 and submit(world, "wk-000005") == 201
+    assert submit(world, JOB_A, "wk-000404") == 200
+    assert submit(world, JOB_C, JOB_A, JOB_B) == 200
+    assert submit(world, JOB_D) == 201 and submit(world, "wk-000005") == 201
 
 
 def test_an_unknown_prerequisite_is_judged_on_a_fresh_read_only(world: World) -> None:
@@ -234,22 +253,22 @@
         raise StaleReplicaError
 
     async def just_accepted_elsewhere(timeout_s: float) -> None:
-        if A not in world.store.tables.jobs:
-            world.store.job(spec(A))
+        if JOB_A not in world.store.tables.jobs:
+            world.store.job(spec(JOB_A))
 
     world.replica.read_linearizable = stale  # type: ignore[method-assign]
-    assert submit(world, B, A) == 503
+    assert submit(world, JOB_B, JOB_A) == 503
     world.replica.read_linearizable = just_accepted_elsewhere  # type: ignore[method-assign]
-    assert submit(world, B, A) == 201
+    assert submit(world, JOB_B, JOB_A) == 201
 
 
 def test_an_acceptance_whose_answer_was_lost_is_found_when_repeated(world: World) -> None:
-    world.store.job(spec(A))
+    world.store.job(spec(JOB_A))
     world.client.lose_answers = 1
-    assert submit(world, B, A) == 503
+    assert submit(world, JOB_B, JOB_A) == 503
     world.client.apply(*world.client.lost_transactions[0])
-    assert submit(world, B, A) == 200
-    assert world.store.tables.jobs[B].unfinished_prerequisites == 1
+    assert submit(world, JOB_B, JOB_A) == 200
+    assert world.store.tables.jobs[JOB_B].unfinished_prerequisites == 1
 
 
 def test_ends_of_jobs_go_before_claims_where_a_transaction_takes_few_changes(store: Store) -> None:
@@ -289,25 +308,25 @@
 
 
 def test_the_end_of_a_job_releases_its_successors_before_it_is_read(world: World) -> None:
-    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B, awaits=[A])}
+    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(JOB_B, awaits=[JOB_A])}
     ended = {"s": JobState.DONE, "n": 4, "t": 5}
     answers = Answers(
         world,
-        {"epoch": 11, "events": [{"write": keys.job_key(B), "v": row, "stamp": 11}]},
-        {"epoch": 13, "events": [{"write": keys.job_key(A), "v": ended, "stamp": 13}]},
+        {"epoch": 11, "events": [{"write": keys.job_key(JOB_B), "v": row, "stamp": 11}]},
+        {"epoch": 13, "events": [{"write": keys.job_key(JOB_A), "v": ended, "stamp": 13}]},
     )
     answers.read()
     tables = answers.replica.tables
-    assert tables.jobs[B].unfinished_prerequisites == 1
-    answers.replica.apply_own_write(13, {keys.job_key(A): ended})
-    assert tables.jobs[B].unfinished_prerequisites == 0 and answers.replica.applied_revision == 11
+    assert tables.jobs[JOB_B].unfinished_prerequisites == 1
+    answers.replica.apply_own_write(13, {keys.job_key(JOB_A): ended})
+    assert tables.jobs[JOB_B].unfinished_prerequisites == 0 and answers.replica.applied_revision == 11
     answers.read()
-    assert answers.replica.loaded and tables.jobs[B].unfinished_prerequisites == 0
+    assert answers.replica.loaded and tables.jobs[JOB_B].unfinished_prerequisites == 0
 
 
 def test_a_stamp_that_is_not_the_one_told_has_all_read_again(world: World) -> None:
-    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(B)}
-    answers = Answers(world, {"epoch": 14, "events": [{"write": keys.job_key(B), "v": row, "stamp": 12}]})
-    answers.replica.apply_own_write(13, {keys.job_key(B): row})
+    row = {"s": JobState.LIVE, "n": 4, "t": 0, "spec": submission(JOB_B)}
+    answers = Answers(world, {"epoch": 14, "events": [{"write": keys.job_key(JOB_B), "v": row, "stamp": 12}]})
+    answers.replica.apply_own_write(13, {keys.job_key(JOB_B): row})
     answers.read()
     assert not answers.replica.loaded
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -46,7 +46,9 @@
     assert world.leadership.is_leader
 
     async def read_snapshot(client: StateClient) -> Snapshot:
-        return Snapshot(store.revision, [StoredRow(key, value, stamp) for key, (value, stamp) in store.rows.items()])
+        return Snapshot(
+            store.revision, [StoredRow(key, value, revision) for key, (value, revision) in store.rows.items()]
+        )
 
     monkeypatch.setattr(replica, "read_snapshot", read_snapshot)
     anyio.run(world.replica._load)
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -13,7 +13,7 @@
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import World, status_code, store_done, submit
 
-A, B, C, D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
+JOB_A, JOB_B, JOB_C, JOB_D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
 
 NARROW = SETTINGS.replace(
     "[deployment.cloud]", "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[deployment.cloud]"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -198,10 +198,10 @@
 def test_a_late_write_of_an_old_controller_does_not_undo_what_was_decided_since(store: Store) -> None:
     world = World(store)
     store.put("s1/j/wk-000001", OLD_ROWS["s1/j/wk-000001"])
-    stamp = store.tables.jobs[JOB].mod_revision
+    revision = store.tables.jobs[JOB].mod_revision
     store.put_complete_layout()
     assert submit(world, "wk-000002", JOB) == 201
-    old = {"s1/j/wk-000001": stamp, "s1/r/wk-000001": 0}
+    old = {"s1/j/wk-000001": revision, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     world.client.apply(old, claim, [])
