--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -94,10 +94,12 @@
     return wire.check_spec(wire.decode(wire.encode(submission(name, **changes)), wire.JobSpec))
 
 
-def report(serial: int, token: int, *tasks: tuple[Any, ...], session: int = 1, name: str = "vm-1") -> wire.WorkerReport:
+def worker_report(
+    sequence: int, fencing_token: int, *tasks: tuple[Any, ...], agent_epoch: int = 1, name: str = "vm-1"
+) -> wire.WorkerReport:
     """Returns a worker's report; each task is (name, attempt, state) or (name, attempt, "ended", cause)."""
     items = [wire.ReportedTask(*item) for item in tasks]
-    return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, session, serial, token, items)
+    return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, agent_epoch, sequence, fencing_token, items)
 
 
 MACHINE_TYPE = wire.MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"])
--- a/tests/support/cluster_worker.py
+++ b/tests/support/cluster_worker.py
@@ -128,10 +128,10 @@
 
     def receive(self) -> None:
         now = self.world.clock.time
-        for at, sent, session, body in [item for item in self.answers_in_flight if item[0] <= now]:
-            self.answers_in_flight.remove((at, sent, session, body))
+        for at, sent, agent_epoch, body in [item for item in self.answers_in_flight if item[0] <= now]:
+            self.answers_in_flight.remove((at, sent, agent_epoch, body))
             orders = wire.decode(body, wire.WorkerCommands)
-            if now - sent > 4.0 or session != self.agent_epoch or orders.fencing_token < self.fencing_token:
+            if now - sent > 4.0 or agent_epoch != self.agent_epoch or orders.fencing_token < self.fencing_token:
                 continue
             self.fencing_token = orders.fencing_token
             self.lease_renewed_at = max(self.lease_renewed_at, sent)
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -27,7 +27,7 @@
 from sloeswitch.mesh import Mesh, MeshCallbacks, PeerStatus
 from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
-from tests.conftest import SETTINGS, Store, report, spec, submission
+from tests.conftest import SETTINGS, Store, spec, submission, worker_report
 from tests.support.clock import Clock
 from tests.support.scripted_state import ScriptedReplica, ScriptedState
 
@@ -60,9 +60,9 @@
     async def read(self, timeout_s: float) -> None:
         return None
 
-    def heartbeat(self, worker_report: wire.WorkerReport) -> wire.WorkerCommands:
+    def heartbeat(self, report: wire.WorkerReport) -> wire.WorkerCommands:
         """Sends a heartbeat that acknowledges the previous answer; returns the commands of the answer."""
-        message = HeartbeatRequest(report=worker_report, last_answer_received=True)
+        message = HeartbeatRequest(report=report, last_answer_received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
         return wire.decode(message.answer.body, wire.WorkerCommands)
@@ -113,12 +113,12 @@
 
 def register_machine(world: World) -> None:
     world.store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(1, 0))
-    world.heartbeat(report(2, 3))
+    world.heartbeat(worker_report(1, 0))
+    world.heartbeat(worker_report(2, 3))
 
 
-def heartbeat(world: World, worker_report: wire.WorkerReport, received: bool = True) -> Any:
-    message = HeartbeatRequest(report=worker_report, last_answer_received=received)
+def heartbeat(world: World, report: wire.WorkerReport, received: bool = True) -> Any:
+    message = HeartbeatRequest(report=report, last_answer_received=received)
     anyio.run(world.machines.handle, message)
     return message.answer
 
@@ -137,8 +137,8 @@
     """Starts a job's only task on vm-1, which reports it as running; returns the task and its attempt."""
     world.store.job(spec(visits=1))
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     return start.task, start.attempt
 
 
@@ -253,8 +253,8 @@
 def heartbeat_and_register(world: World, count: int) -> None:
     for number in range(count):
         name = f"vm-{number:06d}"
-        world.heartbeat(report(1, 0, name=name))
-        world.heartbeat(report(2, 3, name=name))
+        world.heartbeat(worker_report(1, 0, name=name))
+        world.heartbeat(worker_report(2, 3, name=name))
 
     async def register(machines: Machines) -> None:
         while len(world.store.tables.machines) < count:
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.core.records import JobState
 from sloeswitch.core.uncommitted_updates import TaskUpdates
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import JOB, World, attach_mesh, register_machine
 
 
@@ -28,18 +28,18 @@
 def test_claim_and_allowance_are_stored_before_any_start(world: World) -> None:
     register_machine(world)
     world.store.job(spec())
-    assert world.heartbeat(report(3, 3)).commands == []
+    assert world.heartbeat(worker_report(3, 3)).commands == []
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1111}
     assert world.store.tables.quota_allocations["red"] == {"c0.1": (8.0, 0.0)}
-    assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
+    assert [order.verb for order in world.heartbeat(worker_report(4, 3)).commands] == ["start"] * 4
 
 
 def test_claimed_tasks_start_only_within_the_allowance(world: World) -> None:
     register_machine(world)
     world.store.job(spec())
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
-    assert len(world.heartbeat(report(3, 3)).commands) == 2
+    assert len(world.heartbeat(worker_report(3, 3)).commands) == 2
 
 
 def test_an_old_view_claims_nothing(world: World) -> None:
@@ -62,7 +62,7 @@
     register_machine(world)
     mesh = attach_mesh(world)
     world.clock.time += world.settings.controller_lease_s
-    refused = HeartbeatRequest(report=report(3, 3))
+    refused = HeartbeatRequest(report=worker_report(3, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
     mesh.peers["c1"].asked_at, mesh.peers["c1"].view_number, mesh.peers["c1"].cancellations_complete = (
@@ -70,9 +70,9 @@
         3,
         True,
     )
-    world.heartbeat(report(4, 3))
+    world.heartbeat(worker_report(4, 3))
     mesh.peers["c1"].view_number = 4
-    refused = HeartbeatRequest(report=report(5, 3))
+    refused = HeartbeatRequest(report=worker_report(5, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
 
@@ -82,10 +82,10 @@
     world.store.job(spec())
     world.client.lose_answers = 1
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert world.heartbeat(report(3, 3)).commands == []
+    assert world.heartbeat(worker_report(3, 3)).commands == []
     world.client.apply(*world.client.lost_transactions[0])
     world.machines.task_placement.place_unplaced()
-    assert len(world.heartbeat(report(4, 3)).commands) == 4
+    assert len(world.heartbeat(worker_report(4, 3)).commands) == 4
 
 
 def test_completion_between_telling_and_storing_is_not_started_again(world: World) -> None:
@@ -93,14 +93,14 @@
     register_machine(world)
     world.store.job(spec(visits=1))
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    answer = world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "ended", "done")))
     assert answer.commands == []  # neither a start nor, before it is stored, a clear
     world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
     world.commit_and_place()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 1)
-    cleared = world.heartbeat(report(5, 3, (start.task, start.attempt, "ended", "done")))
+    cleared = world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "ended", "done")))
     assert [order.verb for order in cleared.commands] == ["clear"]
 
 
@@ -109,7 +109,7 @@
     world.store.job(spec(visits=2000, cores=0.001, memoryGb=0.0))
     world.store.progress(JOB, c1_9=(1 << 2000) - 1)
     ended = [(f"{JOB}/{index}", 5, "ended", "done") for index in range(2000)]
-    world.heartbeat(report(3, 3, *ended))
+    world.heartbeat(worker_report(3, 3, *ended))
     assert len(world.jobs._inbox) == 1
 
 
@@ -133,17 +133,17 @@
     register_machine(world)
     world.store.job(spec(visits=1))
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
     machine.reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
     machine.reconciled = True
-    orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).commands
+    orders = world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
-    world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
+    world.heartbeat(worker_report(6, 3, (start.task, start.attempt, "ended", "halted")))
     world.machines.cancelled_tasks.stop_all()
     world.send_task_updates(world.machines.task_updates.pending)
     world.clock.time += 1.0
@@ -161,7 +161,7 @@
 
     world.store.view(4, ("c0", 1), ("c1", 2))
     name = next(f"vm-{n}" for n in range(100) if owner(f"vm-{n}", world.store.tables.view.members) == "c1")
-    message = HeartbeatRequest(report=report(1, 0, name=name))
+    message = HeartbeatRequest(report=worker_report(1, 0, name=name))
     anyio.run(world.machines.handle, message)
     assert (message.answer.status, message.answer.body) == (421, b'{"foreman":"c1"}')
 
@@ -178,7 +178,7 @@
 
 def test_malformed_report_is_refused(world: World) -> None:
     register_machine(world)
-    message = HeartbeatRequest(report=report(3, 3, ("nonsense", 1, "running")))
+    message = HeartbeatRequest(report=worker_report(3, 3, ("nonsense", 1, "running")))
     anyio.run(world.machines.handle, message)
     assert message.answer.status == 400
 
@@ -187,20 +187,20 @@
     register_machine(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     spared = world.machines.registry.machines["vm-1"]
     (attempt,) = spared.attempts.values()
     spared.surplus = True
     world.clock.time += 2.0
-    world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
+    world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
     spared.reconciled = False  # no direct command in this test
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s is None  # there is no room elsewhere
-    world.heartbeat(report(1, 0, name="vm-2"))
+    world.heartbeat(worker_report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(2, 3, name="vm-2"))
+    world.heartbeat(worker_report(2, 3, name="vm-2"))
     spared.reconciled = False
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
@@ -242,8 +242,8 @@
     kits = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(9, 3, name=name))
-    world.heartbeat(report(10, 4, name=name))
+    world.heartbeat(worker_report(9, 3, name=name))
+    world.heartbeat(worker_report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=kits["c1"], visits=1))
     world.store.job(spec("wk-000002", kit=kits["c0"], visits=1))
     world.machines.queue.rebuild()
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -17,7 +17,7 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import SETTINGS_WITH_NEXT_LIMITS, World
 
 JOB = "wk-000001"
@@ -140,7 +140,7 @@
     store.job(spec(visits=2))
     store.progress(JOB, c1_9=0b01)
     for sequence, token in ((1, 0), (2, 3)):
-        world.heartbeat(report(sequence, token, (f"{JOB}/0", 5, "ended", "done")))
+        world.heartbeat(worker_report(sequence, token, (f"{JOB}/0", 5, "ended", "done")))
     world.machines._report_recovery()
     assert store.tables.jobs[JOB].progress.done or not world.membership._inbox
 
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -17,7 +17,7 @@
 from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, URGENT_SHARE
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.fleet import FleetWorld
 from tests.support.single_controller import JOB, Cloud, World, ask, run_deletions
 from tests.support.takeover_world import TakeoverKind, simulate
@@ -116,7 +116,7 @@
     """Guards against a full new wait at each owner of a machine that reports a cancelled task but receives nothing."""
     takeover = Takeover(store, {})
     takeover.pass_time(0.4 * CANCEL_S)
-    message = CommandReply(report(1, 3, (f"{JOB}/0", 1, "running"), name=MACHINES[0]))
+    message = CommandReply(worker_report(1, 3, (f"{JOB}/0", 1, "running"), name=MACHINES[0]))
     anyio.run(takeover.world.machines.handle, message)
     takeover.pass_time(0.2 * CANCEL_S)
     assert MACHINES[0] in takeover.deleted
@@ -129,7 +129,7 @@
     sibling.pass_time_answering(4, {first, second})
     guard = sibling.world.machines.cancellations.guard
     failures = guard.inspections[first].failures
-    anyio.run(sibling.world.machines.handle, InspectionReply(second, report(1, 4, name=first)))
+    anyio.run(sibling.world.machines.handle, InspectionReply(second, worker_report(1, 4, name=first)))
     assert guard.inspections[first].failures == failures > 0
 
 
@@ -138,7 +138,7 @@
     takeover = Takeover(store, {"x": 1})
     world = takeover.world
     for name in MACHINES[1:]:
-        anyio.run(world.machines.handle, CommandReply(report(1, 3, name=name)))
+        anyio.run(world.machines.handle, CommandReply(worker_report(1, 3, name=name)))
     takeover.pass_time(10)
     assert takeover.deleted == [MACHINES[0]]
 
@@ -148,7 +148,7 @@
     takeover = Takeover(store, {"x": 1})
     for _ in range(10):
         for name in MACHINES:
-            anyio.run(takeover.world.machines.handle, CommandReply(report(1, 9, name=name)))
+            anyio.run(takeover.world.machines.handle, CommandReply(worker_report(1, 9, name=name)))
         takeover.tick(1.0)
     assert takeover.deleted == []
 
@@ -205,12 +205,12 @@
         super().tick(seconds)
         self.report_count += 1
         for name in set(MACHINES) - self.sibling_machines:
-            message = HeartbeatRequest(report=report(self.report_count, 4, name=name), last_answer_received=True)
+            message = HeartbeatRequest(report=worker_report(self.report_count, 4, name=name), last_answer_received=True)
             anyio.run(self.world.machines.handle, message)
 
     def answer_inspections(self, silent: set[str]) -> None:
         for name in self.inspected_machines:
-            message = InspectionReply(name, None if name in silent else report(1, 4, name=name))
+            message = InspectionReply(name, None if name in silent else worker_report(1, 4, name=name))
             anyio.run(self.world.machines.handle, message)
         self.inspected_machines.clear()
 
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.row_codec import encode_progress
 from sloeswitch.mesh import Mesh, MeshCallbacks
 from sloeswitch.settings import Settings
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import JOB, Cloud, World, run_deletions
 
 NOW = 1000.0
@@ -83,8 +83,8 @@
     names = ["vm-1", "vm-2", "vm-3"]
     assert guard.begin_inspections(names, NOW) == names
     assert guard.begin_inspections(names, NOW) == [], "asked once at a time"
-    guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "running"), name="vm-1"), store.tables, NOW)
-    guard.record_answer(report(1, 4, (f"{JOB}/0", 7, "ended", "halted"), name="vm-2"), store.tables, NOW)
+    guard.record_answer(worker_report(1, 4, (f"{JOB}/0", 7, "running"), name="vm-1"), store.tables, NOW)
+    guard.record_answer(worker_report(1, 4, (f"{JOB}/0", 7, "ended", "halted"), name="vm-2"), store.tables, NOW)
     for _ in range(MAX_FAILED_INSPECTIONS):
         assert "vm-3" not in guard.deletable()
         guard.record_no_answer("vm-3", NOW)
@@ -136,7 +136,7 @@
         """One round of inspections, answered by all machines except the silent ones."""
         self.world.machines.cancellations.inspect_suspects(self.world.clock.time, self.world.clock.wall_clock_ms())
         for name in self.inspected_machines:
-            answer = None if name in silent else report(1, 5, name=name)
+            answer = None if name in silent else worker_report(1, 5, name=name)
             anyio.run(self.world.machines.handle, InspectionReply(name, answer))
         self.inspected_machines.clear()
         self.world.clock.time += self.world.settings.report_s
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -30,7 +30,7 @@
 from sloeswitch.replica import Replica
 from sloeswitch.settings import parse
 from sloeswitch.state_client import StateClient
-from tests.conftest import SETTINGS, Store, report, spec
+from tests.conftest import SETTINGS, Store, spec, worker_report
 from tests.support.clock import Clock
 from tests.support.single_controller import JOB, World, apply_sibling_status, register_machine, start_task, state_outage
 
@@ -55,12 +55,12 @@
     state_outage(world)
     apply_sibling_status(log, world)
     assert world.leadership.may_answer_workers and not world.leadership.is_leader
-    commands = world.heartbeat(report(5, 3, (*task, "running"))).commands
+    commands = world.heartbeat(worker_report(5, 3, (*task, "running"))).commands
     assert commands == []  # the cancellation is known; the task is marked for kill at the next tick
     world.machines.registry.machines["vm-1"].reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
     world.machines.registry.machines["vm-1"].reconciled = True
-    commands = world.heartbeat(report(6, 3, (*task, "running"))).commands
+    commands = world.heartbeat(worker_report(6, 3, (*task, "running"))).commands
     assert [command.verb for command in commands] == ["kill"]
     assert poll(world) == wire.JobStatus.CANCELLED
 
@@ -75,7 +75,7 @@
     apply_sibling_status(log, world)
     world.machines.queue.rebuild()
     world.machines.task_placement.place_unplaced()
-    assert world.heartbeat(report(3, 3)).commands == []
+    assert world.heartbeat(worker_report(3, 3)).commands == []
 
 
 def test_sibling_without_a_full_read_confirms_nothing(world: World) -> None:
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -15,7 +15,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import WorkerReport
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.completion_world import simulate
 from tests.support.fleet import FleetWorld
 from tests.support.single_controller import JOB, World, advance_time, heartbeat, state_outage, submit
@@ -39,8 +39,8 @@
 
     def find(self, *tasks: tuple[object, ...], token: int = 3, name: str = "vm-1") -> None:
         """The machine reports, first under an older token, as after any takeover."""
-        self.heartbeat(report(1, 0, *tasks, name=name))
-        self.heartbeat(report(2, token, *tasks, name=name))
+        self.heartbeat(worker_report(1, 0, *tasks, name=name))
+        self.heartbeat(worker_report(2, token, *tasks, name=name))
 
     def recovered_views(self) -> list[int]:
         """The views that are reported as recovered at this moment."""
@@ -84,7 +84,7 @@
     """Guards against a recovery that is reported before other controllers can know of the completion."""
     world = Takeover(store, grouped)
     if by_command:
-        anyio.run(world.machines.handle, CommandReply(report(2, 3, ENDED)))
+        anyio.run(world.machines.handle, CommandReply(worker_report(2, 3, ENDED)))
     else:
         world.find(ENDED)
     assert world.recovered_views() == [] and not world.is_settled()
@@ -162,7 +162,7 @@
     world = Takeover(store)
     world.find((f"{JOB}/0", 5, "running"))
     world.commit()
-    world.heartbeat(report(3, 3, ENDED))
+    world.heartbeat(worker_report(3, 3, ENDED))
     assert not store.tables.jobs[JOB].progress.done and world.recovered_views() == [3]
 
 
@@ -170,7 +170,7 @@
     """Also under the next view: its machine lists it still."""
     world = Takeover(store)
     world.find((f"{JOB}/0", 5, "running"))
-    world.heartbeat(report(3, 3, ENDED))
+    world.heartbeat(worker_report(3, 3, ENDED))
     world.assert_settled_under_the_next_view()
 
 
@@ -231,10 +231,10 @@
 @pytest.mark.parametrize(
     "late",
     [
-        report(2, 3, ENDED),
-        report(1, 3, (f"{JOB}/1", 5, "ended", "done")),
-        report(9, 0, (f"{JOB}/1", 5, "ended", "done")),
-        report(9, 3, MALFORMED),
+        worker_report(2, 3, ENDED),
+        worker_report(1, 3, (f"{JOB}/1", 5, "ended", "done")),
+        worker_report(9, 0, (f"{JOB}/1", 5, "ended", "done")),
+        worker_report(9, 3, MALFORMED),
     ],
 )
 def test_duplicated_late_and_malformed_reports_change_nothing(store: Store, late: WorkerReport) -> None:
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -37,7 +37,7 @@
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.features import AdmissionFeatures, CellFeatures, PeerCell
 from sloeswitch.frame_link import NoAnswerError
-from tests.conftest import MACHINE_TYPE, report, spec
+from tests.conftest import MACHINE_TYPE, spec, worker_report
 from tests.support.clock import Clock
 from tests.support.frozen import BASE_REVISION, RowRecorder, dump, format_line, frozen, parse_line
 from tests.support.single_controller import unregister
@@ -125,8 +125,8 @@
 def register(world: RowRecorder) -> None:
     """Registers two reporting machines in a single pass, so that the test ends even if the rows are not read back."""
     for name in ("vm-000000", "vm-000001"):
-        world.heartbeat(report(1, 0, name=name))
-        world.heartbeat(report(2, 3, name=name))
+        world.heartbeat(worker_report(1, 0, name=name))
+        world.heartbeat(worker_report(2, 3, name=name))
 
     async def register_once() -> None:
         async with anyio.create_task_group() as group:
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -15,7 +15,7 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
-from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
+from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec, worker_report
 from tests.support.single_controller import World, advance_time
 
 LARGE = MachineType("large", 32.0, 0.0, 64.0, 50.0, 0.5, 1.3, 0.4, 25.0, ["a", "b"])
@@ -41,7 +41,7 @@
 
 
 def large(serial: int, token: int, *tasks: Any) -> wire.WorkerReport:
-    return msgspec.structs.replace(report(serial, token, *tasks), type="large", spot=False)
+    return msgspec.structs.replace(worker_report(serial, token, *tasks), type="large", spot=False)
 
 
 def machine(world: World) -> Machine:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -22,7 +22,7 @@
 from sloeswitch.http_client import Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report, spec, submission
+from tests.conftest import Store, spec, submission, worker_report
 from tests.support.single_controller import (
     JOB,
     Cloud,
@@ -52,7 +52,7 @@
 
 def test_a_cut_off_controller_sends_workers_and_users_elsewhere_at_once(world: World) -> None:
     users = cut_off(world)
-    assert heartbeat(world, report(9, 3)).status == 503
+    assert heartbeat(world, worker_report(9, 3)).status == 503
     asked = [
         Request("GET", "/healthz", b""),
         Request("POST", "/submissions", wire.encode(submission())),
@@ -146,7 +146,7 @@
 def test_after_a_freeze_nothing_is_answered_or_claimed_on_what_was_known_before(world: World) -> None:
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert heartbeat(world, report(3, 3)).status == 503
+    assert heartbeat(world, worker_report(3, 3)).status == 503
     assert not world.leadership.is_leader and not world.leadership.is_coordinator
     revision = world.store.revision
     world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -16,7 +16,7 @@
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.http_client import Reply
 from sloeswitch.replica import Replica, StaleReplicaError
-from tests.conftest import SETTINGS, Store, report, spec, submission
+from tests.conftest import SETTINGS, Store, spec, submission, worker_report
 from tests.support.single_controller import (
     SETTINGS_WITH_NEXT_LIMITS,
     World,
@@ -47,8 +47,8 @@
         ClaimRequest(task_counts={JOB_A: 1, JOB_B: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
     )
     assert not world.store.tables.jobs[JOB_B].progress.claims
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "ended", "done")))
     world.send_task_updates(
         world.machines.task_updates.pending if world.machines.task_updates.pending else TaskUpdates(done={JOB_A: 1})
     )
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -10,7 +10,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.uncommitted_updates import TaskUpdates
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import JOB, World, register_machine, start_task
 
 
@@ -63,7 +63,7 @@
 ) -> None:
     world.store.job(spec())
     for sequence in (3, 4):
-        world.heartbeat(report(sequence, 3, (f"{JOB}/0", 5, "running"), (f"{JOB}/1", 5, "running")))
+        world.heartbeat(worker_report(sequence, 3, (f"{JOB}/0", 5, "running"), (f"{JOB}/1", 5, "running")))
     assert logged(caplog, "foreign attempts") == [
         "foreign attempts found: machine=vm-1 attempts=2 cores=red:4 reasons=late:2 view=3"
     ]
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -8,7 +8,7 @@
 from sloeswitch.core.machine_registry import MachineRegistry
 from sloeswitch.core.reconciliation import ReceivedReport, ReconcileResult, is_outdated, reconcile
 from sloeswitch.wire import MalformedError
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 
 JOB = "wk-000001"
 TOKEN = 3
@@ -33,7 +33,7 @@
 
     def receive(self, *tasks: tuple[object, ...], session: int = 1, is_heartbeat: bool = True) -> ReconcileResult:
         self.sequence += 1
-        message = report(self.sequence, TOKEN, *tasks, session=session)
+        message = worker_report(self.sequence, TOKEN, *tasks, agent_epoch=session)
         received = ReceivedReport(message, is_heartbeat, float(self.sequence), TOKEN)
         return reconcile(self.registry, self.machine, received, self.tables)
 
@@ -104,8 +104,8 @@
 
 def test_reports_of_an_expired_epoch_are_outdated_whatever_their_sequence(reports: Reports) -> None:
     reports.registry.expire_lease(reports.machine)
-    assert is_outdated(reports.machine, report(99, TOKEN, RUNNING))
-    assert not is_outdated(reports.machine, report(1, TOKEN, session=2))
+    assert is_outdated(reports.machine, worker_report(99, TOKEN, RUNNING))
+    assert not is_outdated(reports.machine, worker_report(1, TOKEN, agent_epoch=2))
 
 
 def test_unchanged_report_resets_cancelled_since_if_no_attempt_is_to_be_killed(reports: Reports) -> None:
@@ -117,6 +117,6 @@
 def test_task_placed_on_another_machine_of_this_controller_is_not_adopted(reports: Reports) -> None:
     other = Machine("vm-2", "127.0.0.1:9001", "small", "a", True, owned_since_token=TOKEN)
     reports.registry.add_machine(other)
-    received = ReceivedReport(report(1, TOKEN, RUNNING, name="vm-2"), True, 2.0, TOKEN)
+    received = ReceivedReport(worker_report(1, TOKEN, RUNNING, name="vm-2"), True, 2.0, TOKEN)
     assert reconcile(reports.registry, other, received, reports.tables).adopted == []
     assert list(other.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -11,7 +11,7 @@
 from sloeswitch.core import keys
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report
+from tests.conftest import Store, worker_report
 from tests.support.single_controller import World, heartbeat, register_machine
 
 
@@ -23,7 +23,7 @@
 
 
 def test_a_wave_of_machines_is_one_change(world: World) -> None:
-    fresh = [report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
+    fresh = [worker_report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
     for heard in fresh:
         heartbeat(world, heard, received=False)
         heard.sequence, heard.fencing_token = 2, 3
@@ -75,8 +75,8 @@
 
 def test_machines_are_stored_one_by_one_while_a_controller_knows_no_groups(world: World) -> None:
     world.store.put(keys.member_key("c1"), {"boot": 5, "settled": 0})
-    heartbeat(world, report(1, 0, name="vm-9"), received=False)
-    heartbeat(world, report(2, 3, name="vm-9"))
+    heartbeat(world, worker_report(1, 0, name="vm-9"), received=False)
+    heartbeat(world, worker_report(2, 3, name="vm-9"))
 
     async def register() -> None:
         async with anyio.create_task_group() as group:
@@ -113,8 +113,8 @@
 
 
 def test_new_machines_count_as_pending_until_their_write_has_ended(world: World) -> None:
-    heartbeat(world, report(1, 0, name="vm-9"), received=False)
-    heartbeat(world, report(2, 3, name="vm-9"))
+    heartbeat(world, worker_report(1, 0, name="vm-9"), received=False)
+    heartbeat(world, worker_report(2, 3, name="vm-9"))
     registration = world.machines.registration
     new = registration.machines_to_store(list(world.machines.registry.machines.values()))
     assert new.names == {"vm-9"}
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -11,7 +11,7 @@
 from sloeswitch.state_client import StateClient
 from sloeswitch.state_reads import Snapshot
 from sloeswitch.wire import StoredRow
-from tests.conftest import Store, report
+from tests.conftest import Store, worker_report
 from tests.support.single_controller import World, advance_time
 
 MACHINE = ["127.0.0.1:9000", "small", "a", True]
@@ -35,8 +35,8 @@
     store.put(keys.machine_group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
     advance_time(world, 0.1)
     assert reported(world) == []
-    world.heartbeat(report(1, 0))
-    world.heartbeat(report(2, 3))
+    world.heartbeat(worker_report(1, 0))
+    world.heartbeat(worker_report(2, 3))
     assert reported(world) == [3]
 
 
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -13,7 +13,7 @@
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import (
     JOB,
     World,
@@ -95,12 +95,12 @@
     check(world)
     assert machine(world).cancelled_since is not None
     advance_time(world, 1.0)
-    heartbeat(world, report(5, 3, (*task, "running")))
+    heartbeat(world, worker_report(5, 3, (*task, "running")))
     assert machine(world).cancelled_since is not None
-    heartbeat(world, report(6, 3, (*task, "ended", "halted")))
+    heartbeat(world, worker_report(6, 3, (*task, "ended", "halted")))
     assert machine(world).cancelled_since is None
     advance_time(world, world.settings.cancel_s)
-    heartbeat(world, report(7, 3))
+    heartbeat(world, worker_report(7, 3))
     check(world)
     assert deleted(world) == []
 
@@ -180,7 +180,7 @@
         serial += 1
         # Its lease runs out again and again, since direct commands do not renew it.
         session = 1 + int((world.clock.time - begun) // (world.settings.lease_s + 1))
-        world.machines.heartbeats.apply_command_reply(report(serial, 3, session=session))
+        world.machines.heartbeats.apply_command_reply(worker_report(serial, 3, agent_epoch=session))
         world.machines._tick()
         # It looks well by its answers; what was placed before is free for others.
         assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - begun < 3.0)
@@ -195,7 +195,7 @@
         world.clock.time += 1.0
         world.machines._tick()
     advance_time(world, 0.0)
-    world.machines.heartbeats.apply_command_reply(report(90, 3, session=5))
+    world.machines.heartbeats.apply_command_reply(worker_report(90, 3, agent_epoch=5))
     world.machines._tick()
     advance_time(world, 2.0)
     world.machines._tick()
