--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -73,8 +73,7 @@
     assert queued_names(store, text=SETTINGS_WITH_OBJECTIVES) == [JOB_A, "wk-000009"]
     jobs = store.tables.jobs
     # JOB_B: the deadline of 200 s less JOB_C's estimate of 10 s, one report and the fetch of 1 GB at 0.5 GB/s.
-    # JOB_A: further less
-    # JOB_B's estimate of 30 s, one report and the fetch of 2 GB.
+    # JOB_A: further less JOB_B's estimate of 30 s, one report and the fetch of 2 GB.
     assert jobs[JOB_B].inherited_deadlines == (187_000, 287_000)
     assert (
         jobs[JOB_A].inherited_deadlines == (152_000, 252_000)
