--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -53,9 +53,13 @@
         self.task_end_probability = 0.06
         # All submitted jobs, accepted or not.
         self.specs: dict[str, wire.JobSpec] = {}
+        # Numbers of faults and other events by kind.
         self.event_counts = Counter[str]()
+        # Tasks that completed on a machine.
         self.completed_tasks: set[str] = set()
+        # Accepted jobs with their numbers of tasks.
         self.accepted_jobs: dict[str, int] = {}
+        # Number of times that a machine started a task.
         self.starts = 0
         self.rng = random.Random(seed)
         self.clock = Clock()
@@ -72,6 +76,7 @@
 
         self.store.put = logged  # type: ignore[method-assign]
         self.outage = False
+        # Calls that are made when the clock has reached their time.
         self.delayed_calls: list[tuple[float, Callable[[], object]]] = []
         self.incarnations = 0
         self.nodes: dict[str, Node] = {name: self.new_node(name) for name in members}
@@ -79,8 +84,11 @@
         self.workers = [self.new_worker(f"vm-{number}") for number in range(machines)]
         self.machines_made = len(self.workers)
         self.last_job_number = 0
+        # When the cancellation of a job was first confirmed.
         self.cancelled_at: dict[str, float] = {}
+        # Jobs that a controller has reported as done.
         self.done_jobs: set[str] = set()
+        # Numbers of heartbeat answers by HTTP status.
         self.answer_counts = Counter[str]()
 
     def new_node(self, name: str) -> Node:
--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -33,7 +33,9 @@
         self.world = world
         self.settings = parse(settings_text(name, world.members, world.text))
         clock = world.clock
+        # Whether the state service rejects the requests of this controller.
         self.refused = False
+        # Number of changes of the world's log that were applied.
         self.log_position = 0
         self.tables = Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
         self.client = self.client_class(self.settings, lambda: len(world.members), clock.now)
