--- a/sloeswitch/core/cancellation_guard.py
+++ b/sloeswitch/core/cancellation_guard.py
@@ -207,14 +207,15 @@
     def due_for_inspection(self, unaccounted: dict[str, CancelledJob], now: float) -> set[str]:
         """Machines to inspect now.
 
-        A machine's owner first gets `late_s` to account for it, unless the deadline of the cancellation is near.
+        A machine's owner first gets `missed_report_s` to account for it, unless the deadline of the cancellation is
+        near.
         """
         self._suspected_since = {name: self._suspected_since.get(name, now) for name in unaccounted}
         urgent_s = URGENT_SHARE * self.settings.cancel_s
         return {
             name
             for name, job in unaccounted.items()
-            if job.age_s >= urgent_s or now - self._suspected_since[name] >= self.settings.late_s
+            if job.age_s >= urgent_s or now - self._suspected_since[name] >= self.settings.missed_report_s
         }
 
     # -- inspections
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that a controller answers with, computed from its state at that moment."""
+"""The metrics of a controller, computed from its current state on each request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.machine import AttemptKey, Machine
 from sloeswitch.core.transaction import Transaction
-from sloeswitch.http import encode_plain_answer
+from sloeswitch.http import encode_with_cached_head
 from sloeswitch.http_client import HttpTransportError, Reply
 from sloeswitch.metrics import MachineCondition, machine_condition
 from sloeswitch.rate_budget import RequestPriority
@@ -26,14 +26,14 @@
 
 
 def scrape(world: World) -> dict[str, float]:
-    """Each sample by its name and labels."""
+    """Requests the metrics and returns each sample by its name and labels."""
     answer = ask(world, "GET", "/metrics")
     assert answer.status == 200
     lines = answer.body.decode().splitlines()
     return {name: float(value) for name, value in (line.rsplit(" ", 1) for line in lines if not line.startswith("#"))}
 
 
-def test_metrics_say_who_leads_and_what_was_read(world: World) -> None:
+def test_metrics_report_leadership_and_the_applied_revision(world: World) -> None:
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     world.replica.linearizable_at -= 1.5
     samples = scrape(world)
@@ -45,7 +45,7 @@
     assert scrape(world)["sloeswitch_leader"] == 0
 
 
-def test_metrics_say_what_a_team_may_use_and_uses(world: World) -> None:
+def test_metrics_report_the_quota_and_the_usage_of_a_team(world: World) -> None:
     start_task(world)
     world.machines.registry.handed_off_tasks[JOB] = 0b10
     world.machines.quota.update_handed_off_usage()
@@ -108,7 +108,7 @@
 
 
 def test_metrics_are_answered_as_text_and_jobs_as_json(world: World) -> None:
-    assert b"Content-Type: text/plain; version=0.0.4" in encode_plain_answer(ask(world, "GET", "/metrics"))
+    assert b"Content-Type: text/plain; version=0.0.4" in encode_with_cached_head(ask(world, "GET", "/metrics"))
     world.store.job(spec())
-    assert b"Content-Type: application/json" in encode_plain_answer(ask(world, "GET", f"/submissions/{JOB}"))
+    assert b"Content-Type: application/json" in encode_with_cached_head(ask(world, "GET", f"/submissions/{JOB}"))
     assert ask(world, "POST", "/metrics").status == 405
