--- a/tests/support/cluster_cloud.py
+++ b/tests/support/cluster_cloud.py
@@ -53,8 +53,8 @@
         commands.record_begun(machine)
         if worker is None or not node.leadership.may_answer_workers:
             return
-        orders = node.machines.registry.commands(machine, node.tables, None) if machine.reconciled else []
-        message = wire.WorkerCommands(node.leadership.view.number, orders, machine.agent_epoch or 1)
+        worker_commands = node.machines.registry.commands(machine, node.tables, None) if machine.reconciled else []
+        message = wire.WorkerCommands(node.leadership.view.number, worker_commands, machine.agent_epoch or 1)
         world.recorder.record("command", node.settings.member, machine.name, wire.encode(message))
         # The next probe is due as after a real command, which ends when its timeout expires at the latest.
         wait_s = min(2.0, node.settings.lease_s / 6)
--- a/tests/support/cluster_worker.py
+++ b/tests/support/cluster_worker.py
@@ -54,8 +54,8 @@
             return
         self.fencing_token = message.fencing_token
         self.world.event_counts["late command" if late else "command"] += 1
-        for order in message.commands:
-            self.execute(order)
+        for command in message.commands:
+            self.execute(command)
 
     @property
     def lease_expired(self) -> bool:
@@ -107,8 +107,8 @@
         world.answer_counts[str(answer.status)] += 1
         world.recorder.record("heartbeat", self.name, self.target, answer.status, answer.body)
         if answer.status == 421:
-            to = wire.decode(answer.body, dict[str, Any]).get("foreman")
-            self.target = to or rng.choice(world.members)
+            named_owner = wire.decode(answer.body, dict[str, Any]).get("foreman")
+            self.target = named_owner or rng.choice(world.members)
         elif answer.status != 200:
             self.target = rng.choice(world.members)
         elif rng.random() > 0.05 and not self.deaf:
@@ -130,29 +130,29 @@
         now = self.world.clock.time
         for at, sent, agent_epoch, body in [item for item in self.answers_in_flight if item[0] <= now]:
             self.answers_in_flight.remove((at, sent, agent_epoch, body))
-            orders = wire.decode(body, wire.WorkerCommands)
-            if now - sent > 4.0 or agent_epoch != self.agent_epoch or orders.fencing_token < self.fencing_token:
+            message = wire.decode(body, wire.WorkerCommands)
+            if now - sent > 4.0 or agent_epoch != self.agent_epoch or message.fencing_token < self.fencing_token:
                 continue
-            self.fencing_token = orders.fencing_token
+            self.fencing_token = message.fencing_token
             self.lease_renewed_at = max(self.lease_renewed_at, sent)
             self.last_answer_received = True
-            for order in orders.commands:
-                self.execute(order)
+            for command in message.commands:
+                self.execute(command)
 
-    def execute(self, order: wire.WorkerCommand) -> None:
-        key = (order.task, order.attempt)
-        if order.verb == "start" and key not in self.tasks:
+    def execute(self, command: wire.WorkerCommand) -> None:
+        key = (command.task, command.attempt)
+        if command.verb == "start" and key not in self.tasks:
             live = [task for (task, _), (state, _) in self.tasks.items() if state != "ended"]
-            if order.task in live:
+            if command.task in live:
                 self.tasks[key] = ("ended", "busy")
-            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, order.task]) > CORES:
+            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, command.task]) > CORES:
                 self.tasks[key] = ("ended", "no_room")
             else:
-                self.world.check_start(self, order.task)
+                self.world.check_start(self, command.task)
                 self.tasks[key] = ("running", None)
-        elif order.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
+        elif command.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
             self.tasks[key] = ("ended", "halted")
-        elif order.verb == "clear":
+        elif command.verb == "clear":
             self.tasks.pop(key, None)
 
     def work(self) -> None:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -72,6 +72,7 @@
         super().__init__(store, text)
         self.machine_count = machines
         self.commands: list[tuple[Callable[..., Any], tuple[Any, ...]]] = []
+        # The numbers of changes and bytes of each transaction.
         self.transactions: list[tuple[int, int]] = []
         self._record_commits()
         self.machines.commands.spawn = lambda call, *args: self.commands.append((call, args))
--- a/tests/support/quota_world.py
+++ b/tests/support/quota_world.py
@@ -170,11 +170,11 @@
 class QuotaWorker(Worker):
     """A worker that keeps results: a task that is started again after it completed is reported as done at once."""
 
-    def execute(self, order: Any) -> None:
-        if order.verb == "start" and order.task in self.world.completed_tasks:
-            self.tasks.setdefault((order.task, order.attempt), ("ended", "done"))
+    def execute(self, command: Any) -> None:
+        if command.verb == "start" and command.task in self.world.completed_tasks:
+            self.tasks.setdefault((command.task, command.attempt), ("ended", "done"))
             return
-        super().execute(order)
+        super().execute(command)
 
 
 class QuotaWorld(World):
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -68,9 +68,12 @@
         return wire.decode(message.answer.body, wire.WorkerCommands)
 
     def send_task_updates(self, updates: TaskUpdates) -> None:
+        """Lets the jobs actor handle task updates; `commit_and_place` stores them."""
         anyio.run(self.jobs.handle, updates)
 
     def commit_and_place(self, request: ClaimRequest | None = None) -> None:
+        """Runs a commit of the jobs actor, with a claim request if given, and places the claimed tasks."""
+
         async def once() -> None:
             if request is not None:
                 await self.jobs.handle(request)
@@ -112,6 +115,7 @@
 
 
 def register_machine(world: World) -> None:
+    """Stores the row of machine vm-1 and sends its reports 1 and 2, after which it is reconciled."""
     world.store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     world.heartbeat(worker_report(1, 0))
     world.heartbeat(worker_report(2, 3))
@@ -124,13 +128,13 @@
 
 
 def advance_time(world: World, seconds: float) -> None:
-    """Time passes and the controller keeps its lease."""
+    """Advances the clock and renews the controller's lease."""
     world.clock.time += seconds
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
 def command_verbs(answer: Any) -> list[str]:
-    return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).commands]
+    return [command.verb for command in wire.decode(answer.body, wire.WorkerCommands).commands]
 
 
 def start_task(world: World) -> tuple[str, int]:
@@ -163,6 +167,8 @@
 
 
 def run_deletions(world: World, scale_in: ScaleIn) -> list[str]:
+    """Sends the deletions that are due; returns all machines whose deletion the cloud has received."""
+
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
@@ -175,13 +181,15 @@
     return scale_in.cloud.deleted
 
 
-def apply_sibling_status(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
+def apply_sibling_status(
+    log: CancellationLog, world: World, fully_read: bool = True, view_number: int = 3
+) -> StatusFrame:
     """Applies the status answer of sibling c1, which has this cancellation log, as encoded for the wire; returns it."""
     sibling = Mesh(
         (),
         1.0,
         world.clock.now,
-        MeshCallbacks(lambda: PeerStatus(view, False, 0, whole, True), lambda entries: None),
+        MeshCallbacks(lambda: PeerStatus(view_number, False, 0, fully_read, True), lambda entries: None),
         log,
     )
     peer = attach_mesh(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -81,11 +81,11 @@
 def test_sibling_without_a_full_read_confirms_nothing(world: World) -> None:
     start_task(world)
     state_outage(world)
-    apply_sibling_status(CancellationLog(100, 9), world, whole=False)
+    apply_sibling_status(CancellationLog(100, 9), world, fully_read=False)
     assert not world.leadership.may_answer_workers
     apply_sibling_status(CancellationLog(100, 9), world)
     assert world.leadership.may_answer_workers
-    apply_sibling_status(CancellationLog(100, 9), world, view=4)
+    apply_sibling_status(CancellationLog(100, 9), world, view_number=4)
     assert not world.leadership.may_answer_workers
 
 
