--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -56,7 +56,7 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         # These delays would wait in real time.
-        self.machines.claims.tick_interval_s = self.machines.registration.pace_s = self.jobs.batch_s = 0.0
+        self.machines.claims.tick_interval_s = self.machines.registration.write_pause_s = self.jobs.batch_s = 0.0
         self.inbox: list[MachinesMessage] = []
         if world.extra_faults:
             self.machines.termination.autoscaler = ScriptedCloud(self)
