--- a/sloeswitch/actors/heartbeat_handler.py
+++ b/sloeswitch/actors/heartbeat_handler.py
@@ -112,7 +112,7 @@
 
         The report is ignored while the registry does not yet follow the current view.
         """
-        self.commands.record_alive(report.machine)
+        self.commands.record_reply_received(report.machine)
         machine = self.registry.machines.get(report.machine)
         followed_view = self.ownership.followed_view
         if machine is None or followed_view != self.leadership.view.number:
@@ -152,7 +152,7 @@
     def _apply_reconciled(self, machine: Machine, result: ReconcileResult) -> None:
         """Forwards the completions, failures and adoptions that a report showed, and logs its foreign attempts."""
         now = self.now()
-        self.commands.record_reply(machine.name)
+        self.commands.reset_failures(machine.name)
         for (job, index), name in result.done:
             self.health.record_success(job, name)
             self.task_updates.record_done(job, index)
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -1,4 +1,4 @@
-"""Submissions that can never run, and repeats of known ones."""
+"""Submissions of jobs that can never run, and repeated submissions of known jobs."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
         *(({name: {}}, 400) for name in submission() if name != "id"),
     ],
 )
-def test_what_can_never_run_or_lacks_a_field_is_never_accepted(world: World, changes: Any, status: int) -> None:
+def test_a_job_that_can_never_run_or_is_malformed_is_rejected(world: World, changes: Any, status: int) -> None:
     assert submit(world, JOB, **changes) == status
-    # Before the machine types are known it is not decided; what is malformed is so at any time.
+    # While the machine types are unknown, a submission is refused for now; a malformed one is always rejected.
     world.store.tables.machine_types.clear()
     undecided = 400 if status == 400 else 503
     assert submit(world, "wk-000002", **changes) == undecided
 
 
-def test_a_repeat_of_a_known_job_is_answered_whatever_else_is_in_it(world: World) -> None:
+def test_a_repeated_submission_of_a_known_job_is_answered_despite_other_fields(world: World) -> None:
     assert submit(world, JOB) == 201
     for changes in ({"visits": 7}, {"cores": 99.0}, {"crew": "nobody"}, {"kit": ...}, {"urgency": 5}):
         assert submit(world, JOB, **changes) == 200
