--- a/tests/support/cluster_node.py
+++ b/tests/support/cluster_node.py
@@ -1,4 +1,4 @@
-"""One controller of the cluster: the real actors on scripted neighbours, driven a step at a time."""
+"""One controller of the simulated cluster: the real actors with fake external services, advanced step by step."""
 
 from __future__ import annotations
 
@@ -33,7 +33,9 @@
         self.world = world
         self.settings = parse(settings_text(name, world.members, world.text))
         clock = world.clock
+        # Whether the state service rejects the requests of this controller.
         self.refused = False
+        # Number of changes of the world's log that were applied.
         self.log_position = 0
         self.tables = Tables(CancellationLog(50, world.rng.getrandbits(40) + 1))
         self.client = self.client_class(self.settings, lambda: len(world.members), clock.now)
@@ -53,40 +55,40 @@
         self.membership = Membership(self.context)
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
-        # Pauses would be real ones.
+        # These delays would wait in real time.
         self.machines.claims.tick_interval_s = self.machines.registration.write_pause_s = (
             self.jobs.commit_interval_s
         ) = 0.0
         self.inbox: list[MachinesMessage] = []
-        if world.troubled:
+        if world.extra_faults:
             self.machines.termination.autoscaler = ScriptedCloud(self)
         self.group = ScriptedTaskGroup(self)
         self.machines.group = self.group  # type: ignore[assignment]
         self.asked: list[ClaimRequest] = []
 
         async def ask_for(request: ClaimRequest) -> None:
-            raise AssertionError("taken from the group")
+            raise AssertionError("claim requests are intercepted in the task group")
 
         self.machines.claims._await_claims = ask_for  # type: ignore[method-assign]
 
     @property
-    def reaches(self) -> bool:
+    def reaches_service(self) -> bool:
         return not self.refused and not self.world.outage
 
     def read(self) -> None:
-        """All changes since the last reading, sent now and answered at once; and the lease is renewed."""
-        if not self.reaches:
+        """Applies all changes since the last read, as a linearizable read that is sent and answered now."""
+        if not self.reaches_service:
             return
         while self.log_position < len(self.world.log):
-            key, value, stamp = self.world.log[self.log_position]
-            self.tables.apply(key, value, stamp)
+            key, value, revision = self.world.log[self.log_position]
+            self.tables.apply(key, value, revision)
             self.log_position += 1
-        self.replica.applied_revision = self.world.store.epoch
+        self.replica.applied_revision = self.world.store.revision
         self.replica.loaded = self.replica.fully_read = True
         self.replica.linearizable_at = self.world.clock.time
 
     def renew(self) -> None:
-        if not self.reaches:
+        if not self.reaches_service:
             return
         name, now = self.settings.member, self.world.clock.time
         if not self.leadership.incarnation or (name, self.leadership.incarnation) not in self.world.leases:
@@ -100,11 +102,11 @@
         self.store_member()
 
     def store_member(self) -> None:
-        """Stores the member row if it is not as it should be."""
+        """Stores the member row if the stored one differs."""
         self.world.run(self.membership._write_member)
 
     def tick(self) -> None:
-        """A tick of the machines actor, and a transaction of the jobs actor with the claims that it asked for."""
+        """Runs a tick of the machines actor and a commit of the jobs actor with the claims that the tick requested."""
         for message in self.inbox:
             self.world.run(self.machines.handle, message)
         self.inbox.clear()
@@ -112,7 +114,7 @@
         self.machines.claims.claim_in_flight = False
 
     def _tick_machines(self) -> list[ClaimRequest]:
-        """One tick of the machines actor; the claims that it asks the jobs actor for."""
+        """Runs one tick of the machines actor and returns the claims that it requests from the jobs actor."""
         group = self.group
         start_soon = group.start_soon
         requests: list[ClaimRequest] = []
@@ -129,7 +131,7 @@
         return requests
 
     async def _commit(self, requests: list[ClaimRequest]) -> None:
-        """Carries out what the tick started, delivers the actors' messages, and commits."""
+        """Runs the calls that the tick started, delivers the actors' messages, and commits."""
         for call, args in self.group.pending:
             await call(*args)
         self.group.pending.clear()
@@ -144,7 +146,7 @@
             await self.jobs._commit_round()
 
     async def _deliver_messages(self) -> None:
-        """The membership and jobs actors handle what is in their inboxes."""
+        """Lets the membership and jobs actors handle the messages in their inboxes."""
         while self.membership._inbox:
             message = self.membership._inbox.popleft()
             assert isinstance(message, ShardRecovered)
--- a/tests/support/takeover_world.py
+++ b/tests/support/takeover_world.py
@@ -1,7 +1,7 @@
-"""A cluster in which a machine hangs with a cancelled task, and its owner changes again and again.
+"""A simulated cluster in which a machine hangs with a cancelled task while its owner changes repeatedly.
 
-Each seed draws how owners change and how often. Nothing else goes wrong: whatever is deleted besides the machine that
-hangs was healthy.
+The seed selects how owners change and how often. There are no other faults, so no machine but the one that hangs may be
+deleted.
 
     python3 -m tests.support.takeover_world 1 201          # seeds 1 to 200
 """
@@ -20,54 +20,54 @@
 from tests.support.cluster_cloud import ScriptedTaskGroup
 from tests.support.cluster_node import Node
 from tests.support.cluster_worker import Worker
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 
 MEMBERS = ("c0", "c1", "c2")
 MACHINES = 12
 JOBS = 12
-# Steps before a machine hangs: all controllers have joined, and tasks run everywhere.
-QUIET_STEPS = 120
-# For so long after the cancellation the world is played; the machine would hang longer.
-PLAYED_S = 40.0
+# Steps before a machine hangs, after which all controllers have joined and machines run tasks.
+WARM_UP_STEPS = 120
+# How long the simulation runs after the cancellation, and how long the machine hangs, in seconds.
+SIMULATED_S = 40.0
 HANG_S = 200.0
 # The shortest and the longest time between two changes of owners, in seconds.
 MIN_INTERVAL_S, MAX_INTERVAL_S = 0.3, 6.0
-# For so long the state service refuses a controller that is to lose its lease, in seconds.
+# How long the state service rejects a controller that is to lose its lease, in seconds.
 REFUSED_S = 4.0
 
 
 class TakeoverKind(StrEnum):
     """How the hung machine changes owners."""
 
-    # The owner's process ends, and another one is back at once.
+    # The owner restarts, with no downtime.
     OWNER_RESTARTS = "owner restarts"
     # All controllers restart, one after the other.
     EACH_RESTARTS = "each restarts"
-    # The state service refuses the owner until its lease is over; the process goes on.
+    # The state service rejects the owner until its lease expires; the process continues.
     OWNER_LOSES_LEASE = "owner loses its lease"
-    # One or the other.
+    # Each change is one of the three kinds above, drawn at random.
     MIXED = "mixed"
-    # Its owner changes once, shortly before the task must be gone.
+    # The owner restarts once, 12 to 28.5 s after the cancellation; the task must be gone after 30 s.
     ONCE_LATE = "once, late"
     # The owner restarts while the state service is down.
     RESTART_IN_OUTAGE = "restart in an outage"
 
 
 class ReliableTaskGroup(ScriptedTaskGroup):
-    """Commands and inspections are answered at once by every machine that does not hang."""
+    """Delivers all commands and inspections; every machine that does not hang answers at once."""
 
-    late_share, arriving_share, answered_share = 0.0, 1.0, 1.0
-    lost_inspections = 0.0
+    late_below, arriving_below, answered_below = 0.0, 1.0, 1.0
+    inspection_loss = 0.0
 
     def command(self, machine: Machine) -> None:
-        """One that is not sent after all ends at once."""
+        """Sends a command; one that is dropped because the controller may not answer workers ends at once."""
         super().command(machine)
         if not self.node.leadership.may_answer_workers:
             self.node.machines.commands.record_ended(machine)
 
 
 class TakeoverNode(Node):
-    """A controller whose network is sound."""
+    """A controller whose commands and inspections are not lost or late."""
 
     def __init__(self, world: World, name: str) -> None:
         super().__init__(world, name)
@@ -87,20 +87,20 @@
         if answer.status == 200:
             self.answers_in_flight.append((sent, sent, self.agent_epoch, answer.body))
             return
-        told = wire.decode(answer.body, dict[str, Any]).get("foreman") if answer.status == 421 else None
-        self.target = told or world.rng.choice(world.members)
+        named_owner = wire.decode(answer.body, dict[str, Any]).get("foreman") if answer.status == 421 else None
+        self.target = named_owner or world.rng.choice(world.members)
 
 
 class TakeoverWorld(World):
-    """Healthy machines and one that hangs; owners change as the seed has it."""
+    """A cluster of healthy machines and one that hangs, with changes of owners selected by the seed."""
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES)
-        self.task_ends = 0.004
+        super().__init__(seed, extra_faults=True, members=MEMBERS, machines=MACHINES)
+        self.task_end_probability = 0.004
         self.kind = self.rng.choice(list(TakeoverKind))
         self.interval_s = self.rng.uniform(MIN_INTERVAL_S, MAX_INTERVAL_S)
         self.next_change_at = float("inf")
-        self.restarted = 0
+        self.restart_count = 0
         self.hung_machine: Worker | None = None
         self.cancelled_job = ""
 
@@ -110,26 +110,29 @@
     def new_worker(self, name: str) -> Worker:
         return PromptWorker(self, name)
 
-    def trouble(self, node: Node) -> None:
-        """No machine fails but the one that hangs."""
+    def begin_machine_fault(self, node: Node) -> None:
+        """Does nothing: no machine fails except the one that hangs."""
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         if self.hung_machine is None:
-            if len(self.sizes) < JOBS:
-                self.number += 1
-                self.submit(node, spec(f"wk-{self.number:06d}", visits=self.rng.randint(2, 4), cores=0.5))
-        elif self.clock.time >= self.next_change_at and self.is_known_to_siblings():
+            if len(self.accepted_jobs) < JOBS:
+                self.last_job_number += 1
+                self.submit(node, spec(f"wk-{self.last_job_number:06d}", visits=self.rng.randint(2, 4), cores=0.5))
+        elif self.clock.time >= self.next_change_at and self.is_cancellation_read():
             self.next_change_at = self.clock.time + self.interval_s
             self.change_owner(self.kind)
-        self.ask_siblings()
+        self.request_peer_statuses()
 
-    def ask_siblings(self) -> None:
-        """Every controller asks one of the others for its status."""
+    def request_peer_statuses(self) -> None:
+        """Lets every controller request the status of one of the others."""
         for node in self.nodes.values():
-            self.ask_sibling(node)
+            self.request_peer_status(node)
 
     def hang_machine(self) -> bool:
-        """A machine with tasks hangs, and the job of one of them is cancelled; False where there is none."""
+        """Cancels the job of a running task and makes its machine hang.
+
+        Returns False if no machine runs a task or the cancellation fails.
+        """
         running = [worker for worker in self.workers if any(state == "running" for state, _ in worker.tasks.values())]
         if not running:
             return False
@@ -137,7 +140,7 @@
         task = next(task for (task, _), (state, _) in worker.tasks.items() if state == "running")
         self.cancelled_job = task.partition("/")[0]
         self.cancel(self.cancelled_job, self.nodes[self.rng.choice(MEMBERS)])
-        if self.cancelled_job not in self.told:
+        if self.cancelled_job not in self.cancelled_at:
             return False
         worker.hung_until = self.clock.time + HANG_S
         self.hung_machine = worker
@@ -145,22 +148,22 @@
         return True
 
     def first_change_at(self) -> float:
-        """Owners change from the cancellation on, or once at a moment between half of the time and its end."""
+        """Returns the time of the first change of owners; for ONCE_LATE also disables later changes."""
         if self.kind is not TakeoverKind.ONCE_LATE:
             return self.clock.time + self.interval_s * self.rng.random()
         self.interval_s = float("inf")
         return self.clock.time + 30.0 * self.rng.uniform(0.4, 0.95)
 
     def owner(self) -> str:
-        """The owner of the hung machine by the stored view."""
+        """Returns the owner of the hung machine by the stored view."""
         assert self.hung_machine is not None
         return self.store.tables.view.owner(self.hung_machine.name) or MEMBERS[0]
 
-    def is_known_to_siblings(self) -> bool:
+    def is_cancellation_read(self) -> bool:
         """Whether each controller has read the cancellation.
 
-        One that nobody has read but a process which ends in an outage cannot be known to anybody (docs/design.md,
-        "Limits known"); the seed decides how long after its reading owners change.
+        A cancellation is lost until the state service returns if only a process that ends during the outage has read
+        it (docs/design.md, "Limits known"), so the owner restarts in an outage only after every controller has read it.
         """
         if self.kind is not TakeoverKind.RESTART_IN_OUTAGE:
             return True
@@ -168,12 +171,12 @@
         return all(row is None or row.is_cancelled for row in rows)
 
     def change_owner(self, kind: TakeoverKind) -> None:
-        self.happened[str(kind)] += 1
+        self.event_counts[str(kind)] += 1
         if kind is TakeoverKind.MIXED:
             kinds = (TakeoverKind.OWNER_RESTARTS, TakeoverKind.EACH_RESTARTS, TakeoverKind.OWNER_LOSES_LEASE)
             kind = self.rng.choice(kinds)
         if kind is TakeoverKind.EACH_RESTARTS:
-            self.restart(MEMBERS[self.restarted % len(MEMBERS)])
+            self.restart(MEMBERS[self.restart_count % len(MEMBERS)])
         elif kind is TakeoverKind.OWNER_LOSES_LEASE:
             self.refuse(self.nodes[self.owner()])
         elif kind is TakeoverKind.RESTART_IN_OUTAGE:
@@ -184,13 +187,13 @@
             self.restart(self.owner())
 
     def restart(self, name: str) -> None:
-        """The process of a controller ends, and a new one is there."""
-        self.restarted += 1
+        """Replaces a controller's process by a new one."""
+        self.restart_count += 1
         self.nodes[name] = self.new_node(name)
 
     def refuse(self, node: Node) -> None:
         node.refused = True
-        self.late.append((self.clock.time + REFUSED_S, lambda: setattr(node, "refused", False)))
+        self.delayed_calls.append((self.clock.time + REFUSED_S, lambda: setattr(node, "refused", False)))
 
     def delete(self, name: str) -> None:
         worker = self.worker(name)
@@ -198,19 +201,19 @@
         super().delete(name)
 
 
-def play(seed: int) -> TakeoverWorld:
-    """Plays a world until the cancelled task must be gone, checking the rules after each step."""
+def simulate(seed: int) -> TakeoverWorld:
+    """Runs the simulation of a seed until after the cancelled task must be gone, checking the invariants each step."""
     world = TakeoverWorld(seed)
     world.start()
-    for _ in range(QUIET_STEPS):
+    for _ in range(WARM_UP_STEPS):
         world.step()
     while not world.hang_machine():
         world.step()
-    end = world.clock.time + PLAYED_S
+    end = world.clock.time + SIMULATED_S
     while world.clock.time < end:
         world.step()
     return world
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(play, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(simulate, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -17,8 +17,8 @@
 from sloeswitch.core.tables import Tables
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report, spec
-from tests.support.single_controller import NARROW, World
+from tests.conftest import Store, spec, worker_report
+from tests.support.single_controller import SETTINGS_WITH_NEXT_LIMITS, World
 
 JOB = "wk-000001"
 NAMES = [f"wk-{number:06d}" for number in range(60)]
@@ -30,12 +30,12 @@
 
     Every second task of each job is on a machine that c0.1 took over.
     """
-    store.upgraded()
-    world = World(store, NARROW)
+    store.put_complete_layout()
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     for name in NAMES:
         store.job(spec(name, visits=12, cores=0.01))
         store.progress(name, done=0b1, c1_9=taskset.full(12) & ~0b1)
-    store.member("c0", 1, settled=2)  # not recovered: tasks of c1.9 may still run
+    store.member("c0", 1, recovered_view=2)  # not recovered: tasks of c1.9 may still run
     store.put(keys.quota_key("red"), {"c1.9": [6.6, 0.0]})
     return world
 
@@ -44,16 +44,16 @@
 
 
 def adopt(world: World, rounds: int = 1) -> None:
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(NAMES, EVEN_TASKS), view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=dict.fromkeys(NAMES, EVEN_TASKS), view_number=3))
     for _ in range(rounds):
-        world.round()
+        world.commit_and_place()
 
 
 def test_adoptions_of_many_jobs_take_few_changes_and_move_the_quota_allocation(world: World) -> None:
     """Guards against one change per adopted job, which takes half a minute at the write rate of the state service."""
-    before = world.store.epoch
+    before = world.store.revision
     adopt(world, 3)
-    assert world.store.epoch - before <= 8
+    assert world.store.revision - before <= 8
     for tables in (world.store.tables, world.store.read_again()):
         for name in NAMES:
             claims = tables.jobs[name].progress.claims
@@ -65,9 +65,9 @@
 
 def test_tasks_released_or_completed_after_an_adoption_stay_so(world: World) -> None:
     adopt(world, 3)
-    world.tell_jobs(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
+    world.send_task_updates(TaskUpdates(released={JOB: 0b100}, done={JOB: 0b10000}))
     world.clock.time += 20.0
-    world.round()
+    world.commit_and_place()
     for tables in (world.store.tables, world.store.read_again()):
         progress = tables.jobs[JOB].progress
         assert progress.claims["c0.1"] == EVEN_TASKS & ~0b10100 and progress.done == 0b10001
@@ -87,13 +87,13 @@
 def test_an_adoption_with_a_lost_answer_is_committed_at_most_once(world: World) -> None:
     world.client.lose_answers = 1
     adopt(world, 4)
-    conditions, writes, _drops = world.client.late[0]
+    conditions, writes, _drops = world.client.lost_transactions[0]
     assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == EVEN_TASKS for name in NAMES)
-    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
+    assert world.client.apply(*world.client.lost_transactions[0])[0] is TransactionOutcome.CONFLICT
     # The lost transaction is applied once more under a later view, and fails again.
     world.store.view(4, ("c0", 1))
-    assert world.client.apply(*world.client.late[0])[0] is TransactionOutcome.CONFLICT
+    assert world.client.apply(*world.client.lost_transactions[0])[0] is TransactionOutcome.CONFLICT
 
 
 def test_adoptions_and_allocations_of_many_teams_respect_the_change_limit(store: Store) -> None:
@@ -102,17 +102,17 @@
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
     )
-    store.upgraded()
-    world = World(store, NARROW.replace("[deployment.workers]", more + "[deployment.workers]"))
+    store.put_complete_layout()
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more + "[deployment.workers]"))
     world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
         store.job(spec(name, crew=f"t{number}", visits=4, cores=1.0))
         store.progress(name, c1_9=0b1)
-    world.tell_jobs(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=dict.fromkeys(names, 1), view_number=3))
     for _ in range(8):
         increases = {f"t{number}": ResourceAmount(3.0) for number in (2, 3)}
-        world.round(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=increases))
+        world.commit_and_place(ClaimRequest(task_counts={names[2]: 2, names[3]: 2}, quota_increases=increases))
     claims = [store.tables.jobs[name].progress.claims for name in names]
     assert all(holder_claims.keys() == {"c0.1"} and holder_claims["c0.1"] & 1 for holder_claims in claims)
     assert all(holder_claims["c0.1"].bit_count() > 1 for holder_claims in claims[2:4])  # new tasks are claimed too
@@ -129,7 +129,7 @@
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 7})
     anyio.run(world.jobs.garbage_collector.collect)
     assert set(world.store.tables.adoption_keys) == stored_keys  # not recovered: the adoptions still count
-    world.store.member("c0", 7, settled=4)
+    world.store.member("c0", 7, recovered_view=4)
     for _ in range(4):
         anyio.run(world.jobs.garbage_collector.collect)
     assert not world.store.tables.adoption_keys and not world.store.tables.adoptions
@@ -141,12 +141,12 @@
     Once the view counts as recovered, the former owner's claims are void and its unfinished tasks are free to claim.
     """
     world = World(store)
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
     store.job(spec(visits=2))
     store.progress(JOB, c1_9=0b01)
     for sequence, token in ((1, 0), (2, 3)):
-        world.heartbeat(report(sequence, token, (f"{JOB}/0", 5, "ended", "done")))
+        world.heartbeat(worker_report(sequence, token, (f"{JOB}/0", 5, "ended", "done")))
     world.machines._report_recovery()
     assert store.tables.jobs[JOB].progress.done or not world.membership._inbox
 
@@ -186,7 +186,7 @@
         elif self.random.random() < 0.1:
             # An initial read of all rows, which counts as complete only up to the revision at which it started.
             writer.tables = self.store.read_again()
-            writer.applied_revision = max(0, self.store.epoch - self.random.randrange(4))
+            writer.applied_revision = max(0, self.store.revision - self.random.randrange(4))
             return
         job = writer.tables.jobs.get(JOB)
         if job is None:
@@ -200,7 +200,7 @@
         for key, value, revision in self.log:
             if revision > writer.applied_revision:
                 writer.tables.apply(key, value, revision)
-        writer.applied_revision = self.store.epoch
+        writer.applied_revision = self.store.revision
 
     def adopt(self, writer: Writer) -> None:
         """The writer adopts random tasks of the departed c1.9, which no other writer can adopt."""
@@ -261,7 +261,7 @@
 
     The view changes while the tables are read for the transaction.
     """
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store)
     world.client.max_transaction_changes = 3
     store.job(spec(JOB, visits=2, cores=1.0))
@@ -274,8 +274,8 @@
             store.view(4, ("c0", 1), ("c1", 9))
 
     world.replica.read_linearizable = read  # type: ignore[method-assign]
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
     decreases = {team: QuotaDecrease(revision, 1.0, 0.0) for team in ("red", "blue")}
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_decreases=decreases))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_decreases=decreases))
     assert store.tables.view.number == 4
     assert store.tables.jobs[JOB].progress.claims.get("c0.1", 0) & 0b01 == 0
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -17,10 +17,10 @@
 from sloeswitch.core.cancellation_guard import MAX_FAILED_INSPECTIONS, OVERDUE_SHARE, URGENT_SHARE
 from sloeswitch.core.cancellation_log import Cancellation
 from sloeswitch.core.records import JobState
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.fleet import FleetWorld
-from tests.support.single_controller import JOB, Cloud, World, ask, deletions
-from tests.support.takeover_world import TakeoverKind, play
+from tests.support.single_controller import JOB, Cloud, World, ask, run_deletions
+from tests.support.takeover_world import TakeoverKind, simulate
 
 CANCEL_S = 30.0
 MACHINES = [f"vm-{number}" for number in range(8)]
@@ -85,9 +85,9 @@
 @pytest.mark.parametrize("seed", [2, 4, 16, 17, 23, 27])
 def test_only_the_hung_machine_is_deleted_and_in_time_despite_owner_changes(seed: int) -> None:
     """Guards against a wait that restarts at each takeover: in these seeds the task then outlasts `cancel_s`."""
-    world = play(seed)
+    world = simulate(seed)
     kinds = {str(kind) for kind in TakeoverKind}
-    assert kinds & world.happened.keys() and world.happened["deleted"] == 1
+    assert kinds & world.event_counts.keys() and world.event_counts["deleted"] == 1
 
 
 @pytest.mark.parametrize("stored", [{}, {"x": 0}, {"x": 10**15}, {"x": -5}])
@@ -116,7 +116,7 @@
     """Guards against a full new wait at each owner of a machine that reports a cancelled task but receives nothing."""
     takeover = Takeover(store, {})
     takeover.pass_time(0.4 * CANCEL_S)
-    message = CommandReply(report(1, 3, (f"{JOB}/0", 1, "running"), name=MACHINES[0]))
+    message = CommandReply(worker_report(1, 3, (f"{JOB}/0", 1, "running"), name=MACHINES[0]))
     anyio.run(takeover.world.machines.handle, message)
     takeover.pass_time(0.2 * CANCEL_S)
     assert MACHINES[0] in takeover.deleted
@@ -129,7 +129,7 @@
     sibling.pass_time_answering(4, {first, second})
     guard = sibling.world.machines.cancellations.guard
     failures = guard.inspections[first].failures
-    anyio.run(sibling.world.machines.handle, InspectionReply(second, report(1, 4, name=first)))
+    anyio.run(sibling.world.machines.handle, InspectionReply(second, worker_report(1, 4, name=first)))
     assert guard.inspections[first].failures == failures > 0
 
 
@@ -138,7 +138,7 @@
     takeover = Takeover(store, {"x": 1})
     world = takeover.world
     for name in MACHINES[1:]:
-        anyio.run(world.machines.handle, CommandReply(report(1, 3, name=name)))
+        anyio.run(world.machines.handle, CommandReply(worker_report(1, 3, name=name)))
     takeover.pass_time(10)
     assert takeover.deleted == [MACHINES[0]]
 
@@ -148,7 +148,7 @@
     takeover = Takeover(store, {"x": 1})
     for _ in range(10):
         for name in MACHINES:
-            anyio.run(takeover.world.machines.handle, CommandReply(report(1, 9, name=name)))
+            anyio.run(takeover.world.machines.handle, CommandReply(worker_report(1, 9, name=name)))
         takeover.tick(1.0)
     assert takeover.deleted == []
 
@@ -194,8 +194,8 @@
         self.report_count = 0
         super().__init__(store, {"x": int(1000 * (1000.0 - cancelled_s))})
         store.view(4, ("c0", 1), ("c1", 2))
-        store.member("c0", 1, settled=4)
-        store.member("c1", 2, settled=3)
+        store.member("c0", 1, recovered_view=4)
+        store.member("c1", 2, recovered_view=3)
         self.sibling_machines = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
         self.tick()
         self.inspected_machines.clear()
@@ -205,12 +205,12 @@
         super().tick(seconds)
         self.report_count += 1
         for name in set(MACHINES) - self.sibling_machines:
-            message = HeartbeatRequest(report=report(self.report_count, 4, name=name), last_answer_received=True)
+            message = HeartbeatRequest(report=worker_report(self.report_count, 4, name=name), last_answer_received=True)
             anyio.run(self.world.machines.handle, message)
 
     def answer_inspections(self, silent: set[str]) -> None:
         for name in self.inspected_machines:
-            message = InspectionReply(name, None if name in silent else report(1, 4, name=name))
+            message = InspectionReply(name, None if name in silent else worker_report(1, 4, name=name))
             anyio.run(self.world.machines.handle, message)
         self.inspected_machines.clear()
 
@@ -231,7 +231,7 @@
 
 def test_sibling_does_not_inspect_machines_that_their_owner_accounts_for(store: Store) -> None:
     sibling = Sibling(store, 0.4 * CANCEL_S)
-    store.member("c1", 2, settled=4)
+    store.member("c1", 2, recovered_view=4)
     for _ in range(10):
         sibling.tick(1.0)
     assert sibling.inspected_machines == [] and sibling.deleted == []
@@ -276,14 +276,14 @@
     silent = sorted(sibling.sibling_machines)[0]
     sibling.pass_time_answering(10, {silent})
     assert list(scale_in.terminating) == [silent]
-    store.member("c1", 2, settled=4)
+    store.member("c1", 2, recovered_view=4)
     sibling.tick(1.0)
     scale_in.wake = anyio.Event()
-    assert deletions(sibling.world, scale_in) == [], "its owner accounts for it"
-    store.member("c1", 2, settled=3)
+    assert run_deletions(sibling.world, scale_in) == [], "its owner accounts for it"
+    store.member("c1", 2, recovered_view=3)
     sibling.pass_time_answering(10, {silent})
     scale_in.wake = anyio.Event()
-    assert deletions(sibling.world, scale_in) == [silent]
+    assert run_deletions(sibling.world, scale_in) == [silent]
 
 
 def test_takeover_of_a_fleet_deletes_only_the_hung_machine() -> None:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -22,20 +22,29 @@
 from sloeswitch.http_client import Reply
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report, spec, submission
-from tests.support.single_controller import JOB, Cloud, World, deletions, heartbeat, later, machine_up, meshed
+from tests.conftest import Store, spec, submission, worker_report
+from tests.support.single_controller import (
+    JOB,
+    Cloud,
+    World,
+    advance_time,
+    attach_mesh,
+    heartbeat,
+    register_machine,
+    run_deletions,
+)
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def partition(world: World) -> Users:
     """Cuts the controller off from the state service and its sibling until all its permissions have expired."""
-    mesh = meshed(world)
+    mesh = attach_mesh(world)
     mesh.peers["c1"].requested_at = world.clock.time
     world.clock.time += 2 * world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
@@ -44,7 +53,7 @@
 
 def test_a_partitioned_controller_answers_503_to_workers_and_users(world: World) -> None:
     users = partition(world)
-    assert heartbeat(world, report(9, 3)).status == 503
+    assert heartbeat(world, worker_report(9, 3)).status == 503
     requests = [
         Request("GET", "/healthz", b""),
         Request("POST", "/submissions", wire.encode(submission())),
@@ -72,14 +81,14 @@
     world.leadership.incarnation = 7
     world.membership.recovered_view = 0
     assert anyio.run(world.membership._write_member)
-    for write in world.client.late:
+    for write in world.client.lost_transactions:
         assert world.client.apply(*write)[0] is TransactionOutcome.CONFLICT
     assert world.store.tables.members["c0"].incarnation == 7
 
 
 def test_a_member_row_overwritten_by_an_earlier_incarnation_is_written_again(world: World) -> None:
     world.leadership.incarnation = 7
-    world.store.member("c0", 1, settled=3)
+    world.store.member("c0", 1, recovered_view=3)
     assert not world.membership._row_is_current(7)
     assert anyio.run(world.membership._write_member)
     assert world.membership._row_is_current(7)
@@ -100,15 +109,15 @@
     world.store.progress(JOB, c0_1=0b1111)
     job = world.store.tables.jobs[JOB]
     world.store.view(4, ("c0", 7))
-    world.store.member("c0", 7, settled=0)
+    world.store.member("c0", 7, recovered_view=0)
     assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0
-    world.store.member("c0", 7, settled=4)
+    world.store.member("c0", 7, recovered_view=4)
     assert world.store.tables.unclaimed_tasks(job, world.store.tables.recovery_complete()) == 0b1111
 
 
 def test_a_recovered_view_whose_write_was_lost_is_stored_again(world: World) -> None:
     """Otherwise the view would never count as recovered, and claims of departed controllers would never be released."""
-    world.store.member("c0", 1, settled=0)
+    world.store.member("c0", 1, recovered_view=0)
     world.membership.recovered_view = 3
     world.client.lose_answers = 3
     assert not anyio.run(world.membership._write_member)
@@ -125,24 +134,24 @@
     name = next(f"vm-{number}" for number in range(99) if owner(f"vm-{number}", members) == "c1")
     scale_in.request_termination(name)
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert deletions(world, scale_in) == []  # Its lease has expired.
+    assert run_deletions(world, scale_in) == []  # Its lease has expired.
     # After the pause the controller reads that the machine has another owner.
     world.store.view(4, *members)
-    later(world, 0.0)
-    assert deletions(world, scale_in) == [] and not scale_in.terminating
+    advance_time(world, 0.0)
+    assert run_deletions(world, scale_in) == [] and not scale_in.terminating
     world.store.view(5, ("c0", 1))
     scale_in.request_termination(name)
-    assert deletions(world, scale_in) == [name]
+    assert run_deletions(world, scale_in) == [name]
 
 
 def test_after_a_pause_nothing_is_answered_or_claimed_based_on_stale_data(world: World) -> None:
     world.store.job(spec(visits=1))
     world.clock.time += 2 * world.settings.controller_lease_s
-    assert heartbeat(world, report(3, 3)).status == 503
+    assert heartbeat(world, worker_report(3, 3)).status == 503
     assert not world.leadership.is_leader and not world.leadership.is_coordinator
-    epoch = world.store.epoch
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert world.store.epoch == epoch
+    revision = world.store.revision
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    assert world.store.revision == revision
 
 
 def test_a_controller_whose_lease_expired_joins_with_a_new_one(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -9,20 +9,20 @@
 
 from sloeswitch import mesh_frames
 from tests.conftest import Store
-from tests.support.single_controller import World, machine_up, meshed, state_outage
+from tests.support.single_controller import World, attach_mesh, register_machine, state_outage
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def test_view_requests_and_views_confirm_nothing(world: World) -> None:
     answers: list[bytes] = []
     leadership = world.leadership
-    mesh = meshed(world)
+    mesh = attach_mesh(world)
 
     class Stream:
         def __init__(self, *frames: bytes) -> None:
@@ -59,7 +59,7 @@
     Before the layout is recorded as complete, no status request is sent.
     """
     if upgraded:
-        world.store.upgraded()
+        world.store.put_complete_layout()
     frame_types: list[int] = []
 
     class EarlierVersion:
@@ -85,7 +85,7 @@
     async def connect(host: str, port: int) -> EarlierVersion:
         return EarlierVersion()
 
-    mesh = meshed(world)
+    mesh = attach_mesh(world)
     mesh.poll_interval_s = 0.01
     monkeypatch.setattr(anyio, "connect_tcp", connect)
     with pytest.raises(KeyboardInterrupt):
--- a/tests/test_quota_log.py
+++ b/tests/test_quota_log.py
@@ -10,15 +10,15 @@
 from sloeswitch.core import keys
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.uncommitted_updates import TaskUpdates
-from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, machine_up, running
+from tests.conftest import Store, spec, worker_report
+from tests.support.single_controller import JOB, World, register_machine, start_task
 
 
 @pytest.fixture
 def world(store: Store, caplog: pytest.LogCaptureFixture) -> World:
     caplog.set_level(logging.INFO)
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
@@ -27,35 +27,35 @@
 
 
 def test_change_of_allocations_is_logged_with_its_reasons(world: World, caplog: pytest.LogCaptureFixture) -> None:
-    world.store.upgraded()
-    world.store.member("c0", 1, settled=2)
+    world.store.put_complete_layout()
+    world.store.member("c0", 1, recovered_view=2)
     world.store.job(spec())
     world.store.progress(JOB, c1_9=0b11)
     world.store.put(keys.quota_key("red"), {"c1.9": [6.0, 0.0]})
-    world.tell_jobs(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
+    world.send_task_updates(TaskUpdates(adopted={JOB: 0b01}, view_number=3))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         "quota allocations changed: team=red before=c1.9:6 after=c0.1:9,c1.9:4 reasons=adoption,increase view=3"
-        f" revision={world.store.epoch}"
+        f" revision={world.store.revision}"
     ]
-    world.store.member("c0", 1, settled=3)
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
+    world.store.member("c0", 1, recovered_view=3)
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0)}))
     assert "before=c0.1:9,c1.9:4 after=c0.1:12 reasons=increase,departed" in caplog.messages[-1]
 
 
 def test_unanswered_change_of_allocations_is_logged(world: World, caplog: pytest.LogCaptureFixture) -> None:
     world.client.lose_answers = 1
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(9.0)}))
     assert logged(caplog, "quota allocations") == [
         f"quota allocations unanswered: team=red before=- after=c0.1:9 reasons=increase view=3"
-        f" revision={world.store.epoch}"
+        f" revision={world.store.revision}"
     ]
 
 
 def test_completed_recovery_of_a_view_is_logged_once(world: World, caplog: pytest.LogCaptureFixture) -> None:
     for _ in range(3):
         world.machines._update_accounting()
-    assert logged(caplog, "recovery complete") == [f"recovery complete: view=3 revision={world.store.epoch}"]
+    assert logged(caplog, "recovery complete") == [f"recovery complete: view=3 revision={world.store.revision}"]
 
 
 def test_foreign_attempts_of_a_machine_are_logged_when_first_reported(
@@ -63,7 +63,7 @@
 ) -> None:
     world.store.job(spec())
     for sequence in (3, 4):
-        world.heartbeat(report(sequence, 3, (f"{JOB}/0", 5, "running"), (f"{JOB}/1", 5, "running")))
+        world.heartbeat(worker_report(sequence, 3, (f"{JOB}/0", 5, "running"), (f"{JOB}/1", 5, "running")))
     assert logged(caplog, "foreign attempts") == [
         "foreign attempts found: machine=vm-1 attempts=2 cores=red:4 reasons=late:2 view=3"
     ]
@@ -72,7 +72,7 @@
 def test_usage_above_the_stored_allocation_is_logged_once_each_time_it_begins(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
-    running(world)
+    start_task(world)
     for _ in range(2):
         for cores in (1.0, 1.0, 8.0):
             world.store.put(keys.quota_key("red"), {"c0.1": [cores, 0.0]})
@@ -84,7 +84,7 @@
 def test_usage_above_the_allocation_is_not_logged_while_adoptions_are_not_stored(
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
-    running(world)
+    start_task(world)
     world.store.put(keys.quota_key("red"), {"c0.1": [1.0, 0.0]})
     world.machines.registry.adopting[JOB] = 0b10
     world.machines._update_accounting()
@@ -95,7 +95,7 @@
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.DEBUG)
-    running(world)
+    start_task(world)
     assert [line.partition(" team=")[2] for line in logged(caplog, "tasks placed")] == [
         "red usage=2 allocation=8 view=3"
     ]
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -11,24 +11,24 @@
 from sloeswitch.core import keys
 from sloeswitch.rate_budget import RequestPriority
 from sloeswitch.state_client import TransactionOutcome
-from tests.conftest import Store, report
-from tests.support.single_controller import World, heartbeat, machine_up
+from tests.conftest import Store, worker_report
+from tests.support.single_controller import World, heartbeat, register_machine
 
 
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def test_many_new_machines_are_stored_in_one_change(world: World) -> None:
-    new_reports = [report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
+    new_reports = [worker_report(1, 0, name=f"vm-{number}") for number in range(100, 140)]
     for new_report in new_reports:
         heartbeat(world, new_report, received=False)
         new_report.sequence, new_report.fencing_token = 2, 3
         heartbeat(world, new_report)
-    before = world.store.epoch
+    before = world.store.revision
 
     async def register() -> None:
         async with anyio.create_task_group() as group:
@@ -36,7 +36,7 @@
             world.machines._register()
 
     anyio.run(register)
-    assert world.store.epoch == before + 1
+    assert world.store.revision == before + 1
     assert {f"vm-{number}" for number in range(100, 140)} <= world.store.tables.machines.keys()
 
 
@@ -75,8 +75,8 @@
 
 def test_machines_get_their_own_rows_while_a_controller_with_an_earlier_layout_is_a_member(world: World) -> None:
     world.store.put(keys.member_key("c1"), {"boot": 5, "settled": 0})
-    heartbeat(world, report(1, 0, name="vm-9"), received=False)
-    heartbeat(world, report(2, 3, name="vm-9"))
+    heartbeat(world, worker_report(1, 0, name="vm-9"), received=False)
+    heartbeat(world, worker_report(2, 3, name="vm-9"))
 
     async def register() -> None:
         async with anyio.create_task_group() as group:
@@ -90,7 +90,7 @@
 def test_group_whose_replacement_exceeds_a_transaction_is_split_first(store: Store) -> None:
     """Guards against a removal that is refused on every retry, so that the deleted machine is never removed."""
     world = World(store)
-    store.upgraded()
+    store.put_complete_layout()
     rows = {f"vm-{number:03d}": ["127.0.0.1:9000", "small", "a", True] for number in range(40)}
     store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
     registration = world.machines.registration
@@ -113,8 +113,8 @@
 
 
 def test_new_machines_are_pending_until_their_write_has_ended(world: World) -> None:
-    heartbeat(world, report(1, 0, name="vm-9"), received=False)
-    heartbeat(world, report(2, 3, name="vm-9"))
+    heartbeat(world, worker_report(1, 0, name="vm-9"), received=False)
+    heartbeat(world, worker_report(2, 3, name="vm-9"))
     registration = world.machines.registration
     new = registration.machines_to_store(list(world.machines.registry.machines.values()))
     assert new.names == {"vm-9"}
