--- a/sloeswitch/admission/frames.py
+++ b/sloeswitch/admission/frames.py
@@ -1,7 +1,7 @@
-"""The mesh frame by which a machine owner reports idle capacity to the coordinator; packed by hand as all mesh frames.
+"""Encoding of the mesh frames by which machine owners report idle capacity to the coordinator.
 
 A request has no body. An answer is a count, followed by one entry for each kind of machine: the lengths of the names of
-its type and zone in bytes, a flag for spot machines, the free capacity in machines, its age in seconds, and the names.
+its type and zone in bytes, a flag for spot machines, the idle capacity in machines, its age in seconds, and the names.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 
 def pack_idle_capacity(capacities: Iterable[IdleCapacity]) -> bytes:
-    """Packs the body of an answer. Entries that do not fit are left out; this only affects the order of admission."""
+    """Packs the body of an answer. Entries that do not fit are left out; this only affects when jobs are admitted."""
     entries: list[bytes] = []
     for entry in capacities:
-        kind, zone, spot = entry.kind
-        names = kind.encode(), zone.encode()
+        type_name, zone, spot = entry.kind
+        names = type_name.encode(), zone.encode()
         if max(map(len, names)) <= MAX_NAME_BYTES and len(entries) < MAX_ENTRIES:
             header = ENTRY.pack(len(names[0]), len(names[1]), spot, entry.machines, entry.age_s)
             entries.append(header + names[0] + names[1])
@@ -48,10 +48,10 @@
         offset = COUNT.size
         capacities: list[IdleCapacity] = []
         for _ in range(count):
-            kind_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, offset)
+            type_length, zone_length, spot, machines, age_s = ENTRY.unpack_from(body, offset)
             offset += ENTRY.size
-            end = offset + kind_length + zone_length
-            names = body[offset : offset + kind_length].decode(), body[offset + kind_length : end].decode()
+            end = offset + type_length + zone_length
+            names = body[offset : offset + type_length].decode(), body[offset + type_length : end].decode()
             if end > len(body) or not (machines >= 0 and age_s >= 0):
                 raise FrameError(f"idle capacity answer: invalid entry at byte {offset}")
             offset = end
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Builders shared by the tests: a job, a machine's report, stored tables. No clock, no network."""
+"""Builders that the tests share: submissions, worker reports and stored rows. They use no clock and no network."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 def submission(name: str = "wk-000001", **changes: Any) -> dict[str, Any]:
-    """A submission as a user sends it."""
+    """Returns the body of a submission as a user sends it; a field changed to `...` is left out."""
     body: dict[str, Any] = {
         "id": name,
         "roster": "train",
@@ -94,36 +94,38 @@
     return wire.check_spec(wire.decode(wire.encode(submission(name, **changes)), wire.JobSpec))
 
 
-def report(serial: int, token: int, *tasks: tuple[Any, ...], session: int = 1, name: str = "vm-1") -> wire.WorkerReport:
-    """A machine's report; tasks are (name, attempt, state) or (name, attempt, "ended", cause)."""
+def worker_report(
+    sequence: int, fencing_token: int, *tasks: tuple[Any, ...], agent_epoch: int = 1, name: str = "vm-1"
+) -> wire.WorkerReport:
+    """Returns a worker's report; each task is (name, attempt, state) or (name, attempt, "ended", cause)."""
     items = [wire.ReportedTask(*item) for item in tasks]
-    return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, session, serial, token, items)
+    return wire.WorkerReport(name, "127.0.0.1:9000", "small", "a", True, agent_epoch, sequence, fencing_token, items)
 
 
 MACHINE_TYPE = wire.MachineType("small", 8.0, 0.0, 16.0, 50.0, 0.5, 0.4, 0.1, 25.0, ["a", "b"])
 
 
 class Store:
-    """Stored values with stamps, played into tables as a watch would."""
+    """Rows of the state service with their revisions; each change is applied to tables as a watch does."""
 
     def __init__(self) -> None:
-        self.epoch = 0
+        self.revision = 0
         self.tables = Tables(CancellationLog(100, 7))
         self.rows: dict[str, tuple[Any, int]] = {}
 
     def put(self, key: str, value: Any) -> int:
-        self.epoch += 1
-        self.rows[key] = (value, self.epoch)
+        self.revision += 1
+        self.rows[key] = (value, self.revision)
         if value is None:
             del self.rows[key]
-        self.tables.apply(key, value, self.epoch)
-        return self.epoch
+        self.tables.apply(key, value, self.revision)
+        return self.revision
 
     def read_again(self) -> Tables:
-        """The tables of a controller that reads all rows, by key."""
+        """Returns the tables of a controller that reads all rows in the order of their keys."""
         tables = Tables()
-        for key, (value, stamp) in sorted(self.rows.items()):
-            tables.apply(key, value, stamp)
+        for key, (value, revision) in sorted(self.rows.items()):
+            tables.apply(key, value, revision)
         return tables
 
     def job(self, job: wire.JobSpec, status: str = JobState.LIVE) -> None:
@@ -131,26 +133,26 @@
         self.put(keys.job_key(job.id), value)
 
     def progress(self, name: str, done: int = 0, **claims: int) -> None:
-        """Claims are given as c0_1=mask for the tag "c0.1"."""
+        """Stores a job's progress row; the claims of incarnation "c0.1" are passed as c0_1=mask."""
         held = {tag.replace("_", "."): mask for tag, mask in claims.items()}
         self.put(keys.progress_key(name), encode_progress(Progress(done, held)))
 
     def view(self, number: int, *members: tuple[str, int]) -> None:
         self.put(keys.VIEW_KEY, {"n": number, "members": [list(member) for member in members]})
 
-    def member(self, name: str, boot: int, settled: int = 0) -> None:
-        self.put(keys.member_key(name), {"boot": boot, "settled": settled, "layout": keys.LAYOUT_VERSION})
+    def member(self, name: str, incarnation: int, recovered_view: int = 0) -> None:
+        self.put(keys.member_key(name), {"boot": incarnation, "settled": recovered_view, "layout": keys.LAYOUT_VERSION})
 
-    def upgraded(self) -> None:
-        """Every configured controller has run with this layout."""
+    def put_complete_layout(self) -> None:
+        """Stores that every configured controller has run with this layout version."""
         self.put(keys.LAYOUT_KEY, {"seen": ["c0", "c1"], "complete": True})
 
-    def types(self) -> None:
+    def put_machine_types(self) -> None:
         self.put(keys.CATALOG_KEY, msgspec.to_builtins(wire.MachineTypeCatalog([MACHINE_TYPE])))
 
 
 @pytest.fixture
 def store() -> Store:
     store = Store()
-    store.types()
+    store.put_machine_types()
     return store
--- a/tests/support/cluster_worker.py
+++ b/tests/support/cluster_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the cluster, as the protocol describes workers."""
+"""A fake worker that follows the worker protocol."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Worker:
-    """A worker as the protocol tells it, of eight cores; images are there."""
+    """A worker of eight cores that follows the protocol and needs no time to fetch images."""
 
     def __init__(self, world: World, name: str, kind: str = "small", zone: str = "a", spot: bool = True) -> None:
         self.world = world
@@ -26,8 +26,8 @@
         self.target = world.members[0]
         self.agent_epoch, self.report_sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], tuple[str, str | None]] = {}
-        self.finished: set[str] = set()
-        self.renewed_at = world.clock.time
+        self.completed_tasks: set[str] = set()
+        self.lease_renewed_at = world.clock.time
         self.answers_in_flight: list[tuple[float, float, int, bytes]] = []
         self.last_answer_received = False
         self.report_copies: list[wire.WorkerReport] = []
@@ -35,37 +35,37 @@
 
     @property
     def hung(self) -> bool:
-        """Whether it does nothing at all, and keeps what is on it until it goes on."""
+        """Whether it does nothing at all; its tasks stay on it until it resumes."""
         return self.world.clock.time < self.hung_until
 
     @property
     def deaf(self) -> bool:
-        """Whether neither answers nor commands reach it."""
+        """Whether it receives neither answers nor direct commands."""
         return self.world.clock.time < self.deaf_until
 
     @property
     def mute(self) -> bool:
-        """Whether it reaches no controller."""
+        """Whether its reports reach no controller."""
         return self.world.clock.time < self.mute_until
 
     def command(self, message: wire.WorkerCommands, late: bool = False) -> None:
-        """A direct command: carried out if token and session still match."""
+        """Executes a direct command unless its fencing token is outdated or its agent epoch is another."""
         if self.hung or message.fencing_token < self.fencing_token or message.agent_epoch != self.agent_epoch:
             return
         self.fencing_token = message.fencing_token
-        self.world.happened["late command" if late else "command"] += 1
-        for order in message.commands:
-            self.execute(order)
+        self.world.event_counts["late command" if late else "command"] += 1
+        for command in message.commands:
+            self.execute(command)
 
     @property
-    def lease_over(self) -> bool:
-        return self.world.clock.time - self.renewed_at > 10.0
+    def lease_expired(self) -> bool:
+        return self.world.clock.time - self.lease_renewed_at > 10.0
 
     def expire(self) -> None:
-        if self.lease_over:
+        if self.lease_expired:
             self.tasks.clear()
             self.agent_epoch += 1
-            self.renewed_at = self.world.clock.time
+            self.lease_renewed_at = self.world.clock.time
 
     def report(self) -> wire.WorkerReport:
         self.report_sequence += 1
@@ -83,10 +83,13 @@
         )
 
     def heartbeat(self) -> None:
-        """A report to the controller of which the worker thinks, or to the next one; the answer may be late or lost."""
+        """Sends a report to the controller that the worker takes for its owner; report and answer may be lost or late.
+
+        After a redirect the next report goes to the named controller, after a failure to a random one.
+        """
         world, rng, sent = self.world, self.world.rng, self.world.clock.time
         if any(sent - earlier <= 4.0 for _, earlier, _, _ in self.answers_in_flight):
-            return  # one report in flight at a time; an answer is waited for so long
+            return  # one report in flight at a time, with a timeout of 4 s
         self.answers_in_flight.clear()
         report = self.report()
         if self.mute:
@@ -94,18 +97,18 @@
             return
         self.send_copies(report)
         if rng.random() < 0.05:
-            return  # never arrives
+            return  # the report is lost
         message = HeartbeatRequest(report=report, last_answer_received=self.last_answer_received)
         if not world.deliver(self.target, message):
             self.last_answer_received = False
             self.target = rng.choice(world.members)
             return
         answer, self.last_answer_received = message.answer, False
-        world.answered[str(answer.status)] += 1
+        world.answer_counts[str(answer.status)] += 1
         world.recorder.record("heartbeat", self.name, self.target, answer.status, answer.body)
         if answer.status == 421:
-            to = wire.decode(answer.body, dict[str, Any]).get("foreman")
-            self.target = to or rng.choice(world.members)
+            named_owner = wire.decode(answer.body, dict[str, Any]).get("foreman")
+            self.target = named_owner or rng.choice(world.members)
         elif answer.status != 200:
             self.target = rng.choice(world.members)
         elif rng.random() > 0.05 and not self.deaf:
@@ -113,7 +116,7 @@
             self.answers_in_flight.append((world.clock.time + delay, sent, self.agent_epoch, answer.body))
 
     def send_copies(self, report: wire.WorkerReport) -> None:
-        """Copies of some reports arrive late, at any controller."""
+        """Keeps copies of some reports and delivers them later to a random controller."""
         world, rng = self.world, self.world.rng
         if rng.random() < 0.1:
             self.report_copies.append(report)
@@ -125,35 +128,35 @@
 
     def receive(self) -> None:
         now = self.world.clock.time
-        for at, sent, session, body in [item for item in self.answers_in_flight if item[0] <= now]:
-            self.answers_in_flight.remove((at, sent, session, body))
-            orders = wire.decode(body, wire.WorkerCommands)
-            if now - sent > 4.0 or session != self.agent_epoch or orders.fencing_token < self.fencing_token:
+        for at, sent, agent_epoch, body in [item for item in self.answers_in_flight if item[0] <= now]:
+            self.answers_in_flight.remove((at, sent, agent_epoch, body))
+            message = wire.decode(body, wire.WorkerCommands)
+            if now - sent > 4.0 or agent_epoch != self.agent_epoch or message.fencing_token < self.fencing_token:
                 continue
-            self.fencing_token = orders.fencing_token
-            self.renewed_at = max(self.renewed_at, sent)
+            self.fencing_token = message.fencing_token
+            self.lease_renewed_at = max(self.lease_renewed_at, sent)
             self.last_answer_received = True
-            for order in orders.commands:
-                self.execute(order)
+            for command in message.commands:
+                self.execute(command)
 
-    def execute(self, order: wire.WorkerCommand) -> None:
-        key = (order.task, order.attempt)
-        if order.verb == "start" and key not in self.tasks:
+    def execute(self, command: wire.WorkerCommand) -> None:
+        key = (command.task, command.attempt)
+        if command.verb == "start" and key not in self.tasks:
             live = [task for (task, _), (state, _) in self.tasks.items() if state != "ended"]
-            if order.task in live:
+            if command.task in live:
                 self.tasks[key] = ("ended", "busy")
-            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, order.task]) > CORES:
+            elif sum(self.world.specs[task.partition("/")[0]].cores for task in [*live, command.task]) > CORES:
                 self.tasks[key] = ("ended", "no_room")
             else:
-                self.world.check_start(self, order.task)
+                self.world.check_start(self, command.task)
                 self.tasks[key] = ("running", None)
-        elif order.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
+        elif command.verb == "kill" and self.tasks.get(key, ("ended", None))[0] != "ended":
             self.tasks[key] = ("ended", "halted")
-        elif order.verb == "clear":
+        elif command.verb == "clear":
             self.tasks.pop(key, None)
 
     def work(self) -> None:
         for key, (state, _cause) in list(self.tasks.items()):
-            if state == "running" and self.world.rng.random() < self.world.task_ends:
+            if state == "running" and self.world.rng.random() < self.world.task_end_probability:
                 self.tasks[key] = ("ended", "done")
-                self.world.finished.add(key[0])
+                self.world.completed_tasks.add(key[0])
--- a/tests/support/overload.py
+++ b/tests/support/overload.py
@@ -66,7 +66,7 @@
     """Records when jobs are submitted and first start."""
 
     def __init__(self, seed: int, deferring: bool) -> None:
-        super().__init__(seed, troubled=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
+        super().__init__(seed, extra_faults=False, deferring=deferring, text=cluster_text(FLOOD_TEAMS))
         self.started_at: dict[str, float] = {}
         self.submitted_at: dict[str, float] = {}
 
@@ -89,18 +89,18 @@
     plan = sorted([(at, "red") for at in flood] + [(at, "green") for at in urgent])
     shapes = [(arrivals.randint(1, 5), arrivals.choice(("train", "index"))) for _ in plan]
     ended_at: dict[str, float] = {}
-    before = world.store.epoch
+    before = world.store.revision
     while len(world.submitted_at) < len(plan) or len(ended_at) < len(plan):
         while len(world.submitted_at) < len(plan) and plan[len(world.submitted_at)][0] <= world.clock.time:
             number = len(world.submitted_at)
             submit_one(world, number, plan[number][1], *shapes[number])
         world.step()
-        for name in world.sizes.keys() - ended_at.keys():
+        for name in world.accepted_jobs.keys() - ended_at.keys():
             if world.store.tables.finished_jobs.get(name) is not None:
                 ended_at[name] = world.clock.time
         if world.clock.time > begin + 1500:
             break
-    outcome = LoadResult(changes=world.store.epoch - before, longest_head_s=world.longest_as_head_s)
+    outcome = LoadResult(changes=world.store.revision - before, longest_head_s=world.longest_as_head_s)
     outcome.unfinished = len(plan) - len(ended_at)
     for name, at in world.started_at.items():
         waits = outcome.urgent_ms if world.specs[name].team == "green" else outcome.flood_ms
@@ -198,7 +198,7 @@
 
     world = FleetWorld(MACHINES)
     world.take_over()
-    world.store_all()
+    world.commit_all()
     wall_clock_ms = int(1000 * world.clock.time)
     for number in range(DEFERRED_JOBS):
         job = spec(job_name(500_000 + number), roster=f"class-{number % 16}")
--- a/tests/support/quota_world.py
+++ b/tests/support/quota_world.py
@@ -1,13 +1,13 @@
-"""A cluster in which several teams are at their limits while their machines change owners.
+"""A simulated cluster in which several teams are at their quota limits while their machines change owners.
 
-Three controllers all want more of every limit, with spells in which a team has hardly any work. Controllers stand
-still, end alone and all at once, and come back seconds later. A transaction is under way for a while, and reports come
-in and views change in the meantime: what was planned from one state of the tables is stored beside later changes.
+Three controllers compete for the quota of every team; at times a team submits nothing. Controllers freeze, or restart
+alone or all at once and are back within seconds. Transactions take time, so heartbeats arrive and views change between
+the planning of a transaction and its commit: it may commit next to changes that its plan did not know.
 
-After each step, besides the rules of every cluster:
-- what exists on machines of a team is within its limit, whoever knows of it;
-- what a controller accounts for is within its stored allocation, once its adoptions are stored;
-- the stored allocations of a team are within its limit.
+Invariants that are checked after each step, in addition to those of every simulated cluster:
+- the tasks of a team that exist on machines are within its limit, whether or not a controller knows them;
+- the tasks that a controller accounts for are within its stored allocation, once its adoptions are stored;
+- the sum of a team's stored allocations is within its limit.
 
     python3 -m tests.support.quota_world 1 201          # seeds 1 to 200
 """
@@ -28,50 +28,52 @@
 from tests.support.cluster_node import Node
 from tests.support.cluster_state import ClusterStateClient
 from tests.support.cluster_worker import Worker
-from tests.support.seeds import play_seeds
+from tests.support.seeds import run_seeds
 
 MEMBERS = ("c0", "c1", "c2")
 TEAMS = ("red", "blue", "green")
 MACHINES = 10
 MAX_JOBS = 60
 STEPS = 1200
-# How likely something breaks in a step, and what.
-TROUBLE_SHARE = 0.015
-# How likely a team whose demand changes stops to submit jobs.
-QUIET_SHARE = 0.4
-TROUBLES = ("frozen",) * 4 + ("ended",) * 3 + ("all ended", "outage", "refused", "refused")
-# How long a message to or from the state service is under way, on average and in seconds.
+# Probability that a fault begins in a step, and the kinds of faults, weighted by repetition.
+FAULT_PROBABILITY = 0.015
+# Probability that a team that submits jobs stops when its demand changes.
+STOP_PROBABILITY = 0.4
+FAULTS = ("frozen",) * 4 + ("ended",) * 3 + ("all ended", "outage", "refused", "refused")
+# Mean latency of a message to or from the state service, in seconds.
 LATENCY_S = 0.2
-# How long a transaction waits for the write rate, on average and in seconds, before it is planned.
+# Mean time that a transaction waits for the write rate limit before it is planned, in seconds.
 RATE_WAIT_S = 1.5
-# How likely a running task ends in a step, and which part of the cluster's usual troubles of machines there are.
-TASK_END_SHARE = 0.02
-MACHINE_TROUBLE_SHARE = 0.3
+# Probability that a running task completes in a step, and the share of the base class's machine faults that is kept.
+TASK_END_PROBABILITY = 0.02
+MACHINE_FAULT_SHARE = 0.3
 
 
-def _team(name: str) -> str:
+def _team_settings(name: str) -> str:
     return f'[[deployment.teams]]\nname = "{name}"\ncpus = 8.0\ncpus_max = 20.0\ngpus = 0.0\ngpus_max = 0.0\n'
 
 
-TEXT = SETTINGS.replace("[deployment.workers]", _team("blue") + _team("green") + "[deployment.workers]")
+SETTINGS_TEXT = SETTINGS.replace(
+    "[deployment.workers]", _team_settings("blue") + _team_settings("green") + "[deployment.workers]"
+)
 
 
 class LaggingStateClient(ClusterStateClient):
-    """Transactions that a controller's actors commit are under way for a while, and so are their answers."""
+    """A state client whose transactions and answers take a random time in transit."""
 
     node: QuotaNode
 
     async def acquire_changes(self, changes: int, priority: Any) -> None:
-        """Waits for the write rate."""
+        """Waits a random time, as for the write rate limit."""
         await self.node.pause(RATE_WAIT_S)
 
-    async def travel(self) -> None:
-        """A request or its answer is on its way."""
+    async def wait_in_transit(self) -> None:
+        """Waits while a request or its answer is in transit."""
         await self.node.pause(LATENCY_S)
 
 
 class QuotaNode(Node):
-    """A controller that may stand still or be down, and whose transactions take time."""
+    """A controller that may freeze or be down, and whose transactions take time."""
 
     world: QuotaWorld
     client_class = LaggingStateClient
@@ -80,11 +82,11 @@
         super().__init__(world, name)
         self.down_until = down_until
         self.frozen_until = float("-inf")
-        # Reports that arrived while it stood still.
-        self.held: list[HeartbeatRequest] = []
+        # Heartbeats that arrived while it was frozen.
+        self.held_heartbeats: list[HeartbeatRequest] = []
         self.background: set[asyncio.Task[None]] = set()
         self.committing: asyncio.Task[None] | None = None
-        # Waits for the next transaction.
+        # Claim requests that wait for the next transaction.
         self.requests: list[ClaimRequest] = []
         self.storing_member: asyncio.Task[None] | None = None
 
@@ -93,33 +95,33 @@
         return self.world.clock.time < self.down_until
 
     @property
-    def is_awake(self) -> bool:
+    def is_responsive(self) -> bool:
         return not self.is_down and self.world.clock.time >= self.frozen_until
 
     async def pause(self, mean_s: float) -> None:
-        """Waits for a message to the state service; without end while this controller stands still."""
+        """Waits a random time if called in a background task of this controller; while frozen it keeps waiting."""
         if asyncio.current_task() in self.background:
-            await self.world.wait_message(self, mean_s)
+            await self.world.wait_for_message(self, mean_s)
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Starts something that goes on beside the steps of the world."""
+        """Starts a background task that runs across the steps of the simulation."""
         task = self.world.loop.create_task(work)
         self.background.add(task)
         return task
 
     def end(self) -> None:
-        """The process ends."""
+        """Ends the process: cancels its background tasks."""
         for task in self.background:
             task.cancel()
 
-    def wake_up(self) -> None:
-        """Handles the reports that came while it stood still; their workers wait for no answer any more."""
-        for message in self.held:
+    def handle_held_heartbeats(self) -> None:
+        """Handles the heartbeats that arrived while it was frozen; their workers have already timed out."""
+        for message in self.held_heartbeats:
             self.world.run(self.machines.handle, message)
-        self.held.clear()
+        self.held_heartbeats.clear()
 
     def renew(self) -> None:
-        if self.is_awake:
+        if self.is_responsive:
             super().renew()
 
     def store_member(self) -> None:
@@ -130,10 +132,10 @@
         await self.membership._write_member()
 
     def tick(self) -> None:
-        """A tick of the machines actor; the jobs actor begins a transaction unless one is under way."""
-        if not self.is_awake:
+        """Runs a tick of the machines actor; the jobs actor begins a transaction unless one is in flight."""
+        if not self.is_responsive:
             return
-        self.wake_up()
+        self.handle_held_heartbeats()
         for message in self.inbox:
             self.world.run(self.machines.handle, message)
         self.inbox.clear()
@@ -148,7 +150,7 @@
             self.committing = self.start(self._commit_requests(requests))
 
     def deliver_messages(self) -> None:
-        """The jobs actor takes updates at once; the membership actor stores the view that is recovered."""
+        """Lets the jobs actor handle its messages now and the membership actor handle its own in the background."""
         while self.jobs._inbox:
             updates = self.jobs._inbox.popleft()
             assert isinstance(updates, TaskUpdates)
@@ -166,46 +168,48 @@
 
 
 class QuotaWorker(Worker):
-    """A worker that keeps results: a task that is started again after it completed ends at once."""
+    """A worker that keeps results: a task that is started again after it completed is reported as done at once."""
 
-    def execute(self, order: Any) -> None:
-        if order.verb == "start" and order.task in self.world.finished:
-            self.tasks.setdefault((order.task, order.attempt), ("ended", "done"))
+    def execute(self, command: Any) -> None:
+        if command.verb == "start" and command.task in self.world.completed_tasks:
+            self.tasks.setdefault((command.task, command.attempt), ("ended", "done"))
             return
-        super().execute(order)
+        super().execute(command)
 
 
 class QuotaWorld(World):
-    """Time, what is stored, the workers, and the rules on quotas."""
+    """A simulated cluster with transactions that take time, and with checks of the quotas."""
 
     def __init__(self, seed: int) -> None:
         self.loop = asyncio.new_event_loop()
-        # Messages under way: when they arrive, whose they are, and what waits for them.
+        # Messages in transit: arrival time, controller, and the future that is resolved on arrival.
         self.messages: list[tuple[float, QuotaNode, asyncio.Future[None]]] = []
-        super().__init__(seed, troubled=True, members=MEMBERS, machines=MACHINES, text=TEXT)
+        super().__init__(seed, extra_faults=True, members=MEMBERS, machines=MACHINES, text=SETTINGS_TEXT)
         self.nodes: dict[str, QuotaNode]  # type: ignore[assignment]
-        self.task_ends = TASK_END_SHARE
-        # Teams that submit jobs now.
-        self.hungry = set(TEAMS)
+        self.task_end_probability = TASK_END_PROBABILITY
+        # Teams that currently submit jobs.
+        self.submitting_teams = set(TEAMS)
         self.limits = {name: team.cpus_max for name, team in self.nodes["c0"].settings.teams.items()}
 
     # -- the event loop
 
     def run(self, call: Callable[[*Args], Awaitable[Result]], *args: *Args) -> Result:
-        async def to_its_end() -> Result:
+        async def run_to_completion() -> Result:
             return await call(*args)
 
-        return self.loop.run_until_complete(to_its_end())
+        return self.loop.run_until_complete(run_to_completion())
 
-    async def wait_message(self, node: QuotaNode, mean_s: float) -> None:
-        """Waits until a message of a controller has arrived, which takes a random time."""
+    async def wait_for_message(self, node: QuotaNode, mean_s: float) -> None:
+        """Waits until a message of a controller arrives, after an exponentially distributed time."""
         arrived = self.loop.create_future()
         self.messages.append((self.clock.time + self.rng.expovariate(1 / mean_s), node, arrived))
         await arrived
 
-    def deliver_due(self) -> None:
-        """Messages arrive; those to a controller that stands still wait for it."""
-        due = [item for item in self.messages if item[0] <= self.clock.time and (item[1].is_awake or item[2].done())]
+    def deliver_due_messages(self) -> None:
+        """Delivers the messages that are due, except those of frozen controllers, and collects finished tasks."""
+        due = [
+            item for item in self.messages if item[0] <= self.clock.time and (item[1].is_responsive or item[2].done())
+        ]
         for item in due:
             self.messages.remove(item)
             if not item[2].done():
@@ -219,13 +223,13 @@
                     task.result()
 
     def close(self) -> None:
-        """Ends what is under way."""
+        """Cancels all background tasks and closes the event loop."""
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.run(asyncio.sleep, 0)
         self.loop.close()
 
-    # -- what is in the world
+    # -- controllers and workers
 
     def new_node(self, name: str) -> QuotaNode:
         return QuotaNode(self, name)
@@ -234,7 +238,7 @@
         return QuotaWorker(self, name)
 
     def restart(self, name: str) -> None:
-        """A controller ends, and comes back within seconds."""
+        """Restarts a controller; it is down for up to 6 s."""
         self.nodes[name].end()
         self.nodes[name] = QuotaNode(self, name, self.clock.time + 6 * self.rng.random())
 
@@ -242,40 +246,44 @@
         node = self.nodes[member]
         if node.is_down:
             return False
-        if not node.is_awake:
-            node.held.append(message)
+        if not node.is_responsive:
+            node.held_heartbeats.append(message)
             return False
-        node.wake_up()
+        node.handle_held_heartbeats()
         return super().deliver(member, message)
 
     # -- steps
 
-    def happen(self, luck: float, node: Node) -> None:
+    def perform_event(self, draw: float, node: Node) -> None:
         rng = self.rng
-        if luck < TROUBLE_SHARE:
-            self.break_something(rng.choice(TROUBLES), self.nodes[node.settings.member])
-        elif luck < 0.025:
+        if draw < FAULT_PROBABILITY:
+            self.begin_fault(rng.choice(FAULTS), self.nodes[node.settings.member])
+        elif draw < 0.025:
             self.change_demand(rng.choice(TEAMS))
-        elif luck < 0.03 and self.sizes:
-            self.cancel(rng.choice(list(self.sizes)), node)
-        elif luck < 0.18 and self.hungry and len(self.sizes) < MAX_JOBS + len(self.done) + len(self.told):
-            self.number += 1
-            team = rng.choice(sorted(self.hungry))
+        elif draw < 0.03 and self.accepted_jobs:
+            self.cancel(rng.choice(list(self.accepted_jobs)), node)
+        elif (
+            draw < 0.18
+            and self.submitting_teams
+            and len(self.accepted_jobs) < MAX_JOBS + len(self.done_jobs) + len(self.cancelled_at)
+        ):
+            self.last_job_number += 1
+            team = rng.choice(sorted(self.submitting_teams))
             cores = float(rng.randint(1, 2))
-            self.submit(node, spec(f"wk-{self.number:06d}", crew=team, visits=rng.randint(1, 12), cores=cores))
-        elif luck < 0.3:
-            self.ask_sibling(node)
+            self.submit(node, spec(f"wk-{self.last_job_number:06d}", crew=team, visits=rng.randint(1, 12), cores=cores))
+        elif draw < 0.3:
+            self.request_peer_status(node)
 
     def change_demand(self, team: str) -> None:
-        """A team that submits nothing submits jobs again; one that does may stop."""
-        if team not in self.hungry:
-            self.hungry.add(team)
-        elif self.rng.random() < QUIET_SHARE:
-            self.hungry.remove(team)
-
-    def break_something(self, kind: str, node: QuotaNode) -> None:
-        """A trouble begins; it ends by itself."""
-        self.happened[kind] += 1
+        """Lets a team that submits no jobs resume; one that does may stop."""
+        if team not in self.submitting_teams:
+            self.submitting_teams.add(team)
+        elif self.rng.random() < STOP_PROBABILITY:
+            self.submitting_teams.remove(team)
+
+    def begin_fault(self, kind: str, node: QuotaNode) -> None:
+        """Begins a fault, which ends by itself."""
+        self.event_counts[kind] += 1
         until = self.clock.time + 10 * self.rng.random()
         if kind == "frozen":
             node.frozen_until = until + 2
@@ -286,53 +294,56 @@
                 self.restart(name)
         elif kind == "outage":
             self.outage = True
-            self.late.append((until, self.end_outage))
+            self.delayed_calls.append((until, self.end_outage))
         elif kind == "refused":
             node.refused = True
-            self.late.append((until, lambda: setattr(node, "refused", False)))
+            self.delayed_calls.append((until, lambda: setattr(node, "refused", False)))
 
-    def trouble(self, node: Node) -> None:
-        if self.rng.random() < MACHINE_TROUBLE_SHARE:
-            super().trouble(node)
+    def begin_machine_fault(self, node: Node) -> None:
+        if self.rng.random() < MACHINE_FAULT_SHARE:
+            super().begin_machine_fault(node)
 
     def end_outage(self) -> None:
         self.outage = False
 
     def submit(self, node: Node, job: Any) -> bool:
-        return self.nodes[node.settings.member].is_awake and super().submit(node, job)
+        return self.nodes[node.settings.member].is_responsive and super().submit(node, job)
 
     def cancel(self, job: str, node: Node) -> None:
-        if self.nodes[node.settings.member].is_awake:
+        if self.nodes[node.settings.member].is_responsive:
             super().cancel(job, node)
 
-    def ask_sibling(self, node: Node) -> None:
-        if all(each.is_awake for each in self.nodes.values()):
-            super().ask_sibling(node)
+    def request_peer_status(self, node: Node) -> None:
+        if all(each.is_responsive for each in self.nodes.values()):
+            super().request_peer_status(node)
 
-    def step(self, calm: bool = False) -> None:
-        self.deliver_due()
-        super().step(calm)
+    def step(self, fault_free: bool = False) -> None:
+        self.deliver_due_messages()
+        super().step(fault_free)
 
-    def end_troubles(self) -> None:
-        super().end_troubles()
+    def end_faults(self) -> None:
+        super().end_faults()
         for node in self.nodes.values():
             node.down_until = node.frozen_until = self.clock.time
 
-    # -- rules
+    # -- invariants
 
     def check(self) -> None:
         super().check()
-        present = [task for task, _ in self.present(leased=True)]
+        present = [task for task, _ in self.present_tasks(leased=True)]
         for team, limit in self.limits.items():
             assert self.used(team, present) <= limit + ROUNDING_TOLERANCE, f"quota: {team}"
             stored = sum(amount.cores for amount in self.store.tables.quota_allocations.get(team, {}).values())
             assert stored <= limit + ROUNDING_TOLERANCE, f"allocations above the limit: {team} {stored}"
         for node in self.nodes.values():
-            if node.is_awake:
+            if node.is_responsive:
                 self.check_covered(node)
 
     def check_covered(self, node: QuotaNode) -> None:
-        """What a controller accounts for is within its allocation, by its own tables, once its adoptions are stored."""
+        """Checks a controller's accounted cores against its allocation, once its adoptions are stored.
+
+        The allocation and the adoptions are those of the controller's own tables.
+        """
         incarnation_id, tables, registry = node.leadership.incarnation_id, node.tables, node.machines.registry
         ownership = node.machines.ownership
         is_current = ownership.incarnation == node.leadership.incarnation and node.leadership.is_member
@@ -346,7 +357,11 @@
             assert cores <= allocated + ROUNDING_TOLERANCE, f"not covered: {team} {cores} of {allocated}"
 
     def accounted_cores(self, node: QuotaNode, team: str) -> float:
-        """The cores of tasks on a controller's machines, and of its tasks on machines that another one owns now."""
+        """Returns the cores of the tasks that a controller accounts for.
+
+        These are the tasks on its machines and, until recovery is complete, its claimed tasks that were handed off
+        with machines that another controller now owns.
+        """
         registry, tables = node.machines.registry, node.tables
         placed = [attempt.spec for machine in registry.machines.values() for attempt in machine.attempts.values()]
         cores = sum(each.cores for each in placed if each.team == team)
@@ -360,15 +375,15 @@
         return cores
 
 
-def play(seed: int, steps: int = STEPS, calm_steps: int = 0) -> QuotaWorld:
-    """Plays a world of a seed; see `run_steps`."""
+def simulate(seed: int, steps: int = STEPS, fault_free_steps: int = 0) -> QuotaWorld:
+    """Runs the simulation of a seed; see `run_steps`."""
     world = QuotaWorld(seed)
     try:
-        run_steps(world, steps, calm_steps)
+        run_steps(world, steps, fault_free_steps)
     finally:
         world.close()
     return world
 
 
 if __name__ == "__main__":
-    sys.exit(play_seeds(play, int(sys.argv[1]), int(sys.argv[2])))
+    sys.exit(run_seeds(simulate, int(sys.argv[1]), int(sys.argv[2])))
--- a/tests/support/single_controller.py
+++ b/tests/support/single_controller.py
@@ -1,4 +1,4 @@
-"""One controller with scripted neighbours, and what tests ask of it."""
+"""One controller with fake external services, and helpers with which tests drive it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from sloeswitch.mesh import ControllerStatus, Mesh, MeshCallbacks
 from sloeswitch.mesh_frames import StatusFrame, StatusRequest
 from sloeswitch.settings import parse
-from tests.conftest import SETTINGS, Store, report, spec, submission
+from tests.conftest import SETTINGS, Store, spec, submission, worker_report
 from tests.support.clock import Clock
 from tests.support.scripted_state import ScriptedReplica, ScriptedState
 
@@ -35,7 +35,7 @@
 
 
 class World:
-    """One controller, c0.1, alone in view 3 with one machine heard."""
+    """Controller c0.1, alone in view 3, with the state service replaced by a Store."""
 
     def __init__(self, store: Store, text: str = SETTINGS) -> None:
         self.store = store
@@ -43,7 +43,7 @@
         self.settings = parse(text)
         self.client = ScriptedState(self.settings, lambda: 1, self.clock.now)
         self.client.store = store
-        self.client.late = []
+        self.client.lost_transactions = []
         self.replica = ScriptedReplica(self.client, store.tables, self.clock.now)
         self.replica.loaded = self.replica.fully_read = True
         self.replica.read_linearizable = self.read  # type: ignore[method-assign]
@@ -55,22 +55,25 @@
         self.jobs = Jobs(self.context)
         self.machines = Machines(self.context, self.jobs, self.membership)
         store.view(3, ("c0", 1))
-        store.member("c0", 1, settled=3)
+        store.member("c0", 1, recovered_view=3)
 
     async def read(self, timeout_s: float) -> None:
         return None
 
-    def heartbeat(self, heard: wire.WorkerReport) -> wire.WorkerCommands:
-        """What the machine is answered, which is seen to have received the answer before."""
-        message = HeartbeatRequest(report=heard, last_answer_received=True)
+    def heartbeat(self, report: wire.WorkerReport) -> wire.WorkerCommands:
+        """Sends a heartbeat that acknowledges the previous answer; returns the commands of the answer."""
+        message = HeartbeatRequest(report=report, last_answer_received=True)
         anyio.run(self.machines.handle, message)
         assert message.answer.status == 200, message.answer
         return wire.decode(message.answer.body, wire.WorkerCommands)
 
-    def tell_jobs(self, learnt: TaskUpdates) -> None:
-        anyio.run(self.jobs.handle, learnt)
+    def send_task_updates(self, updates: TaskUpdates) -> None:
+        """Lets the jobs actor handle task updates; `commit_and_place` stores them."""
+        anyio.run(self.jobs.handle, updates)
+
+    def commit_and_place(self, request: ClaimRequest | None = None) -> None:
+        """Runs a commit of the jobs actor, with a claim request if given, and places the claimed tasks."""
 
-    def round(self, request: ClaimRequest | None = None) -> None:
         async def once() -> None:
             if request is not None:
                 await self.jobs.handle(request)
@@ -81,11 +84,11 @@
         self.machines.task_placement.place_unplaced()
 
     def claim_requests(self) -> list[ClaimRequest]:
-        """What the machines actor asks the jobs actor for."""
-        asked: list[ClaimRequest] = []
+        """Returns the claim requests that the machines actor would send to the jobs actor now."""
+        requests: list[ClaimRequest] = []
 
         async def ask(request: ClaimRequest) -> None:
-            asked.append(request)
+            requests.append(request)
             self.machines.claims.claim_in_flight = False
 
         self.machines.claims._await_claims = ask  # type: ignore[method-assign]
@@ -96,11 +99,11 @@
                 self.machines.claims.request_claims()
 
         anyio.run(once)
-        return asked
+        return requests
 
 
-def meshed(world: World) -> Mesh:
-    """The controller's part of the mesh; none of its siblings has told anything yet."""
+def attach_mesh(world: World) -> Mesh:
+    """Gives the controller a mesh, in which no sibling has sent a status yet."""
     world.leadership.mesh = Mesh(
         world.settings.siblings,
         1.0,
@@ -111,39 +114,40 @@
     return world.leadership.mesh
 
 
-def machine_up(world: World) -> None:
+def register_machine(world: World) -> None:
+    """Stores the row of machine vm-1 and sends its reports 1 and 2, after which it is reconciled."""
     world.store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(1, 0))
-    world.heartbeat(report(2, 3))
+    world.heartbeat(worker_report(1, 0))
+    world.heartbeat(worker_report(2, 3))
 
 
-def heartbeat(world: World, heard: wire.WorkerReport, received: bool = True) -> Any:
-    message = HeartbeatRequest(report=heard, last_answer_received=received)
+def heartbeat(world: World, report: wire.WorkerReport, received: bool = True) -> Any:
+    message = HeartbeatRequest(report=report, last_answer_received=received)
     anyio.run(world.machines.handle, message)
     return message.answer
 
 
-def later(world: World, seconds: float) -> None:
-    """Time passes and the controller keeps its lease."""
+def advance_time(world: World, seconds: float) -> None:
+    """Advances the clock and renews the controller's lease."""
     world.clock.time += seconds
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
 
-def verbs(answer: Any) -> list[str]:
-    return [order.verb for order in wire.decode(answer.body, wire.WorkerCommands).commands]
+def command_verbs(answer: Any) -> list[str]:
+    return [command.verb for command in wire.decode(answer.body, wire.WorkerCommands).commands]
 
 
-def running(world: World) -> tuple[str, int]:
-    """One task of a job runs on vm-1, as its report 4 tells."""
+def start_task(world: World) -> tuple[str, int]:
+    """Starts a job's only task on vm-1, which reports it as running; returns the task and its attempt."""
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     return start.task, start.attempt
 
 
 class Cloud:
-    """Takes deletions and says which."""
+    """A cloud that accepts all deletions and records them."""
 
     def __init__(self) -> None:
         self.deleted: list[str] = []
@@ -153,40 +157,44 @@
 
 
 def world_with_scale_in(store: Store) -> World:
-    """A controller with one machine, which deletes machines at a cloud that takes all deletions."""
+    """Returns a controller with one machine and a scale-in whose cloud accepts all deletions."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     cloud: Any = Cloud()
     scale_in = ScaleIn(world.context, cloud)
     world.machines.termination.autoscaler, scale_in.machines = scale_in, world.machines
     return world
 
 
-def deletions(world: World, fleet: ScaleIn) -> list[str]:
+def run_deletions(world: World, scale_in: ScaleIn) -> list[str]:
+    """Sends the deletions that are due; returns all machines whose deletion the cloud has received."""
+
     async def run() -> None:
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(fleet.terminate_forever)
+                group.start_soon(scale_in.terminate_forever)
                 await anyio.wait_all_tasks_blocked()
                 scope.cancel()
 
     anyio.run(run)
-    assert isinstance(fleet.cloud, Cloud)
-    return fleet.cloud.deleted
+    assert isinstance(scale_in.cloud, Cloud)
+    return scale_in.cloud.deleted
 
 
-def told(log: CancellationLog, world: World, whole: bool = True, view: int = 3) -> StatusFrame:
-    """What sibling c1, whose log this is, answers to the controller, by way of the wire."""
+def apply_sibling_status(
+    log: CancellationLog, world: World, fully_read: bool = True, view_number: int = 3
+) -> StatusFrame:
+    """Applies the status answer of sibling c1, which has this cancellation log, as encoded for the wire; returns it."""
     sibling = Mesh(
         (),
         1.0,
         world.clock.now,
-        MeshCallbacks(lambda: ControllerStatus(view, False, 0, whole, True), lambda entries: None),
+        MeshCallbacks(lambda: ControllerStatus(view_number, False, 0, fully_read, True), lambda entries: None),
         log,
     )
-    peer = meshed(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
-    question = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
-    frame = sibling.status_for(question).pack()
+    peer = attach_mesh(world).peers["c1"] if world.leadership.mesh is None else world.leadership.mesh.peers["c1"]
+    request = StatusRequest(3, world.replica.applied_revision, peer.log_id, peer.log_position)
+    frame = sibling.status_for(request).pack()
     length = mesh_frames.check_header(frame[: mesh_frames.HEADER.size], mesh_frames.FrameType.STATUS)
     answer = StatusFrame.unpack(frame[mesh_frames.HEADER.size :])
     assert length == len(frame) - mesh_frames.HEADER.size
@@ -196,7 +204,7 @@
 
 
 def state_outage(world: World) -> None:
-    """The controller's lease and its last fresh read are over."""
+    """Advances the clock until the lease and the last linearizable read have expired without an answer since."""
     world.clock.time += world.settings.controller_lease_s
     world.client.failing_since = world.clock.time - world.settings.controller_lease_s
 
@@ -230,31 +238,31 @@
     return ask(world, "GET", f"/submissions/{name}").status
 
 
-NEXT = "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
+NEXT_LIMITS = "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
 
-NARROW = SETTINGS.replace("[deployment.cloud]", NEXT + "[deployment.cloud]")
+SETTINGS_WITH_NEXT_LIMITS = SETTINGS.replace("[deployment.cloud]", NEXT_LIMITS + "[deployment.cloud]")
 
 
-def watched(world: World) -> dict[str, Any]:
-    """All rows written from now on, which must be within the lesser of both limits."""
+def record_writes(world: World) -> dict[str, Any]:
+    """Returns a dict that collects the rows written from now on; asserts that each is within the value size limit."""
     written: dict[str, Any] = {}
     put = world.store.put
 
-    def see(key: str, value: Any) -> int:
+    def record(key: str, value: Any) -> int:
         if value is not None:
             assert len(wire.encode(value)) <= world.settings.value_kb * 1024
             written[key] = value
         return put(key, value)
 
-    world.store.put = see  # type: ignore[method-assign]
+    world.store.put = record  # type: ignore[method-assign]
     return written
 
 
 def heartbeat_and_register(world: World, count: int) -> None:
     for number in range(count):
         name = f"vm-{number:06d}"
-        world.heartbeat(report(1, 0, name=name))
-        world.heartbeat(report(2, 3, name=name))
+        world.heartbeat(worker_report(1, 0, name=name))
+        world.heartbeat(worker_report(2, 3, name=name))
 
     async def register(machines: Machines) -> None:
         while len(world.store.tables.machines) < count:
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -77,12 +77,12 @@
     def __init__(self, store: Store, settings: Settings, machines: int) -> None:
         self.store, self.settings = store, settings
         store.view(3, ("c0", 1))
-        store.member("c0", 1, settled=3)
+        store.member("c0", 1, recovered_view=3)
         rows = {f"vm-{number}": ["127.0.0.1:9000", "small", "a", True] for number in range(machines)}
         store.put(keys.machine_group_key("c0.1.1"), {"m": rows})
 
     def summary(self) -> Summary:
-        return summarise(self.store.tables, self.settings, "north", 1, self.store.epoch)
+        return summarise(self.store.tables, self.settings, "north", 1, self.store.revision)
 
     def queue(self) -> list[Job]:
         return job_queue.queue_order(self.store.tables, self.settings, 0)
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -15,10 +15,10 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import WorkerReport
-from tests.conftest import Store, report, spec
-from tests.support.completion_world import play
+from tests.conftest import Store, spec, worker_report
+from tests.support.completion_world import simulate
 from tests.support.fleet import FleetWorld
-from tests.support.single_controller import JOB, World, heartbeat, later, state_outage, submit
+from tests.support.single_controller import JOB, World, advance_time, heartbeat, state_outage, submit
 
 ENDED = (f"{JOB}/0", 5, "ended", "done")
 
@@ -29,8 +29,8 @@
     def __init__(self, store: Store, grouped: bool = True) -> None:
         super().__init__(store)
         if grouped:
-            store.upgraded()
-        store.member("c0", 1, settled=2)
+            store.put_complete_layout()
+        store.member("c0", 1, recovered_view=2)
         store.put(keys.machine_key("vm-1"), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
         store.job(spec(visits=3))
         store.progress(JOB, c1_9=0b011)
@@ -39,8 +39,8 @@
 
     def report_tasks(self, *tasks: tuple[object, ...], token: int = 3, name: str = "vm-1") -> None:
         """Sends two heartbeats of the machine, the first under an older token, as after any takeover."""
-        self.heartbeat(report(1, 0, *tasks, name=name))
-        self.heartbeat(report(2, token, *tasks, name=name))
+        self.heartbeat(worker_report(1, 0, *tasks, name=name))
+        self.heartbeat(worker_report(2, token, *tasks, name=name))
 
     def recovered_views(self) -> list[int]:
         """The views whose recovery is reported now."""
@@ -52,7 +52,7 @@
         """Lets the jobs actor handle its messages and commit one round."""
         while self.jobs._inbox:
             anyio.run(self.jobs.handle, self.jobs._inbox.popleft())
-        self.round()
+        self.commit_and_place()
 
     def is_settled(self) -> bool:
         """Whether, by the stored rows, no controller may start the task any more."""
@@ -75,8 +75,8 @@
 
     Each of these seeds once showed this fault.
     """
-    world = play(seed)
-    assert world.starts > 50 and len(world.kept) > 10 and world.happened["restart"] > 5
+    world = simulate(seed)
+    assert world.starts > 50 and len(world.kept_completions) > 10 and world.event_counts["restart"] > 5
 
 
 @pytest.mark.parametrize("grouped", [True, False])
@@ -87,7 +87,7 @@
     """Guards against a recovery that is reported before other controllers can read the completion."""
     world = Takeover(store, grouped)
     if by_command:
-        anyio.run(world.machines.handle, CommandReply(report(2, 3, ENDED)))
+        anyio.run(world.machines.handle, CommandReply(worker_report(2, 3, ENDED)))
     else:
         world.report_tasks(ENDED)
     assert world.recovered_views() == [] and not world.is_settled()
@@ -165,7 +165,7 @@
     world = Takeover(store)
     world.report_tasks((f"{JOB}/0", 5, "running"))
     world.commit()
-    world.heartbeat(report(3, 3, ENDED))
+    world.heartbeat(worker_report(3, 3, ENDED))
     assert not store.tables.jobs[JOB].progress.done and world.recovered_views() == [3]
 
 
@@ -173,7 +173,7 @@
     """The adoption also holds under the next view, because the machine still lists the task."""
     world = Takeover(store)
     world.report_tasks((f"{JOB}/0", 5, "running"))
-    world.heartbeat(report(3, 3, ENDED))
+    world.heartbeat(worker_report(3, 3, ENDED))
     world.assert_settled_under_the_next_view()
 
 
@@ -199,7 +199,7 @@
     state_outage(world)
     world.machines._tick()
     assert not world.leadership.is_leader and not world.membership._inbox
-    later(world, 0.0)
+    advance_time(world, 0.0)
     assert world.recovered_views() == []
     world.commit()
     assert world.is_settled() and world.recovered_views() == [3]
@@ -210,7 +210,7 @@
     world = Takeover(store)
     world.report_tasks(ENDED)
     store.view(4, ("c0", 2))
-    store.member("c0", 2, settled=3)
+    store.member("c0", 2, recovered_view=3)
     world.leadership.incarnation = 2
     world.machines.ownership.follow_view()
     assert not world.machines.registry.found_completions and world.recovered_views() == []
@@ -234,10 +234,10 @@
 @pytest.mark.parametrize(
     "late",
     [
-        report(2, 3, ENDED),
-        report(1, 3, (f"{JOB}/1", 5, "ended", "done")),
-        report(9, 0, (f"{JOB}/1", 5, "ended", "done")),
-        report(9, 3, MALFORMED),
+        worker_report(2, 3, ENDED),
+        worker_report(1, 3, (f"{JOB}/1", 5, "ended", "done")),
+        worker_report(9, 0, (f"{JOB}/1", 5, "ended", "done")),
+        worker_report(9, 3, MALFORMED),
     ],
 )
 def test_duplicated_delayed_and_malformed_reports_change_nothing(store: Store, late: WorkerReport) -> None:
@@ -260,5 +260,5 @@
     world.report_tasks(ENDED, name="vm-2")
     assert not world.machines.registry.found_completions
     world.commit()
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(2.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(2.0, 0.0)}))
     assert world.recovered_views() == [3]
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -16,8 +16,16 @@
 from sloeswitch.core import keys
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.http import Answer, Request
-from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, heartbeat, later, machine_up, running, verbs
+from tests.conftest import Store, spec, worker_report
+from tests.support.single_controller import (
+    JOB,
+    World,
+    advance_time,
+    command_verbs,
+    heartbeat,
+    register_machine,
+    start_task,
+)
 
 LEASE_S = 10.0
 
@@ -25,44 +33,46 @@
 @pytest.fixture
 def world(store: Store) -> Iterator[World]:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     yield world
 
 
 def test_machine_gets_no_start_command_until_it_is_known_to_have_received_an_answer(world: World) -> None:
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert verbs(heartbeat(world, report(3, 3), received=False)) == []
-    assert verbs(heartbeat(world, report(4, 3), received=True)) == ["start"] * 4
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    assert command_verbs(heartbeat(world, worker_report(3, 3), received=False)) == []
+    assert command_verbs(heartbeat(world, worker_report(4, 3), received=True)) == ["start"] * 4
 
 
 def test_unreachable_machine_loses_unsent_tasks_and_keeps_sent_tasks(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     world.store.job(spec("wk-000002", visits=2))
-    world.round(ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000002": 2}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert world.machines.registry.placed_tasks["wk-000002"] == 0b11
-    heartbeat(world, report(5, 3, (*task, "running")), received=False)
+    heartbeat(world, worker_report(5, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert "wk-000002" not in world.machines.registry.placed_tasks  # will be placed again
     assert world.machines.registry.placed_tasks[JOB] == 0b1
     # The machine still reports, so its lease may be valid: the task counts as placed until a report no longer lists it.
-    later(world, 2.0)
-    heartbeat(world, report(9, 3, (*task, "running")), received=False)
+    advance_time(world, 2.0)
+    heartbeat(world, worker_report(9, 3, (*task, "running")), received=False)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert world.machines.registry.placed_tasks[JOB] == 0b1
-    heartbeat(world, report(10, 3, session=2), received=False)
+    heartbeat(world, worker_report(10, 3, agent_epoch=2), received=False)
     assert JOB not in world.machines.registry.placed_tasks
 
 
 def test_unreachable_machine_is_terminated_after_two_lease_periods(world: World) -> None:
     machine = world.machines.registry.machines["vm-1"]
     reasons: list[TerminationReason] = []
-    world.machines.termination.drain_and_scale_in = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
+    world.machines.termination.drain_and_terminate = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
     serial = 3
     for _ in range(int(2.5 * LEASE_S)):
-        later(world, 1.0)
-        heartbeat(world, report(serial, 3), received=serial < 5)
+        advance_time(world, 1.0)
+        heartbeat(world, worker_report(serial, 3), received=serial < 5)
         serial += 1
         world.machines.monitor.check_machine(machine, world.clock.time)
         assert bool(reasons) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
@@ -80,7 +90,7 @@
     world.machines.ask = ask  # type: ignore[assignment]
 
     async def send_heartbeat(serial: int, connection: dict[str, float]) -> None:
-        await users.handle(Request("POST", "/agent/beat", wire.encode(report(serial, 3)), connection))
+        await users.handle(Request("POST", "/agent/beat", wire.encode(worker_report(serial, 3)), connection))
 
     connection: dict[str, float] = {}
     anyio.run(send_heartbeat, 3, connection)
@@ -92,63 +102,63 @@
 
 
 def test_duplicate_report_does_not_renew_the_lease_and_gets_no_commands(world: World) -> None:
-    running(world)
+    start_task(world)
     machine = world.machines.registry.machines["vm-1"]
     lease_expires_at = machine.lease_expires_at
-    later(world, 5.0)
-    assert heartbeat(world, report(3, 3)).status == 503
+    advance_time(world, 5.0)
+    assert heartbeat(world, worker_report(3, 3)).status == 503
     assert machine.lease_expires_at == lease_expires_at and machine.last_report_at < world.clock.time
     assert world.machines.registry.placed_tasks[JOB] == 0b1
 
 
 def test_report_delayed_past_the_end_of_its_lease_restores_no_tasks(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     machine = world.machines.registry.machines["vm-1"]
-    later(world, machine.lease_expires_at + 0.1 - world.clock.time)
+    advance_time(world, machine.lease_expires_at + 0.1 - world.clock.time)
     world.machines.monitor.check_machine(machine, world.clock.time)
     assert JOB not in world.machines.registry.placed_tasks
     # The sequence number is new, but the agent epoch has expired: the task may run elsewhere by now.
-    assert heartbeat(world, report(99, 3, (*task, "running"))).status == 503
+    assert heartbeat(world, worker_report(99, 3, (*task, "running"))).status == 503
     assert JOB not in world.machines.registry.placed_tasks and not machine.reconciled
-    assert heartbeat(world, report(100, 3, session=2), received=False).status == 200
+    assert heartbeat(world, worker_report(100, 3, agent_epoch=2), received=False).status == 200
     assert machine.reconciled and not machine.reachable
 
 
 def test_report_of_an_earlier_agent_epoch_is_ignored(world: World) -> None:
-    task = running(world)
-    heartbeat(world, report(1, 3, session=2))
+    task = start_task(world)
+    heartbeat(world, worker_report(1, 3, agent_epoch=2))
     assert JOB not in world.machines.registry.placed_tasks
-    assert heartbeat(world, report(50, 3, (*task, "running"))).status == 503
+    assert heartbeat(world, worker_report(50, 3, (*task, "running"))).status == 503
     assert JOB not in world.machines.registry.placed_tasks
 
 
 def test_task_reported_after_its_machine_was_accounted_for_is_killed_and_not_adopted(world: World) -> None:
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c1_9=0b1)
-    answer = heartbeat(world, report(3, 3, (f"{JOB}/0", 5, "running")))
-    assert verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed_tasks
+    answer = heartbeat(world, worker_report(3, 3, (f"{JOB}/0", 5, "running")))
+    assert command_verbs(answer) == ["kill"] and JOB not in world.machines.registry.placed_tasks
     assert not world.machines.registry.adopting
 
 
 def test_duplicate_report_does_not_show_that_a_start_command_was_lost(world: World) -> None:
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert verbs(heartbeat(world, report(3, 3))) == ["start"]
-    heartbeat(world, report(2, 3))
-    heartbeat(world, report(3, 3))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    assert command_verbs(heartbeat(world, worker_report(3, 3))) == ["start"]
+    heartbeat(world, worker_report(2, 3))
+    heartbeat(world, worker_report(3, 3))
     (attempt,) = world.machines.registry.machines["vm-1"].attempts.values()
     assert attempt.sent_sequence == 3
 
 
 def test_delayed_report_of_a_deleted_machine_is_refused_and_unreconciled_after_a_restart(world: World) -> None:
     world.store.put(keys.machine_key("vm-1"), None)
-    assert heartbeat(world, report(9, 3)).status == 503
+    assert heartbeat(world, worker_report(9, 3)).status == 503
     # A restarted controller does not know of the deletion. The report has an earlier token and is not applied.
     world.store.tables.deleted_machines.clear()
     world.machines.registry.reset()
     world.store.view(4, ("c0", 1))
     world.machines.ownership.followed_view = 0
-    assert heartbeat(world, report(10, 3)).status == 200
+    assert heartbeat(world, worker_report(10, 3)).status == 200
     machine = world.machines.registry.machines["vm-1"]
     assert not machine.reconciled and not world.machines.registry.is_schedulable(machine)
 
@@ -158,6 +168,6 @@
 ) -> None:
     tasks = [(f"{JOB}/{index}", 1, "running") for index in range(300)]
     for serial in range(3, 9):
-        assert heartbeat(world, report(serial, 3, *tasks, ("nonsense", 1, "running"))).status == 400
+        assert heartbeat(world, worker_report(serial, 3, *tasks, ("nonsense", 1, "running"))).status == 400
     assert sum("vm-1" in record.getMessage() for record in caplog.records) == 1
-    assert heartbeat(world, report(9, 3)).status == 200
+    assert heartbeat(world, worker_report(9, 3)).status == 200
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -15,13 +15,13 @@
 from sloeswitch.settings import Settings
 from sloeswitch.state_client import StateClient
 from tests.conftest import Store, spec
-from tests.support.single_controller import JOB, World, ask, machine_up, running
+from tests.support.single_controller import JOB, World, ask, register_machine, start_task
 
 
 @pytest.fixture
 def world(store: Store) -> World:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     return world
 
 
@@ -39,14 +39,14 @@
     samples = scrape(world)
     assert samples["sloeswitch_leader"] == samples["sloeswitch_coordinator"] == 1
     assert samples["sloeswitch_view"] == 3 and samples["sloeswitch_recovery_complete"] == 1
-    assert samples["sloeswitch_revision"] == world.store.epoch
+    assert samples["sloeswitch_revision"] == world.store.revision
     assert samples["sloeswitch_revision_age_seconds"] == pytest.approx(1.5)
     world.leadership.lease_renewed_at -= 100.0
     assert scrape(world)["sloeswitch_leader"] == 0
 
 
 def test_metrics_report_the_quota_and_the_usage_of_a_team(world: World) -> None:
-    running(world)
+    start_task(world)
     world.machines.registry.handed_off_tasks[JOB] = 0b10
     world.machines.quota.update_handed_off_usage()
     world.machines.registry.machines["vm-1"].foreign_attempts[AttemptKey(f"{JOB}/3", 9)] = None
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -13,7 +13,7 @@
 from tests.conftest import SETTINGS, Store, spec
 from tests.support.single_controller import World, status_code, store_done, submit
 
-A, B, C, D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
+JOB_A, JOB_B, JOB_C, JOB_D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
 
 NARROW = SETTINGS.replace(
     "[deployment.cloud]", "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[deployment.cloud]"
@@ -21,7 +21,7 @@
 
 
 def test_a_job_with_a_thousand_prerequisites_is_stored_in_chunks_before_its_row(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
@@ -45,7 +45,7 @@
     assert store.tables.jobs["wk-100001"].is_cancelled
     store.progress("wk-100001")
     world.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
-    world.round()
+    world.commit_and_place()
     for _ in range(20):
         anyio.run(world.jobs.garbage_collector.collect)
     assert (
@@ -56,7 +56,7 @@
 
 
 def test_chunks_without_a_job_are_deleted_and_a_late_row_of_the_job_fails(store: Store) -> None:
-    store.upgraded()
+    store.put_complete_layout()
     world = World(store, NARROW)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
@@ -71,12 +71,12 @@
 
     world.client.compare_and_swap = lose_row_answer  # type: ignore[method-assign]
     assert submit(world, "wk-100001", *names) == 503
-    assert len(world.client.late) == 1 and store.tables.spec_chunks
+    assert len(world.client.lost_transactions) == 1 and store.tables.spec_chunks
     assert status_code(world, "wk-100001") == 404
     anyio.run(world.jobs.garbage_collector.collect)
     world.clock.time += 5 * world.settings.lease_s
     anyio.run(world.jobs.garbage_collector.collect)
-    world.client.apply(*world.client.late[0])  # the job's row, applied after its first chunk was deleted
+    world.client.apply(*world.client.lost_transactions[0])  # the job's row, applied after its first chunk was deleted
     assert status_code(world, "wk-100001") == 404
     for _ in range(20):
         anyio.run(world.jobs.garbage_collector.collect)
