--- a/sloeswitch/actors/gang_preemption.py
+++ b/sloeswitch/actors/gang_preemption.py
@@ -19,7 +19,7 @@
 
 
 class GangPreemption:
-    """Frees capacity for gangs of one task, and reserves it until they are placed."""
+    """Frees capacity for gangs of one task, and reserves it until they are claimed."""
 
     def __init__(self, shard: ShardState, kill: Callable[[Machine, Attempt, float], None]) -> None:
         context = shard.context
@@ -38,14 +38,14 @@
     def preempt_for_gangs(self, now: float) -> None:
         """Stops tasks of lower priority for each gang of one task that has been queued for a while.
 
-        The machine is reserved for the gang until the gang is placed, but no longer than a worker lease.
+        The machine is reserved for the gang until the gang is claimed, but no longer than a worker lease.
         """
         self._expire_reservations(now)
         if not self.queue.scarce_types:
             return
         order = preemption.QueueOrder.of(self.queue.jobs, self.registry.placed_tasks)
         capacities: dict[str, placement.FreeCapacity] | None = None
-        for job in self._unplaced_gangs(now):
+        for job in self._unclaimed_gangs(now):
             if capacities is None:
                 capacities = self._scarce_capacities()
             fitting = [
@@ -145,7 +145,7 @@
             ):
                 del self.reservations[name]
 
-    def _unplaced_gangs(self, now: float) -> Iterator[Job]:
+    def _unclaimed_gangs(self, now: float) -> Iterator[Job]:
         """Yields the unclaimed gangs of one task that have been queued for a while, in the order of the queue.
 
         The controller with affinity to the job's image goes first. The others follow at offsets of one report interval,
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -16,8 +16,8 @@
 from sloeswitch.core.quota_changes import QuotaDecrease
 from sloeswitch.core.records import JobState
 from sloeswitch.core.uncommitted_updates import TaskUpdates
-from tests.conftest import Store, report, spec
-from tests.support.single_controller import JOB, World, machine_up, meshed
+from tests.conftest import Store, spec, worker_report
+from tests.support.single_controller import JOB, World, attach_mesh, register_machine
 
 
 @pytest.fixture
@@ -26,20 +26,20 @@
 
 
 def test_claim_and_quota_allocation_are_stored_before_any_start(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
-    assert world.heartbeat(report(3, 3)).commands == []
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    assert world.heartbeat(worker_report(3, 3)).commands == []
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1111}
     assert world.store.tables.quota_allocations["red"] == {"c0.1": (8.0, 0.0)}
-    assert [order.verb for order in world.heartbeat(report(4, 3)).commands] == ["start"] * 4
+    assert [order.verb for order in world.heartbeat(worker_report(4, 3)).commands] == ["start"] * 4
 
 
 def test_claimed_tasks_start_only_within_the_quota_allocation(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
-    assert len(world.heartbeat(report(3, 3)).commands) == 2
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(5.0, 0.0)}))
+    assert len(world.heartbeat(worker_report(3, 3)).commands) == 2
 
 
 def test_no_claim_is_committed_under_an_outdated_view(world: World) -> None:
@@ -47,22 +47,22 @@
     outdated_conditions = world.leadership.view_conditions()
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.leadership.view_conditions = lambda: outdated_conditions  # type: ignore[method-assign]
-    world.round(ClaimRequest(task_counts={JOB: 4}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
 def test_nothing_is_claimed_without_the_controller_lease(world: World) -> None:
     world.store.job(spec())
     world.clock.time += world.settings.controller_lease_s
-    world.round(ClaimRequest(task_counts={JOB: 4}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}))
     assert world.store.tables.jobs[JOB].progress.claims == {}
 
 
 def test_without_the_lease_heartbeats_are_answered_only_if_every_sibling_confirms_the_view(world: World) -> None:
-    machine_up(world)
-    mesh = meshed(world)
+    register_machine(world)
+    mesh = attach_mesh(world)
     world.clock.time += world.settings.controller_lease_s
-    refused = HeartbeatRequest(report=report(3, 3))
+    refused = HeartbeatRequest(report=worker_report(3, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
     mesh.peers["c1"].requested_at, mesh.peers["c1"].view_number, mesh.peers["c1"].cancellations_complete = (
@@ -70,22 +70,22 @@
         3,
         True,
     )
-    world.heartbeat(report(4, 3))
+    world.heartbeat(worker_report(4, 3))
     mesh.peers["c1"].view_number = 4
-    refused = HeartbeatRequest(report=report(5, 3))
+    refused = HeartbeatRequest(report=worker_report(5, 3))
     anyio.run(world.machines.handle, refused)
     assert refused.answer.status == 503
 
 
 def test_claim_committed_after_its_answer_was_lost_is_used(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec())
     world.client.lose_answers = 1
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    assert world.heartbeat(report(3, 3)).commands == []
-    world.client.apply(*world.client.late[0])
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    assert world.heartbeat(worker_report(3, 3)).commands == []
+    world.client.apply(*world.client.lost_transactions[0])
     world.machines.task_placement.place_unplaced()
-    assert len(world.heartbeat(report(4, 3)).commands) == 4
+    assert len(world.heartbeat(worker_report(4, 3)).commands) == 4
 
 
 def test_task_is_not_started_again_before_its_completion_is_stored(world: World) -> None:
@@ -93,26 +93,26 @@
 
     The task has left the machine and its claim is still stored, so that it could be taken for a task to place.
     """
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    answer = world.heartbeat(report(4, 3, (start.task, start.attempt, "ended", "done")))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    answer = world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "ended", "done")))
     assert answer.commands == []  # no start, and no clear before the completion is stored
-    world.tell_jobs(TaskUpdates(done={JOB: 1}))
+    world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.DONE, 1)
-    cleared = world.heartbeat(report(5, 3, (start.task, start.attempt, "ended", "done")))
+    cleared = world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "ended", "done")))
     assert [order.verb for order in cleared.commands] == ["clear"]
 
 
 def test_completions_of_one_heartbeat_are_sent_in_one_message(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=2000, cores=0.001, memoryGb=0.0))
     world.store.progress(JOB, c1_9=(1 << 2000) - 1)
     ended = [(f"{JOB}/{index}", 5, "ended", "done") for index in range(2000)]
-    world.heartbeat(report(3, 3, *ended))
+    world.heartbeat(worker_report(3, 3, *ended))
     assert len(world.jobs._inbox) == 1
 
 
@@ -120,9 +120,9 @@
     world.store.job(spec(visits=1))
     world.store.progress(JOB, c0_1=0b1)
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
-    world.tell_jobs(TaskUpdates(done={JOB: 1}))
+    world.send_task_updates(TaskUpdates(done={JOB: 1}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.jobs.status(JOB) == wire.JobStatus.CANCELLED
 
 
@@ -133,24 +133,24 @@
 
 
 def test_cancelled_task_is_killed_and_its_claim_released_once_it_has_ended(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     assert anyio.run(world.jobs.cancel, JOB) == wire.JobStatus.CANCELLED
     machine = world.machines.registry.machines["vm-1"]
     machine.reconciled = False  # no direct command in this test
     world.machines.cancelled_tasks.stop_all()
     machine.reconciled = True
-    orders = world.heartbeat(report(5, 3, (start.task, start.attempt, "running"))).commands
+    orders = world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "running"))).commands
     assert [order.verb for order in orders] == ["kill"]
     assert world.store.tables.jobs[JOB].progress.claims == {"c0.1": 0b1}
-    world.heartbeat(report(6, 3, (start.task, start.attempt, "ended", "halted")))
+    world.heartbeat(worker_report(6, 3, (start.task, start.attempt, "ended", "halted")))
     world.machines.cancelled_tasks.stop_all()
-    world.tell_jobs(world.machines.task_updates.pending)
+    world.send_task_updates(world.machines.task_updates.pending)
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert world.store.tables.finished_jobs[JOB][:2] == (JobState.CANCELLED, 1)
 
 
@@ -164,7 +164,7 @@
 
     world.store.view(4, ("c0", 1), ("c1", 2))
     name = next(f"vm-{n}" for n in range(100) if owner(f"vm-{n}", world.store.tables.view.members) == "c1")
-    message = HeartbeatRequest(report=report(1, 0, name=name))
+    message = HeartbeatRequest(report=worker_report(1, 0, name=name))
     anyio.run(world.machines.handle, message)
     assert (message.answer.status, message.answer.body) == (421, b'{"foreman":"c1"}')
 
@@ -179,35 +179,35 @@
     stamp = world.store.tables.mod_revision(keys.quota_key("red"))
     world.machines.quota.pending_decreases["red"] = QuotaDecrease(stamp, 4.0, 0.0)
     assert world.machines.quota.allocation("red") == (4.0, 0.0)
-    world.round(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
+    world.commit_and_place(ClaimRequest(quota_increases={"red": ResourceAmount(12.0, 0.0)}, forced_rewrites={"red"}))
     assert world.machines.quota.allocation("red") == (20.0, 0.0)
 
 
 def test_malformed_report_is_rejected(world: World) -> None:
-    machine_up(world)
-    message = HeartbeatRequest(report=report(3, 3, ("nonsense", 1, "running")))
+    register_machine(world)
+    message = HeartbeatRequest(report=worker_report(3, 3, ("nonsense", 1, "running")))
     anyio.run(world.machines.handle, message)
     assert message.answer.status == 400
 
 
 def test_last_tasks_with_checkpoints_move_off_a_surplus_machine(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=1, snapshotS=30.0, stashS=6.0))
-    world.round(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
-    start = world.heartbeat(report(3, 3)).commands[0]
-    world.heartbeat(report(4, 3, (start.task, start.attempt, "running")))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 1}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    start = world.heartbeat(worker_report(3, 3)).commands[0]
+    world.heartbeat(worker_report(4, 3, (start.task, start.attempt, "running")))
     surplus_machine = world.machines.registry.machines["vm-1"]
     (attempt,) = surplus_machine.attempts.values()
     surplus_machine.surplus = True
     world.clock.time += 2.0
-    world.heartbeat(report(5, 3, (start.task, start.attempt, "running")))
+    world.heartbeat(worker_report(5, 3, (start.task, start.attempt, "running")))
     attempt.running_at = world.clock.time - 61.0
     surplus_machine.reconciled = False  # no direct command in this test
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s is None  # no other machine has free capacity
-    world.heartbeat(report(1, 0, name="vm-2"))
+    world.heartbeat(worker_report(1, 0, name="vm-2"))
     world.store.put(keys.machine_key("vm-2"), {"a": "127.0.0.1:9001", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(2, 3, name="vm-2"))
+    world.heartbeat(worker_report(2, 3, name="vm-2"))
     surplus_machine.reconciled = False
     world.machines.surplus_drain.drain(world.clock.time)
     assert attempt.kill_grace_s == 6.0
@@ -221,12 +221,12 @@
         world.store.job(spec(name, visits=1), JobState.CANCELLED)
         world.store.progress(name, c0_1=0b1)
     world.store.job(spec("wk-000099"))
-    world.tell_jobs(TaskUpdates(done={"wk-000099": 0b1}))
-    world.tell_jobs(TaskUpdates(released=dict.fromkeys(names, 1)))
+    world.send_task_updates(TaskUpdates(done={"wk-000099": 0b1}))
+    world.send_task_updates(TaskUpdates(released=dict.fromkeys(names, 1)))
     world.clock.time += 20.0
     for _ in range(20):
         world.clock.time += 20.0
-        world.round()
+        world.commit_and_place()
     assert set(names) <= world.store.tables.finished_jobs.keys()
 
 
@@ -235,22 +235,22 @@
     scattered = sum(1 << index for index in range(0, 2400, 2))
     for name in names:
         world.store.job(spec(name, visits=3000))
-    world.tell_jobs(TaskUpdates(done=dict.fromkeys(names, scattered)))
+    world.send_task_updates(TaskUpdates(done=dict.fromkeys(names, scattered)))
     for _ in range(20):
         world.clock.time += 20.0
-        world.round()
+        world.commit_and_place()
     assert all(world.store.tables.jobs[name].progress.done == scattered for name in names)
 
 
 def test_a_new_job_is_first_left_to_the_controller_with_affinity_to_its_image(world: World) -> None:
-    machine_up(world)
+    register_machine(world)
     world.store.view(4, ("c0", 1), ("c1", 2))
     world.machines.ownership.follow_view()
     images = {world.leadership.owner_of(f"image img-{number}"): f"img-{number}" for number in range(20)}
     name = next(f"vm-{number}" for number in range(9) if world.leadership.owner_of(f"vm-{number}") == "c0")
     world.store.put(keys.machine_key(name), {"a": "127.0.0.1:9000", "t": "small", "z": "a", "s": True})
-    world.heartbeat(report(9, 3, name=name))
-    world.heartbeat(report(10, 4, name=name))
+    world.heartbeat(worker_report(9, 3, name=name))
+    world.heartbeat(worker_report(10, 4, name=name))
     world.store.job(spec("wk-000001", kit=images["c1"], visits=1))
     world.store.job(spec("wk-000002", kit=images["c0"], visits=1))
     world.machines.queue.rebuild()
@@ -272,12 +272,12 @@
 
 def test_tasks_released_and_claimed_again_between_two_ticks_can_be_placed(world: World) -> None:
     """Guards against tasks that are never placed because their new claim is taken for the one being released."""
-    machine_up(world)
+    register_machine(world)
     world.store.job(spec(visits=2))
     world.store.progress(JOB, c0_1=0b11)
     world.store.put(keys.quota_key("red"), {"c0.1": [8.0, 0.0]})
     world.machines.task_updates.release(JOB, 0b11)
-    world.tell_jobs(world.machines.task_updates.pending)
+    world.send_task_updates(world.machines.task_updates.pending)
     world.machines.task_updates.pending = TaskUpdates()
     world.clock.time += 2 * world.jobs.commit_interval_s
 
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -19,14 +19,14 @@
     cluster = Cluster()
     names = cluster.overload()
     other = Store()
-    for key, (value, stamp) in cluster.store.rows.items():
+    for key, (value, revision) in cluster.store.rows.items():
         # The other controller has read only every second job.
         if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
-            other.tables.apply(key, value, stamp)
-    cluster.later(cluster.limits.starvation_timeout_s)
+            other.tables.apply(key, value, revision)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     for _ in range(3):
         cluster.epoch()
-        cluster.later(cluster.limits.starvation_timeout_s)
+        cluster.advance_time(cluster.limits.starvation_timeout_s)
     key = keys.admission_key(cuts.ROOT_PATH)
     other.tables.apply(key, *cluster.store.rows[key])
     first, second = decide(cluster.store.tables), decide(other.tables)
@@ -38,7 +38,7 @@
     cluster = Cluster()
     cluster.overload()
     lagging = cluster.store.read_again()
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     stale = {name for name, decision in decide(lagging).items() if decision.admitted}
     assert stale < set(cluster.admitted())
@@ -49,23 +49,23 @@
     cluster.overload(0)
     for name in ("wk-000003", "wk-000001", "wk-000002"):
         cluster.submit(name)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     for count in (1, 2, 3):
         cluster.epoch()
         assert cluster.admitted() == ["wk-000000", "wk-000001", "wk-000002", "wk-000003"][: count + 1]
-        cluster.later(cluster.limits.starvation_timeout_s)
+        cluster.advance_time(cluster.limits.starvation_timeout_s)
 
 
 def test_clock_errors_defer_nothing_without_overload_and_old_tickets_are_admitted() -> None:
     cluster = Cluster()
     error_ms = int(1000 * cluster.settings.clock_error_s)
-    cluster.later(2 * cluster.limits.lead_s - cluster.limits.epoch_s)
+    cluster.advance_time(2 * cluster.limits.lead_s - cluster.limits.epoch_s)
     cluster.epoch()
-    cluster.later(cluster.limits.lead_s - cluster.limits.epoch_s)
+    cluster.advance_time(cluster.limits.lead_s - cluster.limits.epoch_s)
     cluster.submit("wk-000001", at_ms=cluster.now_ms + 2 * error_ms, visits=1)
     assert cluster.admitted() == ["wk-000001"]
     names = cluster.overload(3)
-    cluster.later(cluster.limits.starvation_timeout_s)
+    cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     # Accepted only now, by a controller whose clock is behind.
     cluster.submit("wk-000099", at_ms=cluster.now_ms - 10**6)
@@ -97,7 +97,7 @@
     assert AdmissionRow.from_stored(msgspec.json.decode(msgspec.json.encode(row.stored()))) == row
 
 
-def later(world: World, seconds: float) -> None:
+def advance_time(world: World, seconds: float) -> None:
     world.clock.time += seconds
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
 
@@ -107,11 +107,11 @@
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
     before = store.tables.admission_rows
-    later(world, coordinator.limits.starvation_timeout_s)
+    advance_time(world, coordinator.limits.starvation_timeout_s)
     anyio.run(coordinator.run_epoch)
     newer = store.tables.admission_rows
-    assert newer != before and len(world.client.late) == 1
-    outcome, _ = world.client.apply(*world.client.late[0])
+    assert newer != before and len(world.client.lost_transactions) == 1
+    outcome, _ = world.client.apply(*world.client.lost_transactions[0])
     assert outcome.value == "conflict" and store.tables.admission_rows == newer
 
 
@@ -123,8 +123,8 @@
     world, coordinator = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
-    conditions, writes, drops = world.client.late[0]
-    conditions = {key: stamp for key, stamp in conditions.items() if key != keys.COORDINATOR_KEY}
+    conditions, writes, drops = world.client.lost_transactions[0]
+    conditions = {key: revision for key, revision in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(coordinator.run_epoch)  # no longer the coordinator, so it computes no epoch
     assert store.tables.admission_rows[cuts.ROOT_PATH].number == 1
@@ -140,10 +140,10 @@
     store.put(keys.feature_key("admission"), {"seen": ["c0"], "complete": False})
     link = ScriptedLink()
     coordinator.links = {"c1": link}
-    before = store.epoch
+    before = store.revision
     anyio.run(coordinator.request_idle_capacity, "c1")
     anyio.run(coordinator.run_epoch)
-    assert not coordinator.switched_on and link.asked == 0 and store.epoch == before
-    store.upgraded()
-    anyio.run(coordinator.feature.record_member)
+    assert not coordinator.switched_on and link.asked == 0 and store.revision == before
+    store.put_complete_layout()
+    anyio.run(coordinator.rollout.record_member)
     assert not coordinator.switched_on, "c1 has not run with it"
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -11,7 +11,7 @@
 from sloeswitch.core.uncommitted_updates import TaskUpdates
 from sloeswitch.rate_budget import RequestPriority, TokenBucket
 from tests.conftest import Store, spec
-from tests.support.single_controller import NARROW, World, machine_up
+from tests.support.single_controller import SETTINGS_WITH_NEXT_LIMITS, World, register_machine
 
 
 def test_the_largest_round_of_claims_does_not_overdraw_the_bucket_for_a_submission(store: Store) -> None:
@@ -27,7 +27,7 @@
 
 def test_the_jobs_of_a_pipeline_are_accepted_in_succession_without_waiting(store: Store) -> None:
     """Guards against a delay of half a second for the last job when a round of claims has drained the bucket."""
-    client = World(store, NARROW).client
+    client = World(store, SETTINGS_WITH_NEXT_LIMITS).client
     client.controller_count = lambda: 3
     bucket = TokenBucket(client.write_tokens.rate, 0.0)
     while bucket.acquire(client.available_changes(RequestPriority.CLAIM), RequestPriority.CLAIM, 0.0) == 0.0:
@@ -53,7 +53,7 @@
     for number in range(1, 9):
         store.job(spec(f"wk-00000{number}"))
     adopted = {f"wk-00000{number}": 0b1 for number in range(1, 7)}
-    world.tell_jobs(TaskUpdates(adopted=adopted, view_number=3))
+    world.send_task_updates(TaskUpdates(adopted=adopted, view_number=3))
     due_jobs = world.jobs._schedule().due_jobs({"wk-000007": 4, "wk-000008": 4})
     assert due_jobs[0] == "wk-000007" and due_jobs[2] == "wk-000008" and set(adopted) <= set(due_jobs)
 
@@ -65,8 +65,8 @@
         store.job(spec(f"wk-00000{number}"))
         store.progress(f"wk-00000{number}", c1_2=0b1)
     world.client.controller_count = lambda: 3
-    world.tell_jobs(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
-    world.round()
+    world.send_task_updates(TaskUpdates(adopted={f"wk-00000{number}": 0b1 for number in range(1, 4)}, view_number=3))
+    world.commit_and_place()
     adopted_jobs = [name for name, job in store.tables.jobs.items() if job.progress.claims == {"c0.1": 0b1}]
     assert len(adopted_jobs) >= 2
 
@@ -83,9 +83,11 @@
 def test_an_allocation_has_no_margin_when_the_limit_is_fully_allocated(store: Store) -> None:
     """Guards against each controller keeping a fifth more than it uses, which delays the jobs of the others."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert world.machines.quota.usage("red").cores == 8.0
     assert decreased_allocations(world, {"c0.1": [20.0, 0.0]}) == {"red": 8.0}
 
@@ -93,16 +95,18 @@
 def test_allocations_are_kept_while_much_of_the_limit_is_free(store: Store) -> None:
     """Guards against allocations that shrink and grow every few seconds, at the cost of a write each time."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.job(spec())
-    world.round(ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={"wk-000001": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     assert decreased_allocations(world, {"c0.1": [12.0, 0.0]}) == {}
 
 
 def test_a_long_queue_is_not_searched_when_no_capacity_is_free(store: Store, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against searching the whole queue, which takes most of the processor time with hundreds of jobs."""
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     for number in range(200):
         store.job(spec(f"wk-{number:06d}"))
     store.put(keys.quota_key("red"), {"c0.1": [20.0, 0.0]})
@@ -125,13 +129,13 @@
     store.progress("wk-000001", c1_2=0b1111)
     world.leadership.lease_renewed_at = float("-inf")  # Without a lease nothing is claimed.
     before = world.client.write_tokens.tokens
-    world.tell_jobs(TaskUpdates(released={"wk-000001": 0b1}))
+    world.send_task_updates(TaskUpdates(released={"wk-000001": 0b1}))
     world.clock.time += 20.0
 
     async def acquire(changes: int, priority: RequestPriority) -> None:
         world.client.write_tokens.tokens -= changes
 
     world.client.acquire_changes = acquire  # type: ignore[method-assign]
-    epoch = store.epoch
-    world.round()
-    assert store.epoch == epoch and world.client.write_tokens.tokens == before
+    revision = store.revision
+    world.commit_and_place()
+    assert store.revision == revision and world.client.write_tokens.tokens == before
--- a/tests/test_feature_rollout.py
+++ b/tests/test_feature_rollout.py
@@ -21,7 +21,7 @@
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus()  # A controller of an earlier layout could not read the row.
-    world.store.upgraded()
+    world.store.put_complete_layout()
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus(("c0",), complete=False) and not rollout.is_complete
     others = sorted({*world.settings.members} - {"c0"})
@@ -34,7 +34,7 @@
 
 
 def test_a_controller_that_is_not_leader_records_nothing(world: World) -> None:
-    world.store.upgraded()
+    world.store.put_complete_layout()
     world.clock.time += 2 * world.settings.controller_lease_s
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -15,8 +15,8 @@
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
 from sloeswitch.wire import MachineType
-from tests.conftest import MACHINE_TYPE, SETTINGS, Store, report, spec
-from tests.support.single_controller import World, later
+from tests.conftest import MACHINE_TYPE, SETTINGS, Store, spec, worker_report
+from tests.support.single_controller import World, advance_time
 
 LARGE = MachineType("large", 32.0, 0.0, 64.0, 50.0, 0.5, 1.3, 0.4, 25.0, ["a", "b"])
 GANG: dict[str, Any] = {"shape": "group", "visits": 1, "cores": 30.0, "memoryGb": 51.0, "together": True}
@@ -34,14 +34,14 @@
     world.heartbeat(large(2, 3))
     store.put(keys.quota_key("red"), {"c0.1": [100.0, 0.0]})
     store.job(spec(SMALL_JOB, visits=32, cores=1.0, memoryGb=0.1, urgency="best_effort"))
-    world.round(ClaimRequest(task_counts={SMALL_JOB: 32}))
+    world.commit_and_place(ClaimRequest(task_counts={SMALL_JOB: 32}))
     starts = world.heartbeat(large(3, 3)).commands
     world.heartbeat(large(4, 3, *((order.task, order.attempt, "running") for order in starts)))
     yield world
 
 
 def large(sequence: int, token: int, *tasks: Any) -> wire.WorkerReport:
-    return msgspec.structs.replace(report(sequence, token, *tasks), type="large", spot=False)
+    return msgspec.structs.replace(worker_report(sequence, token, *tasks), type="large", spot=False)
 
 
 def machine(world: World) -> Machine:
@@ -54,7 +54,7 @@
     Returns:
         The number of tasks on the machine that are being stopped.
     """
-    later(world, seconds)
+    advance_time(world, seconds)
     world.machines.queue.rebuild()
     world.machines.queue.queued_since = {
         job.spec.id: world.machines.queue.queued_since.get(job.spec.id, world.clock.time)
@@ -92,7 +92,9 @@
     world.machines.task_placement.place_unplaced()
     world.machines.task_placement.fill_machine(machine(world))
     assert machine(world).usage.cores == 2.0
-    world.round(ClaimRequest(task_counts={GANG_JOB: 1}, zones={GANG_JOB: "a"}, zone_bound_tasks={GANG_JOB: 0b1}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={GANG_JOB: 1}, zones={GANG_JOB: "a"}, zone_bound_tasks={GANG_JOB: 0b1})
+    )
     assert machine(world).usage.cores == 32.0 and world.machines.registry.placed_tasks[GANG_JOB] == 0b1
 
 
@@ -152,7 +154,9 @@
     assert world.machines.quota.usage("red").cores == 20.0
     assert all(SMALL_JOB not in request.task_counts for request in world.claim_requests())
     world.heartbeat(msgspec.structs.replace(large(3, 3), machine="vm-2"))
-    world.round(ClaimRequest(task_counts={GANG_JOB: 1}, zones={GANG_JOB: "a"}, zone_bound_tasks={GANG_JOB: 0b1}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={GANG_JOB: 1}, zones={GANG_JOB: "a"}, zone_bound_tasks={GANG_JOB: 0b1})
+    )
     assert world.machines.registry.placed_tasks[GANG_JOB] == 0b1 and world.machines.quota.usage("red").cores == 50.0
 
 
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -13,7 +13,7 @@
 from sloeswitch.core import keys
 from sloeswitch.core.scaling import InstanceKind
 from tests.conftest import MACHINE_TYPE, Store, spec
-from tests.support.single_controller import World, machine_up
+from tests.support.single_controller import World, register_machine
 
 SPOT = InstanceKind("small", "a", True)
 
@@ -43,7 +43,7 @@
 @pytest.fixture
 def world(store: Store) -> World:
     world = World(store)
-    machine_up(world)
+    register_machine(world)
     store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     return world
 
@@ -106,9 +106,9 @@
 
 def test_deletion_is_requested_once_for_each_urgency_and_urgent_machines_come_first(world: World, cloud: Any) -> None:
     scale_in = ScaleIn(world.context, cloud)
-    assert scale_in.scale_in("vm-5") and not scale_in.scale_in("vm-5")
-    assert scale_in.scale_in("vm-6") and scale_in.scale_in("vm-6", urgent=True)
-    assert not scale_in.scale_in("vm-6", urgent=True) and not scale_in.scale_in("vm-6")
+    assert scale_in.request_termination("vm-5") and not scale_in.request_termination("vm-5")
+    assert scale_in.request_termination("vm-6") and scale_in.request_termination("vm-6", urgent=True)
+    assert not scale_in.request_termination("vm-6", urgent=True) and not scale_in.request_termination("vm-6")
     assert scale_in._next_batch() == ["vm-6", "vm-5"]
     world.clock.time += 2 * world.settings.controller_lease_s
     assert scale_in._next_batch() == []  # this controller is not leader, and another one may be
--- a/tests/test_shard_recovery.py
+++ b/tests/test_shard_recovery.py
@@ -11,8 +11,8 @@
 from sloeswitch.state_client import StateClient
 from sloeswitch.state_reads import Snapshot
 from sloeswitch.wire import StoredRow
-from tests.conftest import Store, report
-from tests.support.single_controller import World, later
+from tests.conftest import Store, worker_report
+from tests.support.single_controller import World, advance_time
 
 MACHINE = ["127.0.0.1:9000", "small", "a", True]
 
@@ -30,13 +30,13 @@
     When all rows are read by key, the result can contain the view but not a group that was stored just before it.
     """
     world = World(store)
-    store.member("c0", 1, settled=2)
+    store.member("c0", 1, recovered_view=2)
     world.machines.ownership.follow_view()
     store.put(keys.machine_group_key("c1.9.1"), {"m": {"vm-1": MACHINE}})
-    later(world, 0.1)
+    advance_time(world, 0.1)
     assert reported_views(world) == []
-    world.heartbeat(report(1, 0))
-    world.heartbeat(report(2, 3))
+    world.heartbeat(worker_report(1, 0))
+    world.heartbeat(worker_report(2, 3))
     assert reported_views(world) == [3]
 
 
@@ -48,10 +48,12 @@
     assert world.leadership.is_leader
 
     async def read_snapshot(client: StateClient) -> Snapshot:
-        return Snapshot(store.epoch, [StoredRow(key, value, stamp) for key, (value, stamp) in store.rows.items()])
+        return Snapshot(
+            store.revision, [StoredRow(key, value, revision) for key, (value, revision) in store.rows.items()]
+        )
 
     monkeypatch.setattr(replica, "read_snapshot", read_snapshot)
     anyio.run(world.replica._load)
     assert world.leadership.view.number == 3 and not world.leadership.is_leader
-    later(world, 0.1)
+    advance_time(world, 0.1)
     assert world.leadership.is_leader
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -13,15 +13,15 @@
 from sloeswitch.core.machine import Machine
 from sloeswitch.core.quota import ResourceAmount
 from sloeswitch.core.records import JobState
-from tests.conftest import Store, report, spec
+from tests.conftest import Store, spec, worker_report
 from tests.support.single_controller import (
     JOB,
     World,
-    deletions,
+    advance_time,
+    apply_sibling_status,
     heartbeat,
-    later,
-    running,
-    told,
+    run_deletions,
+    start_task,
     world_with_scale_in,
 )
 
@@ -57,13 +57,13 @@
 def deleted(world: World) -> list[str]:
     assert isinstance(world.machines.termination.autoscaler, ScaleIn)
     world.machines.termination.autoscaler.wake = anyio.Event()  # each run of an event loop needs its own event
-    return deletions(world, world.machines.termination.autoscaler)
+    return run_deletions(world, world.machines.termination.autoscaler)
 
 
 @pytest.mark.parametrize("outage", [False, True])
 def test_hung_machine_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
     """Covers an outage of the state service, and a machine whose lease has expired in the registry."""
-    running(world)
+    start_task(world)
     cancelled(world)
     log = CancellationLog(10, 9)
     overdue_s = OVERDUE_SHARE * world.settings.cancel_s
@@ -72,44 +72,44 @@
     while world.clock.time - since < overdue_s - 1:
         if outage:
             world.clock.time += 1.0
-            told(log, world)
+            apply_sibling_status(log, world)
         else:
-            later(world, 1.0)
+            advance_time(world, 1.0)
         check(world)
     assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
     assert JOB not in world.machines.registry.placed_tasks  # its lease has expired in the registry
     assert deleted(world) == []
     world.clock.time += 2.0
     if outage:
-        told(log, world)
+        apply_sibling_status(log, world)
     else:
-        later(world, 0.0)
+        advance_time(world, 0.0)
     check(world)
     assert deleted(world) == ["vm-1"]
     assert world.clock.time - since < 0.6 * world.settings.cancel_s
 
 
 def test_machine_that_ended_the_cancelled_task_is_not_deleted(world: World) -> None:
-    task = running(world)
+    task = start_task(world)
     cancelled(world)
     check(world)
     assert machine(world).cancelled_since is not None
-    later(world, 1.0)
-    heartbeat(world, report(5, 3, (*task, "running")))
+    advance_time(world, 1.0)
+    heartbeat(world, worker_report(5, 3, (*task, "running")))
     assert machine(world).cancelled_since is not None
-    heartbeat(world, report(6, 3, (*task, "ended", "halted")))
+    heartbeat(world, worker_report(6, 3, (*task, "ended", "halted")))
     assert machine(world).cancelled_since is None
-    later(world, world.settings.cancel_s)
-    heartbeat(world, report(7, 3))
+    advance_time(world, world.settings.cancel_s)
+    heartbeat(world, worker_report(7, 3))
     check(world)
     assert deleted(world) == []
 
 
 def test_new_owner_measures_the_wait_from_the_stored_time_of_the_cancellation(world: World) -> None:
-    running(world)
+    start_task(world)
     cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
     check(world)
-    later(world, 0.2 * world.settings.cancel_s)
+    advance_time(world, 0.2 * world.settings.cancel_s)
     check(world)
     assert deleted(world) == ["vm-1"]
 
@@ -118,7 +118,7 @@
     world: World,
 ) -> None:
     """Guards against a deletion that is delayed at each change, because each new owner first waits for silence."""
-    running(world)
+    start_task(world)
     cancelled(world, at=world.clock.time)
     since = world.clock.time
     while world.clock.time - since < world.settings.cancel_s:
@@ -126,7 +126,7 @@
         lease_expires_at = world.clock.time + world.settings.takeover_expiry_s
         world.machines.registry.mark_unreconciled(machine(world), 3, lease_expires_at)
         for _ in range(3):
-            later(world, 1.0)
+            advance_time(world, 1.0)
             check(world)
     assert deleted(world) == ["vm-1"]
 
@@ -139,14 +139,14 @@
 
     It gets another owner, which does not know the tasks on it, and the state service is down.
     """
-    running(world)
+    start_task(world)
     machine(world).cancelled_since = None
     world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_expiry_s)
     cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
     log = CancellationLog(10, 9)
     for _ in range(5):
         world.clock.time += 1.0
-        told(log, world)
+        apply_sibling_status(log, world)
         check(world)
     assert world.leadership.may_answer_workers
     assert deleted(world) == (["vm-1"] if overdue else [])
@@ -161,13 +161,13 @@
 
 def test_controller_that_may_not_answer_machines_deletes_none(world: World) -> None:
     """Guards against a suspended controller: the machine may have another owner by now, and that owner's tasks."""
-    running(world)
+    start_task(world)
     cancelled(world)
     check(world)
     world.clock.time += world.settings.cancel_s
     check(world)
     assert deleted(world) == []
-    later(world, 0.0)
+    advance_time(world, 0.0)
     assert deleted(world) == []  # no deletion was requested before the lease was renewed
 
 
@@ -175,16 +175,16 @@
     world.machines.commands.probe_at["vm-1"] = world.clock.time + 1000.0
     world.machines._tick()
     world.store.job(spec())
-    world.round(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert JOB in world.machines.registry.placed_tasks
     serial = 10
     started_at = world.clock.time
     while not deleted(world):
-        later(world, 1.0)
+        advance_time(world, 1.0)
         serial += 1
         # Its lease expires repeatedly, since direct commands do not renew it.
         session = 1 + int((world.clock.time - started_at) // (world.settings.lease_s + 1))
-        world.machines.heartbeats.apply_command_reply(report(serial, 3, session=session))
+        world.machines.heartbeats.apply_command_reply(worker_report(serial, 3, agent_epoch=session))
         world.machines._tick()
         # Its replies look healthy, but tasks that were placed on it and not sent can be placed elsewhere.
         assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - started_at < 3.0)
@@ -198,21 +198,21 @@
     for _ in range(5 * int(world.settings.lease_s)):
         world.clock.time += 1.0
         world.machines._tick()
-    later(world, 0.0)
-    world.machines.heartbeats.apply_command_reply(report(90, 3, session=5))
+    advance_time(world, 0.0)
+    world.machines.heartbeats.apply_command_reply(worker_report(90, 3, agent_epoch=5))
     world.machines._tick()
-    later(world, 2.0)
+    advance_time(world, 2.0)
     world.machines._tick()
     assert deleted(world) == []
 
 
 def test_machine_registered_after_its_deletion_is_monitored(world: World) -> None:
     world.store.put(keys.machine_group_key("c0.1.9"), {"m": {"vm-8": ["127.0.0.1:9008", "small", "a", True]}})
-    later(world, 100.0)
+    advance_time(world, 100.0)
     world.machines._tick()
     assert not world.machines.registry.machines["vm-8"].is_recovered
     for _ in range(4):
-        later(world, 10.0)
+        advance_time(world, 10.0)
         world.machines.commands.failures["vm-8"] = 2
         world.machines.monitor.next_check_at = 0.0
         world.machines._tick()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,12 +23,12 @@
 from tests.conftest import Store, spec, submission
 from tests.support.single_controller import (
     JOB,
-    NARROW,
+    SETTINGS_WITH_NEXT_LIMITS,
     World,
     ask,
     heartbeat_and_register,
+    record_writes,
     submit,
-    watched,
 )
 
 # Rows as the earlier version writes them.
@@ -126,20 +126,22 @@
 
 def test_the_earlier_version_reads_rows_written_before_the_layout_is_complete(store: Store) -> None:
     """One controller registers machines, accepts, claims and completes a job, and cancels two others."""
-    world = World(store, NARROW)
-    written = watched(world)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
+    written = record_writes(world)
     heartbeat_and_register(world, 40)
     assert anyio.run(world.membership._write_member)
     world.leadership.mesh = None
     anyio.run(world.membership._record_layout)
     assert submit(world, JOB, visits=400, cores=0.1, memoryGb=0.0, builds=["small"], dueS=90.0) == 201
     assert submit(world, "wk-000002") == 201
-    world.round(ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
+    world.commit_and_place(
+        ClaimRequest(task_counts={JOB: 400, "wk-000002": 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)})
+    )
     scattered = sum(1 << index for index in range(0, 120, 3))
-    world.tell_jobs(TaskUpdates(done={JOB: scattered}))
+    world.send_task_updates(TaskUpdates(done={JOB: scattered}))
     world.clock.time += 20.0
     world.leadership.lease_renewed_at = world.replica.linearizable_at = world.clock.time
-    world.round()
+    world.commit_and_place()
     assert store.tables.jobs[JOB].progress.done == scattered
     assert anyio.run(world.jobs.cancel, "wk-000002") == wire.JobStatus.CANCELLED
     assert submit(world, "wk-000003") == 201 and anyio.run(world.jobs.cancel, "wk-000003") == wire.JobStatus.CANCELLED
@@ -149,21 +151,21 @@
     progress = store.tables.jobs[JOB].progress
     assert ("r", JOB, progress.done, progress.claims, None, 0) in read
     assert {vm for row in read if row and row[0] == "g" for vm in row[2]} == store.tables.machines.keys()
-    world.tell_jobs(TaskUpdates(done={JOB: taskset.full(400)}))
+    world.send_task_updates(TaskUpdates(done={JOB: taskset.full(400)}))
     world.clock.time += 1.0
-    world.round()
+    world.commit_and_place()
     assert EarlierVersion().read(keys.job_key(JOB), written[keys.job_key(JOB)]) == ("j", JOB, JobState.DONE, 400)
 
 
 def test_new_kinds_of_jobs_and_rows_are_rejected_before_the_layout_is_complete(store: Store) -> None:
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     store.job(spec())
     answer = ask(world, "POST", "/submissions", submission("wk-000002", awaits=[JOB]))
     assert answer.status == 503 and dict(answer.headers)["Retry-After"]
     assert submit(world, "wk-000002") == 201  # An empty list is accepted like an absent one.
     assert submit(world, "wk-000002", JOB) == 200  # Already accepted.
     assert submit(world, "wk-000003", kit="x" * 3000) == 503  # Would have to be stored in chunks.
-    store.upgraded()
+    store.put_complete_layout()
     assert submit(world, "wk-000003", kit="x" * 3000) == 201
     assert submit(world, "wk-000004", JOB) == 201
 
@@ -201,7 +203,7 @@
     world = World(store)
     store.put("s1/j/wk-000001", OLD_ROWS["s1/j/wk-000001"])
     job_revision = store.tables.jobs[JOB].mod_revision
-    store.upgraded()
+    store.put_complete_layout()
     assert submit(world, "wk-000002", JOB) == 201
     conditions = {"s1/j/wk-000001": job_revision, "s1/r/wk-000001": 0}
     claim = {"s1/r/wk-000001": {"d": [], "c": {"c1.5": [0, 4]}}}
