--- a/sloeswitch/core/claim_planner.py
+++ b/sloeswitch/core/claim_planner.py
@@ -18,10 +18,10 @@
 from sloeswitch.settings import Settings
 from sloeswitch.wire import JobSpec
 
-# A lower bound on how many machines one processor core scans per second when the planner places tasks. A pass that has
-# claims for as many jobs as one transaction takes stops when, at that rate, its scans have taken this share of the
-# report interval.
+# A lower bound on how many machines one processor core scans per second when the planner places tasks.
 MACHINES_SCANNED_PER_CORE_S = 200_000
+# Once a pass has claims for as many jobs as fit in one transaction, it ends when its scans have taken this share of the
+# report interval, at the above rate.
 MAX_SCAN_TIME_SHARE = 0.25
 # For this many ticks a new job without claimed tasks is left to the controller that its image has affinity to.
 IMAGE_AFFINITY_TICKS = 2
@@ -50,12 +50,13 @@
 
     Attributes:
         capacities: The free capacity of the controller's schedulable machines.
-        team_usage: By team, what its tasks on these machines use.
+        team_usage: By team, the usage of its tasks that are on these machines or may be on machines that this
+            controller handed off.
         available_quota: By team, the largest allocation that this controller could get.
         quota_allocations: By team, the current allocation of this controller.
         idle_claims: Returns the set of a job's tasks that this controller has claimed but not placed. It is a function
             so that it is computed only for the jobs that the pass reaches.
-        cores_ahead: The number of cores that are expected to become free in the time that a claim takes.
+        expected_free_cores: The number of cores that are expected to become free in the time that a claim takes.
         min_task_cores: The smallest number of cores that a task of any job needs.
         reservations: The reservations, by machine.
         reserved_usage: By job with a reservation, the part of its team's limit that is reserved for it.
@@ -70,7 +71,7 @@
     available_quota: Mapping[str, quota.ResourceAmount]
     quota_allocations: Mapping[str, quota.ResourceAmount]
     idle_claims: Callable[[Job], int]
-    cores_ahead: float
+    expected_free_cores: float
     min_task_cores: float
     reservations: Mapping[str, placement.Reservation]
     reserved_usage: Mapping[str, quota.ReservedQuota]
@@ -95,16 +96,16 @@
     affinity_s: float
 
     @staticmethod
-    def of(settings: Settings, txn_ops: int, tick_interval_s: float) -> PlanLimits:
+    def from_settings(settings: Settings, max_transaction_changes: int, tick_interval_s: float) -> PlanLimits:
         """Computes the limits.
 
         Args:
             settings: The settings.
-            txn_ops: The number of operations that a transaction takes now.
+            max_transaction_changes: The maximum number of changes in a transaction at present.
             tick_interval_s: The time between two ticks, in seconds.
         """
         return PlanLimits(
-            max_jobs=max(1, txn_ops // 2),
+            max_jobs=max(1, max_transaction_changes // 2),
             max_capacities_scanned=MAX_SCAN_TIME_SHARE
             * MACHINES_SCANNED_PER_CORE_S
             * settings.controller_cores
@@ -122,7 +123,7 @@
         zones: By job, the zone to store as the zone that its tasks are bound to.
         zone_bound_tasks: By job whose tasks are bound to zones, the set of tasks to claim.
         usable_quota: By team, the usage that is possible on these machines: running, claimed and unclaimed tasks.
-        remaining_capacities: The capacity left after all jobs of the queue were considered; None if some were not.
+        remaining_capacities: The capacity that the whole queue leaves unused; None if the pass ended at its limits.
     """
 
     task_counts: dict[str, int] = field(default_factory=dict)
@@ -149,7 +150,7 @@
         self.tables = tables
         self.recovery_complete = tables.recovery_complete()
         self.capacities = snapshot.capacities
-        self.remaining_cores_ahead = snapshot.cores_ahead
+        self.remaining_expected_cores = snapshot.expected_free_cores
         self.capacities_scanned = 0
         # Shapes that fitted no machine. They need not be tried again, since capacity only shrinks during the pass.
         self.unplaceable_shapes: set[PlacementShape] = set()
@@ -170,7 +171,7 @@
             position: The index of this controller among them; it keeps controllers from all claiming the same job.
         """
         for job in claim_order.order_by_affinity(queue, controller_count, position, self.snapshot.has_image_affinity):
-            if not self.capacities and self.remaining_cores_ahead < self.snapshot.min_task_cores:
+            if not self.capacities and self.remaining_expected_cores < self.snapshot.min_task_cores:
                 self.claims.remaining_capacities = []
                 break  # no later job can get capacity; with a backlog the queue is long and is scanned often
             if (
@@ -211,7 +212,8 @@
     def _consider(self, job: Job) -> None:
         """Places as many tasks of a job as possible and adds the claims for them."""
         spec = job.spec
-        # Set if the job is listed in the queue twice and this is its second turn.
+        # In the second turn of a job that is listed in the queue twice: the tasks that its first turn placed. None if
+        # the first turn ended before placement.
         planned_before = self.planned_tasks.get(spec.id)
         idle = 0 if planned_before else self.snapshot.idle_claims(job)
         unclaimed = self.tables.unclaimed_tasks(job, self.recovery_complete) & ~(planned_before or 0)
@@ -269,7 +271,7 @@
             self.planned_tasks.setdefault(spec.id, 0)
             return 0
         self.capacities_scanned += len(capacities)
-        # The zone of a zone-bound task depends on its index, so that the first ones may not fit where others do.
+        # The zone of a zone-bound task depends on its index, so the lowest-numbered tasks may not fit where others do.
         tasks = unclaimed if spec.zone_bound else taskset.lowest(unclaimed, max(0, count - idle.bit_count()))
         zone = self.claims.zones.get(spec.id)
         placements = placement.pack_tasks(job, tasks | taskset.lowest(idle, count), capacities, zone, count)
@@ -289,9 +291,9 @@
         ahead = 0
         if not (spec.gang or spec.zone_bound):
             ahead = min(
-                count - placed_count, int(self.remaining_cores_ahead // max(spec.cores, quota.ROUNDING_TOLERANCE))
+                count - placed_count, int(self.remaining_expected_cores // max(spec.cores, quota.ROUNDING_TOLERANCE))
             )
-            self.remaining_cores_ahead -= ahead * spec.cores
+            self.remaining_expected_cores -= ahead * spec.cores
         wanted = min(unclaimed.bit_count(), max(0, placed_count + ahead - idle_count))
         is_worth_a_write = placed_count > idle_count or 2 * idle_count < ahead
         claims = self.claims
--- a/sloeswitch/core/rendezvous.py
+++ b/sloeswitch/core/rendezvous.py
@@ -21,11 +21,11 @@
 
     Args:
         name: The machine or the image.
-        members: The members of the view, each with its incarnation. The incarnation is not hashed, so that a restarted
+        members: The members of the view, each with its lease id. The lease id is not hashed, so that a restarted
             controller keeps its machines.
     """
     highest: tuple[bytes, str] | None = None
-    for member, _incarnation in members:
+    for member, _lease_id in members:
         weight = (blake2b(f"{name}|{member}".encode(), digest_size=8).digest(), member)
         if highest is None or weight > highest:
             highest = weight
