--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -215,7 +215,7 @@
 
 
 def test_cancelled_jobs_finish_within_the_change_limit_of_transactions(world: World) -> None:
-    """Guards against transactions that exceed the limit of changes: the end of a cancelled job takes two."""
+    """Guards against transactions that exceed the limit of changes: ending a cancelled job takes two changes."""
     names = [f"wk-{number:06d}" for number in range(20)]
     for name in names:
         world.store.job(spec(name, visits=1), JobState.CANCELLED)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -55,5 +55,5 @@
 
 
 def test_sockets_are_reserved_for_outgoing_connections(built: controller.Controller) -> None:
-    """Connections of users and workers cannot take those for the state service, cloud, siblings and direct commands."""
+    """Connections of users and workers leave sockets for the state service, the cloud, siblings and direct commands."""
     assert built.server.max_connections == 350 < built.settings.fd_limit
--- a/tests/test_feature_rollout.py
+++ b/tests/test_feature_rollout.py
@@ -20,7 +20,7 @@
 def test_a_rollout_is_complete_once_every_configured_controller_has_run_with_the_feature(world: World) -> None:
     rollout = FeatureRollout("cells", world.context)
     anyio.run(rollout.record_member)
-    assert rollout.status == FeatureStatus()  # A controller of an earlier layout could not read the row.
+    assert rollout.status == FeatureStatus()  # not recorded: a controller of an earlier layout could not read the row
     world.store.put_complete_layout()
     anyio.run(rollout.record_member)
     assert rollout.status == FeatureStatus(("c0",), complete=False) and not rollout.is_complete
--- a/tests/test_found_completions.py
+++ b/tests/test_found_completions.py
@@ -73,7 +73,7 @@
 def test_no_completed_task_is_started_again_while_controllers_restart(seed: int) -> None:
     """Guards against a completion that is stored after its view is recovered, so that its task runs again.
 
-    Each of these seeds once showed this fault.
+    Each of these seeds has reproduced this fault.
     """
     world = simulate(seed)
     assert world.starts > 50 and len(world.kept_completions) > 10 and world.event_counts["restart"] > 5
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Distinguishes faulty machines from faulty jobs."""
+"""Failures of tasks: faulty machines are distinguished from faulty jobs."""
 
 from __future__ import annotations
 
