--- a/tests/test_admission_compare.py
+++ b/tests/test_admission_compare.py
@@ -41,12 +41,12 @@
     assert '"ground":"deferred"' in text
     paths[1].write_text(text.replace('"ground":"deferred"', '"ground":"cut"', 1))
     assert main(["admission", "compare", *names]) == 1
-    one, other = capsys.readouterr().out.splitlines()
-    assert one.startswith(names[0]) and other.startswith(names[1])
-    assert '"deferred"' in one and '"cut"' in other
+    first_line, second_line = capsys.readouterr().out.splitlines()
+    assert first_line.startswith(names[0]) and second_line.startswith(names[1])
+    assert '"deferred"' in first_line and '"cut"' in second_line
 
 
-def test_a_job_deferred_while_numbers_were_applied_counts_as_deferred_at_them() -> None:
+def test_a_deferral_holds_at_each_number_applied_before_the_next_decision() -> None:
     def line(kind: str, **fields: Any) -> str:
         return " admission: " + msgspec.json.encode({"type": kind, **fields}).decode()
 
@@ -56,9 +56,11 @@
     def decision(number: int, ground: str) -> str:
         return line("decision", job="wk-1", row="r", number=number, ground=ground, by="wk-1")
 
-    slow = [epoch(1), decision(1, "deferred"), epoch(2), epoch(4), decision(4, "cut")]
-    assert compare.compare([("a", slow), ("b", [decision(3, "cut")])]) is None, "between two that it applied"
-    difference = compare.compare([("a", slow), ("b", [decision(2, "cut")])])
+    log_without_number_3 = [epoch(1), decision(1, "deferred"), epoch(2), epoch(4), decision(4, "cut")]
+    assert compare.compare([("a", log_without_number_3), ("b", [decision(3, "cut")])]) is None, (
+        "between two that it applied"
+    )
+    difference = compare.compare([("a", log_without_number_3), ("b", [decision(2, "cut")])])
     assert difference is not None and (difference.one.number, difference.other.number) == (3, 1)
     assert compare.compare([("a", [epoch(1)]), ("b", [line("epoch", row="r", number=1, digest="x")])]) is not None
 
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -18,18 +18,18 @@
 def test_controllers_that_have_read_different_jobs_decide_alike() -> None:
     cluster = Cluster()
     names = cluster.overload()
-    other = Store()
+    other_store = Store()
     for key, (value, revision) in cluster.store.rows.items():
         # The other controller has read only every second job.
         if not key.startswith(keys.job_key("")) or int(key[-1]) % 2:
-            other.tables.apply(key, value, revision)
+            other_store.tables.apply(key, value, revision)
     cluster.advance_time(cluster.limits.starvation_timeout_s)
     for _ in range(3):
         cluster.epoch()
         cluster.advance_time(cluster.limits.starvation_timeout_s)
     key = keys.admission_key(cuts.ROOT_PATH)
-    other.tables.apply(key, *cluster.store.rows[key])
-    first, second = decide(cluster.store.tables), decide(other.tables)
+    other_store.tables.apply(key, *cluster.store.rows[key])
+    first, second = decide(cluster.store.tables), decide(other_store.tables)
     assert {first[name].admitted for name in names} == {True, False}
     assert second and all(first[name] == decision for name, decision in second.items())
 
@@ -85,12 +85,12 @@
 
 
 def test_raising_a_row_never_lowers_a_cut() -> None:
-    lane, other = Lane("red", "train", "urgent"), Lane("red", "index", "urgent")
+    lane, other_lane = Lane("red", "train", "urgent"), Lane("red", "index", "urgent")
     row = AdmissionRow().raised(LaneCut(Ticket(50, ""), 1), {lane: LaneCut(Ticket(90, "b"), 2)}, {})
     lower = row.raised(
-        LaneCut(Ticket(40, ""), 3), {lane: LaneCut(Ticket(60, "a"), 3), other: LaneCut(Ticket(9, ""), 3)}, {}
+        LaneCut(Ticket(40, ""), 3), {lane: LaneCut(Ticket(60, "a"), 3), other_lane: LaneCut(Ticket(9, ""), 3)}, {}
     )
-    assert lower.cut_of(lane).ticket == Ticket(90, "b") and lower.cut_of(other).ticket == Ticket(50, "")
+    assert lower.cut_of(lane).ticket == Ticket(90, "b") and lower.cut_of(other_lane).ticket == Ticket(50, "")
     assert row.raised(row.common, row.lanes, row.deficits) is row
     higher = row.raised(LaneCut(Ticket(95, ""), 3), {}, {})
     assert higher.cut_of(lane).ticket == Ticket(95, "") and not higher.lanes and higher.number == row.number + 1
@@ -123,14 +123,14 @@
     world, coordinator = overloaded_world(store, monkeypatch)
     world.client.lose_answers = 1
     anyio.run(coordinator.run_epoch)
-    conditions, writes, drops = world.client.lost_transactions[0]
+    conditions, writes, deletes = world.client.lost_transactions[0]
     conditions = {key: revision for key, revision in conditions.items() if key != keys.COORDINATOR_KEY}
     store.put(keys.COORDINATOR_KEY, {"member": "c1", "boot": 9})
     anyio.run(coordinator.run_epoch)  # no longer the coordinator, so it computes no epoch
     assert store.tables.admission_rows[cuts.ROOT_PATH].number == 1
     row = AdmissionRow.from_stored(writes[keys.admission_key(cuts.ROOT_PATH)])
     store.put(keys.admission_key(cuts.ROOT_PATH), row.raised(row.common, {}, {"red": 1.0}).stored())
-    assert world.client.apply(conditions, writes, drops)[0].value == "conflict"
+    assert world.client.apply(conditions, writes, deletes)[0].value == "conflict"
 
 
 def test_nothing_is_requested_stored_or_deferred_before_the_rollout_is_complete(
--- a/tests/test_admission_epochs.py
+++ b/tests/test_admission_epochs.py
@@ -234,9 +234,9 @@
     cluster = Cluster(teams)
     cluster.overload(0, crew="tenant-00")
     lanes = [(team, f"class-{number:02d}") for team in teams for number in range(16)]
-    for number, (team, klass) in enumerate(lanes):
+    for number, (team, job_class) in enumerate(lanes):
         for turn in range(2):
-            cluster.submit(f"wk-{turn}{number:05d}", crew=team, roster=klass)
+            cluster.submit(f"wk-{turn}{number:05d}", crew=team, roster=job_class)
     cluster.advance_time(cluster.limits.starvation_timeout_s)
     highest: dict[Lane, Ticket] = {}
     rounds = 0
@@ -253,8 +253,8 @@
             for path, row in change.rows.items():
                 assert row.size_bytes <= value_bytes
                 cluster.store.put(keys.admission_key(path), row.stored())
-        for team, klass in lanes:
-            lane = Lane(team, klass, "standard")
+        for team, job_class in lanes:
+            lane = Lane(team, job_class, "standard")
             leaf = row_path(cluster.store.tables.admission_rows, lane)
             assert leaf is not None
             cut = cluster.store.tables.admission_rows[leaf].cut_of(lane).ticket
--- a/tests/test_admission_gate.py
+++ b/tests/test_admission_gate.py
@@ -30,7 +30,7 @@
     gate = new_gate(cluster, lines, enabled)
     gate.apply()
     assert queued_jobs(cluster) == ["wk-000000"]
-    row = cluster.store.tables.admission_rows
+    rows = cluster.store.tables.admission_rows
     enabled[0] = False
     gate.apply()
     assert queued_jobs(cluster) == ["wk-000000", *names]
@@ -38,7 +38,7 @@
     enabled[0] = True
     gate.apply()
     # A job that began while admission was off stays admitted; the stored cuts are unchanged.
-    assert queued_jobs(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is row
+    assert queued_jobs(cluster) == ["wk-000000", names[1]] and cluster.store.tables.admission_rows is rows
     cluster.advance_time(cluster.limits.starvation_timeout_s)
     cluster.epoch()
     gate.apply()
@@ -61,8 +61,8 @@
         cluster.advance_time(cluster.limits.starvation_timeout_s)
         cluster.epoch()
     # The prerequisite is still admitted for its dependent.
-    fresh = decide(cluster.store.tables)["wk-990001"]
-    assert fresh.admitted
+    decision = decide(cluster.store.tables)["wk-990001"]
+    assert decision.admitted
 
 
 def test_jobs_are_decided_again_after_the_tables_are_reloaded() -> None:
@@ -95,7 +95,7 @@
     assert sum(map(len, gate._deferred.values())) == 10
 
 
-def test_deferred_jobs_may_move_to_another_cell_after_the_queue(store: Store) -> None:
+def test_jobs_that_may_move_to_another_cell_are_the_queued_ones_followed_by_the_deferred_ones(store: Store) -> None:
     world = World(store)
     store.job(spec("wk-000001"))
     store.job(spec("wk-000002"))
--- a/tests/test_admission_world.py
+++ b/tests/test_admission_world.py
@@ -26,18 +26,18 @@
     )
 
 
-def test_detects_a_controller_that_admits_by_its_own_queue(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_controllers_that_admit_deferred_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     decide = CutReader.decide
     calls = 0
 
-    def by_own_queue(reader: CutReader, job: Job) -> Decision:
+    def admit_every_fifth_deferral(reader: CutReader, job: Job) -> Decision:
         nonlocal calls
         calls += 1
         decision = decide(reader, job)
         admits = decision.reason is DecisionReason.DEFERRED and decision.row is not None and calls % 5 == 0
         return decision._replace(reason=DecisionReason.CUT) if admits else decision
 
-    monkeypatch.setattr(CutReader, "decide", by_own_queue)
+    monkeypatch.setattr(CutReader, "decide", admit_every_fifth_deferral)
     with pytest.raises(AssertionError, match="decisions differ"):
         play(2, STEPS, CALM_STEPS, JOBS)
 
--- a/tests/test_adoptions.py
+++ b/tests/test_adoptions.py
@@ -87,7 +87,7 @@
 def test_an_adoption_with_a_lost_answer_is_committed_at_most_once(world: World) -> None:
     world.client.lose_answers = 1
     adopt(world, 4)
-    conditions, writes, _drops = world.client.lost_transactions[0]
+    conditions, writes, _deletes = world.client.lost_transactions[0]
     assert [conditions[key] for key in writes if key.startswith(keys.adoption_key("c0.1", 0)[:-1])] == [0]
     assert all(world.store.tables.jobs[name].progress.claims["c0.1"] == EVEN_TASKS for name in NAMES)
     assert world.client.apply(*world.client.lost_transactions[0])[0] is TransactionOutcome.CONFLICT
@@ -98,12 +98,12 @@
 
 def test_adoptions_and_allocations_of_many_teams_respect_the_change_limit(store: Store) -> None:
     """The scripted state service rejects transactions with more than four changes."""
-    more = "".join(
+    more_teams = "".join(
         f'[[deployment.teams]]\nname = "t{n}"\ncpus = 4.0\ncpus_max = 9.0\ngpus = 0.0\ngpus_max = 0.0\n'
         for n in range(5)
     )
     store.put_complete_layout()
-    world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more + "[deployment.workers]"))
+    world = World(store, SETTINGS_WITH_NEXT_LIMITS.replace("[deployment.workers]", more_teams + "[deployment.workers]"))
     world.client.controller_count = lambda: 3
     names = [f"wk-{number:06d}" for number in range(5)]
     for number, name in enumerate(names):
--- a/tests/test_cancellation_deadline.py
+++ b/tests/test_cancellation_deadline.py
@@ -125,7 +125,7 @@
 def test_inspection_answered_by_another_machine_counts_as_unanswered(store: Store) -> None:
     """Guards against an address that was reassigned: the new machine's answer would clear the hung machine."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
-    first, second = sorted(sibling.sibling_machines)[:2]
+    first, second = sorted(sibling.owner_machines)[:2]
     sibling.pass_time_answering(4, {first, second})
     guard = sibling.world.machines.cancellations.guard
     failures = guard.inspections[first].failures
@@ -187,16 +187,16 @@
 
 
 class Sibling(Takeover):
-    """c0.1, and sibling c1.2 that owns machines under the present view and does not account for them."""
+    """c0.1 as the sibling of c1.2, which owns machines under the present view and has not accounted for them."""
 
     def __init__(self, store: Store, cancelled_s: float) -> None:
-        self.sibling_machines = set(MACHINES)
+        self.owner_machines = set(MACHINES)
         self.report_count = 0
         super().__init__(store, {"x": int(1000 * (1000.0 - cancelled_s))})
         store.view(4, ("c0", 1), ("c1", 2))
         store.member("c0", 1, recovered_view=4)
         store.member("c1", 2, recovered_view=3)
-        self.sibling_machines = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
+        self.owner_machines = {name for name in MACHINES if store.tables.view.owner(name) == "c1"}
         self.tick()
         self.inspected_machines.clear()
 
@@ -204,7 +204,7 @@
         """Advances the time while the machines of c0.1 report."""
         super().tick(seconds)
         self.report_count += 1
-        for name in set(MACHINES) - self.sibling_machines:
+        for name in set(MACHINES) - self.owner_machines:
             message = HeartbeatRequest(report=worker_report(self.report_count, 4, name=name), last_answer_received=True)
             anyio.run(self.world.machines.handle, message)
 
@@ -223,8 +223,8 @@
 def test_sibling_deletes_a_silent_machine_that_its_owner_never_accounts_for(store: Store) -> None:
     """Guards against an owner that restarts repeatedly, so that none of its processes detects the hung machine."""
     sibling = Sibling(store, 0.4 * CANCEL_S)
-    silent = sorted(sibling.sibling_machines)[0]
-    assert len(sibling.sibling_machines) > 1
+    silent = sorted(sibling.owner_machines)[0]
+    assert len(sibling.owner_machines) > 1
     sibling.pass_time_answering(10, {silent})
     assert sibling.deleted == [silent]
 
@@ -242,25 +242,25 @@
     sibling.tick(0.5)
     assert sibling.inspected_machines == []
     sibling.pass_time(3)
-    assert set(sibling.inspected_machines) == sibling.sibling_machines
+    assert set(sibling.inspected_machines) == sibling.owner_machines
 
 
 def test_near_the_deadline_machines_are_inspected_at_once(store: Store) -> None:
     sibling = Sibling(store, URGENT_SHARE * CANCEL_S - 0.2)
     sibling.tick(0.5)
-    assert set(sibling.inspected_machines) == sibling.sibling_machines
+    assert set(sibling.inspected_machines) == sibling.owner_machines
 
 
 def test_controller_that_lost_its_lease_inspects_again_before_it_deletes(store: Store) -> None:
     """Guards against outdated failures: the machine may have answered its owner while the lease was lost."""
     sibling = Sibling(store, 0.3 * CANCEL_S)
-    sibling.pass_time_answering(5, sibling.sibling_machines)
+    sibling.pass_time_answering(5, sibling.owner_machines)
     guard = sibling.world.machines.cancellations.guard
-    assert set(guard.deletable()) == sibling.sibling_machines and sibling.deleted == []
+    assert set(guard.deletable()) == sibling.owner_machines and sibling.deleted == []
     world = sibling.world
     world.clock.time += 10.0  # its lease and its last linearizable read have expired
     world.machines._tick()
-    assert guard.deletable() == [] and set(guard.inspections) == sibling.sibling_machines
+    assert guard.deletable() == [] and set(guard.inspections) == sibling.owner_machines
     sibling.inspected_machines.clear()
     sibling.pass_time_answering(MAX_FAILED_INSPECTIONS, set())
     assert sibling.deleted == []
@@ -273,7 +273,7 @@
     scale_in = ScaleIn(sibling.world.context, cloud)
     scale_in.machines = sibling.world.machines
     sibling.world.machines.termination.autoscaler = scale_in
-    silent = sorted(sibling.sibling_machines)[0]
+    silent = sorted(sibling.owner_machines)[0]
     sibling.pass_time_answering(10, {silent})
     assert list(scale_in.terminating) == [silent]
     store.member("c1", 2, recovered_view=4)
--- a/tests/test_cancellation_guard.py
+++ b/tests/test_cancellation_guard.py
@@ -174,9 +174,9 @@
     world = outage.world
     autoscaler = ScaleIn(world.context, cloud)
     autoscaler.machines = world.machines
-    urgent, other = sorted(machines_owned_by(store, "c1"))[:2]
+    urgent, not_urgent = sorted(machines_owned_by(store, "c1"))[:2]
     autoscaler.request_termination(urgent, urgent=True)
-    autoscaler.request_termination(other)
+    autoscaler.request_termination(not_urgent)
     outage.set_sibling_status(5, True)
     assert run_deletions(world, autoscaler) == []
     outage.set_sibling_status(0, False)
--- a/tests/test_cancellations_in_outage.py
+++ b/tests/test_cancellations_in_outage.py
@@ -153,10 +153,10 @@
     """One process of a controller, with the real leadership, tables, cancellation log and mesh."""
 
     def __init__(self, name: str, clock: Clock, log_id: int) -> None:
-        others = [other for other in ("c0", "c1", "c2") if other != name]
+        sibling_names = [member for member in ("c0", "c1", "c2") if member != name]
         text = THREE_MEMBER_SETTINGS.replace('member = "c0"', f'member = "{name}"', 1)
-        for slot, other in zip(("c1", "c2"), others, strict=True):
-            text = text.replace(f'[[siblings]]\nmember = "{slot}"', f'[[siblings]]\nmember = "#{other}"')
+        for placeholder, sibling in zip(("c1", "c2"), sibling_names, strict=True):
+            text = text.replace(f'[[siblings]]\nmember = "{placeholder}"', f'[[siblings]]\nmember = "#{sibling}"')
         self.settings = parse(text.replace('"#', '"'))
         self.clock = clock
         log = CancellationLog(6, log_id)
@@ -202,7 +202,7 @@
     """
     monkeypatch.setattr("sloeswitch.mesh.MAX_CANCELLATIONS", 2)
     # The tested case does occur: a controller answers workers only because its siblings confirm that it may.
-    assert sum(OutageScenario(random.Random(seed)).play() for seed in range(40)) > 1000
+    assert sum(OutageScenario(random.Random(seed)).run() for seed in range(40)) > 1000
 
 
 class StatusPoll(NamedTuple):
@@ -234,7 +234,7 @@
         # The number of checks in which a controller that had not read all rows could answer workers.
         self.answering_without_full_read_count = 0
 
-    def play(self) -> int:
+    def run(self) -> int:
         for step in range(400):
             self.clock.time += self.rng.random() * 0.3
             self.apply_random_event(step, self.rng.choice(list(self.members)))
@@ -284,11 +284,11 @@
 
     def send_status_request(self, name: str) -> None:
         member = self.members[name]
-        other = self.rng.choice([other for other in self.members if other != name])
-        peer = member.mesh.peers[other]
+        peer_name = self.rng.choice([sibling for sibling in self.members if sibling != name])
+        peer = member.mesh.peers[peer_name]
         request = StatusRequest(3, member.replica.applied_revision, peer.log_id, peer.log_position)
-        answer = self.members[other].mesh.status_for(request)
-        self.polls_in_flight.append(StatusPoll(member, other, self.clock.time, answer))
+        answer = self.members[peer_name].mesh.status_for(request)
+        self.polls_in_flight.append(StatusPoll(member, peer_name, self.clock.time, answer))
 
     def deliver_answers(self) -> None:
         """Delivers answers with a random delay, with at most one request at a time between two members."""
@@ -309,5 +309,5 @@
             if not member.leadership.may_answer_workers:
                 continue
             self.answering_without_full_read_count += member.replica.applied_revision < self.service.epoch
-            for job, at in self.confirmed.items():
-                assert member.knows_of(job) or self.clock.time <= at + self.lease_validity_s, (step, job)
+            for job, confirmed_at in self.confirmed.items():
+                assert member.knows_of(job) or self.clock.time <= confirmed_at + self.lease_validity_s, (step, job)
--- a/tests/test_cells_handoff.py
+++ b/tests/test_cells_handoff.py
@@ -132,9 +132,9 @@
 
 def test_two_cells_may_offer_jobs_to_each_other_at_once() -> None:
     """Each cell stores its own job's row and the other cell's delegation; neither waits for the other."""
-    there = HandoffId(TARGET, "wk-000002", 1)
+    reverse = HandoffId(TARGET, "wk-000002", 1)
     assert delegation.decide(TargetRecord(), FIRST, Request.OFFER, has_capacity=True).answer is Answer.ACCEPTED
-    assert delegation.decide(TargetRecord(), there, Request.OFFER, has_capacity=True).answer is Answer.ACCEPTED
+    assert delegation.decide(TargetRecord(), reverse, Request.OFFER, has_capacity=True).answer is Answer.ACCEPTED
 
 
 def test_a_repeatable_job_ends_with_the_first_result_and_stops_the_other_copy() -> None:
--- a/tests/test_cells_link.py
+++ b/tests/test_cells_link.py
@@ -31,7 +31,7 @@
     south = world.cells["south"]
     south.renew()
     target = south.controllers["c0"].target
-    asked: list[int] = []
+    connected_ports: list[int] = []
 
     async def run() -> None:
         for controller in south.controllers.values():
@@ -46,7 +46,7 @@
         async with anyio.create_task_group() as group:
 
             async def connect(host: str, port: int) -> Any:
-                asked.append(port)
+                connected_ports.append(port)
                 if port == 1:
                     raise OSError("refused")
                 return connect_to(mesh, group)
@@ -66,7 +66,7 @@
             assert summary is not None and summary.cell == "south"
             query = RequestMessage(HandoffId("north", JOB, 5), Request.QUERY)
             assert (await link.request(CellRequest(query, 1))).answer is Answer.UNKNOWN
-            assert asked == [1, 2, 1, 2], "the last connection was kept"
+            assert connected_ports == [1, 2, 1, 2], "the last connection was kept"
             group.cancel_scope.cancel()
 
     anyio.run(run)
--- a/tests/test_cells_moves.py
+++ b/tests/test_cells_moves.py
@@ -154,7 +154,7 @@
 
 def test_a_refused_job_returns_and_is_not_offered_again_at_once() -> None:
     moved = MovedJob("once", accepted=False)
-    moved.south.store.job(spec("wk-000009", visits=50))  # makes the south saturated
+    moved.south.store.job(spec("wk-000009", visits=50))  # saturates the target
     moved.poll_peer()
     job = moved.origin_job
     assert job.is_runnable and job.returned_ms and not job.outgoing_handoffs.open_handoffs  # type: ignore[union-attr]
@@ -233,18 +233,18 @@
     north = world.cells["north"]
     north.renew()
 
-    async def mark(*members: str) -> None:
+    async def record_members(*members: str) -> None:
         for member in members:
             await north.controllers[member].origin.record_member()
 
-    anyio.run(mark, "c0", "c1")
+    anyio.run(record_members, "c0", "c1")
     target = north.controllers["c0"].target
     assert not target.rollout_complete and target.summary() is None
     offer = CellRequest(RequestMessage(HandoffId("south", JOB, 1), Request.OFFER), 1, Offer(spec(JOB), 0))
     revision = north.store.revision
     assert anyio.run(target.answer, offer) is None
     assert north.store.revision == revision, "no row that an earlier version does not know"
-    anyio.run(mark, "c2")
+    anyio.run(record_members, "c2")
     assert target.rollout_complete and target.summary() is not None
 
 
--- a/tests/test_cells_selection.py
+++ b/tests/test_cells_selection.py
@@ -14,12 +14,12 @@
 
 LIMITS = MoveLimits(margin_s=10.0, transfer_s=5.0, max_in_flight=2)
 POOL = MachinePool("small", True, Resources(8.0, 0.0, 16.0), 0.5, 10)
-TEAM_ROOM = (("red", 80.0, 0.0),)
+TEAM_FREE_CAPACITY = (("red", 80.0, 0.0),)
 
 
 def peer(cell: str = "south", cores: float = 80.0, backlog_s: float = 0.0) -> Summary:
     free = Resources(cores, 0.0, 2 * cores)
-    return Summary(cell, 1, 10, (POOL,), free, backlog_s, TEAM_ROOM)
+    return Summary(cell, 1, 10, (POOL,), free, backlog_s, TEAM_FREE_CAPACITY)
 
 
 def late_job(
--- a/tests/test_cells_world.py
+++ b/tests/test_cells_world.py
@@ -15,7 +15,7 @@
 def test_three_cells_keep_the_rules_and_every_job_ends_after_the_faults(seed: int) -> None:
     world = anyio.run(play, seed)
     assert world.unfinished() == set() and list(world.leftovers()) == []
-    moved = [job for job, where in world.starts.items() if set(where) != {world.origins[job]}]
+    moved = [job for job, cells in world.starts.items() if set(cells) != {world.origins[job]}]
     kinds = {
         "late change",
         "crash",
--- a/tests/test_dependency_graph.py
+++ b/tests/test_dependency_graph.py
@@ -63,7 +63,7 @@
 
 def test_a_long_chain_is_cancelled_without_recursion(store: Store) -> None:
     names = [f"wk-{number:06d}" for number in range(3000)]
-    for before, name in itertools.pairwise(names):
-        store.job(spec(name, awaits=[before]))
+    for prerequisite, name in itertools.pairwise(names):
+        store.job(spec(name, awaits=[prerequisite]))
     finish(store, names[0], JobState.CANCELLED)
     assert store.tables.jobs[names[-1]].is_cancelled
--- a/tests/test_frozen_http.py
+++ b/tests/test_frozen_http.py
@@ -220,7 +220,7 @@
     await client_side.membership._coordinate()
 
 
-async def mark(client_side: RequestingController) -> Any:
+async def record_layout(client_side: RequestingController) -> Any:
     client_side.become_leader()
     await client_side.membership._record_layout()
 
@@ -263,7 +263,7 @@
     "join": join,
     "become coordinator": coordinate,
     "write view": write_view,
-    "note layout": mark,
+    "note layout": record_layout,
     "command": command,
     "inspect": inspect,
 }
--- a/tests/test_frozen_mesh.py
+++ b/tests/test_frozen_mesh.py
@@ -112,7 +112,7 @@
         assert mesh_frames.check_header(frame[: mesh_frames.HEADER.size], kind, body.size) == body.size
         return body.unpack(frame[mesh_frames.HEADER.size :])
 
-    return FrameCase(value, lambda each: encode(*each), decode)
+    return FrameCase(value, lambda fields: encode(*fields), decode)
 
 
 FRAME_CASES: dict[str, FrameCase] = {
--- a/tests/test_frozen_rows.py
+++ b/tests/test_frozen_rows.py
@@ -113,11 +113,11 @@
 def catalog(world: RowRecorder) -> None:
     cloud: Any = None
     scale_out = ScaleOut(world.context, cloud, ScaleIn(world.context, cloud))
-    other = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
-    world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
+    large_type = wire.MachineType("large", 64.0, 4.0, 256.0, 500.0, 2.0, 4.0, 1.5, 60.0, ["b"])
+    world.run(scale_out._store_catalog, [MACHINE_TYPE, large_type])
     world.put_frozen("layout mark, complete")
     world.client.max_value_bytes = 200
-    world.run(scale_out._store_catalog, [MACHINE_TYPE, other])
+    world.run(scale_out._store_catalog, [MACHINE_TYPE, large_type])
     world.client.max_value_bytes = 400
     world.run(scale_out._store_catalog, [MACHINE_TYPE])
 
--- a/tests/test_frozen_settings.py
+++ b/tests/test_frozen_settings.py
@@ -85,7 +85,7 @@
         "cells.most_under_way": lambda f: f.cells.max_in_flight,
         "cells.classes.train": lambda f: classes(f.cells),
         "cells.peers.name": lambda f: f.cells.peers[0].name,
-        "cells.peers.addresses": lambda f: [address(each) for each in f.cells.peers[0].addresses],
+        "cells.peers.addresses": lambda f: [address(peer_address) for peer_address in f.cells.peers[0].addresses],
         "admission.deferring": lambda f: f.admission.deferring,
     },
 }
@@ -264,5 +264,5 @@
     status = program.run([files.get(word, word) for word in words if "=" not in word], environment)
     printed = capsys.readouterr().err.splitlines()
     for word, path in files.items():
-        printed = [each.replace(path, word) for each in printed]
+        printed = [printed_line.replace(path, word) for printed_line in printed]
     assert [status, program.started, printed[-1:]] == FROZEN["command lines"][line]
--- a/tests/test_gang_preemption.py
+++ b/tests/test_gang_preemption.py
@@ -68,9 +68,9 @@
 
 
 def test_tasks_that_fit_any_type_use_scarce_types_last() -> None:
-    kinds = {kind.name: kind for kind in (MACHINE_TYPE, LARGE)}
-    assert placement.scarce_types([spec(GANG_JOB, **GANG), spec()], kinds) == {"large"}
-    assert placement.scarce_types([spec()], kinds) == set()
+    types = {machine_type.name: machine_type for machine_type in (MACHINE_TYPE, LARGE)}
+    assert placement.scarce_types([spec(GANG_JOB, **GANG), spec()], types) == {"large"}
+    assert placement.scarce_types([spec()], types) == set()
     capacities = [
         placement.FreeCapacity("vm-1", "large", "a", True, 32.0, 0.0, 64.0, {"img-1"}, scarce=True),
         placement.FreeCapacity("vm-2", "small", "a", False, 8.0, 0.0, 16.0),
@@ -125,10 +125,10 @@
     """Guards against starvation by repeated preemption: a job that has waited too long is ordered by age."""
     world.store.job(spec(GANG_JOB, **GANG))
     tick(world, 0.1)
-    order = world.machines.queue.rebuild
+    rebuild = world.machines.queue.rebuild
 
     def rebuild_by_age() -> None:
-        order()
+        rebuild()
         world.machines.queue.jobs.sort(key=lambda job: job.spec.id != SMALL_JOB)
 
     world.machines.queue.rebuild = rebuild_by_age  # type: ignore[method-assign]
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -69,11 +69,11 @@
     machine = world.machines.registry.machines["vm-1"]
     reasons: list[TerminationReason] = []
     world.machines.termination.drain_and_terminate = lambda machine, reason, urgent=False: reasons.append(reason)  # type: ignore[method-assign]
-    serial = 3
+    sequence = 3
     for _ in range(int(2.5 * LEASE_S)):
         advance_time(world, 1.0)
-        heartbeat(world, worker_report(serial, 3), received=serial < 5)
-        serial += 1
+        heartbeat(world, worker_report(sequence, 3), received=sequence < 5)
+        sequence += 1
         world.machines.monitor.check_machine(machine, world.clock.time)
         assert bool(reasons) == (world.clock.time - machine.reachable_at > 2 * LEASE_S)
     assert reasons and set(reasons) == {TerminationReason.UNREACHABLE}
@@ -81,16 +81,16 @@
 
 def test_only_a_prompt_report_on_the_same_connection_confirms_the_previous_answer(world: World) -> None:
     users = Users(world.context, world.jobs, world.machines)
-    seen: list[bool] = []
+    confirmed: list[bool] = []
 
     async def ask(message: HeartbeatRequest) -> Answer:
-        seen.append(message.last_answer_received)
+        confirmed.append(message.last_answer_received)
         return Answer(200)
 
     world.machines.ask = ask  # type: ignore[assignment]
 
-    async def send_heartbeat(serial: int, connection: dict[str, float]) -> None:
-        await users.handle(Request("POST", "/agent/beat", wire.encode(worker_report(serial, 3)), connection))
+    async def send_heartbeat(sequence: int, connection: dict[str, float]) -> None:
+        await users.handle(Request("POST", "/agent/beat", wire.encode(worker_report(sequence, 3)), connection))
 
     connection: dict[str, float] = {}
     anyio.run(send_heartbeat, 3, connection)
@@ -98,7 +98,7 @@
     anyio.run(send_heartbeat, 5, {})
     world.clock.time += 30.0  # the next report is delayed in the network
     anyio.run(send_heartbeat, 6, connection)
-    assert seen == [False, True, False, False]
+    assert confirmed == [False, True, False, False]
 
 
 def test_duplicate_report_does_not_renew_the_lease_and_gets_no_commands(world: World) -> None:
@@ -167,7 +167,7 @@
     world: World, caplog: pytest.LogCaptureFixture
 ) -> None:
     tasks = [(f"{JOB}/{index}", 1, "running") for index in range(300)]
-    for serial in range(3, 9):
-        assert heartbeat(world, worker_report(serial, 3, *tasks, ("nonsense", 1, "running"))).status == 400
+    for sequence in range(3, 9):
+        assert heartbeat(world, worker_report(sequence, 3, *tasks, ("nonsense", 1, "running"))).status == 400
     assert sum("vm-1" in record.getMessage() for record in caplog.records) == 1
     assert heartbeat(world, worker_report(9, 3)).status == 200
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -124,7 +124,7 @@
     assert exchange(POST + b"hi", POST + b"h").count(b"HTTP/1.1 200") == 1
 
 
-def test_an_error_in_one_connection_does_not_leave_the_server() -> None:
+def test_an_error_in_one_connection_does_not_propagate_from_the_server() -> None:
     async def fail(request: Request) -> Answer:
         raise RuntimeError
 
@@ -134,7 +134,7 @@
     assert client.closed and not server.open_connections
 
 
-def test_a_head_request_gets_the_length_and_no_body() -> None:
+def test_a_head_request_gets_no_body() -> None:
     sent = exchange(b"HEAD /b HTTP/1.1\r\nHost: x\r\n\r\n")
     assert sent.startswith(b"HTTP/1.1 200") and sent.endswith(b"\r\n\r\n")
 
