--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -160,7 +160,7 @@
     store.put(keys.job_key(JOB_C), row)
     # First a part of JOB_B, which is starved; then the urgent job JOB_C; then the jobs ordered by age.
     assert queued_names(store, int(late_s * 1000)) == [JOB_B, JOB_C, JOB_A, JOB_B]
-    # JOB_D exceeds the guarantee, so that the job ordered by age goes before it.
+    # JOB_D exceeds the guarantee, so that jobs ordered by age go before it.
     row = {"s": JobState.LIVE, "n": 9, "t": int(late_s * 1000), "spec": submission(JOB_D, urgency="urgent", visits=9)}
     store.put(keys.job_key(JOB_D), row)
     assert queued_names(store, int(late_s * 1000)) == [JOB_B, JOB_C, JOB_A, JOB_D, JOB_B]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("backwards", [False, True])
 def test_counters_and_cancellations_are_rebuilt_from_the_rows_in_any_order(backwards: bool) -> None:
-    """Guards against lost releases if a controller terminates between the end of a prerequisite and the release.
+    """Guards against lost releases if a controller terminates between the completion of a prerequisite and the release.
 
     An initial read returns the rows in the order of their keys, so that a job may be read before its prerequisites.
     """
@@ -164,7 +164,7 @@
         wire.JobStatus.QUEUED
     ]
 
-    # Cancelled or submitted again, a cancelled job is answered without the state service.
+    # A repeated cancellation or submission of a cancelled job is answered without the state service.
     async def stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
@@ -276,7 +276,7 @@
 
 
 def test_ends_of_jobs_are_stored_before_claims_when_a_transaction_takes_few_changes(store: Store) -> None:
-    """Guards against claims that fill every transaction of three changes, so that no end of a job is stored."""
+    """Guards against claims that fill every transaction of three changes, so that no completion of a job is stored."""
     world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     world.client.controller_count = lambda: 3
     for number in range(1, 7):
--- a/tests/test_quota_world.py
+++ b/tests/test_quota_world.py
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("seed", [6, 19, 32])
 def test_tasks_stay_covered_by_allocations_while_their_machines_change_owners(seed: int) -> None:
-    """In these seeds a transaction combines a quota decrease with an adoption that its plan did not know."""
+    """In these seeds a transaction combines a quota decrease with an adoption that was unknown when it was planned."""
     world = simulate(seed)
     assert world.starts > 100 and world.done_jobs and {"frozen", "ended", "late command"} <= world.event_counts.keys()
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -81,7 +81,7 @@
     assert len(claims.task_counts) == planner.limits.max_jobs
     assert planner.capacities_scanned <= planner.limits.max_capacities_scanned + planner.limits.max_jobs * MACHINES
     request = ClaimRequest()
-    # Usage by jobs later in the queue is not counted. Even so, quota is no surplus if there is capacity to use it.
+    # Usage by jobs later in the queue is not counted. Even so, quota that the free capacity can use is not returned.
     for later_s in (0.0, 3 * fleet.settings.report_s):
         machines.quota.request_allocations(request, claims.usable_quota, 1, fleet.clock.time + later_s)
     _, cores, _ = request.quota_decreases["red"]
@@ -139,9 +139,9 @@
 def test_lists_with_many_pages_leave_most_of_the_rate_to_instance_requests(
     fleet: FleetWorld, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against one instance request per list, since a full list takes as long as eight calls.
+    """Guards against only one instance request per list: renting thousands of machines would take too long.
 
-    Renting the first thousands of machines of a day would then take too long.
+    A full list takes eight calls, which count against the same rate.
     """
     cloud = CloudClient(fleet.settings, lambda: True, fleet.clock.now)
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -39,7 +39,7 @@
 def test_a_small_job_gets_a_machine_if_no_existing_one_suits_it() -> None:
     """Guards against small jobs that never start because each would fill too little of a new machine.
 
-    This happened to jobs that forbid spot machines, and to the jobs that depend on them.
+    For example, jobs that forbid spot machines would never start, nor would the jobs that depend on them.
     """
     small = [scaling.Demand(spec(loaners=False, visits=1), 1)]
     assert scaling.plan_scale_out(small, {SPOT: 5}, TYPES, set(), 50) == scaling.ScaleOutPlan(ON_DEMAND, 1)
@@ -47,7 +47,7 @@
 
 
 def test_machines_in_the_zone_to_which_a_job_is_bound_are_kept_and_rented(store: Store) -> None:
-    """Its claimed tasks bind the job to zone b, so that cheap free capacity in zone a is of no use to the others."""
+    """Its claimed tasks bind the job to zone b, so that free capacity in zone a is of no use to its other tasks."""
     settings = parse(SETTINGS)
     store.job(spec(together=True, visits=8, dueS=None))
     store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -42,7 +42,7 @@
 
 
 def check(world: World) -> None:
-    """Does the checks of a tick for cancelled tasks and silent machines; no direct command is sent."""
+    """Checks cancelled tasks and the machine as a tick does, but sends no direct command."""
     vm = machine(world)
     reconciled, vm.reconciled = vm.reconciled, False
     world.machines.cancelled_tasks.stop_all()
@@ -160,7 +160,7 @@
 
 
 def test_controller_that_may_not_answer_machines_deletes_none(world: World) -> None:
-    """Guards against a suspended controller: the machine may have another owner by now, and that owner's tasks."""
+    """Guards against deletions by a controller that was suspended: the machine may have another owner's tasks now."""
     start_task(world)
     cancelled(world)
     check(world)
--- a/tests/test_zone_binding.py
+++ b/tests/test_zone_binding.py
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("bound", [{"together": True}, {"spread": True}])
 def test_a_zone_bound_job_is_claimed_only_with_a_zone_and_placed_accordingly(world: World, bound: Any) -> None:
-    """Guards against zone-bound jobs that are claimed ahead while no machine has free capacity.
+    """Guards against zone-bound jobs that are claimed in advance, while no machine has free capacity.
 
     Such a job would have no stored zone, and its tasks would be placed in any zone.
     """
