--- a/tests/test_mesh_versions.py
+++ b/tests/test_mesh_versions.py
@@ -19,7 +19,7 @@
     yield world
 
 
-def test_view_requests_and_views_confirm_nothing(world: World) -> None:
+def test_view_requests_and_views_do_not_allow_a_controller_to_answer_workers(world: World) -> None:
     answers: list[bytes] = []
     leadership = world.leadership
     mesh = attach_mesh(world)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -103,7 +103,7 @@
     requests = [samples[f'sloeswitch_state_requests_total{{status="{status}"}}'] for status in ("200", "409", "503")]
     assert requests == [1, 1, 1] and samples['sloeswitch_state_requests_total{status="none"}'] == 1
     outcomes = ("committed", "conflict", "rejected", "unknown")
-    assert [samples[f'sloeswitch_state_transactions_total{{outcome="{each}"}}'] for each in outcomes] == [1, 1, 1, 1]
+    assert [samples[f'sloeswitch_state_transactions_total{{outcome="{name}"}}'] for name in outcomes] == [1, 1, 1, 1]
     assert samples["sloeswitch_state_outages_total"] == 1
 
 
--- a/tests/test_pipeline_priorities.py
+++ b/tests/test_pipeline_priorities.py
@@ -64,7 +64,7 @@
     assert store.tables.jobs[JOB_B].ready_ms == 7000
 
 
-def test_prerequisites_inherit_the_priority_and_the_deadline_less_the_path_between(store: Store) -> None:
+def test_prerequisites_inherit_the_priority_and_the_deadline_less_the_time_of_later_stages(store: Store) -> None:
     settings = parse(SETTINGS_WITH_OBJECTIVES)
     store.job(spec("wk-000009", urgency="standard", visits=20))
     store.job(spec(JOB_A, urgency="best_effort", visits=20))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -39,7 +39,7 @@
     return world
 
 
-def test_a_job_is_released_only_when_the_ends_of_all_prerequisites_are_stored(world: World) -> None:
+def test_a_job_is_released_only_when_the_completion_of_its_prerequisite_is_stored(world: World) -> None:
     world.store.job(spec(JOB_A, visits=1))
     world.store.job(spec(JOB_B, visits=1, awaits=[JOB_A]))
     assert queued_names(world.store) == [JOB_A]
@@ -65,24 +65,24 @@
     world.store.job(spec(JOB_C, visits=3))
     settings = world.settings
 
-    def needed() -> list[str]:
-        return [need.spec.id for need in scaling.current_demand(world.store.tables, settings, 0, 0.5)]
+    def jobs_with_demand() -> list[str]:
+        return [demand.spec.id for demand in scaling.current_demand(world.store.tables, settings, 0, 0.5)]
 
-    assert needed() == [JOB_A, JOB_C]
+    assert jobs_with_demand() == [JOB_A, JOB_C]
     world.machines.queue.rebuild()
     assert {name for request in world.claim_requests() for name in request.task_counts} == {JOB_A, JOB_C}
     # The team's guarantee of 8 cores covers JOB_A and JOB_C, although JOB_B was submitted before JOB_C.
     assert world.store.tables.jobs[JOB_C].guaranteed and world.store.tables.jobs[JOB_B].guaranteed is None
     # A job that cannot use spot machines counts as demand as soon as all its unfinished prerequisites have started.
     world.store.job(spec(JOB_D, awaits=[JOB_A], loaners=False))
-    assert needed() == [JOB_A, JOB_C]
+    assert jobs_with_demand() == [JOB_A, JOB_C]
     world.store.progress(JOB_A, c0_1=1)
-    assert needed() == [JOB_A, JOB_C, JOB_D]
+    assert jobs_with_demand() == [JOB_A, JOB_C, JOB_D]
     store_done(world.store, JOB_A)
     assert queued_names(world.store) == [JOB_B, JOB_C, JOB_D]
 
 
-def test_a_job_is_released_once_the_ends_of_both_prerequisites_are_stored(store: Store) -> None:
+def test_a_job_is_released_once_the_completions_of_both_prerequisites_are_stored(store: Store) -> None:
     for name in (JOB_A, JOB_B):
         store.job(spec(name))
     store.job(spec(JOB_C, awaits=[JOB_A, JOB_B, JOB_A]))
@@ -104,9 +104,9 @@
     store.job(spec(JOB_B, awaits=[JOB_A], crew="blue"))
     store.job(spec(JOB_C, awaits=[JOB_A]))
     store.job(spec(JOB_D, awaits=[JOB_B, JOB_C]))
-    for over, waiting in ((JOB_A, [JOB_B, JOB_C]), (JOB_C, [JOB_B]), (JOB_B, [JOB_D])):
-        store_done(store, over)
-        assert sorted(queued_names(store, text=text)) == waiting
+    for finished, queued in ((JOB_A, [JOB_B, JOB_C]), (JOB_C, [JOB_B]), (JOB_B, [JOB_D])):
+        store_done(store, finished)
+        assert sorted(queued_names(store, text=text)) == queued
 
 
 @pytest.mark.parametrize("backwards", [False, True])
@@ -165,20 +165,20 @@
     ]
 
     # A repeated cancellation or submission of a cancelled job is answered without the state service.
-    async def stale(timeout_s: float) -> None:
+    async def raise_stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
-    world.replica.read_linearizable = stale  # type: ignore[method-assign]
-    for again in (
+    world.replica.read_linearizable = raise_stale  # type: ignore[method-assign]
+    for answer in (
         ask(world, "POST", f"/submissions/{JOB_C}/cancel"),
         ask(world, "POST", "/submissions", submission(JOB_C)),
     ):
-        assert again.status == 200 and b'"withdrawn"' in again.body
+        assert answer.status == 200 and b'"withdrawn"' in answer.body
     world.replica.read_linearizable = world.read  # type: ignore[method-assign]
     world.clock.time += 0.1
     world.commit_and_place()
-    over = world.store.tables.finished_jobs
-    assert over[JOB_B].status == over[JOB_C].status == JobState.CANCELLED and JOB_D in world.store.tables.jobs
+    finished = world.store.tables.finished_jobs
+    assert finished[JOB_B].status == finished[JOB_C].status == JobState.CANCELLED and JOB_D in world.store.tables.jobs
     assert status(world, JOB_C) == wire.JobStatus.CANCELLED
 
 
@@ -253,16 +253,16 @@
 
 
 def test_an_unknown_prerequisite_needs_a_linearizable_read(world: World) -> None:
-    async def stale(timeout_s: float) -> None:
+    async def raise_stale(timeout_s: float) -> None:
         raise StaleReplicaError
 
-    async def just_accepted_elsewhere(timeout_s: float) -> None:
+    async def accept_on_another_controller(timeout_s: float) -> None:
         if JOB_A not in world.store.tables.jobs:
             world.store.job(spec(JOB_A))
 
-    world.replica.read_linearizable = stale  # type: ignore[method-assign]
+    world.replica.read_linearizable = raise_stale  # type: ignore[method-assign]
     assert submit(world, JOB_B, JOB_A) == 503
-    world.replica.read_linearizable = just_accepted_elsewhere  # type: ignore[method-assign]
+    world.replica.read_linearizable = accept_on_another_controller  # type: ignore[method-assign]
     assert submit(world, JOB_B, JOB_A) == 201
 
 
@@ -275,7 +275,7 @@
     assert world.store.tables.jobs[JOB_B].unfinished_prerequisites == 1
 
 
-def test_ends_of_jobs_are_stored_before_claims_when_a_transaction_takes_few_changes(store: Store) -> None:
+def test_completions_of_jobs_are_stored_before_claims_when_a_transaction_takes_few_changes(store: Store) -> None:
     """Guards against claims that fill every transaction of three changes, so that no completion of a job is stored."""
     world = World(store, SETTINGS_WITH_NEXT_LIMITS)
     world.client.controller_count = lambda: 3
@@ -300,10 +300,10 @@
         self.replica = Replica(world.client, Tables(), world.clock.now)
         self.replica.loaded = True
         self.replica.applied_revision = 10
-        left = list(answers)
+        remaining = list(answers)
 
         async def call(*_: Any, **__: Any) -> Reply:
-            return Reply(200, wire.encode(left.pop(0)))
+            return Reply(200, wire.encode(remaining.pop(0)))
 
         world.client.call = call  # type: ignore[method-assign]
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -28,10 +28,10 @@
 
 
 def plan(
-    store: Store, *machines: tuple[FreeCapacity, list[Attempt]], behind: bool = True, preemptible: int = 0
+    store: Store, *machines: tuple[FreeCapacity, list[Attempt]], preemptor_first: bool = True, preemptible: int = 0
 ) -> preemption.Preemption | None:
     store.job(spec(PREEMPTOR, **GANG))
-    positions = {PREEMPTOR: 0, RUNNING_JOB: 1} if behind else {RUNNING_JOB: 0, PREEMPTOR: 1}
+    positions = {PREEMPTOR: 0, RUNNING_JOB: 1} if preemptor_first else {RUNNING_JOB: 0, PREEMPTOR: 1}
     order = preemption.QueueOrder(positions, {RUNNING_JOB: preemptible})
     return preemption.plan_preemption(store.tables.jobs[PREEMPTOR], machines, order)
 
@@ -46,7 +46,7 @@
     assert plan(store, (free_capacity("vm-1", 0.0), running(5))) is None
 
 
-def test_attempts_of_equal_priority_of_gangs_or_already_stopping_are_not_preempted(store: Store) -> None:
+def test_attempts_of_equal_priority_gang_attempts_and_stopping_attempts_are_not_preempted(store: Store) -> None:
     assert plan(store, (free_capacity("vm-1", 0.0), running(8, urgency="standard"))) is None
     assert plan(store, (free_capacity("vm-1", 0.0), running(8, shape="group"))) is None
     stopping = running(8)
@@ -56,7 +56,7 @@
 
 
 def test_jobs_ahead_in_the_queue_are_not_preempted(store: Store) -> None:
-    assert plan(store, (free_capacity("vm-1", 0.0), running(8)), behind=False) is None
+    assert plan(store, (free_capacity("vm-1", 0.0), running(8)), preemptor_first=False) is None
 
 
 def test_only_a_limited_number_of_tasks_of_a_job_ordered_by_age_is_preempted(store: Store) -> None:
@@ -65,8 +65,8 @@
     Without preemption of jobs ordered by age, the gangs would wait until they are starved.
     """
     full = (free_capacity("vm-1", 0.0), running(8))
-    assert plan(store, full, behind=False, preemptible=5) is None
-    chosen = plan(store, full, behind=False, preemptible=6)
+    assert plan(store, full, preemptor_first=False, preemptible=5) is None
+    chosen = plan(store, full, preemptor_first=False, preemptible=6)
     assert chosen is not None and len(chosen.attempts) == 6
 
 
--- a/tests/test_reconciliation.py
+++ b/tests/test_reconciliation.py
@@ -31,9 +31,9 @@
         self.sequence = 0
         self.receive(RUNNING)
 
-    def receive(self, *tasks: tuple[object, ...], session: int = 1, is_heartbeat: bool = True) -> ReconcileResult:
+    def receive(self, *tasks: tuple[object, ...], agent_epoch: int = 1, is_heartbeat: bool = True) -> ReconcileResult:
         self.sequence += 1
-        message = worker_report(self.sequence, TOKEN, *tasks, agent_epoch=session)
+        message = worker_report(self.sequence, TOKEN, *tasks, agent_epoch=agent_epoch)
         received = ReceivedReport(message, is_heartbeat, float(self.sequence), TOKEN)
         return reconcile(self.registry, self.machine, received, self.tables)
 
@@ -71,7 +71,7 @@
 
 
 def test_tasks_listed_after_a_worker_restart_are_foreign(reports: Reports) -> None:
-    result = reports.receive(RUNNING, session=2)
+    result = reports.receive(RUNNING, agent_epoch=2)
     assert result.capacity_freed and not result.adopted and reports.registry.placed_tasks == {}
     assert list(reports.machine.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
 
@@ -115,8 +115,8 @@
 
 
 def test_task_placed_on_another_machine_of_this_controller_is_not_adopted(reports: Reports) -> None:
-    other = Machine("vm-2", "127.0.0.1:9001", "small", "a", True, owned_since_token=TOKEN)
-    reports.registry.add_machine(other)
+    other_machine = Machine("vm-2", "127.0.0.1:9001", "small", "a", True, owned_since_token=TOKEN)
+    reports.registry.add_machine(other_machine)
     received = ReceivedReport(worker_report(1, TOKEN, RUNNING, name="vm-2"), True, 2.0, TOKEN)
-    assert reconcile(reports.registry, other, received, reports.tables).adopted == []
-    assert list(other.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
+    assert reconcile(reports.registry, other_machine, received, reports.tables).adopted == []
+    assert list(other_machine.foreign_attempts) == [AttemptKey(f"{JOB}/0", 77)]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -127,7 +127,7 @@
     assert registry.handed_off_tasks[JOB] == 0b10
 
 
-def test_tasks_of_a_released_machine_are_not_unplaced_until_its_owner_has_settled_them(store: Store) -> None:
+def test_tasks_of_a_released_machine_are_not_placed_again_and_are_pruned_once_adopted(store: Store) -> None:
     registry, _machine = registry_with_started_task(store)
     registry.release_machine("vm-1")
     assert registry.unplaced_tasks(JOB, 0b1, 0) == 0
@@ -152,7 +152,7 @@
     assert registry.placed_tasks == {}
 
 
-def test_cancelled_start_in_flight_is_killed_until_a_heartbeat_omits_it(store: Store) -> None:
+def test_cancelled_start_in_flight_gets_kill_commands_until_a_heartbeat_omits_it(store: Store) -> None:
     registry, machine = registry_with_started_task(store)
     assert registry.mark_for_kill(machine, machine.attempts[TaskId(JOB, 0)], 0.0)
     assert [command.verb for command in registry.commands(machine, store.tables, None)] == ["kill"]
--- a/tests/test_row_application.py
+++ b/tests/test_row_application.py
@@ -97,9 +97,9 @@
     store.put(keys.adoption_key("c0.1", 2), adoption(1))
     store.put(keys.adoption_key("c1.2", 1), adoption(2))
     store.put(keys.adoption_key("c0.1", 1), None)
-    assert [each.incarnation_id for each in store.tables.adoptions[JOB]] == ["c0.1", "c0.1", "c1.2"]
+    assert [adopted.incarnation_id for adopted in store.tables.adoptions[JOB]] == ["c0.1", "c0.1", "c1.2"]
     store.put(keys.adoption_key("c0.1", 2), None)
-    assert [each.incarnation_id for each in store.tables.adoptions[JOB]] == ["c1.2"]
+    assert [adopted.incarnation_id for adopted in store.tables.adoptions[JOB]] == ["c1.2"]
 
 
 def test_a_machine_is_deleted_with_its_last_group_and_restored_by_a_later_row(store: Store) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -22,7 +22,7 @@
 from tests.support.fleet import FleetWorld, machine_name
 
 MACHINES = 4000
-PAGE = 500
+PAGE_SIZE = 500
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
     assert rounds == 1 and all(size < wire.MAX_BODY_BYTES for _, size in fleet.transactions)
     fleet.tick()
     claims = [job.progress.claims for job in fleet.store.tables.jobs.values()]
-    assert all(set(held) == {"c0.1"} for held in claims) and len(claims) == fleet.job_count
+    assert all(set(job_claims) == {"c0.1"} for job_claims in claims) and len(claims) == fleet.job_count
     assert fleet.machines.registry.is_recovered(fleet.store.tables, "c0.1")
     assert fleet.store.tables.quota_allocations["red"]["c0.1"] == (2.0 * MACHINES, 0.0)
 
@@ -84,8 +84,8 @@
     # Usage by jobs later in the queue is not counted. Even so, quota that the free capacity can use is not returned.
     for later_s in (0.0, 3 * fleet.settings.report_s):
         machines.quota.request_allocations(request, claims.usable_quota, 1, fleet.clock.time + later_s)
-    _, cores, _ = request.quota_decreases["red"]
-    assert 0.95 * 8.0 * MACHINES < cores < 1.05 * 8.0 * MACHINES
+    _, kept_cores, _ = request.quota_decreases["red"]
+    assert 0.95 * 8.0 * MACHINES < kept_cores < 1.05 * 8.0 * MACHINES
 
 
 def test_jobs_that_fit_on_no_machine_are_packed_once_for_each_shape(
@@ -99,14 +99,14 @@
     machines = fleet.machines
     machines.queue.queued_since = {job.spec.id: fleet.clock.time - 100 for job in machines.queue.jobs}
     packings = 0
-    place = placement.pack_tasks
+    pack_tasks = placement.pack_tasks
 
-    def counted(*args: Any) -> Any:
+    def counting_pack_tasks(*args: Any) -> Any:
         nonlocal packings
         packings += 1
-        return place(*args)
+        return pack_tasks(*args)
 
-    monkeypatch.setattr(placement, "pack_tasks", counted)
+    monkeypatch.setattr(placement, "pack_tasks", counting_pack_tasks)
     planner = claim_planner(fleet)
     planner.plan(machines.queue.jobs, 1, 0)
     # The job that fits is in the queue twice because it has waited for a long time.
@@ -131,9 +131,9 @@
         first = int(after.removeprefix("vm-")) + 1 if after else 0
         hosts = [
             wire.Instance(machine_name(number), "127.0.0.1:9000", "small", "a", True, "running", 99.0)
-            for number in range(first, min(first + PAGE, MACHINES))
+            for number in range(first, min(first + PAGE_SIZE, MACHINES))
         ]
-        return Reply(200, wire.encode(wire.InstancePage(hosts, first + PAGE < MACHINES)))
+        return Reply(200, wire.encode(wire.InstancePage(hosts, first + PAGE_SIZE < MACHINES)))
 
 
 def test_lists_with_many_pages_leave_most_of_the_rate_to_instance_requests(
@@ -147,8 +147,8 @@
     paced = PacedCloud(fleet.clock, fleet.settings.cloud_rps)
     cloud.http = paced  # type: ignore[assignment]
     monkeypatch.setattr(cloud.call_tokens, "acquire", lambda *_: 0.0)
-    renting = ScaleOut(fleet.context, cloud, ScaleIn(fleet.context, cloud))
-    renting.types = {"small": MACHINE_TYPE}
+    scale_out = ScaleOut(fleet.context, cloud, ScaleIn(fleet.context, cloud))
+    scale_out.types = {"small": MACHINE_TYPE}
     fleet.store.put(keys.COORDINATOR_KEY, {"member": "c0", "boot": 1})
     for number in range(400):
         fleet.store.job(spec(f"wk-{900000 + number}", visits=1000, cores=1.0))
@@ -157,14 +157,14 @@
     async def rent() -> None:
         while fleet.clock.time < until:
             fleet.renew()
-            await renting._list_instances()
-            while await renting._scale_out():
+            await scale_out._list_instances()
+            while await scale_out._scale_out():
                 fleet.renew()
             fleet.clock.time += fleet.settings.list_lag_s / 10
 
     anyio.run(rent)
     assert paced.calls.count("list") <= 0.4 * len(paced.calls)
-    assert paced.calls.count("list") >= 2 * MACHINES // PAGE
+    assert paced.calls.count("list") >= 2 * MACHINES // PAGE_SIZE
 
 
 def test_owners_of_all_machines_stay_cached(fleet: FleetWorld) -> None:
--- a/tests/test_scale_out.py
+++ b/tests/test_scale_out.py
@@ -83,7 +83,7 @@
     assert not scale_out.pending_instances
 
 
-def test_kind_that_the_cloud_has_not_enough_of_is_not_rented_for_a_while(
+def test_instance_kind_without_cloud_capacity_is_not_rented_for_a_while(
     world: World, cloud: ListingCloud, scale_out: ScaleOut
 ) -> None:
     world.store.job(spec(visits=40, dueS=None))
@@ -96,8 +96,8 @@
     cloud.available = 1
     anyio.run(scale_out._scale_out)
     assert len(scale_out.pending_instances) == 1
-    other = cloud.requested[1]
-    assert other.name == "3-c0.1-2" and (other.type, other.zone, other.spot) != (
+    next_request = cloud.requested[1]
+    assert next_request.name == "3-c0.1-2" and (next_request.type, next_request.zone, next_request.spot) != (
         request.type,
         request.zone,
         request.spot,
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -53,10 +53,10 @@
     store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
     wanted = scaling.current_demand(store.tables, settings, 0, 1.0)
     assert [demand.bound_zone for demand in wanted] == ["b"]
-    in_b = InstanceKind("small", "b", True)
-    assert scaling.plan_scale_in(wanted, {SPOT: 3, in_b: 1}, TYPES) == {SPOT: 2}
+    spot_in_b = InstanceKind("small", "b", True)
+    assert scaling.plan_scale_in(wanted, {SPOT: 3, spot_in_b: 1}, TYPES) == {SPOT: 2}
     plan = scaling.plan_scale_out(wanted, {SPOT: 3}, TYPES, set(), 50)
-    assert plan is not None and plan.kind == in_b
+    assert plan is not None and plan.kind == spot_in_b
 
 
 def test_demand_is_limited_by_the_remaining_quota_of_the_teams(store: Store) -> None:
@@ -83,5 +83,8 @@
     assert filled > 2 and packed.unused[SPOT] == packed.unused[ON_DEMAND] == 0
     (unmet,) = packed.unmet
     assert unmet.tasks == 10 - 2 * 10 / filled
-    one = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ON_DEMAND: 1}, offers)
-    assert one.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ON_DEMAND: 1.0} and not one.unmet
+    fully_packed = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ON_DEMAND: 1}, offers)
+    assert (
+        fully_packed.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ON_DEMAND: 1.0}
+        and not fully_packed.unmet
+    )
--- a/tests/test_silent_machines.py
+++ b/tests/test_silent_machines.py
@@ -35,13 +35,13 @@
     return world.machines.registry.machines["vm-1"]
 
 
-def cancelled(world: World, at: float | None = None) -> None:
+def store_cancellation(world: World, at: float | None = None) -> None:
     """Stores the job as cancelled, with the time of the cancellation if one is given."""
     value = dict(world.store.rows[keys.job_key(JOB)][0], s=JobState.CANCELLED)
     world.store.put(keys.job_key(JOB), value if at is None else {**value, "x": int(at * 1000)})
 
 
-def check(world: World) -> None:
+def check_machine(world: World) -> None:
     """Checks cancelled tasks and the machine as a tick does, but sends no direct command."""
     vm = machine(world)
     reconciled, vm.reconciled = vm.reconciled, False
@@ -64,18 +64,18 @@
 def test_hung_machine_with_a_cancelled_task_is_deleted_in_time(world: World, outage: bool) -> None:
     """Covers an outage of the state service, and a machine whose lease has expired in the registry."""
     start_task(world)
-    cancelled(world)
+    store_cancellation(world)
     log = CancellationLog(10, 9)
     overdue_s = OVERDUE_SHARE * world.settings.cancel_s
     since = world.clock.time
-    check(world)
+    check_machine(world)
     while world.clock.time - since < overdue_s - 1:
         if outage:
             world.clock.time += 1.0
             apply_sibling_status(log, world)
         else:
             advance_time(world, 1.0)
-        check(world)
+        check_machine(world)
     assert world.leadership.may_answer_workers and world.leadership.is_leader != outage
     assert JOB not in world.machines.registry.placed_tasks  # its lease has expired in the registry
     assert deleted(world) == []
@@ -84,15 +84,15 @@
         apply_sibling_status(log, world)
     else:
         advance_time(world, 0.0)
-    check(world)
+    check_machine(world)
     assert deleted(world) == ["vm-1"]
     assert world.clock.time - since < 0.6 * world.settings.cancel_s
 
 
 def test_machine_that_ended_the_cancelled_task_is_not_deleted(world: World) -> None:
     task = start_task(world)
-    cancelled(world)
-    check(world)
+    store_cancellation(world)
+    check_machine(world)
     assert machine(world).cancelled_since is not None
     advance_time(world, 1.0)
     heartbeat(world, worker_report(5, 3, (*task, "running")))
@@ -101,16 +101,16 @@
     assert machine(world).cancelled_since is None
     advance_time(world, world.settings.cancel_s)
     heartbeat(world, worker_report(7, 3))
-    check(world)
+    check_machine(world)
     assert deleted(world) == []
 
 
 def test_new_owner_measures_the_wait_from_the_stored_time_of_the_cancellation(world: World) -> None:
     start_task(world)
-    cancelled(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
-    check(world)
+    store_cancellation(world, at=world.clock.time - 0.4 * world.settings.cancel_s)
+    check_machine(world)
     advance_time(world, 0.2 * world.settings.cancel_s)
-    check(world)
+    check_machine(world)
     assert deleted(world) == ["vm-1"]
 
 
@@ -119,7 +119,7 @@
 ) -> None:
     """Guards against a deletion that is delayed at each change, because each new owner first waits for silence."""
     start_task(world)
-    cancelled(world, at=world.clock.time)
+    store_cancellation(world, at=world.clock.time)
     since = world.clock.time
     while world.clock.time - since < world.settings.cancel_s:
         machine(world).cancelled_since = None
@@ -127,7 +127,7 @@
         world.machines.registry.mark_unreconciled(machine(world), 3, lease_expires_at)
         for _ in range(3):
             advance_time(world, 1.0)
-            check(world)
+            check_machine(world)
     assert deleted(world) == ["vm-1"]
 
 
@@ -142,12 +142,12 @@
     start_task(world)
     machine(world).cancelled_since = None
     world.machines.registry.mark_unreconciled(machine(world), 3, world.clock.time + world.settings.takeover_expiry_s)
-    cancelled(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
+    store_cancellation(world, at=world.clock.time - (0.6 if overdue else 0.1) * world.settings.cancel_s)
     log = CancellationLog(10, 9)
     for _ in range(5):
         world.clock.time += 1.0
         apply_sibling_status(log, world)
-        check(world)
+        check_machine(world)
     assert world.leadership.may_answer_workers
     assert deleted(world) == (["vm-1"] if overdue else [])
 
@@ -162,10 +162,10 @@
 def test_controller_that_may_not_answer_machines_deletes_none(world: World) -> None:
     """Guards against deletions by a controller that was suspended: the machine may have another owner's tasks now."""
     start_task(world)
-    cancelled(world)
-    check(world)
+    store_cancellation(world)
+    check_machine(world)
     world.clock.time += world.settings.cancel_s
-    check(world)
+    check_machine(world)
     assert deleted(world) == []
     advance_time(world, 0.0)
     assert deleted(world) == []  # no deletion was requested before the lease was renewed
@@ -177,14 +177,14 @@
     world.store.job(spec())
     world.commit_and_place(ClaimRequest(task_counts={JOB: 4}, quota_increases={"red": ResourceAmount(8.0, 0.0)}))
     assert JOB in world.machines.registry.placed_tasks
-    serial = 10
+    sequence = 10
     started_at = world.clock.time
     while not deleted(world):
         advance_time(world, 1.0)
-        serial += 1
+        sequence += 1
         # Its lease expires repeatedly, since direct commands do not renew it.
-        session = 1 + int((world.clock.time - started_at) // (world.settings.lease_s + 1))
-        world.machines.heartbeats.apply_command_reply(worker_report(serial, 3, agent_epoch=session))
+        agent_epoch = 1 + int((world.clock.time - started_at) // (world.settings.lease_s + 1))
+        world.machines.heartbeats.apply_command_reply(worker_report(sequence, 3, agent_epoch=agent_epoch))
         world.machines._tick()
         # Its replies look healthy, but tasks that were placed on it and not sent can be placed elsewhere.
         assert (JOB in world.machines.registry.placed_tasks) == (world.clock.time - started_at < 3.0)
--- a/tests/test_spec_chunks.py
+++ b/tests/test_spec_chunks.py
@@ -15,14 +15,14 @@
 
 JOB_A, JOB_B, JOB_C, JOB_D = "wk-000001", "wk-000002", "wk-000003", "wk-000004"
 
-NARROW = SETTINGS.replace(
+SETTINGS_WITH_LOW_LIMITS = SETTINGS.replace(
     "[deployment.cloud]", "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n[deployment.cloud]"
 )
 
 
 def test_a_job_with_a_thousand_prerequisites_is_stored_in_chunks_before_its_row(store: Store) -> None:
     store.put_complete_layout()
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_LOW_LIMITS)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
         store_done(store, name)
@@ -57,7 +57,7 @@
 
 def test_chunks_without_a_job_are_deleted_and_a_late_row_of_the_job_fails(store: Store) -> None:
     store.put_complete_layout()
-    world = World(store, NARROW)
+    world = World(store, SETTINGS_WITH_LOW_LIMITS)
     names = [f"wk-{number:06d}" for number in range(1000)]
     for name in names:
         store_done(store, name)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -115,9 +115,9 @@
     assert store.tables.machine_types.keys() == {"small"}
     store.put_complete_layout()
     anyio.run(scale_out._store_catalog, machine_types)
-    assert store.tables.machine_types == {each.name: each for each in machine_types}
+    assert store.tables.machine_types == {machine_type.name: machine_type for machine_type in machine_types}
     anyio.run(scale_out._store_catalog, machine_types[:2])
-    assert store.tables.machine_types == {each.name: each for each in machine_types[:2]}
+    assert store.tables.machine_types == {machine_type.name: machine_type for machine_type in machine_types[:2]}
 
 
 @pytest.mark.parametrize(("changes", "size"), [(2, 2048), (4, 300)])
@@ -134,8 +134,8 @@
     for _ in range(12):
         world.commit_and_place()
     assert all(job.progress.claims == {"c0.1": 1} for job in store.tables.jobs.values())
-    accepted = [submit(world, "wk-000009", kit="x" * 200) for _ in range(6)]
-    assert accepted[-1] == 200 and 201 in accepted
+    statuses = [submit(world, "wk-000009", kit="x" * 200) for _ in range(6)]
+    assert statuses[-1] == 200 and 201 in statuses
     world.send_task_updates(TaskUpdates(done={f"wk-00000{number}": 1 for number in range(1, 7)}))
     world.clock.time += 1.0
     for _ in range(6):
--- a/tests/test_submission_checks.py
+++ b/tests/test_submission_checks.py
@@ -38,11 +38,11 @@
     assert submit(world, JOB, **changes) == status
     # While the machine types are unknown, a submission is refused for now; a malformed one is always rejected.
     world.store.tables.machine_types.clear()
-    undecided = 400 if status == 400 else 503
-    assert submit(world, "wk-000002", **changes) == undecided
+    status_without_types = 400 if status == 400 else 503
+    assert submit(world, "wk-000002", **changes) == status_without_types
 
 
-def test_a_repeated_submission_of_a_known_job_is_answered_despite_other_fields(world: World) -> None:
+def test_a_repeated_submission_of_a_known_job_is_answered_whatever_its_other_fields(world: World) -> None:
     assert submit(world, JOB) == 201
     for changes in ({"visits": 7}, {"cores": 99.0}, {"crew": "nobody"}, {"kit": ...}, {"urgency": 5}):
         assert submit(world, JOB, **changes) == 200
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -82,15 +82,22 @@
             assert needed <= spec.keys() and not spec.get("awaits")
             return kind, name, value["s"], value["t"], {field: spec.get(field) for field in OLD_SPEC}
         if kind == "r":
-            claims = {tag: self.decode_runs(runs) for tag, runs in value["c"].items()}
+            claims = {incarnation: self.decode_runs(runs) for incarnation, runs in value["c"].items()}
             return kind, name, self.decode_runs(value["d"]), claims, value.get("z"), value.get("a", 0)
         if kind == "g":
-            return kind, name, {vm: (address, of, zone, spot) for vm, (address, of, zone, spot) in value["m"].items()}
+            return (
+                kind,
+                name,
+                {
+                    vm: (address, machine_type, zone, spot)
+                    for vm, (address, machine_type, zone, spot) in value["m"].items()
+                },
+            )
         if kind == "m":
             assert value.get("layout", 1) >= 2
             return kind, name, value["boot"], value["settled"]
         if kind == "q":
-            return kind, name, {tag: (cores, gpus) for tag, (cores, gpus) in value.items()}
+            return kind, name, {incarnation: (cores, gpus) for incarnation, (cores, gpus) in value.items()}
         assert kind == "layout"  # The earlier version ignores rows of unknown kinds.
         return None
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -42,7 +42,7 @@
     assert world.unfinished() == set()
 
 
-def test_cancelled_task_is_gone_in_time_although_its_owner_ends_in_an_outage() -> None:
+def test_cancelled_task_on_a_hung_machine_is_gone_in_time_although_its_owner_cannot_act() -> None:
     """Guards against a cancelled task that outlives `cancel_s` on a hung machine whose owner cannot act.
 
     The owner is a process that has not read the tables yet, and the state service is down for longer than `cancel_s`,
