--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -39,7 +39,7 @@
 def test_a_small_job_gets_a_machine_if_no_existing_one_suits_it() -> None:
     """Guards against small jobs that never start because each would fill too little of a new machine.
 
-    This happened to jobs that forbid spot machines, and to the jobs that depend on them.
+    For example, jobs that forbid spot machines would never start, nor would the jobs that depend on them.
     """
     small = [scaling.Demand(spec(loaners=False, visits=1), 1)]
     assert scaling.plan_scale_out(small, {SPOT: 5}, TYPES, set(), 50) == scaling.ScaleOutPlan(ON_DEMAND, 1)
@@ -47,16 +47,16 @@
 
 
 def test_machines_in_the_zone_to_which_a_job_is_bound_are_kept_and_rented(store: Store) -> None:
-    """Its claimed tasks bind the job to zone b, so that cheap free capacity in zone a is of no use to the others."""
+    """Its claimed tasks bind the job to zone b, so that free capacity in zone a is of no use to its other tasks."""
     settings = parse(SETTINGS)
     store.job(spec(together=True, visits=8, dueS=None))
     store.put(keys.progress_key("wk-000001"), {"d": [], "c": {"c0.1": [0, 4]}, "z": "b"})
     wanted = scaling.current_demand(store.tables, settings, 0, 1.0)
     assert [demand.bound_zone for demand in wanted] == ["b"]
-    in_b = InstanceKind("small", "b", True)
-    assert scaling.plan_scale_in(wanted, {SPOT: 3, in_b: 1}, TYPES) == {SPOT: 2}
+    spot_in_b = InstanceKind("small", "b", True)
+    assert scaling.plan_scale_in(wanted, {SPOT: 3, spot_in_b: 1}, TYPES) == {SPOT: 2}
     plan = scaling.plan_scale_out(wanted, {SPOT: 3}, TYPES, set(), 50)
-    assert plan is not None and plan.kind == in_b
+    assert plan is not None and plan.kind == spot_in_b
 
 
 def test_demand_is_limited_by_the_remaining_quota_of_the_teams(store: Store) -> None:
@@ -83,5 +83,8 @@
     assert filled > 2 and packed.unused[SPOT] == packed.unused[ON_DEMAND] == 0
     (unmet,) = packed.unmet
     assert unmet.tasks == 10 - 2 * 10 / filled
-    one = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ON_DEMAND: 1}, offers)
-    assert one.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ON_DEMAND: 1.0} and not one.unmet
+    fully_packed = scaling.pack_demand([scaling.Demand(spec(), 10)], {SPOT: 3, ON_DEMAND: 1}, offers)
+    assert (
+        fully_packed.unused == {**dict.fromkeys(packed.unused, 0.0), SPOT: 3 - filled, ON_DEMAND: 1.0}
+        and not fully_packed.unmet
+    )
