--- a/sloeswitch/__init__.py
+++ b/sloeswitch/__init__.py
@@ -1,3 +1,3 @@
-"""sloeswitch: a cluster scheduler that hands the oldest ready work to machines with free room."""
+"""sloeswitch: a cluster scheduler that assigns the oldest ready tasks to machines with free capacity."""
 
 __version__ = "0.1.0"
--- a/sloeswitch/cli.py
+++ b/sloeswitch/cli.py
@@ -1,4 +1,4 @@
-"""The command line: runs a controller, checks its files, or answers operators' questions about admission."""
+"""The command line: runs a controller, checks its files, or runs the operators' admission commands."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from sloeswitch import __version__, features
 from sloeswitch.settings import SettingsError, load
 
-# Words of the variable LOG_LEVEL; any other counts as `info`.
+# Values of the environment variable LOG_LEVEL; any other value means `info`.
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-# The exit status when a file is refused; argparse has the same for a wrong argument.
+# The exit status for an invalid file; argparse exits with the same status on a wrong argument.
 EXIT_REFUSED = 2
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Runs what the arguments ask for; the exit status."""
+    """Runs the command that the arguments select, and returns the exit status."""
     arguments = sys.argv[1:] if argv is None else argv
     if arguments[:1] == ["admission"]:
         return _answer_about_admission(arguments[1:])
@@ -25,7 +25,7 @@
 
 
 def _answer_about_admission(arguments: list[str]) -> int:
-    """Questions that operators ask about admission."""
+    """Runs `sloeswitch admission ...`, and returns the exit status."""
     parser = argparse.ArgumentParser(prog="sloeswitch admission", description="Questions about admission.")
     commands = parser.add_subparsers(dest="command", required=True)
     comparing = commands.add_parser(
@@ -33,7 +33,7 @@
     )
     comparing.add_argument("logs", metavar="LOG", nargs="+", help="a controller's log")
     options = parser.parse_args(arguments)
-    # Imported late, so that a controller that starts needs none of it.
+    # Imported here, so that starting a controller does not load it.
     from sloeswitch.admission import compare
 
     return compare.main(options.logs, sys.stdout, sys.stderr)
@@ -49,7 +49,7 @@
 
 
 def _run_controller(arguments: list[str]) -> int:
-    """Runs one controller, or checks its files."""
+    """Runs one controller, or only checks its files, and returns the exit status."""
     parser = _controller_parser()
     options = parser.parse_args(arguments)
     path = options.check or options.config
@@ -72,7 +72,7 @@
         level=LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info"), logging.INFO),
         format="%(levelname).1s %(name)s: %(message)s",
     )
-    # Imported late, so that --check and --version need none of it.
+    # Imported here, so that --check and --version do not load it.
     from sloeswitch.controller import run
 
     run(settings, enabled)
@@ -80,7 +80,7 @@
 
 
 def _refuse(path: str, error: SettingsError) -> int:
-    """Prints each fault of a file on a line; the exit status."""
+    """Prints each fault of a file on its own line, and returns the exit status."""
     for fault in error.faults:
         print(f"{path}: {fault}", file=sys.stderr)
     return EXIT_REFUSED
--- a/sloeswitch/clock.py
+++ b/sloeswitch/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that a controller reads: one for durations, one for times that other controllers must understand."""
+"""The clocks of a controller: a monotonic one for durations, and the wall clock for times that controllers share."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Clock(Protocol):
-    """Both clocks of a process; tests have their own."""
+    """The two clocks of a process; tests pass a fake one."""
 
     def now(self) -> float:
-        """Seconds of a clock that only goes forward, for durations within this process."""
+        """Seconds of a monotonic clock, for durations within this process."""
 
     def wall_clock_ms(self) -> int:
-        """Milliseconds since the Unix epoch, for stored times; right within the settings' clock error."""
+        """Milliseconds since the Unix epoch, for stored times; its error is at most `Settings.clock_error_s`."""
 
 
 class SystemClock:
     """The clocks of the operating system.
 
-    `now` is never the event loop's time: uvloop's stands still while a turn of the loop lasts, and a controller that is
-    frozen within a turn would go on by what it knew before, its lease long over.
+    `now` does not use the event loop's time. uvloop updates that time once per iteration, so a controller that is
+    suspended during an iteration would resume with the old time and act on a lease that has long expired.
     """
 
     def now(self) -> float:
--- a/sloeswitch/cloud.py
+++ b/sloeswitch/cloud.py
@@ -1,4 +1,6 @@
-"""The client of the cloud that rents machines by the second; `actors.autoscaler` alone uses it.
+"""The client of the cloud, which rents out machines billed by the second.
+
+Only `actors.scale_out` and `actors.scale_in` use it.
 
 Source: PROTOCOL-sloeswitch.md, "Controller nodes -> cloud".
 """
@@ -18,18 +20,18 @@
 
 log = logging.getLogger("cloud")
 
-# The part of the cloud's rate that all controllers use together, so that bursts stay within the limit.
+# The fraction of the cloud's rate limit that all controllers use together; the rest keeps bursts within the limit.
 USED_FRACTION_OF_RATE = 0.9
 INSTANCES_PER_PAGE = 500
 MAX_IDLE_CONNECTIONS = 2
 
 
 class CloudError(Exception):
-    """The cloud gave no usable answer; what was asked for may or may not happen."""
+    """The cloud gave no usable answer; the request may or may not be executed."""
 
 
 class CloudStatusError(CloudError):
-    """The cloud answered with another status than the expected one."""
+    """The cloud answered with an unexpected status."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
@@ -37,18 +39,19 @@
 
 
 class MalformedCloudAnswerError(CloudError):
-    """The body of an answer is not what the protocol says."""
+    """The body of an answer does not conform to the protocol."""
 
 
 class CloudClient:
-    """Calls within this controller's part of the cloud's rate.
+    """Calls the cloud within this controller's share of the cloud's rate limit.
 
-    The coordinator has the largest part, since it lists and rents; the others only give machines back, many in a call.
+    The coordinator has the largest share, because only it lists and rents machines. The other controllers only return
+    machines, many per call.
 
     Attributes:
-        is_coordinator: Whether this controller is the coordinator at present.
-        timeout_s: How long an answer is waited for.
-        call_tokens: This controller's part of the calls per second.
+        is_coordinator: Returns whether this controller is currently the coordinator.
+        timeout_s: The time limit for one call.
+        call_tokens: The token bucket that limits this controller's calls per second.
     """
 
     def __init__(self, settings: Settings, is_coordinator: Callable[[], bool], now: Callable[[], float]) -> None:
@@ -62,7 +65,7 @@
         self.call_tokens = TokenBucket(self._rate, now())
 
     async def read_catalog(self) -> wire.MachineTypeCatalog:
-        """The machine types on offer.
+        """Returns the machine types that the cloud offers.
 
         Raises:
             CloudError: There is no usable answer.
@@ -73,7 +76,7 @@
         """Rents machines.
 
         Returns:
-            The names of the machines, which may be fewer than asked for; None when the cloud has none of the kind.
+            The names of the machines, possibly fewer than requested; None if the cloud has no such capacity.
 
         Raises:
             CloudError: There is no usable answer; machines may have been rented.
@@ -84,17 +87,17 @@
         return self._decode(reply, wire.InstancesCreated).instances
 
     async def delete_instances(self, machines: list[str]) -> None:
-        """Returns once the machines and all that is on them are gone.
+        """Deletes machines; returns once they, and everything that ran on them, are gone.
 
         Raises:
-            CloudError: The cloud did not confirm it.
+            CloudError: The cloud did not confirm the deletion.
         """
         reply = await self._call("POST", "/machines/delete", wire.delete_body(machines))
         if reply.status != HTTPStatus.OK:
             raise CloudStatusError(reply.status)
 
     async def list_instances(self) -> list[wire.Instance]:
-        """All rented machines, read page by page.
+        """Returns all rented machines, read page by page.
 
         Raises:
             CloudError: There is no usable answer.
@@ -117,7 +120,7 @@
             raise CloudError(str(error)) from None
 
     async def _wait_for_rate(self) -> None:
-        """Takes one call from the rate; calls are served in the order in which they come, each after its wait."""
+        """Takes a token for one call, and waits while the bucket is overdrawn, so that calls go out in order."""
         fraction = self._coordinator_fraction if self.is_coordinator() else self._follower_fraction
         self.call_tokens.rate = self._rate * fraction
         self.call_tokens.acquire(1.0, RequestPriority.LEASE, self.now())
