--- a/sloeswitch/linearizable_reads.py
+++ b/sloeswitch/linearizable_reads.py
@@ -1,7 +1,8 @@
-"""Which linearizable read serves which caller; `replica` alone uses it.
+"""Matches linearizable reads with the callers that wait for them; used only by `replica`.
 
-A read serves only callers who asked before it was sent. Reads are therefore numbered in the order in which they are
-sent, and a caller needs the next number. That order, unlike a time, is right on a machine whose clock goes in steps.
+A read is valid only for callers that requested it before it was sent. Reads are numbered in the order in which they are
+sent, and a caller waits for the next number. Numbers are used rather than times, because with a coarse clock a request
+and an earlier read may have the same time.
 """
 
 from __future__ import annotations
@@ -10,35 +11,35 @@
 
 
 class LinearizableReads:
-    """The sequence of linearizable reads, and the callers who wait for the next one.
+    """The sequence of linearizable reads, and the callers that wait for the next one.
 
-    One read serves all who wait when it is sent. At most one is under way.
+    One read serves all callers that are waiting when it is sent. At most one read is in flight.
     """
 
     def __init__(self) -> None:
         self._last_sent = 0
         self._last_answered = 0
         self._requested = anyio.Event()
-        # Set when the next attempt is over; None: nobody waits for it.
+        # Set when the next attempt has ended; None if no caller waits for it.
         self._attempt_over: anyio.Event | None = None
 
     # -- callers
 
     @property
     def next_number(self) -> int:
-        """The number of the next read to be sent, which is the first that serves whoever asks now."""
+        """The number of the next read to be sent, which is the first one valid for a caller that asks now."""
         return self._last_sent + 1
 
     def is_answered(self, number: int) -> bool:
-        """Whether the read of this number, or a later one, was answered."""
+        """Whether the read with this number or a later one has been answered."""
         return self._last_answered >= number
 
     def request(self) -> None:
-        """Asks for a read without waiting for it."""
+        """Requests a read without waiting for it."""
         self._requested.set()
 
     async def wait_attempt(self) -> None:
-        """Asks for a read, and returns when the next attempt at one has succeeded or failed."""
+        """Requests a read, and returns when the next attempt has succeeded or failed."""
         if self._attempt_over is None:
             self._attempt_over = anyio.Event()
         attempt_over = self._attempt_over
@@ -48,17 +49,17 @@
     # -- the task that reads
 
     async def wait_request(self) -> anyio.Event:
-        """Returns when a read is asked for; the event must be set when the attempt at it is over."""
+        """Waits until a read is requested; the caller must set the returned event when its attempt has ended."""
         await self._requested.wait()
         self._requested = anyio.Event()
         attempt_over, self._attempt_over = self._attempt_over, None
         return attempt_over if attempt_over is not None else anyio.Event()
 
     def record_sent(self) -> int:
-        """Notes that a read is sent now, and returns its number."""
+        """Records that a read is being sent, and returns its number."""
         self._last_sent += 1
         return self._last_sent
 
     def record_answered(self, number: int) -> None:
-        """Notes that the read of this number was answered, and the tables hold what it brought."""
+        """Records that the read with this number was answered and its changes were applied to the tables."""
         self._last_answered = number
--- a/sloeswitch/own_writes.py
+++ b/sloeswitch/own_writes.py
@@ -1,6 +1,6 @@
-"""The writes of this controller that its replica holds before they were read back.
+"""Writes of this controller that its replica has applied but not yet read back.
 
-`replica` alone uses them: it applies a committed transaction at once, and compares it with the change feed later.
+Used only by `replica`, which applies a committed transaction immediately and later checks it against the change feed.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 
 
 class OwnWrite(NamedTuple):
-    """A row that this controller stored, and the revision of the transaction that stored it."""
+    """The key of a row that this controller wrote, and the revision of the transaction that wrote it."""
 
     key: str
     revision: int
 
 
 class OwnWrites:
-    """Writes that were applied to the tables when they were committed and have not been read back yet."""
+    """Writes that were applied to the tables on commit and have not been read back yet."""
 
     def __init__(self) -> None:
         self._revisions: dict[str, int] = {}
 
     def add(self, key: str, revision: int) -> None:
-        """Adds a write; a later one of the same key takes the place of the earlier one."""
+        """Adds a write; it replaces an earlier write to the same key."""
         self._revisions[key] = revision
 
     def clear(self) -> None:
-        """Forgets all writes, because all rows are read anew."""
+        """Removes all writes, because a new snapshot replaces all rows."""
         self._revisions.clear()
 
     def confirm(self, events: Iterable[wire.ChangeEvent], applied_revision: int) -> OwnWrite | None:
         """Removes the writes that were read back.
 
-        Guards against a revision in a transaction's answer that is not the modification revision of what was stored:
-        conditions on it would fail for ever.
+        Detects a transaction's answer whose revision is not the modification revision of the stored rows. Conditions
+        on that revision would never hold.
 
         Args:
             events: The changes that were read.
-            applied_revision: Up to where all changes have been read, these included.
+            applied_revision: The revision up to which all changes have been read, including `events`.
 
         Returns:
-            A write that should have been read by now and was not, if there is any.
+            A write that is missing although its revision has been read; None if there is none.
         """
         if not self._revisions:
             return None
--- a/sloeswitch/replica.py
+++ b/sloeswitch/replica.py
@@ -1,7 +1,7 @@
 """The replica: keeps this controller's tables up to date with the state service, and serves linearizable reads.
 
-It loads a snapshot once, then follows the change feed. Actors read the tables freely; `Replica.read_linearizable`
-comes first where an action must not rest on a state that is out of date.
+It loads a snapshot once, then follows the change feed. Actors may read the tables at any time. Before an action that
+must not be based on stale data, they call `Replica.read_linearizable`.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 
 log = logging.getLogger("state")
 
-# The pauses are such that of its part of the request rate a controller spends about one request in so many on the
-# change feed, and at most one in so many on linearizable reads.
+# Of the requests that a controller's share of the rate limit allows, about one in this many reads the change feed.
 REQUESTS_PER_WATCH = 4.0
+# Of the same requests, at most one in this many is a linearizable read.
 REQUESTS_PER_LINEARIZABLE_READ = 2.0
 
 
 class StaleReplicaError(Exception):
-    """A linearizable read could not be had in time."""
+    """A linearizable read did not succeed in time."""
 
 
 class Replica:
-    """Owns the tables: keeps them up to date by watching, and serves linearizable reads.
+    """Owns the tables: keeps them up to date from the change feed, and serves linearizable reads.
 
-    A linearizable read is one request for all changes since the last applied revision, which both says what the
-    present state is and brings the tables there.
+    A linearizable read is one request for all changes since the last applied revision. Applying its answer brings the
+    tables to the current state.
 
     Attributes:
-        tables: What the state service holds, as far as it is known here. Only the replica changes them.
-        applied_revision: Up to where all changes are in the tables.
-        loaded: Whether the tables hold a snapshot that the change feed can follow.
+        tables: The local copy of the rows in the state service. Only the replica changes them.
+        applied_revision: The revision up to which all changes are applied to the tables.
+        loaded: Whether the tables hold a snapshot to which changes can be applied.
         fully_read: Whether a snapshot has been loaded since this process started; it stays true.
-        linearizable_at: The tables hold everything that the state service held at this time.
-        changed: Set, and replaced by a new event, at each change of the tables.
-        watch_pause_s: How long after each answer the change feed is not read again. Reading again at once after each
-            change would use up the request rate.
+        linearizable_at: The tables contain everything that was stored at this time or earlier.
+        changed: Set at each change of the tables, and then replaced by a new event.
+        watch_pause_s: The pause between an answer of the change feed and the next request. Requesting again immediately
+            after each change would use up the request rate.
     """
 
     def __init__(self, client: StateClient, tables: Tables, now: Callable[[], float]) -> None:
@@ -77,11 +77,11 @@
             await self.changed.wait()
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Has `listener` called after each change of the tables."""
+        """Registers a callback that is called after each change of the tables."""
         self._listeners.append(listener)
 
     def notify_peer_update(self) -> None:
-        """Wakes the observers, because the tables hold something that a sibling sent."""
+        """Notifies the observers that data from a sibling was applied to the tables."""
         self._notify()
 
     def _notify(self) -> None:
@@ -93,9 +93,10 @@
     # -- linearizable reads
 
     async def read_linearizable(self, timeout_s: float) -> None:
-        """Returns once the tables hold everything that was stored when this was called.
+        """Returns once the tables contain everything that was stored when this was called.
 
-        Guards against a clock that goes in steps: only a read that is sent after the call serves it, by its number.
+        Only a read that is sent after the call counts. Reads are ordered by number rather than by time, because a
+        clock with a coarse resolution may give both events the same time.
 
         Raises:
             StaleReplicaError: No read was answered within the timeout, or the state service cannot be reached.
@@ -111,15 +112,15 @@
             raise StaleReplicaError(f"no linearizable read within {timeout_s:.3f} s") from None
 
     def request_read(self) -> None:
-        """Asks for a linearizable read soon, because something was stored; does not wait for it."""
+        """Requests a linearizable read after a write; does not wait for it."""
         self._reads.request()
 
     @property
     def read_pause_s(self) -> float:
-        """The time between linearizable reads, which take at most half of the requests.
+        """The pause between linearizable reads, which limits them to half of the request rate.
 
-        With hundreds of jobs polled by users there is always a caller waiting for one, and the claims' own requests
-        must not wait behind them.
+        When users poll hundreds of jobs, a caller is always waiting for a read. Without the limit, requests for claims
+        would be delayed.
         """
         return REQUESTS_PER_LINEARIZABLE_READ / self.client.request_tokens.rate
 
@@ -146,15 +147,15 @@
     # -- own writes
 
     def apply_own_write(self, revision: int, writes: dict[str, Any]) -> None:
-        """Applies a transaction of this controller that was committed, before it is read back.
+        """Applies a committed transaction of this controller before it is read back.
 
-        A job accepted or claimed, or the end of one that others wait for, need not wait for a read to be acted on.
-        Each row is as it was stored, whatever else changed before; what a controller may do is decided by conditions
-        and linearizable reads.
+        Accepted jobs, claims and completed prerequisites thus take effect without waiting for a read. Each row is
+        exactly what was stored, although earlier changes of other rows may be missing. That is safe, because every
+        decision is protected by transaction conditions or a linearizable read.
 
         Args:
-            revision: The revision that the state service answered.
-            writes: The rows that were stored.
+            revision: The revision from the state service's answer.
+            writes: The stored values by key.
         """
         if not self.loaded:
             return
@@ -182,16 +183,17 @@
                 await self._read_changes(self.client.settings.lease_s)
                 await anyio.sleep(self.watch_pause_s)
                 while (wait_s := self.linearizable_at + self.watch_pause_s - self.now()) > 0:
-                    await anyio.sleep(wait_s)  # linearizable reads bring the same
+                    await anyio.sleep(wait_s)  # A linearizable read has already fetched the changes.
             except (HttpTransportError, StateReadError) as error:
                 log.debug("change feed interrupted: error=%s", error)
                 await anyio.sleep(self.watch_pause_s)
 
     async def _load(self) -> None:
-        """Replaces the tables by a snapshot; changes made while it is read follow with the change feed.
+        """Replaces the tables with a snapshot; changes made during the read follow through the change feed.
 
-        Nothing counts as read afresh until they have. Guards against a snapshot that has a view and not a group of
-        machines stored just before it, since rows are read by key: nobody may lead under that view yet.
+        The tables do not count as linearizable until those changes are applied. Pages are read in key order, so a
+        snapshot can contain a view but lack a group of machines that was stored just before the view. This controller
+        must not lead under that view until it has the group.
         """
         snapshot = await read_snapshot(self.client)
         self._own_writes.clear()
@@ -206,19 +208,19 @@
         self._notify()
 
     async def _read_changes(self, hold_s: float) -> None:
-        """Reads the changes since the last applied revision and applies them."""
+        """Reads and applies the changes since the last applied revision."""
         try:
             changes = await read_changes(self.client, self.applied_revision, hold_s)
         except ChangesDiscardedError as error:
             log.info("changes discarded, reading all again: after_revision=%d", error.after_revision)
             self.loaded = False
             raise
-        # Another read may have found meanwhile that all must be loaded anew.
+        # A concurrent read may have found that a new snapshot is needed.
         if self.loaded:
             self._apply_changes(changes)
 
     def _apply_changes(self, changes: wire.ChangeFeed) -> None:
-        """Applies what is new; the watch and a linearizable read may bring the same changes."""
+        """Applies changes that are new; the watch and a linearizable read may return the same changes."""
         for event in sorted(changes.events, key=lambda event: event.mod_revision):
             if event.mod_revision <= self.applied_revision:
                 continue
--- a/sloeswitch/state_reads.py
+++ b/sloeswitch/state_reads.py
@@ -1,7 +1,7 @@
-"""Reads of the state service, each a request and the decoding of its answer; `replica` alone uses them.
+"""Read requests to the state service and the decoding of their answers; used only by `replica`.
 
-What an answer cannot be used for is raised as a subclass of StateReadError. A request without an answer raises
-`http_client.HttpTransportError` instead.
+An unusable answer raises a subclass of StateReadError. A request without an answer raises
+`http_client.HttpTransportError`.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 log = logging.getLogger("state")
 
-# The most rows that the state service puts into one answer (PROTOCOL-sloeswitch.md).
+# The maximum number of rows in one answer of the state service (PROTOCOL-sloeswitch.md).
 SNAPSHOT_PAGE_ROWS = 1000
 
 
 class StateReadError(Exception):
-    """The state service answered a read with something that cannot be applied."""
+    """The state service's answer to a read cannot be used."""
 
 
 class UnexpectedStatusError(StateReadError):
-    """A read was answered with another status than 200."""
+    """A read was answered with a status other than 200."""
 
     def __init__(self, status: int) -> None:
         super().__init__(f"status {status}")
@@ -35,11 +35,11 @@
 
 
 class MalformedAnswerError(StateReadError):
-    """The body of an answer is not what the protocol says."""
+    """The body of an answer does not follow the protocol."""
 
 
 class ChangesDiscardedError(StateReadError):
-    """The state service no longer keeps all changes after the given revision; only a snapshot helps."""
+    """The state service has discarded changes after the given revision; a new snapshot is needed."""
 
     def __init__(self, after_revision: int) -> None:
         super().__init__(f"changes after revision {after_revision} are discarded")
@@ -51,9 +51,9 @@
     """All rows of this cell.
 
     Attributes:
-        revision: The revision of the first page. Later pages may hold later changes, so that the change feed must be
-            read from this revision on.
-        rows: The rows, in the order of their keys.
+        revision: The revision of the first page. Later pages may include later changes, so the change feed must be read
+            from this revision.
+        rows: The rows in key order.
     """
 
     revision: int
@@ -65,7 +65,7 @@
 
     Raises:
         http_client.HttpTransportError: A request had no answer.
-        StateReadError: An answer cannot be used.
+        StateReadError: An answer was unusable.
     """
     page = await _read_page(client, after_key="")
     snapshot = Snapshot(page.revision, list(page.rows))
@@ -85,13 +85,13 @@
 
     Args:
         client: The client of the state service.
-        after_revision: The last revision that is known.
-        hold_s: How long the state service may wait for a change, in seconds; 0: it answers at once.
+        after_revision: The last known revision.
+        hold_s: How long the state service may wait for a change, in seconds; 0: it answers immediately.
 
     Raises:
         http_client.HttpTransportError: The request had no answer.
-        ChangesDiscardedError: The revision is too old.
-        StateReadError: The answer cannot be used.
+        ChangesDiscardedError: The state service has discarded changes after this revision.
+        StateReadError: The answer was unusable.
     """
     path = f"/changes?starts={KEY_PREFIX}&after={after_revision}&holdMs={int(hold_s * 1000)}"
     priority = RequestPriority.CLAIM if hold_s else RequestPriority.USER
