--- a/sloeswitch/rate_budget.py
+++ b/sloeswitch/rate_budget.py
@@ -1,7 +1,7 @@
-"""The rate budget of a client: a token bucket that serves requests of higher priority first.
+"""The rate budget of a client: a token bucket that reserves tokens for requests of higher priority.
 
-A bucket belongs to one controller and one limit of a remote service (requests per second, changes per second, calls to
-the cloud). Only the client of that service takes tokens from it.
+Each bucket is for one controller and one rate limit of a remote service: requests per second, changes per second, or
+calls to the cloud. Only the client of that service takes tokens from it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class RequestPriority(enum.IntEnum):
-    """Which requests go first when the rate of a service is short; the lowest number goes first."""
+    """The priority of a request when the rate limit is reached; the lowest number has the highest priority."""
 
     LEASE = 0
     USER = 1
@@ -18,8 +18,8 @@
     PROGRESS = 3
 
 
-# The fraction of a full bucket that a request must leave behind for requests of higher priority. Users' requests may
-# overdraw the bucket by half: the jobs of a pipeline are submitted one right after another, and claims may have taken
+# The fraction of a full bucket that a request must leave for requests of higher priority. Users' requests may overdraw
+# the bucket by half: the jobs of a pipeline are submitted in quick succession, possibly just after claims have drained
 # the bucket down to its reserve.
 RESERVED_FRACTION = {
     RequestPriority.LEASE: 0.0,
@@ -27,16 +27,16 @@
     RequestPriority.CLAIM: 0.25,
     RequestPriority.PROGRESS: 0.4,
 }
-# Tokens are a sum of floats, so that a bucket refilled to exactly the needed level may hold this much less.
+# Allows for the rounding of float sums, which may leave a refilled bucket slightly below the needed level.
 ROUNDING_TOLERANCE_TOKENS = 1e-9
 
 
 class TokenBucket:
-    """A token bucket that holds at most one second's worth of tokens.
+    """A token bucket with a capacity of one second's tokens.
 
     Attributes:
         rate: Tokens added per second, and the capacity of the bucket. The owner may change it at any time.
-        tokens: Tokens held at `refilled_at`; negative while the bucket is overdrawn.
+        tokens: The tokens in the bucket at `refilled_at`; negative while the bucket is overdrawn.
         refilled_at: When tokens were last added, in seconds of the owner's monotonic clock.
     """
 
@@ -48,15 +48,15 @@
     def acquire(self, cost: float, priority: RequestPriority, now: float) -> float:
         """Takes `cost` tokens if the priority allows it.
 
-        Requests of priority LEASE are always served and may overdraw the bucket without bound: a lease that is renewed
-        late costs this controller its shard.
+        Requests of priority LEASE always succeed and may overdraw the bucket without limit, because a controller whose
+        lease expires loses its shard.
 
         Returns:
-            0 if the tokens were taken; otherwise the seconds until they can be, and nothing is taken.
+            0 if the tokens were taken; otherwise the number of seconds until enough tokens are available.
         """
         self.tokens = min(self.rate, self.tokens + (now - self.refilled_at) * self.rate)
         self.refilled_at = now
-        # A full bucket always serves, or a cost near its size would wait for ever.
+        # A full bucket is always sufficient; otherwise a cost close to its capacity could never be served.
         needed = min(self.rate, cost + RESERVED_FRACTION[priority] * self.rate)
         if priority is RequestPriority.LEASE or self.tokens >= needed - ROUNDING_TOLERANCE_TOKENS:
             self.tokens -= cost
--- a/sloeswitch/state_client.py
+++ b/sloeswitch/state_client.py
@@ -1,7 +1,7 @@
 """The client of the state service, a consensus-backed key-value store.
 
-The rates that the service grants are divided among the controllers; a client keeps its requests within its own part.
-Actors store through `StateClient.compare_and_swap`, `membership` renews its lease through `StateClient.call`, and only
+The rate limits of the service are divided among the controllers; each client keeps its requests within its own share.
+Actors write through `StateClient.compare_and_swap`, `membership` renews its lease through `StateClient.call`, and only
 `replica` reads.
 """
 
@@ -24,29 +24,29 @@
 
 log = logging.getLogger("state")
 
-# The part of the rates that all controllers use together, so that bursts and clock drift stay within the limits.
+# The fraction of the rate limits that all controllers together use; the rest absorbs bursts and clock drift.
 USED_FRACTION_OF_RATE = 0.9
-# Connections that are kept between requests; the change feed has its own, since it holds one for seconds.
+# Idle connections kept open. The change feed has a separate connection, because each of its requests takes seconds.
 MAX_IDLE_CONNECTIONS = 4
-# The fewest changes that a round may hold: a job that ends takes two, and a team's quota allocation may go with it.
+# The minimum size of a transaction: two changes for a job that ends, and one for its team's quota allocation.
 MIN_AVAILABLE_CHANGES = 3
-# The fewest changes that max_transaction_changes is lowered to: an adoption and its part of the team's limit.
+# The lowest value of max_transaction_changes: one change for an adoption, and one for its team's quota allocation.
 MIN_TRANSACTION_CHANGES = 2
-# How far a value limit is lowered below the largest refused value, and the fraction of the configured limit at which
-# lowering ends.
+# After a rejection the value limit is lowered to this fraction of the largest rejected value.
 LOWERED_FRACTION_OF_VALUE = 0.7
+# The value limit is never lowered below this fraction of the configured limit.
 MIN_FRACTION_OF_VALUE_LIMIT = 1 / 8
-# The status of a request that had no answer, among the counted ones.
+# The status under which requests without an answer are counted.
 NO_ANSWER = "none"
-# How much of a refused transaction's answer is logged.
+# How much of the answer to a rejected transaction is logged.
 LOGGED_ANSWER_BYTES = 200
 
 
 class TransactionOutcome(enum.Enum):
     """How a transaction ended.
 
-    REJECTED: it was certainly not carried out, and may be sent again. UNKNOWN: it may have been carried out, or may
-    yet be carried out later.
+    REJECTED: the transaction was certainly not carried out and may be sent again. UNKNOWN: it may have been carried out
+    or may still be carried out later.
     """
 
     COMMITTED = "done"
@@ -57,19 +57,19 @@
 
 
 class TransactionResult(NamedTuple):
-    """How a transaction ended, and the revision of the store at that; 0 where the answer carries none."""
+    """How a transaction ended, and the store's revision at that point; 0 if the answer contains no revision."""
 
     outcome: TransactionOutcome
     revision: int = 0
 
 
 def transaction_result(reply: Reply) -> TransactionResult:
-    """The result that an answer to POST /multi stands for.
+    """Converts an answer to POST /multi into a result.
 
     Source: PROTOCOL-sloeswitch.md, "Controller nodes -> state service".
 
     Raises:
-        wire.MalformedError: The answer is a success or a conflict without a revision; the result is unknown.
+        wire.MalformedError: The answer is a success or a conflict without a revision, so the outcome is unknown.
     """
     match reply.status:
         case HTTPStatus.OK:
@@ -82,20 +82,21 @@
 
 
 class StateClient:
-    """Requests to the state service within this controller's part of the rates.
+    """Sends requests to the state service within this controller's share of the rate limits.
 
     Attributes:
-        controller_count: How many controllers divide the rates at present.
-        timeout_s: How long an answer is waited for. Most take under 10 ms, some a few hundred; a controller's lease
-            must outlive two of these waits.
-        request_tokens: This controller's part of the requests per second.
-        write_tokens: This controller's part of the changes per second.
-        txn_ops: How many changes the state service takes in a transaction; lowered if it takes fewer than configured.
-        value_bytes: How long a stored value may be; lowered if the state service takes less than configured.
-        failing_since: When requests began to fail without any answer since; None while the service answers.
-        requests_by_status: How many requests were answered with each status; `none`: no answer.
-        transactions_by_outcome: How many transactions ended in each way.
-        outages: How often requests began to fail.
+        controller_count: Returns the number of controllers that currently share the rate limits.
+        timeout_s: The timeout of a request. Most answers take under 10 ms, some a few hundred; a controller's lease
+            must outlast two timeouts.
+        request_tokens: This controller's share of the requests per second.
+        write_tokens: This controller's share of the changes per second.
+        txn_ops: The maximum number of changes in a transaction. Lowered if the state service accepts fewer than
+            configured.
+        value_bytes: The maximum size of a stored value. Lowered if the state service accepts less than configured.
+        failing_since: When the current series of failed requests began; None while the service answers.
+        requests_by_status: The number of requests by status of the answer; `none`: no answer.
+        transactions_by_outcome: The number of transactions by outcome.
+        outages: The number of times that requests began to fail.
     """
 
     def __init__(self, settings: Settings, controller_count: Callable[[], int], now: Callable[[], float]) -> None:
@@ -117,17 +118,17 @@
     # -- rates
 
     def available_changes(self, priority: RequestPriority) -> int:
-        """How many changes may go into one transaction of this priority.
+        """The maximum number of changes in one transaction of this priority.
 
-        More than the bucket holds above what is reserved for higher priorities would overdraw it, and users'
-        submissions would wait for that.
+        A larger transaction than the bucket can serve above its reserve for higher priorities would overdraw it, and
+        users' submissions would have to wait.
         """
         self._update_rates()
         unreserved_changes = int(self.write_tokens.rate * (1 - RESERVED_FRACTION[priority]))
         return min(self.txn_ops, max(MIN_AVAILABLE_CHANGES, unreserved_changes))
 
     async def acquire_changes(self, changes: int, priority: RequestPriority) -> None:
-        """Waits until so many changes are within the write rate, for a transaction that is built afterwards."""
+        """Waits until the write rate allows this number of changes, for a transaction that is built afterwards."""
         await self._acquire(self.write_tokens, changes, priority)
 
     def refund_changes(self, changes: int) -> None:
@@ -149,17 +150,17 @@
     async def call(
         self, method: str, path: str, body: bytes | None, priority: RequestPriority, hold_s: float = 0.0
     ) -> Reply:
-        """Sends one request, once the request rate allows it.
+        """Sends one request when the request rate allows it.
 
         Args:
             method: The HTTP method.
             path: The path with its query.
             body: The JSON body; None: no body.
             priority: Its priority for the request rate.
-            hold_s: How long the state service may hold the answer back (a watch), in seconds.
+            hold_s: How long the state service may delay the answer to a long poll, in seconds; 0: no long poll.
 
         Raises:
-            HttpTransportError: There is no answer; the request may have been carried out, or may yet be.
+            HttpTransportError: There is no answer; the request may have been carried out or may still be carried out.
         """
         await self._acquire(self.request_tokens, 1, priority)
         client = self.watch_http if hold_s else self.http
@@ -175,11 +176,11 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether the state service has answered within the last `timeout_s`, or has not failed since it did."""
+        """Whether the state service answers, or its requests have failed for less than `timeout_s`."""
         return self.failing_since is None or self.now() - self.failing_since < self.timeout_s
 
     def _record_status(self, status: int) -> None:
-        """Notes whether the service works for this controller; 429 (over the rate) says nothing of that."""
+        """Records whether the service is working; 429 (rate limit exceeded) is neither a failure nor an answer."""
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
             self._record_failure()
         elif status != HTTPStatus.TOO_MANY_REQUESTS:
@@ -206,14 +207,14 @@
         leases: dict[str, int] | None = None,
         acquired_changes: int = 0,
     ) -> TransactionResult:
-        """Carries out one transaction, sent once.
+        """Sends one transaction, without retries.
 
         Args:
-            transaction: What is compared, written and deleted.
+            transaction: The conditions, writes and deletions.
             priority: Its priority for the write rate and the request rate.
-            leases: The lease, by its identifier, that each of these written keys is bound to.
-            acquired_changes: How many changes acquire_changes() has already taken from the write rate for it; the
-                ones that the transaction does not need are refunded. 0: they are acquired here.
+            leases: For each key that is bound to a lease, the id of that lease.
+            acquired_changes: The number of changes already taken from the write rate by acquire_changes(); changes that
+                the transaction does not need are refunded. 0: the changes are acquired here.
         """
         body = wire.commit_body(transaction.conditions, transaction.writes, transaction.deletes, leases or {})
         if acquired_changes:
@@ -241,20 +242,20 @@
         return result
 
     def _adapt_to_rejection(self, reply: Reply, transaction: Transaction) -> None:
-        """Slows down or lowers the limits, as the refusal says."""
+        """Lowers the limits after a 400 answer; empties the bucket of write tokens after a 429 answer."""
         if reply.status == HTTPStatus.BAD_REQUEST:
             log.error("transaction refused: answer=%s", reply.body[:LOGGED_ANSWER_BYTES])
             self._lower_limits(transaction)
         elif reply.status == HTTPStatus.TOO_MANY_REQUESTS:
-            # A rate that fell, or another controller's burst: wait for what this one took to come back.
+            # The limit was lowered, or another controller sent a burst. Emptying the bucket delays the next write.
             log.info("transaction over the rate: changes=%d", len(transaction))
             self.write_tokens.tokens = min(self.write_tokens.tokens, 0.0)
 
     def _lower_limits(self, transaction: Transaction) -> None:
-        """Lowers the limits below a refused transaction.
+        """Lowers the limits below the size of a rejected transaction.
 
-        Guards against limits of the state service that fell further than announced: the same transaction would be
-        refused for ever.
+        The limits of the state service may be lower than announced. Without this, the same transaction would be
+        rejected on every retry.
         """
         changes = len(transaction)
         if changes > MIN_TRANSACTION_CHANGES:
